--- a/crates/hyssopfork-daemon/src/edge/control.rs
+++ b/crates/hyssopfork-daemon/src/edge/control.rs
@@ -120,7 +120,7 @@
             }
             action::Action::Order(order) => self.later(async move {
                 let outcome = engine::order(&order).await;
-                Some(event::Event::Ordered(order.ticket, outcome))
+                Some(event::Event::Ordered(order.id, outcome))
             }),
             action::Action::Probe(instance, to) => self.later(async move {
                 let sign = engine::probe(to).await;
--- a/crates/hyssopfork-daemon/src/edge/engine.rs
+++ b/crates/hyssopfork-daemon/src/edge/engine.rs
@@ -34,12 +34,12 @@
 }
 
 /// Asks for a sign of life.
-pub async fn probe(address: net::SocketAddr) -> order::Sign {
+pub async fn probe(address: net::SocketAddr) -> order::Liveness {
     let request = connection::Request { method: "GET", path: wire::REPORT_PATH, headers: &[] };
     match time::timeout(PROBE_LIMIT, exchange(address, &request, Bytes::new())).await {
-        Ok(Ok(_)) => order::Sign::Alive,
-        Ok(Err(error::Error::Unreachable(..))) => order::Sign::Refused,
-        Ok(Err(_)) | Err(_) => order::Sign::Missing,
+        Ok(Ok(_)) => order::Liveness::Alive,
+        Ok(Err(error::Error::Unreachable(..))) => order::Liveness::Refused,
+        Ok(Err(_)) | Err(_) => order::Liveness::TimedOut,
     }
 }
 
--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -150,7 +150,7 @@
         address: envelope::Envelope<net::SocketAddr>,
     ) -> bool {
         let Ok(address) = address.open() else { return false };
-        engine::probe(address).await == order::Sign::Alive
+        engine::probe(address).await == order::Liveness::Alive
     }
 
     async fn register(
--- a/crates/hyssopfork-fleet/benches/review.rs
+++ b/crates/hyssopfork-fleet/benches/review.rs
@@ -9,14 +9,14 @@
 use std::net;
 use std::time::{Duration, Instant};
 
-const DOMAIN: u32 = 19;
-const QUIET_REVIEWS: u32 = 50;
+const DOMAIN_SIZE: u32 = 19;
+const IDLE_PASSES: u32 = 50;
 const LOSSES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(20);
+const PASS_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest simulated time until all groups serve.
-const MAX_REVIEWS: u32 = 500;
+const MAX_PASSES: u32 = 500;
 
-fn declared() -> declaration::Declaration {
+fn declaration() -> declaration::Declaration {
     let model = |name: &str, size| declaration::Model {
         name: name::Model::from(name),
         size,
@@ -45,8 +45,8 @@
         instance: name::Instance::new(format!("engine-{number:05}")),
         pool: name::Pool::from("engines"),
         address: net::SocketAddr::from((host, 8_000)),
-        zone: name::Zone::new(format!("z{}", number / DOMAIN % 5)),
-        domain: name::Domain::new(format!("d{:04}", number / DOMAIN)),
+        zone: name::Zone::new(format!("z{}", number / DOMAIN_SIZE % 5)),
+        domain: name::Domain::new(format!("d{:04}", number / DOMAIN_SIZE)),
         slots: 28,
         draining: false,
         cold: Duration::ZERO,
@@ -72,7 +72,7 @@
     fn new(engines: u32) -> Fleet {
         let now = clock::Instant::from_millis(10_000);
         let mut fleet = Fleet {
-            declaration: declared(),
+            declaration: declaration(),
             registry: registry::Registry::new(Duration::from_secs(3_600)),
             groups: groups::Groups::new(now, number::Term(1), false),
             board: board::Board::new(number::Term(1), None),
@@ -88,11 +88,11 @@
     }
 
     /// One review with its publication; its time and how many orders it gave.
-    fn review(&mut self) -> (Duration, usize) {
-        self.now = self.now + PAUSE;
+    fn reconcile(&mut self) -> (Duration, usize) {
+        self.now = self.now + PASS_INTERVAL;
         let nowhere = BTreeSet::new();
         let began = Instant::now();
-        let commands = self.groups.look(
+        let commands = self.groups.reconcile(
             self.now,
             &self.registry,
             &self.declaration,
@@ -100,7 +100,7 @@
             &nowhere,
         );
         let upstreams = self.registry.published(self.now);
-        self.board.publish(board::Rest::default(), upstreams, &self.groups.published());
+        self.board.publish(board::Rest::default(), upstreams, &self.groups.to_views());
         let spent = began.elapsed();
         let orders = commands.len();
         for command in commands {
@@ -112,20 +112,20 @@
     fn carry_out(&mut self, command: groups::Command) {
         match command {
             groups::Command::Order(order) => {
-                self.obey(&order);
+                self.handle_order(&order);
                 let accepted = order::Outcome::Accepted;
-                self.groups.ordered(order.ticket, accepted, &mut self.registry);
+                self.groups.on_order_outcome(order.id, accepted, &mut self.registry);
             }
-            groups::Command::Ask(instance, _) => {
+            groups::Command::RequestReport(instance, _) => {
                 let membership = self.engines[&instance].membership.clone();
-                let report = order::Report { orders: 0, membership };
-                self.groups.reported(self.now, &instance, &report, &mut self.registry);
+                let report = order::Report { accepted_orders: 0, membership };
+                self.groups.on_report(self.now, &instance, &report, &mut self.registry);
             }
             _ => {}
         }
     }
 
-    fn obey(&mut self, order: &order::Order) {
+    fn handle_order(&mut self, order: &order::Order) {
         let Some(told) = self.engines.get_mut(&order.instance) else { return };
         let member = |rank: usize, state| Membership {
             group: order.group.clone(),
@@ -149,8 +149,8 @@
         self.registry.announce(self.now, told);
     }
 
-    fn serving(&self) -> usize {
-        self.groups.published().values().filter(|group| group.serving).count()
+    fn count_serving_groups(&self) -> usize {
+        self.groups.to_views().values().filter(|group| group.serving).count()
     }
 }
 
@@ -160,8 +160,8 @@
         let mut fleet = Fleet::new(engines);
         let mut forming = Duration::ZERO;
         let mut idle = 0;
-        for _ in 0..MAX_REVIEWS {
-            let (spent, orders) = fleet.review();
+        for _ in 0..MAX_PASSES {
+            let (spent, orders) = fleet.reconcile();
             forming += spent;
             idle = if orders == 0 { idle + 1 } else { 0 };
             if idle > 40 {
@@ -170,22 +170,22 @@
         }
         let from = net::SocketAddr::from(([10, 0, 0, 1], 7_000));
         let evidence = peer::Evidence { traffic: true, ..peer::Evidence::default() };
-        fleet.groups.saw(fleet.now, from, &evidence);
-        for _ in 0..MAX_REVIEWS {
-            fleet.review();
+        fleet.groups.on_evidence(fleet.now, from, &evidence);
+        for _ in 0..MAX_PASSES {
+            fleet.reconcile();
         }
-        let quiet: Duration = (0..QUIET_REVIEWS).map(|_| fleet.review().0).sum();
+        let quiet: Duration = (0..IDLE_PASSES).map(|_| fleet.reconcile().0).sum();
         let mut loss = Duration::ZERO;
         for number in 0..LOSSES {
             let lost = announcement(number * 7 % engines).instance;
             fleet.registry.bury(&lost);
-            loss += (0..5).map(|_| fleet.review().0).sum::<Duration>();
+            loss += (0..5).map(|_| fleet.reconcile().0).sum::<Duration>();
         }
         println!(
             "{engines:>8} {:>8} {:>14?} {:>14?} {:>14?}",
-            fleet.serving(),
+            fleet.count_serving_groups(),
             forming,
-            quiet / QUIET_REVIEWS,
+            quiet / IDLE_PASSES,
             loss / LOSSES,
         );
     }
--- a/crates/hyssopfork-fleet/src/core/calls.rs
+++ b/crates/hyssopfork-fleet/src/core/calls.rs
@@ -162,7 +162,7 @@
                 leadership.dirty |= leadership.registry.adopt(now, upstream);
             }
             for (name, group) in known.groups {
-                leadership.groups.take_over(now, &name, group, &leadership.registry);
+                leadership.groups.adopt_from_follower(now, &name, group, &leadership.registry);
                 leadership.dirty = true;
             }
             leadership.watches.learn(known.entries);
@@ -198,7 +198,8 @@
     pub(super) fn ordered(&mut self, ticket: u64, outcome: crate::groups::order::Outcome) {
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
-        let commands = leadership.groups.ordered(ticket, outcome, &mut leadership.registry);
+        let commands =
+            leadership.groups.on_order_outcome(ticket, outcome, &mut leadership.registry);
         self.command(commands);
     }
 
@@ -212,7 +213,8 @@
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
         let registry = &mut leadership.registry;
-        let commands = leadership.groups.vouched(now, from, instance, alive, registry);
+        let commands =
+            leadership.groups.on_indirect_probe_result(now, from, instance, alive, registry);
         self.command(commands);
     }
 
@@ -224,15 +226,21 @@
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
-        let commands = leadership.groups.reported(now, instance, &report, &mut leadership.registry);
+        let commands =
+            leadership.groups.on_report(now, instance, &report, &mut leadership.registry);
         self.command(commands);
     }
 
-    pub(super) fn probed(&mut self, instance: &name::Instance, sign: crate::groups::order::Sign) {
+    pub(super) fn probed(
+        &mut self,
+        instance: &name::Instance,
+        sign: crate::groups::order::Liveness,
+    ) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
-        let commands = leadership.groups.probed(now, instance, sign, &mut leadership.registry);
+        let commands =
+            leadership.groups.on_probe_result(now, instance, sign, &mut leadership.registry);
         self.command(commands);
     }
 }
--- a/crates/hyssopfork-fleet/src/core/lead.rs
+++ b/crates/hyssopfork-fleet/src/core/lead.rs
@@ -88,7 +88,7 @@
             registry.adopt(now, upstream);
         }
         for (name, group) in known {
-            groups.take_over(now, &name, group, &registry);
+            groups.adopt_from_follower(now, &name, group, &registry);
         }
         let mut watches = watches::Watches::new(now, term, self.copy.stamp);
         watches.learn(entries.into_keys());
@@ -133,7 +133,13 @@
             let peers = leadership.watches.peers();
             let commands = declaration
                 .map(|it| {
-                    leadership.groups.look(now, &leadership.registry, &it, &peers, &self.state.out)
+                    leadership.groups.reconcile(
+                        now,
+                        &leadership.registry,
+                        &it,
+                        &peers,
+                        &self.state.out,
+                    )
                 })
                 .unwrap_or_default();
             self.command(commands);
@@ -147,7 +153,7 @@
     pub(super) fn observe(&mut self, from: net::SocketAddr, evidence: &peer::Evidence) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
-        leadership.groups.saw(now, from, evidence);
+        leadership.groups.on_evidence(now, from, evidence);
         let mut notices = Vec::new();
         for crash in &evidence.crashes {
             for (request, round) in leadership.ledger.record(now, crash) {
@@ -174,8 +180,8 @@
             let action = match command {
                 groups::Command::Order(order) => action::Action::Order(order),
                 groups::Command::Probe(instance, to) => action::Action::Probe(instance, to),
-                groups::Command::Ask(instance, to) => action::Action::Ask(instance, to),
-                groups::Command::AskPeer { peer, instance, address } => {
+                groups::Command::RequestReport(instance, to) => action::Action::Ask(instance, to),
+                groups::Command::ProbeIndirectly { peer, instance, address } => {
                     action::Action::AskPeer { peer, instance, address }
                 }
                 groups::Command::Notice(notice) => action::Action::Notice(notice),
@@ -205,7 +211,7 @@
             quarantine: leadership.ledger.published().clone(),
         };
         let upstreams = leadership.registry.published(now);
-        let groups = leadership.groups.published();
+        let groups = leadership.groups.to_views();
         leadership.board.publish(rest, upstreams, &groups);
         leadership.watches.published(leadership.board.stamp().revision);
         // Also when nothing is new: the entry tells by it that this process still leads.
--- a/crates/hyssopfork-fleet/src/event.rs
+++ b/crates/hyssopfork-fleet/src/event.rs
@@ -77,7 +77,7 @@
     /// An order was answered.
     Ordered(u64, groups::order::Outcome),
     /// An upstream was asked for a sign of life.
-    Probed(name::Instance, groups::order::Sign),
+    Probed(name::Instance, groups::order::Liveness),
     /// An engine was asked for its report and gave it.
     Reported(name::Instance, groups::order::Report),
     /// A peer asked an upstream for a sign of life; `false` also when the peer can't be reached.
--- a/crates/hyssopfork-fleet/src/groups.rs
+++ b/crates/hyssopfork-fleet/src/groups.rs
@@ -1,142 +1,143 @@
-//! Serving groups: which there are, and each one's life from joining to leaving.
+//! Serving groups: their formation, lifecycle and recovery, as the leader decides them.
 //!
-//! What must hold, whoever leads and however late an order is carried out:
+//! Invariants, whichever process leads and however late an order is carried out:
 //!
-//! - *A group opens only when every member has been ready under its epoch.* The order to open goes
-//!   out after each member's own word; an engine's word carries group and epoch.
-//! - *No member joins another group while its group's head is open.* A member is free only when its
-//!   group was never told to open, or has closed by its head's own word, or when the member itself
-//!   has left. A head that is silent, or at which connections are refused, may be open for others,
-//!   so neither frees it.
-//! - *An epoch is never used twice.* It begins with the leader's term, of which there is one leader.
+//! - A group opens only when every member has been ready under its epoch. The order to open is sent
+//!   after each member has announced so; an engine's announcement carries group and epoch.
+//! - No member joins another group while its group's head is open. A member is free only if its group
+//!   was never ordered to open, if the head has announced that it closed, or if the member itself has
+//!   left. A head that is silent or refuses connections may be open for other processes, so neither
+//!   frees a member.
+//! - An epoch is never used twice. It starts with the leader's term, and a term has only one leader.
 
+mod counts;
 mod dispatch;
+pub mod failure_detector;
 mod forming;
 pub mod group;
-pub mod inquiry;
 mod lifecycle;
 pub mod loads;
 pub mod order;
 mod peaks;
 pub mod plan;
-mod planning;
+mod planner;
 mod rebalance;
+mod recovery;
 pub mod reports;
 mod reserves;
-mod strangers;
-mod tally;
 
 use crate::announcement::{self, Membership, State};
 use crate::{declaration, notice, peer, registry, view};
-use group::{Group, Stage};
+use group::{Group, Phase};
 use hyssopfork_wire::{clock, name, number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net;
 use std::time::Duration;
 
-/// Time that a group whose member leaves on request may take to end what it has. An engine that
-/// leaves stays for its group's work for ten seconds at most.
-const CLOSE_LIMIT: Duration = Duration::from_secs(8);
+/// Time that a group whose member leaves on request has to finish its requests. A leaving engine
+/// stays for its group's requests for ten seconds at most.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time in which every upstream has called a leader that knew nothing: two heartbeats of those that
-/// are common, one of which may be lost.
-const SETTLE: Duration = Duration::from_millis(2_800);
+/// Time within which every upstream has announced itself to a leader that started without state: two
+/// heartbeats of the usual interval, one of which may be lost.
+const STARTUP_GRACE_PERIOD: Duration = Duration::from_millis(2_800);
 
-/// Bits of an epoch below the term: groups that one leader may form.
-const EPOCH_BITS: u32 = 24;
+/// Bits of an epoch that count the groups formed by one leader; the bits above hold its term.
+const EPOCH_COUNTER_BITS: u32 = 24;
 
-/// What is to be done.
+/// Command of the group management to its process.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Give an order.
+    /// Send an order to an engine.
     Order(order::Order),
-    /// Ask for a sign of life.
+    /// Probe an upstream.
     Probe(name::Instance, net::SocketAddr),
-    /// Ask an engine for its report.
-    Ask(name::Instance, net::SocketAddr),
-    /// Have a peer ask for a sign of life.
-    AskPeer {
+    /// Request a report from an engine.
+    RequestReport(name::Instance, net::SocketAddr),
+    /// Have a peer probe an upstream.
+    ProbeIndirectly {
         /// The peer.
         peer: net::SocketAddr,
         /// The upstream.
         instance: name::Instance,
-        /// Where the upstream listens.
+        /// Address of the upstream.
         address: net::SocketAddr,
     },
     /// Log a numbered event.
     Notice(notice::Notice),
 }
 
-/// All groups, as one leader keeps them.
+/// All groups, with the state that a leader needs to manage them.
 #[derive(Clone, Debug)]
 pub struct Groups {
     groups: BTreeMap<name::Group, Group>,
-    /// Group of each member. A look at hundreds of engines asks for it thousands of times: searched
-    /// for among all groups, looks took the leader's whole processor and others were elected.
+    /// Group of each member. A pass over hundreds of engines looks it up thousands of times: when it
+    /// searched all groups instead, it used up the leader's processor and others were elected.
     ///
-    /// Invariant: names the members of `groups`, and no other.
-    by_member: BTreeMap<name::Instance, name::Group>,
-    /// Open groups whose members have not all called a leader that has just started.
+    /// Invariant: contains the members of `groups` and no other instances.
+    group_by_member: BTreeMap<name::Instance, name::Group>,
+    /// Open groups whose members have not all announced themselves to this leader since it started.
     provisional: BTreeMap<name::Group, view::Group>,
-    /// Epochs that this leader has ended before they were told to open.
-    ended: BTreeSet<u64>,
-    /// Engines that have left an epoch, and the last announcement that may be from before. A later
-    /// one that shows them inside is the truth: an order to join that was held up has put them back.
-    left: BTreeMap<(u64, name::Instance), reports::Announced>,
-    /// Epochs that were taken over: processes that follow this leader later tell of them as well,
-    /// when it may have ended them.
-    taken_over: BTreeSet<u64>,
+    /// Epochs that this leader has ended before it ordered their groups to open.
+    ended_epochs: BTreeSet<u64>,
+    /// Engines that have left an epoch, with their last announcement that may predate that. A later
+    /// announcement that shows them as members is valid: a delayed order to join has put them back.
+    left_members: BTreeMap<(u64, name::Instance), reports::Position>,
+    /// Epochs adopted from followers. Processes that follow this leader later report them again,
+    /// possibly after it has ended them.
+    adopted_epochs: BTreeSet<u64>,
     term: number::Term,
-    formed: u64,
-    started: clock::Instant,
-    /// Whether callers have begun to send: before, loads of weights have the store to themselves.
-    traffic: bool,
-    inquiry: inquiry::Inquiry,
+    formed_count: u64,
+    started_at: clock::Instant,
+    /// Whether clients have started to send requests; until then, loads of weights have the weight
+    /// store to themselves.
+    has_traffic: bool,
+    failure_detector: failure_detector::Detector,
     reports: reports::Reports,
-    pace: loads::Pace,
-    peaks: peaks::Peaks,
-    layouts: plan::Layouts,
-    /// Loads onto hosts that were ordered and have not shown yet.
-    staging: BTreeMap<name::Instance, (name::Model, clock::Instant)>,
-    tickets: BTreeMap<u64, dispatch::Ticket>,
-    newest: u64,
+    load_limiter: loads::Limiter,
+    domain_peaks: peaks::Peaks,
+    layout_cache: plan::Cache,
+    /// Loads onto hosts that were ordered and that the engines have not announced yet.
+    pending_stagings: BTreeMap<name::Instance, (name::Model, clock::Instant)>,
+    pending_orders: BTreeMap<u64, dispatch::PendingOrder>,
+    last_order_id: u64,
     commands: Vec<Command>,
 }
 
 impl Groups {
-    /// No groups yet, at the start of a leader's term.
+    /// Creates the state of a leader at the start of its term, without groups.
     pub fn new(now: clock::Instant, term: number::Term, traffic: bool) -> Groups {
         Groups {
             groups: BTreeMap::new(),
-            by_member: BTreeMap::new(),
+            group_by_member: BTreeMap::new(),
             provisional: BTreeMap::new(),
-            ended: BTreeSet::new(),
-            left: BTreeMap::new(),
-            taken_over: BTreeSet::new(),
+            ended_epochs: BTreeSet::new(),
+            left_members: BTreeMap::new(),
+            adopted_epochs: BTreeSet::new(),
             term,
-            formed: 0,
-            started: now,
-            traffic,
-            inquiry: inquiry::Inquiry::default(),
+            formed_count: 0,
+            started_at: now,
+            has_traffic: traffic,
+            failure_detector: failure_detector::Detector::default(),
             reports: reports::Reports::default(),
-            pace: loads::Pace::new(now),
-            peaks: peaks::Peaks::default(),
-            layouts: plan::Layouts::default(),
-            staging: BTreeMap::new(),
-            tickets: BTreeMap::new(),
-            newest: 0,
+            load_limiter: loads::Limiter::new(now),
+            domain_peaks: peaks::Peaks::default(),
+            layout_cache: plan::Cache::default(),
+            pending_stagings: BTreeMap::new(),
+            pending_orders: BTreeMap::new(),
+            last_order_id: 0,
             commands: Vec::new(),
         }
     }
 
-    /// The groups as followers are told of them.
-    pub fn published(&self) -> BTreeMap<name::Group, view::Group> {
-        let formed = self.groups.iter().map(|(name, group)| (name.clone(), group.published()));
+    /// The groups as they are published to followers.
+    pub fn to_views(&self) -> BTreeMap<name::Group, view::Group> {
+        let formed = self.groups.iter().map(|(name, group)| (name.clone(), group.to_view()));
         formed.chain(self.provisional.clone()).collect()
     }
 
-    /// Takes over a group that a follower of an earlier leader knew, once.
-    pub fn take_over(
+    /// Adopts a group that a follower knows from an earlier leader, at most once per epoch.
+    pub fn adopt_from_follower(
         &mut self,
         now: clock::Instant,
         name: &name::Group,
@@ -144,12 +145,12 @@
         registry: &registry::Registry,
     ) {
         let epoch = known.epoch;
-        if !self.taken_over.contains(&epoch) && self.adopt(now, name, known, registry) {
-            self.taken_over.insert(epoch);
+        if !self.adopted_epochs.contains(&epoch) && self.adopt(now, name, known, registry) {
+            self.adopted_epochs.insert(epoch);
         }
     }
 
-    /// Makes a group that an earlier leader formed one of this leader's; whether it is one now.
+    /// Adopts a group that an earlier leader formed; returns whether it did.
     fn adopt(
         &mut self,
         now: clock::Instant,
@@ -157,15 +158,15 @@
         known: view::Group,
         registry: &registry::Registry,
     ) -> bool {
-        let taken = known.members.iter().any(|member| self.group_of(member).is_some());
-        if self.ended.contains(&known.epoch) || self.groups.contains_key(name) || taken {
+        let grouped = known.members.iter().any(|member| self.group_of(member).is_some());
+        if self.ended_epochs.contains(&known.epoch) || self.groups.contains_key(name) || grouped {
             return false;
         }
         let Some(head) = known.head().and_then(|head| registry.get(head)) else { return false };
-        let stage = match (known.serving, known.members.len()) {
-            (true, _) => Stage::Serving,
-            (false, 1) => Stage::Preparing,
-            (false, _) => Stage::Leaving,
+        let phase = match (known.serving, known.members.len()) {
+            (true, _) => Phase::Serving,
+            (false, 1) => Phase::Preparing,
+            (false, _) => Phase::Leaving,
         };
         let group = Group {
             pool: known.pool,
@@ -173,23 +174,28 @@
             model: known.model,
             members: known.members,
             epoch: known.epoch,
-            stage,
-            since: now,
-            sent: BTreeMap::new(),
+            phase,
+            phase_since: now,
+            order_sent_at: BTreeMap::new(),
         };
-        self.commands.push(Command::Notice(notice::Notice::Adopted(name.clone(), stage)));
-        self.add(name.clone(), group);
+        self.commands.push(Command::Notice(notice::Notice::Adopted(name.clone(), phase)));
+        self.insert_group(name.clone(), group);
         true
     }
 
-    /// Takes what an entry saw.
-    pub fn saw(&mut self, now: clock::Instant, from: net::SocketAddr, evidence: &peer::Evidence) {
-        self.traffic |= evidence.traffic;
-        self.inquiry.saw(now, from, evidence);
+    /// Handles the evidence of an entry.
+    pub fn on_evidence(
+        &mut self,
+        now: clock::Instant,
+        from: net::SocketAddr,
+        evidence: &peer::Evidence,
+    ) {
+        self.has_traffic |= evidence.traffic;
+        self.failure_detector.on_evidence(now, from, evidence);
     }
 
-    /// Takes an engine's report.
-    pub fn reported(
+    /// Handles an engine's report.
+    pub fn on_report(
         &mut self,
         now: clock::Instant,
         instance: &name::Instance,
@@ -201,20 +207,20 @@
         self.take_commands()
     }
 
-    /// Takes what came of asking an upstream for a sign of life.
-    pub fn probed(
+    /// Handles the result of this process's probe of an upstream.
+    pub fn on_probe_result(
         &mut self,
         now: clock::Instant,
         instance: &name::Instance,
-        sign: order::Sign,
+        result: order::Liveness,
         registry: &mut registry::Registry,
     ) -> Vec<Command> {
-        let verdict = self.inquiry.answered(now, instance, sign);
-        self.judge(instance, verdict, registry)
+        let verdict = self.failure_detector.on_probe_result(now, instance, result);
+        self.apply_verdict(instance, verdict, registry)
     }
 
-    /// Takes what came of a peer's asking an upstream for a sign of life.
-    pub fn vouched(
+    /// Handles the result of a peer's probe of an upstream.
+    pub fn on_indirect_probe_result(
         &mut self,
         now: clock::Instant,
         from: net::SocketAddr,
@@ -222,70 +228,73 @@
         alive: bool,
         registry: &mut registry::Registry,
     ) -> Vec<Command> {
-        let verdict = self.inquiry.vouched(now, from, instance, alive);
-        self.judge(instance, verdict, registry)
+        let verdict = self.failure_detector.on_indirect_probe_result(now, from, instance, alive);
+        self.apply_verdict(instance, verdict, registry)
     }
 
-    fn judge(
+    fn apply_verdict(
         &mut self,
         instance: &name::Instance,
-        verdict: inquiry::Verdict,
+        verdict: failure_detector::Verdict,
         registry: &mut registry::Registry,
     ) -> Vec<Command> {
         match verdict {
-            inquiry::Verdict::Alive | inquiry::Verdict::Wait => {}
-            inquiry::Verdict::Ask => self.probe(instance, &BTreeSet::new(), true, registry),
-            inquiry::Verdict::Spread { others, again } => {
-                self.probe(instance, &others, again, registry);
+            failure_detector::Verdict::Alive | failure_detector::Verdict::Wait => {}
+            failure_detector::Verdict::ProbeAgain => {
+                self.send_probes(instance, &BTreeSet::new(), true, registry)
             }
-            inquiry::Verdict::Dead => {
-                self.inquiry.forget(instance);
+            failure_detector::Verdict::ProbeIndirectly { peers, probe_again } => {
+                self.send_probes(instance, &peers, probe_again, registry);
+            }
+            failure_detector::Verdict::Dead => {
+                self.failure_detector.forget(instance);
                 if registry.bury(instance) {
-                    self.note(notice::Notice::Lost(instance.clone()));
+                    self.push_notice(notice::Notice::Lost(instance.clone()));
                 }
             }
         }
         self.take_commands()
     }
 
-    /// Asks an upstream for a sign of life, and has `others` ask it.
-    fn probe(
+    /// Probes an upstream, itself if `directly` and through each of `peers`.
+    fn send_probes(
         &mut self,
         instance: &name::Instance,
-        others: &BTreeSet<net::SocketAddr>,
-        itself: bool,
+        peers: &BTreeSet<net::SocketAddr>,
+        directly: bool,
         registry: &registry::Registry,
     ) {
         let Some(record) = registry.get(instance) else { return };
         let address = record.announcement.address;
-        if itself {
+        if directly {
             self.commands.push(Command::Probe(instance.clone(), address));
         }
-        let ask = |peer: &net::SocketAddr| Command::AskPeer {
+        let probe = |peer: &net::SocketAddr| Command::ProbeIndirectly {
             peer: *peer,
             instance: instance.clone(),
             address,
         };
-        self.commands.extend(others.iter().map(ask));
+        self.commands.extend(peers.iter().map(probe));
     }
 
-    /// Whether `by_member` names the members of `groups`, each once, and no other.
-    fn is_indexed(&self) -> bool {
+    /// Whether `group_by_member` contains the members of `groups`, each once, and no other instances.
+    fn is_member_index_consistent(&self) -> bool {
         let members = self.groups.values().map(|group| group.members.len()).sum::<usize>();
         let is_member = |(member, name): (&name::Instance, &name::Group)| {
             self.groups.get(name).is_some_and(|group| group.members.contains(member))
         };
-        self.by_member.len() == members && self.by_member.iter().all(is_member)
+        self.group_by_member.len() == members && self.group_by_member.iter().all(is_member)
     }
 
-    /// What is to be done at once. The groups move on with the next review.
+    /// Takes the pending commands. The groups themselves move on with the next pass.
     fn take_commands(&mut self) -> Vec<Command> {
-        debug_assert!(self.is_indexed(), "each member is in one group");
+        debug_assert!(self.is_member_index_consistent(), "each member is in one group");
         std::mem::take(&mut self.commands)
     }
 
-    /// Looks at everything and says what is to be done.
-    pub fn look(
+    /// Makes one pass over all members, groups and pools, and returns the commands that bring them
+    /// closer to the plan.
+    pub fn reconcile(
         &mut self,
         now: clock::Instant,
         registry: &registry::Registry,
@@ -293,118 +302,122 @@
         peers: &BTreeSet<net::SocketAddr>,
         out: &BTreeSet<name::Zone>,
     ) -> Vec<Command> {
-        self.inquire(now, registry, peers);
-        self.find_strangers(now, registry, declaration);
-        self.advance(now, registry);
+        self.probe_suspects(now, registry, peers);
+        self.recover_groups(now, registry, declaration);
+        self.advance_groups(now, registry);
         for (pool, engine) in declaration.engines() {
-            self.plan(now, pool, engine, registry, out);
+            self.plan_pool(now, pool, engine, registry, out);
         }
         std::mem::take(&mut self.commands)
     }
 
-    /// Asks members that fell silent, and all members of groups in which everything stands still.
-    fn inquire(
+    /// Probes members that are silent, and all members of groups that are stalled.
+    fn probe_suspects(
         &mut self,
         now: clock::Instant,
         registry: &registry::Registry,
         peers: &BTreeSet<net::SocketAddr>,
     ) {
-        let mut asked = Vec::new();
+        let mut suspects = Vec::new();
         for group in self.groups.values() {
-            let stalled =
-                group.stage == Stage::Serving && self.inquiry.is_stalled(now, group.head());
+            let stalled = group.phase == Phase::Serving
+                && self.failure_detector.is_stalled(now, group.head());
             for member in &group.members {
                 let Some(record) = registry.get(member).filter(|record| !record.dead) else {
                     continue;
                 };
                 if stalled || registry.is_silent(now, record) {
-                    asked.push(member.clone());
+                    suspects.push(member.clone());
                 }
             }
         }
-        for instance in asked {
-            if self.inquiry.ask(now, &instance, peers) {
-                self.probe(&instance, &BTreeSet::new(), true, registry);
+        for instance in suspects {
+            if self.failure_detector.start_probe(now, &instance, peers) {
+                self.send_probes(&instance, &BTreeSet::new(), true, registry);
             }
         }
     }
 
-    /// Forms a group, or puts an instance in reserve.
-    fn form(
+    /// Creates a group or a reserve under a new epoch.
+    fn create_group(
         &mut self,
         now: clock::Instant,
         pool: &name::Pool,
         domain: &name::Domain,
         model: &name::Model,
         members: Vec<name::Instance>,
-        stage: Stage,
+        phase: Phase,
     ) {
-        self.formed += 1;
-        let epoch = (self.term.0 << EPOCH_BITS) | self.formed;
+        self.formed_count += 1;
+        let epoch = (self.term.0 << EPOCH_COUNTER_BITS) | self.formed_count;
         let name = name::Group::new(format!("g{epoch}"));
-        let told = notice::Notice::Formed(name.clone(), model.clone(), members.clone(), stage);
-        self.note(told);
+        let notice = notice::Notice::Formed(name.clone(), model.clone(), members.clone(), phase);
+        self.push_notice(notice);
         let group = Group {
             pool: pool.clone(),
             domain: domain.clone(),
             model: model.clone(),
             members,
             epoch,
-            stage,
-            since: now,
-            sent: BTreeMap::new(),
+            phase,
+            phase_since: now,
+            order_sent_at: BTreeMap::new(),
         };
-        self.add(name, group);
+        self.insert_group(name, group);
     }
 
-    fn turn(&mut self, now: clock::Instant, name: &name::Group, stage: Stage) {
+    fn enter_phase(&mut self, now: clock::Instant, name: &name::Group, phase: Phase) {
         let Some(group) = self.groups.get_mut(name) else { return };
-        group.turn(now, stage);
-        self.note(notice::Notice::Turned(name.clone(), stage));
+        group.enter_phase(now, phase);
+        self.push_notice(notice::Notice::Turned(name.clone(), phase));
     }
 
-    /// Ends a group. Members of one that was never told to open are free; of any other, those that
-    /// have left.
-    fn end(&mut self, name: &name::Group) {
-        if let Some(group) = self.take(name) {
-            if group.stage.is_reserve() || group.stage == Stage::Joining {
-                self.ended.insert(group.epoch);
+    /// Ends a group. All members of a group that was never ordered to open are free; of any other
+    /// group, only those that have left.
+    fn end_group(&mut self, name: &name::Group) {
+        if let Some(group) = self.remove_group(name) {
+            if group.phase.is_reserve() || group.phase == Phase::Joining {
+                self.ended_epochs.insert(group.epoch);
             }
-            self.note(notice::Notice::Ended(name.clone()));
+            self.push_notice(notice::Notice::Ended(name.clone()));
         }
     }
 
-    /// Whether the membership that an engine tells of is over, or that of a group which was never told
-    /// to open.
-    fn is_over(&self, told: &announcement::Announcement, membership: &Membership) -> bool {
-        let left = self.left.get(&(membership.epoch, told.instance.clone()));
+    /// Whether the announced membership is over: the engine has left since, or the group has ended
+    /// without an order to open.
+    fn is_membership_over(
+        &self,
+        announcement: &announcement::Announcement,
+        membership: &Membership,
+    ) -> bool {
+        let left = self.left_members.get(&(membership.epoch, announcement.instance.clone()));
         let serves = matches!(membership.state, State::Open | State::Closing);
-        left.is_some_and(|last| reports::Announced::of(told) <= *last)
-            || self.ended.contains(&membership.epoch) && !serves
+        left.is_some_and(|last| reports::Position::of(announcement) <= *last)
+            || self.ended_epochs.contains(&membership.epoch) && !serves
     }
 
-    /// Whether every upstream has had the time to call this leader.
-    fn is_settled(&self, now: clock::Instant) -> bool {
-        now.since(self.started) >= SETTLE
+    /// Whether every upstream has had the time to announce itself to this leader.
+    fn is_startup_complete(&self, now: clock::Instant) -> bool {
+        now.since(self.started_at) >= STARTUP_GRACE_PERIOD
     }
 
-    fn add(&mut self, name: name::Group, group: Group) {
+    fn insert_group(&mut self, name: name::Group, group: Group) {
         let members = group.members.iter().cloned();
-        self.by_member.extend(members.map(|member| (member, name.clone())));
+        self.group_by_member.extend(members.map(|member| (member, name.clone())));
         self.groups.insert(name, group);
     }
 
-    fn take(&mut self, name: &name::Group) -> Option<Group> {
+    fn remove_group(&mut self, name: &name::Group) -> Option<Group> {
         let group = self.groups.remove(name)?;
-        group.members.iter().for_each(|member| drop(self.by_member.remove(member)));
+        group.members.iter().for_each(|member| drop(self.group_by_member.remove(member)));
         Some(group)
     }
 
     fn group_of(&self, instance: &name::Instance) -> Option<(&name::Group, &Group)> {
-        self.groups.get_key_value(self.by_member.get(instance)?)
+        self.groups.get_key_value(self.group_by_member.get(instance)?)
     }
 
-    fn note(&mut self, notice: notice::Notice) {
+    fn push_notice(&mut self, notice: notice::Notice) {
         self.commands.push(Command::Notice(notice));
     }
 }
--- /dev/null
+++ b/crates/hyssopfork-fleet/src/groups/counts.rs
@@ -0,0 +1,74 @@
+//! Counts of a pool's groups, computed once per planning pass.
+//!
+//! Counting anew for each query would compare every candidate with every group, which takes longer
+//! than the leader's lease with hundreds of engines.
+
+use super::Groups;
+use super::group::{Group, Phase};
+use super::planner::Context;
+use hyssopfork_wire::{clock, name};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// Longest time to wait for the members of a leaving group before engines that have the model only
+/// on their hosts are used instead. Such an engine needs more than a second to load the weights from
+/// its host; the members need 0.2 s once they have left, and they leave within two message trips.
+const MAX_LEAVING_WAIT: Duration = Duration::from_millis(300);
+
+/// A domain and a model.
+pub(super) type Key = (name::Domain, name::Model);
+
+/// Counts of groups that serve or are about to.
+#[derive(Debug, Default)]
+pub(super) struct Counts {
+    /// Groups of each model whose heads are in no zone that is out.
+    usable: BTreeMap<name::Model, usize>,
+    /// Groups of each model in each domain, in zones that are out as well.
+    by_domain: BTreeMap<Key, usize>,
+    /// Domains and models with members that are about to be free.
+    freeing: BTreeSet<Key>,
+}
+
+impl Counts {
+    /// Groups of the model that serve or are about to, those in zones that are out left aside.
+    pub(super) fn usable_groups(&self, model: &name::Model) -> usize {
+        self.usable.get(model).copied().unwrap_or_default()
+    }
+
+    /// Groups of the model in the domain that serve or are about to.
+    pub(super) fn groups_in_domain(&self, key: &Key) -> usize {
+        self.by_domain.get(key).copied().unwrap_or_default()
+    }
+
+    /// Whether members with the model are about to be free in the domain.
+    pub(super) fn is_freeing_members(&self, key: &Key) -> bool {
+        self.freeing.contains(key)
+    }
+
+    /// Counts a group that was just formed.
+    pub(super) fn add_group(&mut self, key: Key) {
+        *self.usable.entry(key.1.clone()).or_default() += 1;
+        *self.by_domain.entry(key).or_default() += 1;
+    }
+
+    fn count_group(&mut self, now: clock::Instant, group: &Group, is_usable: bool) {
+        let key = || (group.domain.clone(), group.model.clone());
+        if group.phase.is_active() {
+            *self.usable.entry(group.model.clone()).or_default() += usize::from(is_usable);
+            *self.by_domain.entry(key()).or_default() += 1;
+        } else if group.phase == Phase::Leaving && now.since(group.phase_since) < MAX_LEAVING_WAIT {
+            self.freeing.insert(key());
+        }
+    }
+}
+
+impl Groups {
+    /// Counts the groups of the pool that is planned.
+    pub(super) fn count_groups(&self, context: &Context<'_>) -> Counts {
+        let mut counts = Counts::default();
+        for group in self.groups.values().filter(|group| group.pool == *context.pool) {
+            counts.count_group(context.now, group, context.is_in_active_zone(group));
+        }
+        counts
+    }
+}
--- a/crates/hyssopfork-fleet/src/groups/dispatch.rs
+++ b/crates/hyssopfork-fleet/src/groups/dispatch.rs
@@ -1,107 +1,109 @@
-//! Orders to engines and their outcomes.
+//! Sends orders to engines and handles their outcomes.
 
-use super::group::Stage;
+use super::group::Phase;
 use super::{Command, Groups, order, reports};
 use crate::{notice, registry};
 use hyssopfork_wire::{clock, name};
 use std::net;
 use std::time::Duration;
 
-/// Time after which an order that shows no effect is given again: an answer takes milliseconds, an
-/// engine tells of a change at once, and one call of it may be lost.
-const RESEND: Duration = Duration::from_millis(700);
+/// Interval at which an order that shows no effect is sent again. An answer takes milliseconds, and
+/// an engine announces a change at once, but one announcement may be lost.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// An order that has been given.
+/// An order that was sent and whose outcome is not known yet.
 #[derive(Clone, Debug)]
-pub(super) struct Ticket {
+pub(super) struct PendingOrder {
     group: name::Group,
     instance: name::Instance,
     epoch: u64,
     kind: reports::Kind,
-    stages: bool,
-    /// Whether the order was given under a condition.
-    guarded: bool,
+    is_staging: bool,
+    /// Whether the order has a precondition.
+    is_conditional: bool,
 }
 
 impl Groups {
-    /// Takes what became of an order.
-    pub fn ordered(
+    /// Handles the outcome of the order `id`.
+    pub fn on_order_outcome(
         &mut self,
-        number: u64,
+        id: u64,
         outcome: order::Outcome,
         registry: &mut registry::Registry,
     ) -> Vec<Command> {
-        let Some(ticket) = self.tickets.remove(&number) else { return Vec::new() };
-        if ticket.stages && outcome != order::Outcome::Accepted {
-            self.staging.remove(&ticket.instance);
+        let Some(order) = self.pending_orders.remove(&id) else { return Vec::new() };
+        if order.is_staging && outcome != order::Outcome::Accepted {
+            self.pending_stagings.remove(&order.instance);
         }
-        let told = notice::Notice::Ordered(ticket.instance.clone(), ticket.group.clone(), outcome);
-        self.note(told);
+        let notice = notice::Notice::Ordered(order.instance.clone(), order.group.clone(), outcome);
+        self.push_notice(notice);
         match outcome {
             order::Outcome::Accepted => {
-                self.reports.record_order(&ticket.instance, ticket.kind, ticket.epoch);
+                self.reports.record_order(&order.instance, order.kind, order.epoch);
             }
             order::Outcome::Unknown => {
-                if ticket.kind == reports::Kind::Join {
-                    self.reports.record_unanswered(&ticket.instance, ticket.epoch);
+                if order.kind == reports::Kind::Join {
+                    self.reports.record_unanswered(&order.instance, order.epoch);
                 }
-                // Given again at once: the order is idempotent under its epoch.
-                if let Some(group) = self.groups.get_mut(&ticket.group) {
-                    group.sent.remove(&ticket.instance);
+                // Sent again at once: an order is idempotent within its epoch.
+                if let Some(group) = self.groups.get_mut(&order.group) {
+                    group.order_sent_at.remove(&order.instance);
                 }
             }
-            order::Outcome::Stranger | order::Outcome::Unreachable => {
-                if registry.bury(&ticket.instance) {
-                    self.note(notice::Notice::Lost(ticket.instance.clone()));
+            order::Outcome::WrongInstance | order::Outcome::Unreachable => {
+                if registry.bury(&order.instance) {
+                    self.push_notice(notice::Notice::Lost(order.instance.clone()));
                 }
             }
-            // It has accepted an order unknown to this leader and may be in another group.
-            order::Outcome::Unfit if ticket.guarded => {
-                self.reports.invalidate(&ticket.instance);
-                self.refused(&ticket, registry);
+            // The engine has accepted an order that this leader doesn't know of, and may be in
+            // another group.
+            order::Outcome::Conflict if order.is_conditional => {
+                self.reports.invalidate(&order.instance);
+                self.on_join_rejected(&order, registry);
             }
-            order::Outcome::Outdated if ticket.kind != reports::Kind::Leave => {
-                self.refused(&ticket, registry);
+            order::Outcome::Outdated if order.kind != reports::Kind::Leave => {
+                self.on_join_rejected(&order, registry);
             }
-            order::Outcome::Unfit | order::Outcome::Outdated => {}
+            order::Outcome::Conflict | order::Outcome::Outdated => {}
         }
-        if ticket.kind == reports::Kind::Leave && self.has_left(&ticket, outcome, registry) {
-            self.leave(&ticket.group, &ticket.instance, registry);
+        if order.kind == reports::Kind::Leave && self.has_left(&order, outcome, registry) {
+            self.on_member_left(&order.group, &order.instance, registry);
         }
         self.take_commands()
     }
 
-    /// Ends a group that an engine refused to join. Refused is also a copy of an order that it has
-    /// taken: then it is in the group, which may be told to open already.
-    fn refused(&mut self, ticket: &Ticket, registry: &registry::Registry) {
+    /// Ends a group whose order to join was rejected. Engines also reject a duplicate of an order
+    /// that they have accepted; such an engine is in the group, which may have been ordered to open.
+    fn on_join_rejected(&mut self, order: &PendingOrder, registry: &registry::Registry) {
         let joins = self
             .groups
-            .get(&ticket.group)
-            .is_some_and(|group| matches!(group.stage, Stage::Preparing | Stage::Joining));
-        if joins && !is_in(ticket, registry) {
-            self.end(&ticket.group);
+            .get(&order.group)
+            .is_some_and(|group| matches!(group.phase, Phase::Preparing | Phase::Joining));
+        if joins && !is_in_ordered_group(order, registry) {
+            self.end_group(&order.group);
         }
     }
 
-    /// Whether an engine is out of its group by what became of the order to leave. An engine that the
-    /// order did not reach may serve clients with its group open: freed, it would join another.
+    /// Whether the outcome of an order to leave shows that the engine has left its group. An engine
+    /// that the order did not reach may still serve clients with its group open; counted as free, it
+    /// would join another group meanwhile.
     fn has_left(
         &self,
-        ticket: &Ticket,
+        order: &PendingOrder,
         outcome: order::Outcome,
         registry: &registry::Registry,
     ) -> bool {
         match outcome {
             order::Outcome::Accepted | order::Outcome::Outdated => true,
-            order::Outcome::Unfit => !is_in(ticket, registry),
-            order::Outcome::Stranger | order::Outcome::Unreachable | order::Outcome::Unknown => {
-                false
-            }
+            order::Outcome::Conflict => !is_in_ordered_group(order, registry),
+            order::Outcome::WrongInstance
+            | order::Outcome::Unreachable
+            | order::Outcome::Unknown => false,
         }
     }
 
-    /// Gives an order, unless it was given just now.
-    pub(super) fn order(
+    /// Sends an order, unless it was sent within [`ORDER_RETRY_INTERVAL`].
+    pub(super) fn send_order_if_due(
         &mut self,
         now: clock::Instant,
         name: &name::Group,
@@ -111,53 +113,58 @@
     ) {
         let Some(record) = registry.get(instance) else { return };
         let Some(group) = self.groups.get_mut(name) else { return };
-        if group.sent.get(instance).is_some_and(|sent| now.since(*sent) < RESEND) {
+        if group
+            .order_sent_at
+            .get(instance)
+            .is_some_and(|sent| now.since(*sent) < ORDER_RETRY_INTERVAL)
+        {
             return;
         }
-        group.sent.insert(instance.clone(), now);
+        group.order_sent_at.insert(instance.clone(), now);
         let (epoch, address) = (group.epoch, record.announcement.address);
         let joins = matches!(task, order::Task::Join { .. });
-        let expected = self.reports.expected(&record.announcement).filter(|_| joins);
-        self.give(instance, address, (name.clone(), epoch), task, expected);
+        let expected = self.reports.expected_orders(&record.announcement).filter(|_| joins);
+        self.send_order(instance, address, (name.clone(), epoch), task, expected);
     }
 
-    pub(super) fn give(
+    /// Sends an order and records it as pending.
+    pub(super) fn send_order(
         &mut self,
         instance: &name::Instance,
         address: net::SocketAddr,
         (group, epoch): (name::Group, u64),
         task: order::Task,
-        expected: Option<u64>,
+        expected_orders: Option<u64>,
     ) {
-        self.newest += 1;
+        self.last_order_id += 1;
         let kind = match task {
             order::Task::Join { .. } => reports::Kind::Join,
             order::Task::Leave => reports::Kind::Leave,
             order::Task::Open | order::Task::Close | order::Task::Stage(_) => reports::Kind::Other,
         };
-        let ticket = Ticket {
+        let order = PendingOrder {
             group: group.clone(),
             instance: instance.clone(),
             epoch,
             kind,
-            stages: matches!(task, order::Task::Stage(_)),
-            guarded: expected.is_some(),
+            is_staging: matches!(task, order::Task::Stage(_)),
+            is_conditional: expected_orders.is_some(),
         };
-        self.tickets.insert(self.newest, ticket);
+        self.pending_orders.insert(self.last_order_id, order);
         self.commands.push(Command::Order(order::Order {
-            ticket: self.newest,
+            id: self.last_order_id,
             instance: instance.clone(),
             address,
             group,
             epoch,
             task,
-            expected,
+            expected_orders,
         }));
     }
 }
 
-/// Whether the engine says that it is in the group of the order.
-fn is_in(ticket: &Ticket, registry: &registry::Registry) -> bool {
-    let told = registry.get(&ticket.instance).map(|record| &record.announcement);
-    told.is_some_and(|told| told.is_in(&ticket.group, ticket.epoch))
+/// Whether the engine announces that it is in the order's group.
+fn is_in_ordered_group(order: &PendingOrder, registry: &registry::Registry) -> bool {
+    let announcement = registry.get(&order.instance).map(|record| &record.announcement);
+    announcement.is_some_and(|it| it.is_in(&order.group, order.epoch))
 }
--- /dev/null
+++ b/crates/hyssopfork-fleet/src/groups/failure_detector.rs
@@ -0,0 +1,193 @@
+//! Failure detector: decides by direct and indirect probes whether a silent upstream is dead.
+//!
+//! An upstream that is cut off from the leader or from some entries goes on serving the others. If an
+//! open head were declared dead, its members would join other groups while it still serves clients.
+//! So silence only starts a probe. An upstream counts as dead when it answers neither several
+//! consecutive probes of the leader nor those of the peers that probe on the leader's behalf, and no
+//! entry has received bytes from it since.
+
+use crate::{groups::order, peer};
+use hyssopfork_wire::{clock, name};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net;
+use std::time::Duration;
+
+/// Consecutive unanswered probes of the leader after which only a peer or an entry can show that the
+/// upstream lives. One may be lost with a packet or two; three within 0.5 s are not lost at a packet
+/// loss of one in twenty.
+const MAX_MISSED_PROBES: u32 = 3;
+
+/// Age up to which bytes received by an entry show that an upstream lives. An engine's step takes
+/// tens of milliseconds, so an upstream that serves any client sends bytes more often than this. The
+/// value is just below the silence after which entries report a stall; with a larger one, such a
+/// report would take effect later.
+const MAX_ACTIVITY_AGE: Duration = Duration::from_millis(190);
+
+/// Interval between two probes of an upstream that answered the first one. A pause over long prompts
+/// leads to a probe now and then; a death just after one is detected later by this much.
+const REPROBE_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Time after which a probe without a verdict is started anew.
+const PROBE_EXPIRY: Duration = Duration::from_millis(1_500);
+
+/// State of the probing of one upstream.
+#[derive(Clone, Debug)]
+struct Probe {
+    started_at: clock::Instant,
+    is_open: bool,
+    missed: u32,
+    /// Peers whose probe result is required and has not arrived.
+    pending_peers: BTreeSet<net::SocketAddr>,
+    /// Whether the peers were asked to probe. That happens only once the leader has missed an answer,
+    /// since most probed upstreams are alive.
+    has_asked_peers: bool,
+}
+
+/// Verdict on an upstream.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Verdict {
+    /// Undecided: the leader is to probe again.
+    ProbeAgain,
+    /// Undecided: peers are to probe as well.
+    ProbeIndirectly {
+        /// The peers.
+        peers: BTreeSet<net::SocketAddr>,
+        /// Whether the leader is to probe again too.
+        probe_again: bool,
+    },
+    /// Undecided: results of peers are missing.
+    Wait,
+    /// The upstream is dead.
+    Dead,
+    /// The upstream is alive.
+    Alive,
+}
+
+/// Failure detector of a leader: its probes and the evidence of entries.
+#[derive(Clone, Debug, Default)]
+pub struct Detector {
+    probes: BTreeMap<name::Instance, Probe>,
+    /// Time at which an entry last received bytes from an upstream.
+    last_activity: BTreeMap<name::Instance, clock::Instant>,
+    /// Entries that report an upstream as stalled, and the time of their last report.
+    stalled: BTreeMap<name::Instance, BTreeMap<net::SocketAddr, clock::Instant>>,
+}
+
+impl Detector {
+    /// Handles the evidence of an entry.
+    pub fn on_evidence(
+        &mut self,
+        now: clock::Instant,
+        from: net::SocketAddr,
+        evidence: &peer::Evidence,
+    ) {
+        for (instance, age) in &evidence.moving {
+            let seen = now - *age;
+            let known = self.last_activity.entry(instance.clone()).or_insert(seen);
+            *known = seen.max(*known);
+        }
+        for entries in self.stalled.values_mut() {
+            entries.remove(&from);
+        }
+        for instance in &evidence.stalled {
+            self.stalled.entry(instance.clone()).or_default().insert(from, now);
+        }
+        self.stalled.retain(|_, entries| !entries.is_empty());
+    }
+
+    /// Whether the upstream is stalled for all entries that use it.
+    pub fn is_stalled(&self, now: clock::Instant, instance: &name::Instance) -> bool {
+        self.stalled.contains_key(instance) && !self.has_recent_activity(now, instance)
+    }
+
+    /// Starts a probe of the upstream if one is due; returns whether it did. The upstream counts as
+    /// dead only after each of `peers` has failed to reach it too.
+    pub fn start_probe(
+        &mut self,
+        now: clock::Instant,
+        instance: &name::Instance,
+        peers: &BTreeSet<net::SocketAddr>,
+    ) -> bool {
+        let is_due = |probe: &Probe| {
+            let interval = if probe.is_open { PROBE_EXPIRY } else { REPROBE_INTERVAL };
+            now.since(probe.started_at) >= interval
+        };
+        if self.probes.get(instance).is_some_and(|probe| !is_due(probe)) {
+            return false;
+        }
+        let pending_peers = peers.clone();
+        let probe = Probe {
+            started_at: now,
+            is_open: true,
+            missed: 0,
+            pending_peers,
+            has_asked_peers: false,
+        };
+        self.probes.insert(instance.clone(), probe);
+        true
+    }
+
+    /// Handles the result of the leader's own probe.
+    pub fn on_probe_result(
+        &mut self,
+        now: clock::Instant,
+        instance: &name::Instance,
+        result: order::Liveness,
+    ) -> Verdict {
+        let Some(probe) = self.probes.get_mut(instance).filter(|it| it.is_open) else {
+            return Verdict::Alive;
+        };
+        match result {
+            order::Liveness::Alive => {
+                probe.is_open = false;
+                return Verdict::Alive;
+            }
+            order::Liveness::Refused => probe.missed = MAX_MISSED_PROBES,
+            order::Liveness::TimedOut => probe.missed += 1,
+        }
+        let probe_again = probe.missed < MAX_MISSED_PROBES;
+        if !std::mem::replace(&mut probe.has_asked_peers, true) && !probe.pending_peers.is_empty() {
+            return Verdict::ProbeIndirectly { peers: probe.pending_peers.clone(), probe_again };
+        }
+        if probe_again { Verdict::ProbeAgain } else { self.verdict(now, instance) }
+    }
+
+    /// Handles the result of a peer's probe; `alive` is `false` also if the peer could not be asked.
+    pub fn on_indirect_probe_result(
+        &mut self,
+        now: clock::Instant,
+        from: net::SocketAddr,
+        instance: &name::Instance,
+        alive: bool,
+    ) -> Verdict {
+        let Some(probe) = self.probes.get_mut(instance).filter(|it| it.is_open) else {
+            return Verdict::Alive;
+        };
+        probe.pending_peers.remove(&from);
+        if alive {
+            probe.is_open = false;
+            return Verdict::Alive;
+        }
+        self.verdict(now, instance)
+    }
+
+    /// Drops all state of an upstream.
+    pub fn forget(&mut self, instance: &name::Instance) {
+        self.probes.remove(instance);
+        self.last_activity.remove(instance);
+        self.stalled.remove(instance);
+    }
+
+    fn verdict(&self, now: clock::Instant, instance: &name::Instance) -> Verdict {
+        let Some(probe) = self.probes.get(instance) else { return Verdict::Alive };
+        if self.has_recent_activity(now, instance) {
+            return Verdict::Alive;
+        }
+        let settled = probe.missed >= MAX_MISSED_PROBES && probe.pending_peers.is_empty();
+        if settled { Verdict::Dead } else { Verdict::Wait }
+    }
+
+    fn has_recent_activity(&self, now: clock::Instant, instance: &name::Instance) -> bool {
+        self.last_activity.get(instance).is_some_and(|seen| now.since(*seen) < MAX_ACTIVITY_AGE)
+    }
+}
--- a/crates/hyssopfork-fleet/src/groups/forming.rs
+++ b/crates/hyssopfork-fleet/src/groups/forming.rs
@@ -1,151 +1,170 @@
-//! Forming groups of engines that have the weights at hand.
+//! Forms groups of engines that have the model's weights at hand.
 
-use super::group::Stage;
-use super::planning::{Candidate, Readiness, Scene};
+use super::group::Phase;
+use super::planner::{Candidate, Context, Readiness};
 use super::{Groups, plan};
 use hyssopfork_wire::name;
 use std::collections::BTreeMap;
 
-/// Engines for one group in each domain.
-type Ready = BTreeMap<name::Domain, Vec<(Readiness, name::Instance)>>;
+/// Engines for one group in each domain, with their readiness.
+type EnginesByDomain = BTreeMap<name::Domain, Vec<(Readiness, name::Instance)>>;
 
-/// What came of forming a group.
+/// Result of an attempt to form a group of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Forming {
-    /// It is formed.
+enum Formation {
+    /// The group was formed.
     Formed,
-    /// Engines that belong to it are free in a moment.
-    Waits,
-    /// No domain has the engines for it.
+    /// Members that a lost group is about to free are waited for.
+    Deferred,
+    /// No domain has enough ready engines.
     Impossible,
 }
 
 impl Groups {
-    /// Part of the groups that it can have that the model has, were there `more` of it.
-    pub(super) fn filled(&self, scene: &Scene<'_>, model: &plan::Model, more: i64) -> f64 {
-        let groups = scene.tally.serving(&model.name) as i64 + more;
-        groups as f64 / scene.attainable(model).max(1) as f64
+    /// Ratio of the model's groups, with `more` added, to those that it can have now.
+    pub(super) fn fill_ratio(&self, context: &Context<'_>, model: &plan::Model, more: i64) -> f64 {
+        let groups = context.counts.usable_groups(&model.name) as i64 + more;
+        groups as f64 / context.attainable_groups(model).max(1) as f64
     }
 
-    /// Forms groups of engines that have the weights at hand, each next one for the model that is
-    /// then farthest behind and can have one.
-    pub(super) fn form_groups(&mut self, scene: &mut Scene<'_>) {
-        if !self.traffic && self.peaks.grows(scene.now, scene.pool) {
+    /// Forms groups of engines that have the weights at hand, one after the other, each for the model
+    /// with the lowest fill ratio of those that can have one.
+    pub(super) fn form_groups(&mut self, context: &mut Context<'_>) {
+        if !self.has_traffic && self.domain_peaks.is_growing(context.now, context.pool) {
             return;
         }
-        let mut candidates = self.candidates(scene);
-        while self.form_next(scene, &mut candidates) {}
+        let mut candidates = self.candidates(context);
+        while self.form_next_group(context, &mut candidates) {}
     }
 
-    /// Forms one group, if one can be formed now.
-    fn form_next(&mut self, scene: &mut Scene<'_>, candidates: &mut Vec<Candidate>) -> bool {
-        let behind: Vec<plan::Model> = self.behind(scene).into_iter().cloned().collect();
-        for model in &behind {
-            if self.leaves_engines(scene, model) {
+    /// Forms one group if possible now; returns whether it did.
+    fn form_next_group(
+        &mut self,
+        context: &mut Context<'_>,
+        candidates: &mut Vec<Candidate>,
+    ) -> bool {
+        let models: Vec<plan::Model> =
+            self.models_below_plan(context).into_iter().cloned().collect();
+        for model in &models {
+            if self.yields_engines(context, model) {
                 continue;
             }
-            match self.form_one(scene, model, candidates) {
-                Forming::Formed => return true,
-                // Another model would take the reserve that completes this one's group.
-                Forming::Waits => return false,
-                Forming::Impossible => {}
+            match self.form_group(context, model, candidates) {
+                Formation::Formed => return true,
+                // A group of another model would take the reserve that completes this one's.
+                Formation::Deferred => return false,
+                Formation::Impossible => {}
             }
         }
         false
     }
 
-    /// Whether the model has what it can have while another lacks groups: engines that are free
-    /// then complete the other's groups, or take up its weights.
+    /// Whether the model has all the groups that it can have now while another has not: then free
+    /// engines are left to complete the other's groups or to load its weights.
     ///
-    /// With a zone out and a member lost, the reserves went to seventh and eighth groups of a model
-    /// of two, and one of four had none for 8 s: no engine was left to complete its last one.
-    fn leaves_engines(&self, scene: &Scene<'_>, model: &plan::Model) -> bool {
-        let lacks = |other: &plan::Model| other.name != model.name && self.lacks(scene, other);
-        !self.lacks(scene, model) && scene.models.iter().any(lacks)
+    /// Without this rule, with a zone out and a member lost, the reserves went to a seventh and an
+    /// eighth group of a model with two members per group, and a model with four had no group for
+    /// 8 s, since no engine was left to complete its last one.
+    fn yields_engines(&self, context: &Context<'_>, model: &plan::Model) -> bool {
+        let is_short = |other: &plan::Model| {
+            other.name != model.name && self.is_below_attainable(context, other)
+        };
+        !self.is_below_attainable(context, model) && context.models.iter().any(is_short)
     }
 
-    /// Whether the engine is kept for the model of its last group, since that is farther behind than
-    /// `model`. Survivors of a group of four that went into groups of two left the larger model
-    /// without a group until another four had loaded its weights.
-    fn is_kept(&self, scene: &Scene<'_>, model: &plan::Model, candidate: &Candidate) -> bool {
-        let Some(last) = &candidate.last else { return false };
-        let of_last = scene.models.iter().find(|it| it.name == *last && it.name != model.name);
+    /// Whether the engine is kept for the model of its last group because that has a lower fill ratio
+    /// than `model`. When survivors of a group of four joined groups of two, the larger model had no
+    /// group until another four engines had loaded its weights.
+    fn is_kept_for_last_model(
+        &self,
+        context: &Context<'_>,
+        model: &plan::Model,
+        candidate: &Candidate,
+    ) -> bool {
+        let Some(last) = &candidate.last_model else { return false };
+        let of_last = context.models.iter().find(|it| it.name == *last && it.name != model.name);
         of_last.is_some_and(|last| {
-            self.lacks(scene, last) && self.filled(scene, last, 0) < self.filled(scene, model, 0)
+            self.is_below_attainable(context, last)
+                && self.fill_ratio(context, last, 0) < self.fill_ratio(context, model, 0)
         })
     }
 
-    /// Whether the model has fewer groups than it can have now.
-    pub(super) fn lacks(&self, scene: &Scene<'_>, model: &plan::Model) -> bool {
-        scene.tally.serving(&model.name) < scene.attainable(model)
+    /// Whether the model has fewer groups than the instances present now allow.
+    pub(super) fn is_below_attainable(&self, context: &Context<'_>, model: &plan::Model) -> bool {
+        context.counts.usable_groups(&model.name) < context.attainable_groups(model)
     }
 
-    /// Models that lack groups, the one farthest behind its plan first.
-    pub(super) fn behind<'s>(&self, scene: &'s Scene<'_>) -> Vec<&'s plan::Model> {
-        let mut behind: Vec<&plan::Model> =
-            scene.models.iter().filter(|model| self.is_behind(scene, model)).collect();
-        behind.sort_by(|left, right| {
-            self.filled(scene, left, 0).total_cmp(&self.filled(scene, right, 0))
+    /// Models with fewer groups than planned, the one with the lowest fill ratio first.
+    pub(super) fn models_below_plan<'s>(&self, context: &'s Context<'_>) -> Vec<&'s plan::Model> {
+        let mut models: Vec<&plan::Model> =
+            context.models.iter().filter(|model| self.is_below_plan(context, model)).collect();
+        models.sort_by(|left, right| {
+            self.fill_ratio(context, left, 0).total_cmp(&self.fill_ratio(context, right, 0))
         });
-        behind
+        models
     }
 
-    fn is_behind(&self, scene: &Scene<'_>, model: &plan::Model) -> bool {
-        scene.tally.serving(&model.name) < scene.total(model)
+    fn is_below_plan(&self, context: &Context<'_>, model: &plan::Model) -> bool {
+        context.counts.usable_groups(&model.name) < context.planned_groups(model)
     }
 
-    /// Forms a group of the model, where the plan has it if that can be. Elsewhere it takes the place
-    /// of the reserve, so only while callers need it or a zone is out: with the reserve of a domain
-    /// spent, the next loss there stopped a group for 5 s to 10 s instead of 1.5 s. For the same
-    /// reason the members that a lost group of the domain is about to free are waited for.
-    fn form_one(
+    /// Forms a group of the model, preferably in a domain where the plan has one.
+    ///
+    /// In any other domain the group uses up the reserve, so it is formed there only while clients
+    /// send requests or a zone is out: without a reserve, the next loss in a domain stopped a group
+    /// for 5 s to 10 s instead of 1.5 s. For the same reason, members that a lost group of the domain
+    /// is about to free are waited for.
+    fn form_group(
         &mut self,
-        scene: &mut Scene<'_>,
+        context: &mut Context<'_>,
         model: &plan::Model,
         candidates: &mut Vec<Candidate>,
-    ) -> Forming {
-        let mut domains = self.ready_engines(scene, model, candidates);
-        let placed =
-            |domain: &name::Domain| scene.tally.placed(&(domain.clone(), model.name.clone()));
-        let beyond = |domain: &name::Domain| placed(domain) >= scene.planned(model, domain);
-        if !self.traffic && scene.out.is_empty() {
-            domains.retain(|domain, _| !beyond(domain));
+    ) -> Formation {
+        let mut domains = self.ready_engines_by_domain(context, model, candidates);
+        let group_count = |domain: &name::Domain| {
+            context.counts.groups_in_domain(&(domain.clone(), model.name.clone()))
+        };
+        let is_full =
+            |domain: &name::Domain| group_count(domain) >= context.planned_groups_in(model, domain);
+        if !self.has_traffic && context.zones_out.is_empty() {
+            domains.retain(|domain, _| !is_full(domain));
         }
-        let slow = |ready: &[(Readiness, name::Instance)]| {
+        let has_slow = |ready: &[(Readiness, name::Instance)]| {
             ready.iter().any(|(readiness, _)| *readiness == Readiness::Staged)
         };
-        let frees = |domain: &name::Domain| {
-            let at_hand = domains.get(domain).is_some_and(|ready| !slow(ready));
-            let frees = scene.tally.frees_members(&(domain.clone(), model.name.clone()));
-            frees && !at_hand && !beyond(domain)
+        let is_worth_waiting = |domain: &name::Domain| {
+            let at_hand = domains.get(domain).is_some_and(|ready| !has_slow(ready));
+            let freeing = context.counts.is_freeing_members(&(domain.clone(), model.name.clone()));
+            freeing && !at_hand && !is_full(domain)
         };
-        if scene.peaks.keys().any(frees) {
-            return Forming::Waits;
+        if context.peak_counts.keys().any(is_worth_waiting) {
+            return Formation::Deferred;
         }
         let best = domains.into_iter().min_by_key(|(domain, ready)| {
             let slowest = ready.last().map(|(readiness, _)| *readiness);
-            (beyond(domain), placed(domain), slowest)
+            (is_full(domain), group_count(domain), slowest)
         });
-        let Some((domain, ready)) = best else { return Forming::Impossible };
+        let Some((domain, ready)) = best else { return Formation::Impossible };
         let members: Vec<name::Instance> =
             ready.into_iter().map(|(_, instance)| instance).collect();
         candidates.retain(|candidate| !members.contains(&candidate.instance));
-        self.take_reserves(&members);
-        self.form(scene.now, scene.pool, &domain, &model.name, members, Stage::Joining);
-        scene.tally.add((domain, model.name.clone()));
-        Forming::Formed
+        self.remove_reserves(&members);
+        self.create_group(context.now, context.pool, &domain, &model.name, members, Phase::Joining);
+        context.counts.add_group((domain, model.name.clone()));
+        Formation::Formed
     }
 
-    /// Engines for one group of the model in each domain that has enough at hand, the readiest first.
-    fn ready_engines(
+    /// Engines for one group of the model in each domain that has enough ready ones. Those that are
+    /// ready soonest come first.
+    fn ready_engines_by_domain(
         &self,
-        scene: &Scene<'_>,
+        context: &Context<'_>,
         model: &plan::Model,
         candidates: &[Candidate],
-    ) -> Ready {
-        let mut domains = Ready::new();
+    ) -> EnginesByDomain {
+        let mut domains = EnginesByDomain::new();
         for candidate in candidates {
-            if self.is_kept(scene, model, candidate) {
+            if self.is_kept_for_last_model(context, model, candidate) {
                 continue;
             }
             if let Some(readiness) = candidate.readiness(&model.name) {
--- a/crates/hyssopfork-fleet/src/groups/group.rs
+++ b/crates/hyssopfork-fleet/src/groups/group.rs
@@ -1,133 +1,133 @@
-//! One serving group, or one instance that holds a model's weights in reserve.
+//! A serving group, or a single instance that holds a model's weights in reserve.
 
 use crate::{announcement, registry, view};
 use hyssopfork_wire::{clock, name};
 use std::collections::BTreeMap;
 
-/// Where a group is in its life.
+/// Phase of a group's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Stage {
-    /// An instance in reserve takes up the weights.
+pub enum Phase {
+    /// Reserve instance: it loads the weights.
     Preparing,
-    /// An instance in reserve has the weights.
+    /// Reserve instance: it has the weights.
     Prepared,
-    /// The members take up their membership.
+    /// The members join and load the weights.
     Joining,
-    /// All members were ready under this epoch; the head is told to open.
+    /// All members were ready under this epoch; the head is ordered to open.
     Opening,
-    /// The head takes requests.
+    /// The head accepts requests.
     Serving,
-    /// The head ends what it has: a member leaves on request.
+    /// A member was asked to leave; the head finishes its requests.
     Closing,
     /// A member was lost; the head must leave before any member may join another group.
     Leaving,
 }
 
-impl Stage {
-    /// Whether it is an instance in reserve.
+impl Phase {
+    /// Whether the group is a reserve instance.
     pub fn is_reserve(self) -> bool {
-        matches!(self, Stage::Preparing | Stage::Prepared)
+        matches!(self, Phase::Preparing | Phase::Prepared)
     }
 
-    /// Whether the group counts as one that serves or will in a moment.
-    pub fn counts(self) -> bool {
-        matches!(self, Stage::Joining | Stage::Opening | Stage::Serving)
+    /// Whether the group serves or is about to.
+    pub fn is_active(self) -> bool {
+        matches!(self, Phase::Joining | Phase::Opening | Phase::Serving)
     }
 }
 
-/// A group.
+/// A serving group or a reserve instance.
 #[derive(Clone, Debug)]
 pub struct Group {
     /// Pool of its members.
     pub pool: name::Pool,
-    /// Domain of its members.
+    /// Fabric domain of its members.
     pub domain: name::Domain,
-    /// Model.
+    /// Model that it serves.
     pub model: name::Model,
     /// Members; the first is the head.
     ///
-    /// Invariant: no instance stands in two groups.
+    /// Invariant: no instance is a member of two groups.
     pub members: Vec<name::Instance>,
     /// Epoch of this membership.
     ///
-    /// Invariant: no other membership of any group has it, over all leaders.
+    /// Invariant: no other membership of any group has this epoch, whichever leader formed it.
     pub epoch: u64,
-    /// Where it is in its life.
-    pub stage: Stage,
-    /// Since when.
-    pub since: clock::Instant,
-    /// When the stage's order last went to each member.
-    pub sent: BTreeMap<name::Instance, clock::Instant>,
+    /// Current phase.
+    pub phase: Phase,
+    /// Start of the current phase.
+    pub phase_since: clock::Instant,
+    /// Time at which the current phase's order was last sent to each member.
+    pub order_sent_at: BTreeMap<name::Instance, clock::Instant>,
 }
 
-/// How a member stands in its group, by its own newest word.
+/// Relation of a member to its group, by its latest announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Member {
-    /// It is dead, or it was never heard of.
+pub enum Presence {
+    /// It is dead or unknown, or it is leaving and no longer a member.
     Lost,
-    /// It lives and is not in this epoch of the group: not yet, or not any more.
+    /// It is alive and not a member under the group's epoch: not yet, or no longer.
     Outside,
-    /// It is in the group and said that it will leave.
+    /// It is a member and has announced that it will leave.
     Departing(announcement::State),
-    /// It is in the group.
+    /// It is a member.
     Inside(announcement::State),
 }
 
-impl Member {
-    /// Whether it says that it takes requests, or ends those that it has.
+impl Presence {
+    /// Whether it announces that it accepts requests or finishes those in flight.
     pub fn is_open(&self) -> bool {
         use announcement::State;
         matches!(
             self,
-            Member::Inside(State::Open | State::Closing)
-                | Member::Departing(State::Open | State::Closing)
+            Presence::Inside(State::Open | State::Closing)
+                | Presence::Departing(State::Open | State::Closing)
         )
     }
 }
 
 impl Group {
-    /// The member that takes the requests.
+    /// The member that accepts the requests.
     pub fn head(&self) -> &name::Instance {
         &self.members[0]
     }
 
-    /// Moves on to another stage.
-    pub fn turn(&mut self, now: clock::Instant, stage: Stage) {
-        self.stage = stage;
-        self.since = now;
-        self.sent.clear();
+    /// Enters a phase, whose orders are then due at once.
+    pub fn enter_phase(&mut self, now: clock::Instant, phase: Phase) {
+        self.phase = phase;
+        self.phase_since = now;
+        self.order_sent_at.clear();
     }
 
-    /// How `instance` stands in this group.
-    pub fn member(
+    /// Relation of `instance` to this group, which is registered under the name `group`.
+    pub fn presence_of(
         &self,
         group: &name::Group,
         instance: &name::Instance,
         registry: &registry::Registry,
-    ) -> Member {
+    ) -> Presence {
         let Some(record) = registry.get(instance).filter(|record| !record.dead) else {
-            return Member::Lost;
+            return Presence::Lost;
         };
         let membership = record.announcement.membership.as_ref();
-        let inside = membership.filter(|it| it.group == *group && it.epoch == self.epoch);
-        match inside {
-            None if record.is_leaving() => Member::Lost,
-            None => Member::Outside,
-            Some(membership) if record.is_leaving() => Member::Departing(membership.state),
-            Some(membership) => Member::Inside(membership.state),
+        let current = membership.filter(|it| it.group == *group && it.epoch == self.epoch);
+        match current {
+            None if record.is_leaving() => Presence::Lost,
+            None => Presence::Outside,
+            Some(membership) if record.is_leaving() => Presence::Departing(membership.state),
+            Some(membership) => Presence::Inside(membership.state),
         }
     }
 
-    /// The group as followers are told of it.
-    pub fn published(&self) -> view::Group {
+    /// The group as it is published to followers.
+    pub fn to_view(&self) -> view::Group {
         view::Group {
             pool: self.pool.clone(),
             model: self.model.clone(),
             members: self.members.clone(),
             epoch: self.epoch,
-            serving: self.stage == Stage::Serving,
-            lost: self.stage == Stage::Leaving,
+            serving: self.phase == Phase::Serving,
+            lost: self.phase == Phase::Leaving,
         }
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/lifecycle.rs
+++ b/crates/hyssopfork-fleet/src/groups/lifecycle.rs
@@ -1,96 +1,99 @@
-//! Each group's way from joining to its end, as far as its members' words allow.
+//! Lifecycle of groups: moves each one from phase to phase by its members' announcements.
 
-use super::group::{Member, Stage};
-use super::{CLOSE_LIMIT, Groups, order, reports};
+use super::group::{Phase, Presence};
+use super::{CLOSE_TIMEOUT, Groups, order, reports};
 use crate::{announcement, registry};
 use hyssopfork_wire::{clock, name};
 
 impl Groups {
-    /// Takes each group as far as its members' words allow: a stage that begins gives its orders at
-    /// once. Left to the next look, the order to open alone kept callers waiting 0.1 s longer.
-    pub(super) fn advance(&mut self, now: clock::Instant, registry: &registry::Registry) {
+    /// Moves each group on until its members' announcements allow no further phase, and sends the
+    /// orders of a new phase at once. Left to the next pass, the order to open alone kept clients
+    /// waiting 0.1 s longer.
+    pub(super) fn advance_groups(&mut self, now: clock::Instant, registry: &registry::Registry) {
         let names: Vec<name::Group> = self.groups.keys().cloned().collect();
         for name in names {
-            let mut stage = None;
-            while self.stage_of(&name) != stage {
-                stage = self.stage_of(&name);
-                self.advance_one(now, &name, registry);
+            let mut phase = None;
+            while self.phase_of(&name) != phase {
+                phase = self.phase_of(&name);
+                self.advance_group(now, &name, registry);
             }
         }
     }
 
-    fn stage_of(&self, name: &name::Group) -> Option<Stage> {
-        self.groups.get(name).map(|group| group.stage)
+    fn phase_of(&self, name: &name::Group) -> Option<Phase> {
+        self.groups.get(name).map(|group| group.phase)
     }
 
-    fn advance_one(
+    fn advance_group(
         &mut self,
         now: clock::Instant,
         name: &name::Group,
         registry: &registry::Registry,
     ) {
         let Some(group) = self.groups.get(name) else { return };
-        let members: Vec<Member> =
-            group.members.iter().map(|member| group.member(name, member, registry)).collect();
-        let lost = members.contains(&Member::Lost);
-        let departs = members.iter().any(|member| matches!(member, Member::Departing(_)));
-        // An earlier leader may have told an engine to open that is taken for a reserve here.
-        if group.stage.is_reserve() && members.iter().any(Member::is_open) {
-            return self.turn(now, name, Stage::Leaving);
+        let members: Vec<Presence> =
+            group.members.iter().map(|member| group.presence_of(name, member, registry)).collect();
+        let lost = members.contains(&Presence::Lost);
+        let departing = members.iter().any(|member| matches!(member, Presence::Departing(_)));
+        // An earlier leader may have ordered an engine to open that counts as a reserve here.
+        if group.phase.is_reserve() && members.iter().any(Presence::is_open) {
+            return self.enter_phase(now, name, Phase::Leaving);
         }
-        let bound = matches!(group.stage, Stage::Preparing | Stage::Joining)
+        let bound_elsewhere = matches!(group.phase, Phase::Preparing | Phase::Joining)
             && group.members.iter().any(|it| self.is_bound_elsewhere(name, it, registry));
-        match group.stage {
-            Stage::Preparing | Stage::Joining if lost || departs || bound => self.end(name),
-            Stage::Preparing => {
-                self.wait_for_members(now, name, &members, Stage::Prepared, registry)
+        match group.phase {
+            Phase::Preparing | Phase::Joining if lost || departing || bound_elsewhere => {
+                self.end_group(name)
             }
-            Stage::Prepared if lost || departs || members.contains(&Member::Outside) => {
-                self.end(name);
+            Phase::Preparing => {
+                self.wait_for_members(now, name, &members, Phase::Prepared, registry)
             }
-            Stage::Prepared => {}
-            Stage::Joining => self.wait_for_members(now, name, &members, Stage::Opening, registry),
-            Stage::Opening if lost || members.contains(&Member::Outside) => {
-                self.turn(now, name, Stage::Leaving);
+            Phase::Prepared if lost || departing || members.contains(&Presence::Outside) => {
+                self.end_group(name);
             }
-            Stage::Opening if departs => self.turn(now, name, Stage::Leaving),
-            Stage::Opening => self.wait_for_opening(now, name, members[0], registry),
-            Stage::Serving => self.watch_over(now, name, &members),
-            Stage::Closing => self.wait_for_closing(now, name, &members, registry),
-            Stage::Leaving => self.wait_for_leaving(now, name, &members, registry),
+            Phase::Prepared => {}
+            Phase::Joining => self.wait_for_members(now, name, &members, Phase::Opening, registry),
+            Phase::Opening if lost || members.contains(&Presence::Outside) => {
+                self.enter_phase(now, name, Phase::Leaving);
+            }
+            Phase::Opening if departing => self.enter_phase(now, name, Phase::Leaving),
+            Phase::Opening => self.wait_for_opening(now, name, members[0], registry),
+            Phase::Serving => self.check_serving_group(now, name, &members),
+            Phase::Closing => self.wait_for_closing(now, name, &members, registry),
+            Phase::Leaving => self.wait_for_leaving(now, name, &members, registry),
         }
     }
 
-    /// Repeats the order to join to those who are not in the group, until all are ready.
+    /// Repeats the order to join to instances that are not in the group, until all members are ready.
     fn wait_for_members(
         &mut self,
         now: clock::Instant,
         name: &name::Group,
-        members: &[Member],
-        next: Stage,
+        members: &[Presence],
+        next: Phase,
         registry: &registry::Registry,
     ) {
         use announcement::State;
-        let ready = |member: &Member| {
-            matches!(member, Member::Inside(State::Ready | State::Open | State::Closing))
+        let ready = |member: &Presence| {
+            matches!(member, Presence::Inside(State::Ready | State::Open | State::Closing))
         };
-        if members.contains(&Member::Inside(State::Broken)) {
-            return self.turn(now, name, Stage::Leaving);
+        if members.contains(&Presence::Inside(State::Broken)) {
+            return self.enter_phase(now, name, Phase::Leaving);
         }
         if members.iter().all(ready) {
-            return self.turn(now, name, next);
+            return self.enter_phase(now, name, next);
         }
         let Some(group) = self.groups.get(name) else { return };
         let outside: Vec<name::Instance> = group
             .members
             .iter()
             .zip(members)
-            .filter(|(_, member)| **member == Member::Outside)
+            .filter(|(_, member)| **member == Presence::Outside)
             .map(|(instance, _)| instance.clone())
             .collect();
         let task = order::Task::Join { model: group.model.clone(), members: group.members.clone() };
         for instance in outside {
-            self.order(now, name, &instance, task.clone(), registry);
+            self.send_order_if_due(now, name, &instance, task.clone(), registry);
         }
     }
 
@@ -98,120 +101,135 @@
         &mut self,
         now: clock::Instant,
         name: &name::Group,
-        head: Member,
+        head: Presence,
         registry: &registry::Registry,
     ) {
         match head {
-            Member::Inside(announcement::State::Open) => self.turn(now, name, Stage::Serving),
-            Member::Inside(announcement::State::Broken) => self.turn(now, name, Stage::Leaving),
+            Presence::Inside(announcement::State::Open) => {
+                self.enter_phase(now, name, Phase::Serving)
+            }
+            Presence::Inside(announcement::State::Broken) => {
+                self.enter_phase(now, name, Phase::Leaving)
+            }
             _ => {
                 if let Some(head) = self.groups.get(name).map(|group| group.head().clone()) {
-                    self.order(now, name, &head, order::Task::Open, registry);
+                    self.send_order_if_due(now, name, &head, order::Task::Open, registry);
                 }
             }
         }
     }
 
-    fn watch_over(&mut self, now: clock::Instant, name: &name::Group, members: &[Member]) {
+    fn check_serving_group(
+        &mut self,
+        now: clock::Instant,
+        name: &name::Group,
+        members: &[Presence],
+    ) {
         use announcement::State;
-        let broken = members.contains(&Member::Inside(State::Broken));
-        let departs = members.iter().any(|member| matches!(member, Member::Departing(_)));
-        if broken || members.contains(&Member::Lost) || members.contains(&Member::Outside) {
-            self.turn(now, name, Stage::Leaving);
-        } else if departs {
-            self.turn(now, name, Stage::Closing);
-        } else if members[0] == Member::Inside(State::Ready) {
-            self.turn(now, name, Stage::Opening);
+        let broken = members.contains(&Presence::Inside(State::Broken));
+        let departing = members.iter().any(|member| matches!(member, Presence::Departing(_)));
+        if broken || members.contains(&Presence::Lost) || members.contains(&Presence::Outside) {
+            self.enter_phase(now, name, Phase::Leaving);
+        } else if departing {
+            self.enter_phase(now, name, Phase::Closing);
+        } else if members[0] == Presence::Inside(State::Ready) {
+            self.enter_phase(now, name, Phase::Opening);
         }
     }
 
-    /// A member leaves on request: the head ends what it has, then all are free.
+    /// Waits until the head has finished its requests because a member leaves on request; then all
+    /// members leave.
     fn wait_for_closing(
         &mut self,
         now: clock::Instant,
         name: &name::Group,
-        members: &[Member],
+        members: &[Presence],
         registry: &registry::Registry,
     ) {
         use announcement::State;
-        let late = self.groups.get(name).is_none_or(|it| now.since(it.since) >= CLOSE_LIMIT);
+        let timed_out =
+            self.groups.get(name).is_none_or(|it| now.since(it.phase_since) >= CLOSE_TIMEOUT);
         match members[0] {
-            // An order to open that was held up could still open a head that has only closed.
-            Member::Inside(State::Ready) | Member::Departing(State::Ready) | Member::Outside => {
-                self.turn(now, name, Stage::Leaving);
+            // A head that is closed but still a member could be reopened by a delayed order to open.
+            Presence::Inside(State::Ready)
+            | Presence::Departing(State::Ready)
+            | Presence::Outside => {
+                self.enter_phase(now, name, Phase::Leaving);
+            }
+            _ if timed_out || members.contains(&Presence::Lost) => {
+                self.enter_phase(now, name, Phase::Leaving)
             }
-            _ if late || members.contains(&Member::Lost) => self.turn(now, name, Stage::Leaving),
-            Member::Inside(State::Broken) | Member::Departing(State::Broken) => {
-                self.turn(now, name, Stage::Leaving);
+            Presence::Inside(State::Broken) | Presence::Departing(State::Broken) => {
+                self.enter_phase(now, name, Phase::Leaving);
             }
-            Member::Inside(State::Closing) | Member::Departing(State::Closing) => {}
+            Presence::Inside(State::Closing) | Presence::Departing(State::Closing) => {}
             _ => {
                 if let Some(head) = self.groups.get(name).map(|group| group.head().clone()) {
-                    self.order(now, name, &head, order::Task::Close, registry);
+                    self.send_order_if_due(now, name, &head, order::Task::Close, registry);
                 }
             }
         }
     }
 
-    /// Has every member leave; who is out is free at once.
+    /// Orders every member to leave. Each one is free as soon as it has left.
     fn wait_for_leaving(
         &mut self,
         now: clock::Instant,
         name: &name::Group,
-        members: &[Member],
+        members: &[Presence],
         registry: &registry::Registry,
     ) {
         let Some(group) = self.groups.get(name) else { return };
-        let own = group.epoch >> super::EPOCH_BITS == self.term.0;
-        let named: Vec<(name::Instance, Member)> =
+        let formed_here = group.epoch >> super::EPOCH_COUNTER_BITS == self.term.0;
+        let presences: Vec<(name::Instance, Presence)> =
             group.members.iter().cloned().zip(members.iter().copied()).collect();
-        for (instance, member) in named {
+        for (instance, member) in presences {
             match member {
-                // One that is only cut off is still a member when it is heard of again.
-                Member::Lost => self.drop_member(name, &instance),
-                // It was heard inside by this leader before, so this word is a newer one.
-                Member::Outside if own => self.leave(name, &instance, registry),
-                // Of an earlier leader's group, its call may be older than its membership: the
-                // answer to the order tells.
-                Member::Outside | Member::Departing(_) | Member::Inside(_) => {
-                    self.order(now, name, &instance, order::Task::Leave, registry);
+                // If it is only cut off, it still announces its membership once it is reachable.
+                Presence::Lost => self.remove_member(name, &instance),
+                // This leader has seen it as a member before, so this announcement is a newer one.
+                Presence::Outside if formed_here => self.on_member_left(name, &instance, registry),
+                // In an earlier leader's group, its announcement may predate its membership; the
+                // outcome of the order shows whether it has left.
+                Presence::Outside | Presence::Departing(_) | Presence::Inside(_) => {
+                    self.send_order_if_due(now, name, &instance, order::Task::Leave, registry);
                 }
             }
         }
     }
 
-    /// A member is out of a group that ends.
-    pub(super) fn leave(
+    /// Handles that a member has left a group that is in [`Phase::Leaving`].
+    pub(super) fn on_member_left(
         &mut self,
         name: &name::Group,
         instance: &name::Instance,
         registry: &registry::Registry,
     ) {
         let Some(group) = self.groups.get(name) else { return };
-        if group.stage != Stage::Leaving {
+        if group.phase != Phase::Leaving {
             return;
         }
         if let Some(record) = registry.get(instance) {
-            let told = &record.announcement;
-            let last = reports::Announced::of(told);
-            // The engine tells of its leaving with its next announcement at the latest.
-            let last = if told.is_in(name, group.epoch) { last.next() } else { last };
-            self.left.insert((group.epoch, instance.clone()), last);
+            let announcement = &record.announcement;
+            let last = reports::Position::of(announcement);
+            // The engine's next announcement at the latest shows that it has left.
+            let last = if announcement.is_in(name, group.epoch) { last.next() } else { last };
+            self.left_members.insert((group.epoch, instance.clone()), last);
         }
-        self.drop_member(name, instance);
+        self.remove_member(name, instance);
     }
 
-    fn drop_member(&mut self, name: &name::Group, instance: &name::Instance) {
+    fn remove_member(&mut self, name: &name::Group, instance: &name::Instance) {
         let Some(group) = self.groups.get_mut(name) else { return };
         let members = group.members.len();
         group.members.retain(|member| member != instance);
         if group.members.len() == members {
             return;
         }
-        self.by_member.remove(instance);
+        self.group_by_member.remove(instance);
         self.reports.on_freed(instance);
         if group.members.is_empty() {
-            self.end(name);
+            self.end_group(name);
         }
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/loads.rs
+++ b/crates/hyssopfork-fleet/src/groups/loads.rs
@@ -1,36 +1,37 @@
-//! Pace of loads from the weight store, which serves all instances together.
+//! Token bucket for loads from the weight store, which serves all instances together.
 
 use hyssopfork_wire::clock;
 
-/// Share of the store's rate that is used: an order that was held up may begin its load in the same
-/// second as others that were given later.
-const USED: f64 = 0.8;
+/// Share of the store's rate that is used. The rest is for delayed orders, whose loads may begin in
+/// the same second as those of orders sent later.
+const STORE_RATE_SHARE: f64 = 0.8;
 
-/// Loads that may begin at once after quiet.
-const BURST: f64 = 2.0;
+/// Size of the bucket: number of loads that may begin at once after a quiet period.
+const MAX_BURST_LOADS: f64 = 2.0;
 
-/// The pace.
+/// Token bucket that limits how many loads begin per second.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    allowance: f64,
-    at: clock::Instant,
+pub struct Limiter {
+    tokens: f64,
+    refilled_at: clock::Instant,
 }
 
-impl Pace {
-    /// A pace that has been used up just now: what an earlier leader began isn't known.
-    pub fn new(now: clock::Instant) -> Pace {
-        Pace { allowance: 0.0, at: now }
+impl Limiter {
+    /// Creates an empty bucket, since the loads begun by an earlier leader are unknown.
+    pub fn new(now: clock::Instant) -> Limiter {
+        Limiter { tokens: 0.0, refilled_at: now }
     }
 
-    /// Whether a load may begin now, at `rate` loads a second; counts it when it may.
-    pub fn begin(&mut self, now: clock::Instant, rate: f64) -> bool {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = now;
-        self.allowance = (self.allowance + passed * rate * USED).min(BURST);
-        let may = self.allowance >= 1.0;
-        if may {
-            self.allowance -= 1.0;
+    /// Takes a token for a load if there is one, with `rate` loads per second; returns whether the
+    /// load may begin now.
+    pub fn try_start(&mut self, now: clock::Instant, rate: f64) -> bool {
+        let elapsed_s = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed_s * rate * STORE_RATE_SHARE).min(MAX_BURST_LOADS);
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
+            self.tokens -= 1.0;
         }
-        may
+        is_allowed
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/order.rs
+++ b/crates/hyssopfork-fleet/src/groups/order.rs
@@ -1,84 +1,86 @@
-//! Orders to engines, and what comes back.
+//! Orders to engines, their outcomes, and engines' answers to reports and probes.
 
 use crate::announcement;
 use hyssopfork_wire::name;
 use std::net;
 
-/// What an engine is to do.
+/// Task of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// Take up the model's weights as a member of the group.
+    /// Join the group and load the model's weights.
     Join {
-        /// Model.
+        /// Model of the group.
         model: name::Model,
         /// Members; the first is the head.
         members: Vec<name::Instance>,
     },
-    /// Head: take requests.
+    /// Accept requests; for the head only.
     Open,
-    /// Head: take no more requests and end those that it has.
+    /// Accept no more requests and finish those in flight; for the head only.
     Close,
     /// Leave the group at once.
     Leave,
-    /// Load a model's weights onto the host, beside whatever else goes on. Concerns no group.
+    /// Load a model's weights onto the host in the background. Independent of any group.
     Stage(name::Model),
 }
 
-/// An order.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Number, for the answer.
-    pub ticket: u64,
-    /// Engine that it is meant for; another one at the address refuses it.
+    /// Identifies the order when its outcome arrives.
+    pub id: u64,
+    /// Engine that the order is for; another engine at the address rejects it.
     pub instance: name::Instance,
-    /// Where the engine listens.
+    /// Address of the engine.
     pub address: net::SocketAddr,
-    /// Group.
+    /// Group that the order is about.
     pub group: name::Group,
-    /// Epoch of the group's membership. An engine refuses an order to join that is older than one
-    /// that it has seen, so an order that was held up undoes nothing.
+    /// Epoch of the group's membership. An engine rejects an order to join whose epoch is older than
+    /// the newest one it has seen, so a delayed order undoes nothing.
     pub epoch: u64,
-    /// What to do.
+    /// What the engine is to do.
     pub task: Task,
-    /// Orders that the engine has taken so far; it refuses this one if it has taken more or fewer.
-    /// `None` where that doesn't matter.
-    pub expected: Option<u64>,
+    /// Precondition: the number of orders that the engine has accepted so far. It rejects this one
+    /// if it has accepted more or fewer. `None` for no precondition.
+    pub expected_orders: Option<u64>,
 }
 
-/// What an engine says of itself when it is asked; as it was some hundred milliseconds before.
+/// State of an engine, reported on request; it may be some hundred milliseconds old.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Orders that it has taken since its process started.
-    pub orders: u64,
-    /// Its group, if it is in one.
+    /// Number of orders that the engine has accepted since its process started.
+    pub accepted_orders: u64,
+    /// Membership of the engine, if it is in a group.
     pub membership: Option<announcement::Membership>,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// It has begun or is done.
+    /// The engine carries it out or has done so.
     Accepted,
-    /// It doesn't fit what the engine is.
-    Unfit,
+    /// The engine's state doesn't allow it, or its precondition doesn't hold.
+    #[strum(serialize = "unfit")]
+    Conflict,
     /// The engine has seen a newer epoch.
     Outdated,
     /// Another engine has the address.
-    Stranger,
-    /// Nobody listens at the address.
+    #[strum(serialize = "stranger")]
+    WrongInstance,
+    /// Nothing listens at the address.
     Unreachable,
-    /// No answer: it may be carried out, also later.
+    /// No answer: it may have been carried out, or may still be.
     Unknown,
 }
 
-/// What came of asking for a sign of life.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// It answered.
+pub enum Liveness {
+    /// The upstream answered.
     Alive,
-    /// Nobody listens at its address.
+    /// The connection was refused: nothing listens at the address.
     Refused,
-    /// No answer in time.
-    Missing,
+    /// No answer before the timeout.
+    TimedOut,
 }
--- a/crates/hyssopfork-fleet/src/groups/rebalance.rs
+++ b/crates/hyssopfork-fleet/src/groups/rebalance.rs
@@ -1,66 +1,76 @@
-//! Giving a group of one model up for a group of another.
+//! Rebalances groups among models: closes a group of one model so that another model gets one.
 
-use super::group::Stage;
-use super::planning::{Candidate, Scene};
+use super::group::Phase;
+use super::planner::{Candidate, Context};
 use super::{Groups, plan};
 use crate::registry;
 use hyssopfork_wire::name;
 
-/// Part of the groups that it can have by which the poorer model must gain on the other: the group
-/// that is given up takes nothing for two to four seconds, and its model's callers pay for that.
-const GAIN: f64 = 0.2;
+/// Least difference of fill ratios at which a group is closed for another model. The closed group's
+/// instances serve nothing for two to four seconds, at the expense of its model's clients.
+const MIN_FILL_RATIO_GAIN: f64 = 0.2;
 
 impl Groups {
-    /// Closes a group of a model that has much of its plan, where its members complete a group of
-    /// one that has little. One model's callers would otherwise be refused while another's groups
+    /// Closes a group of a model with a high fill ratio if its members complete a group of a model
+    /// with a low one. Otherwise one model's requests would be rejected while another model's groups
     /// are half empty.
     ///
-    /// Not by a leader that has just started: after all processes were killed it knows the groups
-    /// whose heads have called, and would close those for a model whose heads are about to.
-    pub(super) fn rebalance(&mut self, scene: &Scene<'_>) {
-        // Members of a group that is just ending will be free in a moment.
-        let changes = |group: &super::Group| matches!(group.stage, Stage::Closing | Stage::Leaving);
-        if !self.traffic || !self.is_settled(scene.now) || self.groups.values().any(changes) {
+    /// A leader that has just started doesn't rebalance: after all processes were killed, it knows
+    /// only the groups whose heads have announced themselves, and would close those for a model whose
+    /// heads are about to do so.
+    pub(super) fn rebalance(&mut self, context: &Context<'_>) {
+        // Members of a group that is ending are free soon.
+        let is_ending =
+            |group: &super::Group| matches!(group.phase, Phase::Closing | Phase::Leaving);
+        if !self.has_traffic
+            || !self.is_startup_complete(context.now)
+            || self.groups.values().any(is_ending)
+        {
             return;
         }
-        let lacks = |model: &&plan::Model| self.lacks(scene, model);
-        let Some(poor) = self.behind(scene).into_iter().find(lacks) else { return };
-        let has = self.filled(scene, poor, 0);
-        let rich = scene
-            .models
-            .iter()
-            .filter(|model| model.name != poor.name && self.filled(scene, model, -1) >= has + GAIN);
-        let chosen = rich.filter_map(|model| self.completes(scene, model, poor)).next();
+        let is_short = |model: &&plan::Model| self.is_below_attainable(context, model);
+        let Some(recipient) = self.models_below_plan(context).into_iter().find(is_short) else {
+            return;
+        };
+        let ratio = self.fill_ratio(context, recipient, 0);
+        let donors = context.models.iter().filter(|model| {
+            model.name != recipient.name
+                && self.fill_ratio(context, model, -1) >= ratio + MIN_FILL_RATIO_GAIN
+        });
+        let chosen =
+            donors.filter_map(|donor| self.find_donor_group(context, donor, recipient)).next();
         if let Some(name) = chosen {
-            self.turn(scene.now, &name, Stage::Closing);
+            self.enter_phase(context.now, &name, Phase::Closing);
         }
     }
 
-    /// A group of `rich` whose members, with what is free in its domain, make a group of `poor`.
-    fn completes(
+    /// Finds a group of `donor` whose members, with the free engines of its domain, suffice for a
+    /// group of `recipient`.
+    fn find_donor_group(
         &self,
-        scene: &Scene<'_>,
-        rich: &plan::Model,
-        poor: &plan::Model,
+        context: &Context<'_>,
+        donor: &plan::Model,
+        recipient: &plan::Model,
     ) -> Option<name::Group> {
-        let free: Vec<Candidate> = self.candidates(scene);
+        let free: Vec<Candidate> = self.candidates(context);
         let at_hand = |record: &registry::Record| {
-            let told = &record.announcement;
-            record.last.as_ref() == Some(&poor.name) || told.staged.contains(&poor.name)
+            let announcement = &record.announcement;
+            record.last.as_ref() == Some(&recipient.name)
+                || announcement.staged.contains(&recipient.name)
         };
         let completes = |(name, group): (&name::Group, &super::Group)| {
-            if group.pool != *scene.pool
-                || group.model != rich.name
-                || group.stage != Stage::Serving
-                || !scene.is_in(group)
+            if group.pool != *context.pool
+                || group.model != donor.name
+                || group.phase != Phase::Serving
+                || !context.is_in_active_zone(group)
             {
                 return None;
             }
             let here = free.iter().filter(|it| it.domain == group.domain);
-            let free = here.filter(|it| it.readiness(&poor.name).is_some()).count();
-            let members = group.members.iter().filter_map(|it| scene.registry.get(it));
+            let free = here.filter(|it| it.readiness(&recipient.name).is_some()).count();
+            let members = group.members.iter().filter_map(|it| context.registry.get(it));
             let given = members.filter(|record| record.is_sound() && at_hand(record)).count();
-            (free + given >= poor.size).then(|| name.clone())
+            (free + given >= recipient.size).then(|| name.clone())
         };
         self.groups.iter().find_map(completes)
     }
--- a/crates/hyssopfork-fleet/src/groups/reports.rs
+++ b/crates/hyssopfork-fleet/src/groups/reports.rs
@@ -19,156 +19,167 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time before an engine is asked again: a report tells of a moment some hundred milliseconds ago.
+/// Interval at which a report is requested again; a report is some hundred milliseconds old.
 const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Kind of an order, as far as it changes what a report says.
+/// Kind of an order, by its effect on the engine's next report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It joins a group.
+    /// The engine joins a group.
     Join,
-    /// It leaves its group.
+    /// The engine leaves its group.
     Leave,
-    /// Any other.
+    /// No effect on the membership.
     Other,
 }
 
+/// What a leader knows of an engine's orders.
 #[derive(Clone, Debug)]
 enum Knowledge {
-    /// It was asked and has not answered.
-    Asked,
-    /// It said this, and took the orders that were added to it since.
+    /// A report was requested and has not arrived.
+    Requested,
+    /// The engine's report, updated by the orders that it has accepted since.
     Reported(Report),
-    /// It has taken an order to join of this leader: it refuses those of earlier ones.
+    /// The engine has accepted an order to join from this leader, so it rejects those of earlier ones.
     Joined,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Start of the process that it is known of.
+    /// Start of the engine's process that the entry is about.
     born: u64,
-    asked: clock::Instant,
+    requested_at: clock::Instant,
     knowledge: Knowledge,
-    /// Newest epoch of an order to join that got no answer, until one of a newer epoch is taken.
-    unanswered: Option<u64>,
+    /// Newest epoch of an order to join without an answer, until the engine accepts one of a newer
+    /// epoch.
+    unanswered_join: Option<u64>,
 }
 
-/// Place of an announcement among those of one engine.
+/// Position of an announcement in the sequence of one engine's announcements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Announced {
+pub struct Position {
     born: u64,
     sequence: u64,
 }
 
-impl Announced {
-    /// The place of `told`.
-    pub fn of(told: &Announcement) -> Announced {
-        Announced { born: told.born, sequence: told.sequence }
+impl Position {
+    /// The position of `announcement`.
+    pub fn of(announcement: &Announcement) -> Position {
+        Position { born: announcement.born, sequence: announcement.sequence }
     }
 
-    /// The place of the announcement after this one.
-    pub fn next(self) -> Announced {
-        Announced { sequence: self.sequence + 1, ..self }
+    /// The position after this one.
+    pub fn next(self) -> Position {
+        Position { sequence: self.sequence + 1, ..self }
     }
 }
 
-/// What is known of each engine's process.
+/// Reports of the engines and what is known of their orders since.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    known: BTreeMap<name::Instance, Entry>,
+    entries: BTreeMap<name::Instance, Entry>,
 }
 
 impl Reports {
-    /// Whether the engine may be had join a group as far as its report goes; `is_bound` says whether
-    /// a membership binds it.
-    pub fn is_joinable(&self, told: &Announcement, is_bound: impl Fn(&Membership) -> bool) -> bool {
-        match self.get(told).map(|entry| &entry.knowledge) {
+    /// Whether the engine's report allows an order to join; `is_bound` tells whether a membership
+    /// binds the engine.
+    pub fn is_joinable(
+        &self,
+        announcement: &Announcement,
+        is_bound: impl Fn(&Membership) -> bool,
+    ) -> bool {
+        match self.get(announcement).map(|entry| &entry.knowledge) {
             Some(Knowledge::Joined) => true,
             Some(Knowledge::Reported(report)) => !report.membership.as_ref().is_some_and(is_bound),
-            Some(Knowledge::Asked) | None => false,
+            Some(Knowledge::Requested) | None => false,
         }
     }
 
-    /// Whether to ask the engine now; notes the question when so. One that `waits` for a change of
-    /// its state is asked again and again.
-    pub fn ask(&mut self, now: clock::Instant, told: &Announcement, waits: bool) -> bool {
-        let due = self.get(told).is_none_or(|entry| {
-            let unanswered = matches!(entry.knowledge, Knowledge::Asked);
-            (unanswered || waits) && now.since(entry.asked) >= REPORT_RETRY_INTERVAL
+    /// Records a request for the engine's report if one is due; returns whether it is. If
+    /// `repeatedly`, another report is requested even after one has arrived.
+    pub fn start_request(
+        &mut self,
+        now: clock::Instant,
+        announcement: &Announcement,
+        repeatedly: bool,
+    ) -> bool {
+        let is_due = self.get(announcement).is_none_or(|entry| {
+            let unanswered = matches!(entry.knowledge, Knowledge::Requested);
+            (unanswered || repeatedly) && now.since(entry.requested_at) >= REPORT_RETRY_INTERVAL
         });
-        if due {
+        if is_due {
             let fresh = || Entry {
-                born: told.born,
-                asked: now,
-                knowledge: Knowledge::Asked,
-                unanswered: None,
+                born: announcement.born,
+                requested_at: now,
+                knowledge: Knowledge::Requested,
+                unanswered_join: None,
             };
-            let entry = self.known.entry(told.instance.clone()).or_insert_with(fresh);
-            if entry.born != told.born {
+            let entry = self.entries.entry(announcement.instance.clone()).or_insert_with(fresh);
+            if entry.born != announcement.born {
                 *entry = fresh();
             }
-            entry.asked = now;
+            entry.requested_at = now;
         }
-        due
+        is_due
     }
 
-    /// Takes an engine's report.
+    /// Records an engine's report.
     pub fn record_report(&mut self, instance: &name::Instance, report: &Report) {
-        let entry = self.known.get_mut(instance);
+        let entry = self.entries.get_mut(instance);
         if let Some(entry) = entry.filter(|it| !matches!(it.knowledge, Knowledge::Joined)) {
             entry.knowledge = Knowledge::Reported(report.clone());
         }
     }
 
-    /// Orders that the engine must have taken, no more and no less, to join for the first time.
-    pub fn expected(&self, told: &Announcement) -> Option<u64> {
-        match &self.get(told)?.knowledge {
-            Knowledge::Reported(report) => Some(report.orders),
-            Knowledge::Asked | Knowledge::Joined => None,
+    /// Precondition for the engine's first order to join: the number of orders that it has accepted.
+    pub fn expected_orders(&self, announcement: &Announcement) -> Option<u64> {
+        match &self.get(announcement)?.knowledge {
+            Knowledge::Reported(report) => Some(report.accepted_orders),
+            Knowledge::Requested | Knowledge::Joined => None,
         }
     }
 
-    /// The engine has taken an order of this leader. A new report would count it, but only after
-    /// some hundred milliseconds, in which a repair would wait.
+    /// Records that the engine has accepted an order of this leader. A new report would count it too,
+    /// but only after some hundred milliseconds, for which a repair would have to wait.
     pub fn record_order(&mut self, instance: &name::Instance, kind: Kind, epoch: u64) {
-        let Some(entry) = self.known.get_mut(instance) else { return };
+        let Some(entry) = self.entries.get_mut(instance) else { return };
         if kind == Kind::Join {
-            entry.unanswered = entry.unanswered.filter(|unanswered| *unanswered >= epoch);
+            entry.unanswered_join = entry.unanswered_join.filter(|unanswered| *unanswered >= epoch);
         }
         match (kind, &mut entry.knowledge) {
             (Kind::Join, knowledge) => *knowledge = Knowledge::Joined,
-            // One that is in no group says yes to an order to leave, and doesn't count it.
+            // An engine that is in no group accepts an order to leave without counting it.
             (Kind::Leave, Knowledge::Reported(report)) => {
-                report.orders += u64::from(report.membership.take().is_some());
+                report.accepted_orders += u64::from(report.membership.take().is_some());
             }
-            (Kind::Other, Knowledge::Reported(report)) => report.orders += 1,
-            (Kind::Leave | Kind::Other, Knowledge::Asked | Knowledge::Joined) => {}
+            (Kind::Other, Knowledge::Reported(report)) => report.accepted_orders += 1,
+            (Kind::Leave | Kind::Other, Knowledge::Requested | Knowledge::Joined) => {}
         }
     }
 
-    /// An order to join of `epoch` got no answer.
+    /// Records that an order to join under `epoch` got no answer.
     pub fn record_unanswered(&mut self, instance: &name::Instance, epoch: u64) {
-        if let Some(entry) = self.known.get_mut(instance) {
-            entry.unanswered = entry.unanswered.max(Some(epoch));
+        if let Some(entry) = self.entries.get_mut(instance) {
+            entry.unanswered_join = entry.unanswered_join.max(Some(epoch));
         }
     }
 
-    /// The engine is no member any more.
+    /// Handles that the engine is no longer a member of a group.
     pub fn on_freed(&mut self, instance: &name::Instance) {
-        let entry = self.known.get_mut(instance);
-        if let Some(entry) = entry.filter(|entry| entry.unanswered.is_some()) {
-            entry.knowledge = Knowledge::Asked;
+        let entry = self.entries.get_mut(instance);
+        if let Some(entry) = entry.filter(|entry| entry.unanswered_join.is_some()) {
+            entry.knowledge = Knowledge::Requested;
         }
     }
 
-    /// Drops what is known of the engine, which has accepted an unknown order.
+    /// Drops the engine's report, since the engine has accepted an order unknown to this leader.
     pub fn invalidate(&mut self, instance: &name::Instance) {
-        if let Some(entry) = self.known.get_mut(instance) {
-            entry.knowledge = Knowledge::Asked;
+        if let Some(entry) = self.entries.get_mut(instance) {
+            entry.knowledge = Knowledge::Requested;
         }
     }
 
-    fn get(&self, told: &Announcement) -> Option<&Entry> {
-        self.known.get(&told.instance).filter(|entry| entry.born == told.born)
+    fn get(&self, announcement: &Announcement) -> Option<&Entry> {
+        self.entries.get(&announcement.instance).filter(|entry| entry.born == announcement.born)
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/reserves.rs
+++ b/crates/hyssopfork-fleet/src/groups/reserves.rs
@@ -1,252 +1,276 @@
-//! Keeping reserves: which engine takes up which model's weights, and which its host loads besides.
+//! Reserves: which model's weights each free engine loads, and which second model its host stages.
 
-use super::group::Stage;
-use super::planning::{Candidate, Scene};
+use super::group::Phase;
+use super::planner::{Candidate, Context};
 use super::{Groups, order, plan};
 use crate::registry;
 use hyssopfork_wire::name;
 use std::collections::BTreeMap;
 use std::net;
 
-/// Part of the loads at once that second models may take while callers send. A load takes ten
-/// seconds and more; with all of them taken, an engine that had just come in a lost one's place
-/// waited that long for its first model.
-const SECOND_MODELS: f64 = 0.5;
+/// Share of the concurrent loads that second models may use while clients send requests. A load takes
+/// ten seconds or more; when second models used all of them, an engine that replaced a lost one waited
+/// that long for its first model.
+const SECOND_MODEL_LOAD_SHARE: f64 = 0.5;
 
 impl Groups {
-    /// Has engines that belonged to no group in this life take up weights, each for the model that
-    /// its domain lacks most; those that its host holds go first.
-    pub(super) fn prepare(&mut self, scene: &Scene<'_>) {
+    /// Makes reserves of engines whose processes have been in no group yet: each one loads the model
+    /// that its domain needs most, preferably one that is staged on its host.
+    pub(super) fn prepare_reserves(&mut self, context: &Context<'_>) {
         let is_new = |candidate: &Candidate| {
-            candidate.last.is_none() && self.group_of(&candidate.instance).is_none()
+            candidate.last_model.is_none() && self.group_of(&candidate.instance).is_none()
         };
         let candidates: Vec<Candidate> =
-            self.candidates(scene).into_iter().filter(is_new).collect();
+            self.candidates(context).into_iter().filter(is_new).collect();
         if candidates.is_empty() {
             return;
         }
-        let mut holdings = self.holdings(scene);
-        let mut loading = self.loading(scene);
+        let mut assignments = self.count_assignments(context);
+        let mut loading = self.count_loading_reserves(context);
         for candidate in candidates {
-            let Some(model) = self.most_wanted(scene, &holdings, &candidate) else { continue };
-            let staged = candidate.staged.contains(&model);
-            if staged || self.may_load(scene, loading, 1.0) {
+            let Some(model) = self.choose_model(context, &assignments, &candidate) else {
+                continue;
+            };
+            let staged = candidate.staged_models.contains(&model);
+            if staged || self.try_start_load(context, loading, 1.0) {
                 loading += usize::from(!staged);
                 let members = vec![candidate.instance];
                 let domain = &candidate.domain;
-                self.form(scene.now, scene.pool, domain, &model, members, Stage::Preparing);
-                holdings.add(domain, &model);
+                self.create_group(
+                    context.now,
+                    context.pool,
+                    domain,
+                    &model,
+                    members,
+                    Phase::Preparing,
+                );
+                assignments.add(domain, &model);
             }
         }
     }
 
-    /// Has reserves change their model where their domain has one too many for it and one too few
-    /// for another. Engines call one by one and each is given the model that is then wanted most;
-    /// once all have called, some domains would hold two reserves of one model, and a loss of the
-    /// other would wait for weights to be taken up from a host: 1 s to 2 s instead of 0.2 s.
+    /// Changes the model of a reserve where its domain has too many for one model and too few for
+    /// another. Engines announce themselves one by one, and each gets the model needed most at that
+    /// time. Once all have done so, some domains would have two reserves of one model, and a lost
+    /// member of the other would be replaced by an engine that loads the weights from its host: in
+    /// 1 s to 2 s instead of 0.2 s.
     ///
-    /// Only before callers send: taking up a model from a host leaves the host with that one alone,
-    /// and its second model must be loaded again.
-    pub(super) fn even_out_reserves(&mut self, scene: &Scene<'_>) {
-        if self.traffic || self.peaks.grows(scene.now, scene.pool) {
+    /// Only before clients send requests: loading a staged model leaves that model alone on the host,
+    /// so the second model must be staged again.
+    pub(super) fn rebalance_reserves(&mut self, context: &Context<'_>) {
+        if self.has_traffic || self.domain_peaks.is_growing(context.now, context.pool) {
             return;
         }
-        let holdings = self.holdings(scene);
-        for domain in scene.peaks.keys() {
-            if let Some((reserve, model)) = self.misplaced(scene, &holdings, domain) {
+        let assignments = self.count_assignments(context);
+        for domain in context.peak_counts.keys() {
+            if let Some((reserve, model)) =
+                self.find_misplaced_reserve(context, &assignments, domain)
+            {
                 let members = self.groups.get(&reserve).map(|it| it.members.clone());
                 let members = members.unwrap_or_default();
-                self.take_reserves(&members);
-                self.form(scene.now, scene.pool, domain, &model, members, Stage::Preparing);
+                self.remove_reserves(&members);
+                self.create_group(
+                    context.now,
+                    context.pool,
+                    domain,
+                    &model,
+                    members,
+                    Phase::Preparing,
+                );
             }
         }
     }
 
-    /// A reserve of the domain that should hold another model, and that model.
-    fn misplaced(
+    /// Finds a reserve of the domain that should hold another model, and that model.
+    fn find_misplaced_reserve(
         &self,
-        scene: &Scene<'_>,
-        holdings: &Holdings,
+        context: &Context<'_>,
+        assignments: &Assignments,
         domain: &name::Domain,
     ) -> Option<(name::Group, name::Model)> {
-        let here = |group: &&super::Group| group.pool == *scene.pool && group.domain == *domain;
-        if self.groups.values().filter(here).any(|group| group.stage == Stage::Preparing) {
+        let here = |group: &&super::Group| group.pool == *context.pool && group.domain == *domain;
+        if self.groups.values().filter(here).any(|group| group.phase == Phase::Preparing) {
             return None;
         }
-        let count = scene.peaks.get(domain).copied().unwrap_or_default();
-        let wanted = plan::wanted(&scene.layout, domain, count, &scene.models);
-        let want = |model: &name::Model| wanted.get(model).copied().unwrap_or_default();
-        let lacks = |model: &&plan::Model| holdings.held(domain, &model.name) < want(&model.name);
-        let lacking = scene.models.iter().find(lacks)?;
-        let over = |(_, group): &(&name::Group, &super::Group)| {
+        let count = context.peak_counts.get(domain).copied().unwrap_or_default();
+        let targets = plan::target_instances(&context.layout, domain, count, &context.models);
+        let target = |model: &name::Model| targets.get(model).copied().unwrap_or_default();
+        let is_lacking =
+            |model: &&plan::Model| assignments.assigned(domain, &model.name) < target(&model.name);
+        let lacking = context.models.iter().find(is_lacking)?;
+        let is_surplus = |(_, group): &(&name::Group, &super::Group)| {
             here(group)
-                && group.stage == Stage::Prepared
-                && holdings.held(domain, &group.model) > want(&group.model)
+                && group.phase == Phase::Prepared
+                && assignments.assigned(domain, &group.model) > target(&group.model)
                 && group
                     .members
                     .iter()
-                    .filter_map(|it| scene.registry.get(it))
+                    .filter_map(|it| context.registry.get(it))
                     .any(|record| record.announcement.staged.contains(&lacking.name))
         };
-        let (reserve, _) = self.groups.iter().find(over)?;
+        let (reserve, _) = self.groups.iter().find(is_surplus)?;
         Some((reserve.clone(), lacking.name.clone()))
     }
 
-    /// The model that the engine had best take up: while models lack groups, the one whose next group
-    /// in the domain lacks the fewest engines; otherwise the one that the domain's reserve lacks most.
-    fn most_wanted(
+    /// Chooses the model that the engine is to load: while models are short of groups, the one whose
+    /// next group in the domain needs the fewest further engines; otherwise the one that is farthest
+    /// below its target in the domain.
+    fn choose_model(
         &self,
-        scene: &Scene<'_>,
-        holdings: &Holdings,
+        context: &Context<'_>,
+        assignments: &Assignments,
         candidate: &Candidate,
     ) -> Option<name::Model> {
-        self.completes_soonest(scene, holdings, candidate)
-            .or_else(|| most_lacked(scene, holdings, candidate))
+        self.soonest_completed_model(context, assignments, candidate)
+            .or_else(|| least_filled_model(context, assignments, candidate))
     }
 
-    /// The model whose next group in the candidate's domain lacks the fewest engines, among those that
-    /// lack groups. Spread over models by their shares, engines waited in threes for a fourth while
-    /// two of them would have made a smaller group.
-    fn completes_soonest(
+    /// The model whose next group in the candidate's domain needs the fewest further engines, among
+    /// the models that are short of groups. When engines were spread over models by their shares,
+    /// three of them waited for a fourth while two would have made up a smaller group.
+    fn soonest_completed_model(
         &self,
-        scene: &Scene<'_>,
-        holdings: &Holdings,
+        context: &Context<'_>,
+        assignments: &Assignments,
         candidate: &Candidate,
     ) -> Option<name::Model> {
-        if !self.traffic {
+        if !self.has_traffic {
             return None;
         }
-        let lacking = scene.models.iter().filter(|model| self.lacks(scene, model));
+        let lacking =
+            context.models.iter().filter(|model| self.is_below_attainable(context, model));
         let missing = |model: &plan::Model| {
-            let at_hand = holdings.at_hand(&candidate.domain, &model.name);
-            model.size - at_hand % model.size
+            let ungrouped = assignments.ungrouped(&candidate.domain, &model.name);
+            model.size - ungrouped % model.size
         };
         let soonest = lacking.min_by(|left, right| {
-            let filled = |model: &plan::Model| self.filled(scene, model, 0);
-            missing(left).cmp(&missing(right)).then(filled(left).total_cmp(&filled(right)))
+            let ratio = |model: &plan::Model| self.fill_ratio(context, model, 0);
+            missing(left).cmp(&missing(right)).then(ratio(left).total_cmp(&ratio(right)))
         });
         soonest.map(|model| model.name.clone())
     }
 
-    /// Counts the engines of each domain that are for each model now.
-    fn holdings(&self, scene: &Scene<'_>) -> Holdings {
-        let mut holdings = Holdings::default();
-        for (instance, record) in scene.registry.iter() {
-            let told = &record.announcement;
-            let counts = told.pool == *scene.pool
+    /// Counts the engines of each domain that are assigned to each model.
+    fn count_assignments(&self, context: &Context<'_>) -> Assignments {
+        let mut assignments = Assignments::default();
+        for (instance, record) in context.registry.iter() {
+            let announcement = &record.announcement;
+            let is_counted = announcement.pool == *context.pool
                 && record.is_sound()
-                && !scene.registry.is_silent(scene.now, record);
-            if !counts {
+                && !context.registry.is_silent(context.now, record);
+            if !is_counted {
                 continue;
             }
             let group = self.group_of(instance).map(|(_, group)| group);
             let Some(model) = group.map(|group| &group.model).or(record.last.as_ref()) else {
                 continue;
             };
-            holdings.add(&told.domain, model);
-            if let Some(group) = group.filter(|group| group.stage.counts()) {
-                holdings.add_grouped(&group.domain, model);
+            assignments.add(&announcement.domain, model);
+            if let Some(group) = group.filter(|group| group.phase.is_active()) {
+                assignments.add_grouped(&group.domain, model);
             }
         }
-        holdings
+        assignments
     }
 
-    /// Has hosts load a second model beside the one of their engine's last group.
+    /// Orders hosts to stage a second model beside the model of their engine's last group.
     ///
-    /// Before callers send, every host does: the store has nothing else to do. Afterwards only
-    /// those in reserve, which take the place of others.
-    pub(super) fn stage(&mut self, scene: &Scene<'_>) {
-        let now = scene.now;
-        self.staging.retain(|instance, (model, sent)| {
-            let staged = |record: &registry::Record| record.announcement.staged.contains(model);
-            let done = scene.registry.get(instance).is_none_or(staged);
-            !done && now.since(*sent) < scene.load_time(model) * 2
+    /// Before clients send requests, every host does so, since the weight store is otherwise idle.
+    /// Afterwards only the hosts of free engines and reserves do, since these replace lost members.
+    pub(super) fn stage_second_models(&mut self, context: &Context<'_>) {
+        let now = context.now;
+        self.pending_stagings.retain(|instance, (model, sent)| {
+            let is_staged = |record: &registry::Record| record.announcement.staged.contains(model);
+            let done = context.registry.get(instance).is_none_or(is_staged);
+            !done && now.since(*sent) < context.load_time(model) * 2
         });
-        let lacking: Vec<(name::Instance, net::SocketAddr, name::Model)> = scene
+        let lacking: Vec<(name::Instance, net::SocketAddr, name::Model)> = context
             .registry
             .iter()
-            .filter(|(instance, record)| self.is_to_stage(scene, instance, record))
+            .filter(|(instance, record)| self.is_staging_target(context, instance, record))
             .filter_map(|(instance, record)| {
-                let other = self.second_model(scene, instance, record)?;
+                let other = self.missing_second_model(context, instance, record)?;
                 Some((instance.clone(), record.announcement.address, other))
             })
             .collect();
-        let loading = self.loading(scene);
+        let loading = self.count_loading_reserves(context);
         for (instance, address, model) in lacking {
-            if !self.may_load(scene, loading, SECOND_MODELS) {
+            if !self.try_start_load(context, loading, SECOND_MODEL_LOAD_SHARE) {
                 break;
             }
-            self.staging.insert(instance.clone(), (model.clone(), now));
-            let nobody = (name::Group::from(""), 0);
-            self.give(&instance, address, nobody, order::Task::Stage(model), None);
+            self.pending_stagings.insert(instance.clone(), (model.clone(), now));
+            let no_group = (name::Group::from(""), 0);
+            self.send_order(&instance, address, no_group, order::Task::Stage(model), None);
         }
     }
 
-    /// Whether the engine's host is to hold a second model.
-    fn is_to_stage(
+    /// Whether the engine's host is to stage a second model.
+    fn is_staging_target(
         &self,
-        scene: &Scene<'_>,
+        context: &Context<'_>,
         instance: &name::Instance,
         record: &registry::Record,
     ) -> bool {
-        if self.traffic {
-            return self.is_free(scene, instance, record);
+        if self.has_traffic {
+            return self.is_free(context, instance, record);
         }
-        record.announcement.pool == *scene.pool && record.is_sound()
+        record.announcement.pool == *context.pool && record.is_sound()
     }
 
-    /// The model beside that of its last group which the engine's host lacks.
-    fn second_model(
+    /// The second model that the engine's host is to stage; `None` if it has one or is staging one.
+    fn missing_second_model(
         &self,
-        scene: &Scene<'_>,
+        context: &Context<'_>,
         instance: &name::Instance,
         record: &registry::Record,
     ) -> Option<name::Model> {
         let last = record.last.as_ref()?;
-        let other = scene.models.iter().find(|model| model.name != *last)?;
-        let known =
-            record.announcement.staged.contains(&other.name) || self.staging.contains_key(instance);
-        (!known).then(|| other.name.clone())
+        let other = context.models.iter().find(|model| model.name != *last)?;
+        let has_second = record.announcement.staged.contains(&other.name)
+            || self.pending_stagings.contains_key(instance);
+        (!has_second).then(|| other.name.clone())
     }
 
-    /// Engines in reserve that load weights.
-    fn loading(&self, scene: &Scene<'_>) -> usize {
-        let loads = |group: &&super::Group| {
-            let lacks = |record: &registry::Record| {
+    /// Number of reserves that load weights from the weight store.
+    fn count_loading_reserves(&self, context: &Context<'_>) -> usize {
+        let is_loading = |group: &&super::Group| {
+            let lacks_weights = |record: &registry::Record| {
                 !record.announcement.staged.contains(&group.model)
                     && record.last.as_ref() != Some(&group.model)
             };
-            let mut members = group.members.iter().filter_map(|it| scene.registry.get(it));
-            group.stage == Stage::Preparing && members.any(lacks)
+            let mut members = group.members.iter().filter_map(|it| context.registry.get(it));
+            group.phase == Phase::Preparing && members.any(lacks_weights)
         };
-        self.groups.values().filter(loads).count()
+        self.groups.values().filter(is_loading).count()
     }
 
-    /// Whether a load of weights may begin now beside `loading` reserves, of those that may take `part`
-    /// of the loads at once.
+    /// Takes capacity of the weight store for a load beside those of `loading` reserves, where loads
+    /// of this kind may use `share` of the concurrent loads; returns whether the load may begin now.
     ///
-    /// Before callers send, loads are many times faster and don't slow each other; afterwards the
-    /// store's limit of loads at once and its rate count.
-    fn may_load(&mut self, scene: &Scene<'_>, loading: usize, part: f64) -> bool {
-        if !self.traffic {
+    /// Before clients send requests, loads are many times faster and don't slow each other down;
+    /// afterwards the store's limit of concurrent loads and its rate apply.
+    fn try_start_load(&mut self, context: &Context<'_>, loading: usize, share: f64) -> bool {
+        if !self.has_traffic {
             return true;
         }
-        let running = loading + self.staging.len();
-        let most = (f64::from(scene.engine.loads_at_once) * part).max(1.0);
-        (running as f64) < most && self.pace.begin(scene.now, scene.engine.loads_per_second)
+        let running = loading + self.pending_stagings.len();
+        let limit = (f64::from(context.engine.loads_at_once) * share).max(1.0);
+        (running as f64) < limit
+            && self.load_limiter.try_start(context.now, context.engine.loads_per_second)
     }
 }
 
-/// Engines of each domain that are for each model: those in its groups and reserves, and those whose
-/// last group was one of it. The three that are left of a group of four need one more; not counted, they
-/// had every engine that came take up their model, five and more in a domain.
+/// Engines of each domain that are assigned to each model: those in its groups and reserves, and
+/// those whose last group was one of the model's. The latter count because three survivors of a group
+/// of four need only one more engine: when they didn't count, every new engine of the domain, five and
+/// more, loaded their model.
 #[derive(Debug, Default)]
-struct Holdings {
-    /// All of them, and those in groups that serve or will in a moment.
+struct Assignments {
+    /// All assigned engines, and those in groups that serve or are about to.
     counts: BTreeMap<(name::Domain, name::Model), (usize, usize)>,
 }
 
-impl Holdings {
+impl Assignments {
     fn add(&mut self, domain: &name::Domain, model: &name::Model) {
         self.counts.entry((domain.clone(), model.clone())).or_default().0 += 1;
     }
@@ -255,33 +279,36 @@
         self.counts.entry((domain.clone(), model.clone())).or_default().1 += 1;
     }
 
-    /// Engines for the model.
-    fn held(&self, domain: &name::Domain, model: &name::Model) -> usize {
-        self.counts.get(&(domain.clone(), model.clone())).map_or(0, |(held, _)| *held)
+    /// Number of engines assigned to the model.
+    fn assigned(&self, domain: &name::Domain, model: &name::Model) -> usize {
+        self.counts.get(&(domain.clone(), model.clone())).map_or(0, |(assigned, _)| *assigned)
     }
 
-    /// Engines for the model that are in no group of it.
-    fn at_hand(&self, domain: &name::Domain, model: &name::Model) -> usize {
+    /// Number of engines assigned to the model that are in no active group of it.
+    fn ungrouped(&self, domain: &name::Domain, model: &name::Model) -> usize {
         let counts = self.counts.get(&(domain.clone(), model.clone()));
-        counts.map_or(0, |(held, grouped)| held.saturating_sub(*grouped))
+        counts.map_or(0, |(assigned, grouped)| assigned.saturating_sub(*grouped))
     }
 }
 
-/// The model that the candidate's domain lacks most by its plan.
-fn most_lacked(
-    scene: &Scene<'_>,
-    holdings: &Holdings,
+/// The model that is farthest below its target in the candidate's domain; one that is staged on the
+/// candidate's host goes first.
+fn least_filled_model(
+    context: &Context<'_>,
+    assignments: &Assignments,
     candidate: &Candidate,
 ) -> Option<name::Model> {
-    let count = scene.peaks.get(&candidate.domain).copied().unwrap_or_default();
-    let wanted = plan::wanted(&scene.layout, &candidate.domain, count, &scene.models);
-    let lack = |model: &&plan::Model| {
-        let wanted = wanted.get(&model.name).copied().unwrap_or_default();
-        let held = holdings.held(&candidate.domain, &model.name);
-        if wanted == 0 { f64::MAX } else { held as f64 / wanted as f64 }
+    let count = context.peak_counts.get(&candidate.domain).copied().unwrap_or_default();
+    let targets =
+        plan::target_instances(&context.layout, &candidate.domain, count, &context.models);
+    let ratio = |model: &&plan::Model| {
+        let target = targets.get(&model.name).copied().unwrap_or_default();
+        let assigned = assignments.assigned(&candidate.domain, &model.name);
+        if target == 0 { f64::MAX } else { assigned as f64 / target as f64 }
     };
-    let staged = scene.models.iter().filter(|model| candidate.staged.contains(&model.name));
-    let at_hand = staged.min_by(|left, right| lack(left).total_cmp(&lack(right)));
-    let any = scene.models.iter().min_by(|left, right| lack(left).total_cmp(&lack(right)));
+    let staged =
+        context.models.iter().filter(|model| candidate.staged_models.contains(&model.name));
+    let at_hand = staged.min_by(|left, right| ratio(left).total_cmp(&ratio(right)));
+    let any = context.models.iter().min_by(|left, right| ratio(left).total_cmp(&ratio(right)));
     at_hand.or(any).map(|model| model.name.clone())
 }
--- a/crates/hyssopfork-fleet/src/notice.rs
+++ b/crates/hyssopfork-fleet/src/notice.rs
@@ -50,11 +50,11 @@
     /// A quarantined request completed and is no longer kept from upstreams.
     Released(quarantine::Fingerprint),
     /// A group was formed, or an instance put in reserve.
-    Formed(name::Group, name::Model, Vec<name::Instance>, group::Stage),
+    Formed(name::Group, name::Model, Vec<name::Instance>, group::Phase),
     /// A group of an earlier leader was taken over.
-    Adopted(name::Group, group::Stage),
+    Adopted(name::Group, group::Phase),
     /// A group moved on.
-    Turned(name::Group, group::Stage),
+    Turned(name::Group, group::Phase),
     /// A group ended; its members are free.
     Ended(name::Group),
     /// An order was answered, or not.
--- a/crates/hyssopfork-fleet/tests/fleet/engine.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/engine.rs
@@ -10,26 +10,26 @@
 use std::time::Duration;
 
 /// Time to take up the model of the last group, one that the host holds, and any other.
-const LAST: Duration = Duration::from_millis(200);
-const STAGED: Duration = Duration::from_secs(1);
-const LOAD: Duration = Duration::from_secs(10);
+const LAST_MODEL_TIME: Duration = Duration::from_millis(200);
+const STAGED_MODEL_TIME: Duration = Duration::from_secs(1);
+const LOAD_TIME: Duration = Duration::from_secs(10);
 /// Time from the order to open until the head takes requests.
-const FORMATION: Duration = Duration::from_millis(300);
+const FORMATION_TIME: Duration = Duration::from_millis(300);
 
 /// The engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    pub told: Announcement,
+    pub announcement: Announcement,
     pub alive: bool,
     /// Members of its group, in order.
     pub members: Vec<name::Instance>,
     /// Whether it is ready under this membership, or has been.
-    pub was_ready: bool,
+    pub is_ready: bool,
     /// Epochs under which it has been ready in this life.
     ready_epochs: BTreeSet<u64>,
     /// When it last called.
-    pub called: clock::Instant,
-    last: Option<name::Model>,
+    pub announced_at: clock::Instant,
+    last_model: Option<name::Model>,
     model: Option<name::Model>,
     ready_at: Option<clock::Instant>,
     open_at: Option<clock::Instant>,
@@ -37,7 +37,7 @@
     newest_epoch: u64,
     newest_members: Vec<name::Instance>,
     /// Orders that it has taken.
-    orders: u64,
+    accepted_orders: u64,
 }
 
 impl Engine {
@@ -49,41 +49,41 @@
             ..fixture::announcement(&format!("e{number}"))
         };
         Engine {
-            told,
+            announcement: told,
             alive: true,
             members: Vec::new(),
-            was_ready: false,
+            is_ready: false,
             ready_epochs: BTreeSet::new(),
-            called: now,
-            last: None,
+            announced_at: now,
+            last_model: None,
             model: None,
             ready_at: None,
             open_at: None,
             staging: None,
             newest_epoch: 0,
             newest_members: Vec::new(),
-            orders: 0,
+            accepted_orders: 0,
         }
     }
 
     /// Ends this life and starts another one under the same name.
     pub fn restart(&mut self, now: clock::Instant) {
-        let staged = self.told.staged.clone();
-        let (born, number) = (self.told.born + 1, self.told.address);
+        let staged = self.announcement.staged.clone();
+        let (born, number) = (self.announcement.born + 1, self.announcement.address);
         let told = Announcement {
             born,
             staged,
             sequence: 0,
             membership: None,
             loaded: None,
-            ..self.told.clone()
+            ..self.announcement.clone()
         };
         let fresh = Engine::new(0, "", now);
-        *self = Engine { told: Announcement { address: number, ..told }, ..fresh };
+        *self = Engine { announcement: Announcement { address: number, ..told }, ..fresh };
     }
 
     pub fn is_open_in(&self, group: &name::Group, epoch: u64) -> bool {
-        let membership = self.told.membership.as_ref();
+        let membership = self.announcement.membership.as_ref();
         self.alive
             && membership.is_some_and(|it| {
                 it.group == *group
@@ -99,51 +99,54 @@
     }
 
     /// Lets time pass; whether anything changed that is told at once.
-    pub fn pass(&mut self, now: clock::Instant) -> bool {
-        let before = self.told.clone();
+    pub fn advance(&mut self, now: clock::Instant) -> bool {
+        let before = self.announcement.clone();
         if self.ready_at.take_if(|at| *at <= now).is_some() {
-            self.set(State::Ready);
-            self.was_ready = true;
-            self.ready_epochs.extend(self.told.membership.as_ref().map(|it| it.epoch));
-            self.last = self.model.clone();
-            self.told.loaded = self.model.clone();
+            self.set_state(State::Ready);
+            self.is_ready = true;
+            self.ready_epochs.extend(self.announcement.membership.as_ref().map(|it| it.epoch));
+            self.last_model = self.model.clone();
+            self.announcement.loaded = self.model.clone();
             self.stage(self.model.clone());
         }
         if self.open_at.take_if(|at| *at <= now).is_some() {
-            self.set(State::Open);
+            self.set_state(State::Open);
         }
         if let Some((model, _)) = self.staging.take_if(|(_, at)| *at <= now) {
             self.stage(Some(model));
         }
-        self.told != before
+        self.announcement != before
     }
 
     pub fn report(&self) -> Report {
-        Report { orders: self.orders, membership: self.told.membership.clone() }
+        Report {
+            accepted_orders: self.accepted_orders,
+            membership: self.announcement.membership.clone(),
+        }
     }
 
     /// Carries out an order.
-    pub fn obey(&mut self, now: clock::Instant, order: &Order) -> Outcome {
-        if order.instance != self.told.instance {
-            return Outcome::Stranger;
+    pub fn handle(&mut self, now: clock::Instant, order: &Order) -> Outcome {
+        if order.instance != self.announcement.instance {
+            return Outcome::WrongInstance;
         }
-        if order.expected.is_some_and(|expected| expected != self.orders) {
-            return Outcome::Unfit;
+        if order.expected_orders.is_some_and(|expected| expected != self.accepted_orders) {
+            return Outcome::Conflict;
         }
-        let holds = self.holds(order);
+        let holds = self.is_duplicate(order);
         let outcome = if holds { Outcome::Accepted } else { self.carry_out(now, order) };
-        self.orders += u64::from(outcome == Outcome::Accepted && !holds);
+        self.accepted_orders += u64::from(outcome == Outcome::Accepted && !holds);
         outcome
     }
 
     /// Whether the order would begin something.
-    pub fn takes(&self, now: clock::Instant, order: &Order) -> bool {
-        !self.holds(order) && self.clone().obey(now, order) == Outcome::Accepted
+    pub fn has_effect(&self, now: clock::Instant, order: &Order) -> bool {
+        !self.is_duplicate(order) && self.clone().handle(now, order) == Outcome::Accepted
     }
 
     /// Whether the order would begin nothing: such an order is answered with yes and not counted.
-    fn holds(&self, order: &Order) -> bool {
-        let state = self.told.membership.as_ref().map(|membership| membership.state);
+    fn is_duplicate(&self, order: &Order) -> bool {
+        let state = self.announcement.membership.as_ref().map(|membership| membership.state);
         match &order.task {
             Task::Join { members, .. } => self.is_in(order) && self.members == *members,
             Task::Open => {
@@ -158,17 +161,17 @@
         match &order.task {
             Task::Join { model, members } => self.join(now, order, model, members),
             Task::Stage(model) => {
-                self.staging = Some((model.clone(), now + LOAD));
+                self.staging = Some((model.clone(), now + LOAD_TIME));
                 Outcome::Accepted
             }
-            Task::Open | Task::Close | Task::Leave if !self.is_in(order) => Outcome::Unfit,
-            Task::Open if !self.was_ready => Outcome::Unfit,
+            Task::Open | Task::Close | Task::Leave if !self.is_in(order) => Outcome::Conflict,
+            Task::Open if !self.is_ready => Outcome::Conflict,
             Task::Open => {
-                self.open_at = Some(now + FORMATION);
+                self.open_at = Some(now + FORMATION_TIME);
                 Outcome::Accepted
             }
             Task::Close => {
-                self.set(State::Ready);
+                self.set_state(State::Ready);
                 Outcome::Accepted
             }
             Task::Leave => {
@@ -189,14 +192,14 @@
         if order.epoch < self.newest_epoch || other {
             return Outcome::Outdated;
         }
-        let rank = members.iter().position(|it| *it == self.told.instance);
-        let Some(rank) = rank else { return Outcome::Unfit };
-        let time = if self.last.as_ref() == Some(model) {
-            LAST
-        } else if self.told.staged.contains(model) {
-            STAGED
+        let rank = members.iter().position(|it| *it == self.announcement.instance);
+        let Some(rank) = rank else { return Outcome::Conflict };
+        let time = if self.last_model.as_ref() == Some(model) {
+            LAST_MODEL_TIME
+        } else if self.announcement.staged.contains(model) {
+            STAGED_MODEL_TIME
         } else {
-            LOAD
+            LOAD_TIME
         };
         self.drop_membership();
         self.newest_epoch = order.epoch;
@@ -204,7 +207,7 @@
         self.members = members.to_vec();
         self.model = Some(model.clone());
         self.ready_at = Some(now + time);
-        self.told.membership = Some(Membership {
+        self.announcement.membership = Some(Membership {
             group: order.group.clone(),
             epoch: order.epoch,
             rank: rank as u32,
@@ -214,25 +217,25 @@
     }
 
     fn drop_membership(&mut self) {
-        self.told.membership = None;
-        self.told.loaded = None;
+        self.announcement.membership = None;
+        self.announcement.loaded = None;
         self.members.clear();
-        self.was_ready = false;
+        self.is_ready = false;
         self.ready_at = None;
         self.open_at = None;
     }
 
     fn is_in(&self, order: &Order) -> bool {
-        self.told.is_in(&order.group, order.epoch)
+        self.announcement.is_in(&order.group, order.epoch)
     }
 
-    fn set(&mut self, state: State) {
-        if let Some(membership) = &mut self.told.membership {
+    fn set_state(&mut self, state: State) {
+        if let Some(membership) = &mut self.announcement.membership {
             membership.state = state;
         }
     }
 
     fn stage(&mut self, model: Option<name::Model>) {
-        self.told.staged = model.into_iter().collect();
+        self.announcement.staged = model.into_iter().collect();
     }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/groups.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/groups.rs
@@ -8,49 +8,49 @@
 use std::time::Duration;
 
 /// Ten engines of one domain, grouped before any caller sends.
-fn grouped() -> world::World {
+fn world_with_groups() -> world::World {
     let mut world = world::World::declared(3, 2);
     world.add_engines(1..=10, "d1");
     world.run(26_000);
     world
 }
 
-fn of_model(world: &world::World, model: &str) -> usize {
+fn count_groups(world: &world::World, model: &str) -> usize {
     world.serving().iter().filter(|group| group.model == name::Model::from(model)).count()
 }
 
-fn a_large_group(world: &world::World) -> Vec<name::Instance> {
+fn large_group(world: &world::World) -> Vec<name::Instance> {
     let large = name::Model::from("large");
     let groups = world.serving();
     groups.into_iter().find(|group| group.model == large).expect("one serves").members
 }
 
 /// A group of two by its members' own words.
-fn a_large_group_of_engines(world: &world::World) -> Vec<name::Instance> {
+fn large_group_of_engines(world: &world::World) -> Vec<name::Instance> {
     let pairs = world.engines.values().filter(|engine| engine.members.len() == 2);
     pairs.map(|engine| engine.members.clone()).next().expect("a pair is there")
 }
 
 #[test]
 fn groups_of_every_model_serve_and_some_engines_are_kept_in_reserve() {
-    let world = grouped();
+    let world = world_with_groups();
 
-    assert_eq!((of_model(&world, "large"), of_model(&world, "small")), (2, 4));
+    assert_eq!((count_groups(&world, "large"), count_groups(&world, "small")), (2, 4));
 }
 
 /// Callers see the streams of a group stand still: a member went dark. A reserve takes its place and
 /// the group's model serves as before within two seconds, not after a load of ten.
 #[test]
 fn a_lost_member_is_replaced_from_the_reserve() {
-    let mut world = grouped();
-    let members = a_large_group(&world);
+    let mut world = world_with_groups();
+    let members = large_group(&world);
 
     world.engines.get_mut(&members[1]).expect("it is there").alive = false;
     world.run(300);
-    tell_of_silence(&mut world, &members[..1]);
+    report_stalls(&mut world, &members[..1]);
     world.run(4_500);
 
-    assert_eq!(of_model(&world, "large"), 2);
+    assert_eq!(count_groups(&world, "large"), 2);
     assert!(world.serving().iter().all(|group| !group.members.contains(&members[1])));
 }
 
@@ -59,12 +59,12 @@
 /// take the weights up from the host for more than a second.
 #[test]
 fn the_next_group_waits_for_the_member_that_is_left() {
-    let mut world = grouped();
-    let members = a_large_group(&world);
+    let mut world = world_with_groups();
+    let members = large_group(&world);
 
     world.engines.get_mut(&members[1]).expect("it is there").alive = false;
     world.run(300);
-    tell_of_silence(&mut world, &members[..1]);
+    report_stalls(&mut world, &members[..1]);
     world.run(4_500);
 
     let large = name::Model::from("large");
@@ -78,15 +78,15 @@
 /// itself once it is heard of again.
 #[test]
 fn members_of_a_head_that_is_cut_off_leave_it_first() {
-    let mut world = grouped();
-    let head = a_large_group(&world)[0].clone();
+    let mut world = world_with_groups();
+    let head = large_group(&world)[0].clone();
 
     world.cut_engine(&head);
     world.run(10_000);
     world.cuts.clear();
     world.run(10_000);
 
-    assert_eq!(of_model(&world, "large"), 2);
+    assert_eq!(count_groups(&world, "large"), 2);
 }
 
 /// Guards against an engine that is free for a third group, since an answer of the first one erases
@@ -97,8 +97,8 @@
     assert!(world.declare(fixture::LARGE_OF_FOUR));
     world.add_engines(1..=14, "d1");
     world.run(26_000);
-    let members = a_large_group(&world);
-    let address = |member: &name::Instance| world.engines[member].told.address;
+    let members = large_group(&world);
+    let address = |member: &name::Instance| world.engines[member].announcement.address;
     let (first, second) = (address(&members[0]), address(&members[1]));
 
     world.slow_answers.insert(first, Duration::from_millis(390));
@@ -118,15 +118,15 @@
 /// Replayed with resets and crashes, the leader's log shows the two steps in this order (5034, 5020).
 #[test]
 fn an_order_to_leave_that_a_reset_ended_frees_nobody() {
-    let mut world = grouped();
-    let members = a_large_group(&world);
-    let head = world.engines[&members[0]].told.address;
+    let mut world = world_with_groups();
+    let members = large_group(&world);
+    let head = world.engines[&members[0]].announcement.address;
 
     world.resets.insert(head);
     world.engines.get_mut(&members[1]).expect("it is there").alive = false;
     world.run(6_000);
     world.resets.clear();
-    let next = a_large_group(&world);
+    let next = large_group(&world);
     world.engines.get_mut(&next[1]).expect("it is there").alive = false;
     world.run(10_000);
 
@@ -138,8 +138,8 @@
 /// hold is broken meanwhile, and groups serve again afterwards.
 #[test]
 fn late_orders_undo_nothing() {
-    let mut world = grouped();
-    let members = a_large_group(&world);
+    let mut world = world_with_groups();
+    let members = large_group(&world);
 
     world.late_orders = Some(Duration::from_secs(3));
     world.engines.get_mut(&members[0]).expect("it is there").alive = false;
@@ -147,14 +147,14 @@
     world.late_orders = None;
     world.run(15_000);
 
-    assert_eq!(of_model(&world, "large"), 2);
+    assert_eq!(count_groups(&world, "large"), 2);
 }
 
 /// The leader is lost and another takes over. Groups that serve go on serving: the new leader knows
 /// them from its own copy and from those who followed the old one.
 #[test]
 fn groups_outlast_their_leader() {
-    let mut world = grouped();
+    let mut world = world_with_groups();
     let before: Vec<u64> = world.serving().iter().map(|group| group.epoch).collect();
     let leader = world.leader().expect("somebody leads");
 
@@ -169,7 +169,7 @@
 /// enough to serve on.
 #[test]
 fn groups_are_known_again_after_all_processes_were_killed() {
-    let mut world = grouped();
+    let mut world = world_with_groups();
     let before = world.serving().len();
 
     let all: Vec<_> = world.processes.keys().copied().collect();
@@ -184,15 +184,15 @@
 /// the last members have.
 #[test]
 fn heads_serve_before_all_their_members_have_called() {
-    let mut world = grouped();
+    let mut world = world_with_groups();
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
     all.iter().for_each(|address| world.boot(*address, false));
-    let members = a_large_group_of_engines(&world);
+    let members = large_group_of_engines(&world);
     let now = world.now;
     let mut calls_at = |instance: &name::Instance, millis: u64| {
         let engine = world.engines.get_mut(instance).expect("it is there");
-        engine.called = now + Duration::from_millis(millis - 1_200);
+        engine.announced_at = now + Duration::from_millis(millis - 1_200);
     };
     calls_at(&members[0], 1_500);
     calls_at(&members[1], 2_600);
@@ -211,35 +211,36 @@
 /// callers come back to all of them.
 #[test]
 fn a_leader_that_knows_few_groups_gives_none_up() {
-    let mut world = grouped();
+    let mut world = world_with_groups();
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
     all.iter().for_each(|address| world.boot(*address, false));
     let now = world.now;
     let large = name::Model::from("large");
     for engine in world.engines.values_mut() {
-        let millis = if engine.told.loaded.as_ref() == Some(&large) { 2_600 } else { 1_500 };
-        engine.called = now + Duration::from_millis(millis - 1_200);
+        let millis =
+            if engine.announcement.loaded.as_ref() == Some(&large) { 2_600 } else { 1_500 };
+        engine.announced_at = now + Duration::from_millis(millis - 1_200);
     }
     let before = world.notices.len();
 
     world.run(4_000);
 
     let closing = |(_, notice): &(_, notice::Notice)| {
-        matches!(notice, notice::Notice::Turned(_, group::Stage::Closing))
+        matches!(notice, notice::Notice::Turned(_, group::Phase::Closing))
     };
     assert!(!world.notices[before..].iter().any(closing));
 }
 
 #[test]
 fn a_member_that_leaves_on_request_is_replaced() {
-    let mut world = grouped();
-    let members = a_large_group(&world);
+    let mut world = world_with_groups();
+    let members = large_group(&world);
 
-    world.engines.get_mut(&members[1]).expect("it is there").told.draining = true;
+    world.engines.get_mut(&members[1]).expect("it is there").announcement.draining = true;
     world.run(5_000);
 
-    assert_eq!(of_model(&world, "large"), 2);
+    assert_eq!(count_groups(&world, "large"), 2);
     assert!(world.serving().iter().all(|group| !group.members.contains(&members[1])));
 }
 
@@ -253,7 +254,7 @@
     let serving = |world: &world::World| {
         let served = world.serving();
         let in_first = |group: &hyssopfork_fleet::view::Group| {
-            world.engines[&group.members[0]].told.domain == name::Domain::from("d1")
+            world.engines[&group.members[0]].announcement.domain == name::Domain::from("d1")
         };
         served.into_iter().filter(in_first).count()
     };
@@ -269,7 +270,7 @@
 /// must not take engines into groups before it has their own word: they may be in others by now.
 #[test]
 fn a_leader_with_an_old_copy_forms_nothing_of_engines_that_it_has_not_heard() {
-    let mut world = grouped();
+    let mut world = world_with_groups();
     let leader = world.leader().expect("somebody leads");
     let next = *world.processes.keys().take(3).find(|it| **it != leader).expect("there are three");
     let others: Vec<_> = world.processes.keys().copied().filter(|it| *it != next).collect();
@@ -277,7 +278,7 @@
         world.cuts.insert((next, *other));
         world.cuts.insert((*other, next));
     }
-    let lost = a_large_group(&world)[1].clone();
+    let lost = large_group(&world)[1].clone();
     world.engines.get_mut(&lost).expect("it is there").alive = false;
     world.run(12_000);
 
@@ -301,27 +302,28 @@
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
     all.iter().for_each(|address| world.boot(*address, false));
-    let members = a_large_group_of_engines(&world);
+    let members = large_group_of_engines(&world);
     for engine in world.engines.values_mut() {
-        engine.called = world.now;
+        engine.announced_at = world.now;
     }
-    for engine in world.engines.values_mut().filter(|it| !it.told.instance.eq(&members[1])) {
-        engine.alive &= members.contains(&engine.told.instance);
+    for engine in world.engines.values_mut().filter(|it| !it.announcement.instance.eq(&members[1]))
+    {
+        engine.alive &= members.contains(&engine.announcement.instance);
     }
 
     let old = Announcement {
         sequence: 1,
         membership: None,
         loaded: Some(name::Model::from("small")),
-        ..world.engines[&members[1]].told.clone()
+        ..world.engines[&members[1]].announcement.clone()
     };
     world.run(1_150);
     let leader = world.leader().expect("somebody leads");
     world.call(leader, event::announced(old));
     world.run(1_000);
 
-    let second = &world.engines[&members[1]].told;
-    let head = &world.engines[&members[0]].told;
+    let second = &world.engines[&members[1]].announcement;
+    let head = &world.engines[&members[0]].announcement;
     assert_eq!(
         second.membership.as_ref().map(|it| it.epoch),
         head.membership.as_ref().map(|it| it.epoch)
@@ -350,18 +352,18 @@
         world.engines.get_mut(instance).expect("it is there").alive = false;
     }
     let heads = [&large.members[0], &small[0].members[0], &small[1].members[0]].map(Clone::clone);
-    tell_of_silence(&mut world, &heads);
+    report_stalls(&mut world, &heads);
     world.run(3_000);
 
     world.add_engines(11..=11, "d1");
     world.run(13_000);
 
-    let loaded = world.engines[&name::Instance::from("e11")].told.loaded.clone();
+    let loaded = world.engines[&name::Instance::from("e11")].announcement.loaded.clone();
     assert_eq!(loaded, Some(name::Model::from("small")));
 }
 
 /// Tells the leader, as an entry does, that everything stands still on these upstreams.
-fn tell_of_silence(world: &mut world::World, heads: &[name::Instance]) {
+fn report_stalls(world: &mut world::World, heads: &[name::Instance]) {
     let leader = world.leader().expect("somebody leads");
     let evidence = hyssopfork_fleet::peer::Evidence {
         stalled: heads.to_vec(),
@@ -372,11 +374,12 @@
     let _told = core.step(world.now, event::Event::Seen(fixture::address(5), evidence));
 }
 
-fn free_engines(world: &world::World, domain: &str) -> usize {
+fn count_free_engines(world: &world::World, domain: &str) -> usize {
     let served = world.serving();
-    let engines = world.engines.values().filter(|it| it.told.domain == name::Domain::from(domain));
+    let engines =
+        world.engines.values().filter(|it| it.announcement.domain == name::Domain::from(domain));
     engines
-        .filter(|it| !served.iter().any(|group| group.members.contains(&it.told.instance)))
+        .filter(|it| !served.iter().any(|group| group.members.contains(&it.announcement.instance)))
         .count()
 }
 
@@ -389,14 +392,14 @@
     world.add_engines(1..=10, "d1");
     world.add_engines(11..=20, "d2");
     for engine in world.engines.values_mut() {
-        if engine.told.domain == name::Domain::from("d1") {
-            engine.told.staged = vec![name::Model::from("small")];
+        if engine.announcement.domain == name::Domain::from("d1") {
+            engine.announcement.staged = vec![name::Model::from("small")];
         }
     }
 
     world.run(30_000);
 
-    assert_eq!((free_engines(&world, "d1"), free_engines(&world, "d2")), (2, 2));
+    assert_eq!((count_free_engines(&world, "d1"), count_free_engines(&world, "d2")), (2, 2));
 }
 
 /// A member goes dark while both domains have a reserve. The survivor is free a few milliseconds
@@ -408,17 +411,17 @@
     world.add_engines(1..=10, "d1");
     world.add_engines(11..=20, "d2");
     world.run(30_000);
-    let members = a_large_group(&world);
-    let domain = world.engines[&members[0]].told.domain.to_string();
+    let members = large_group(&world);
+    let domain = world.engines[&members[0]].announcement.domain.to_string();
     let other = if domain == "d1" { "d2" } else { "d1" };
 
     world.engines.get_mut(&members[1]).expect("it is there").alive = false;
     world.run(300);
-    tell_of_silence(&mut world, &members[..1]);
+    report_stalls(&mut world, &members[..1]);
     world.run(4_500);
 
-    assert_eq!(of_model(&world, "large"), 4);
-    assert_eq!(free_engines(&world, other), 2);
+    assert_eq!(count_groups(&world, "large"), 4);
+    assert_eq!(count_free_engines(&world, other), 2);
 }
 
 /// A member of a large group and two small groups go dark at once. The large model has one group
@@ -426,8 +429,8 @@
 /// would leave callers of the large model with half of what they need.
 #[test]
 fn the_model_farther_behind_gets_the_reserve() {
-    let mut world = grouped();
-    let large = a_large_group(&world);
+    let mut world = world_with_groups();
+    let large = large_group(&world);
     let of_one = |group: &&hyssopfork_fleet::view::Group| group.members.len() == 1;
     let served = world.serving();
     let small: Vec<_> = served.iter().filter(of_one).take(2).collect();
@@ -438,10 +441,10 @@
     }
     world.run(300);
     let heads = [large[0].clone(), lost[1].clone(), lost[2].clone()];
-    tell_of_silence(&mut world, &heads);
+    report_stalls(&mut world, &heads);
     world.run(4_500);
 
-    assert_eq!(of_model(&world, "large"), 2);
+    assert_eq!(count_groups(&world, "large"), 2);
 }
 
 /// A group of four loses a member while its domain has no reserve, and a small group is lost too.
@@ -457,8 +460,9 @@
     world.add_engines(11..=20, "d2");
     world.run(36_000);
     let served = world.serving();
-    let in_first =
-        |instance: &name::Instance| world.engines[instance].told.domain == name::Domain::from("d1");
+    let in_first = |instance: &name::Instance| {
+        world.engines[instance].announcement.domain == name::Domain::from("d1")
+    };
     let here: Vec<_> = served.iter().filter(|group| in_first(&group.members[0])).collect();
     let large = here.iter().find(|group| group.members.len() == 4).expect("one is there");
     let small = here.iter().find(|group| group.members.len() == 1).expect("one is there");
@@ -473,10 +477,10 @@
         world.engines.get_mut(instance).expect("it is there").alive = false;
     }
     world.run(300);
-    tell_of_silence(&mut world, &heads);
+    report_stalls(&mut world, &heads);
     world.run(8_000);
 
-    assert_eq!(of_model(&world, "large"), 2);
+    assert_eq!(count_groups(&world, "large"), 2);
 }
 
 /// Guards against a leader that loses its lease because it reviews all engines after each event.
--- a/crates/hyssopfork-fleet/tests/fleet/histories.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/histories.rs
@@ -104,7 +104,7 @@
     let kind = random.below(10);
     for _ in 0..1 + random.below(4) {
         let engine = random.pick(&engines);
-        let address = world.engines[&engine].told.address;
+        let address = world.engines[&engine].announcement.address;
         match kind {
             0..4 => world.cut_engine(&engine),
             4..7 => drop(world.resets.insert(address)),
@@ -120,7 +120,7 @@
     }
     let (percent, most) = (30 + random.below(50), 1_000 + random.below(8_000));
     let random = random::Random(random.below(1 << 30));
-    world.order_faults = Some(world::engines::OrderFaults { random, percent, most });
+    world.order_faults = Some(world::engines::OrderFaults { random, percent, max_delay_ms: most });
 }
 
 fn order_history(seed: u64) {
--- a/crates/hyssopfork-fleet/tests/fleet/invariants.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/invariants.rs
@@ -16,7 +16,7 @@
     let engine = &engines[instance];
     match &order.task {
         order::Task::Join { .. } => {
-            let Some(held) = &engine.told.membership else { return };
+            let Some(held) = &engine.announcement.membership else { return };
             let other = (held.group.clone(), held.epoch) != (order.group.clone(), order.epoch);
             let newer = order.epoch > held.epoch;
             let open = |it: &engine::Engine| it.is_open_in(&held.group, held.epoch);
@@ -27,10 +27,10 @@
                 held.group
             );
         }
-        order::Task::Open if engine.told.is_in(&order.group, order.epoch) => {
+        order::Task::Open if engine.announcement.is_in(&order.group, order.epoch) => {
             for member in &engine.members {
                 let member = &engines[member];
-                let gone = !member.alive || !member.told.is_in(&order.group, order.epoch);
+                let gone = !member.alive || !member.announcement.is_in(&order.group, order.epoch);
                 let was_ready = member.has_been_ready(order.epoch);
                 assert!(was_ready || gone, "{} opens without a member", order.group);
             }
--- a/crates/hyssopfork-fleet/tests/fleet/loads.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/loads.rs
@@ -7,15 +7,15 @@
 const RATE: f64 = 3.0;
 
 /// Times in milliseconds at which loads begin when one is wished for every 10 ms.
-fn begun(quiet_until: u64, until: u64) -> Vec<u64> {
-    let mut pace = loads::Pace::new(fixture::at(0));
+fn start_times(quiet_until: u64, until: u64) -> Vec<u64> {
+    let mut pace = loads::Limiter::new(fixture::at(0));
     let times = (quiet_until..until).step_by(10);
-    times.filter(|millis| pace.begin(fixture::at(*millis), RATE)).collect()
+    times.filter(|millis| pace.try_start(fixture::at(*millis), RATE)).collect()
 }
 
 #[test]
 fn no_span_of_time_has_more_loads_than_the_rate_and_a_burst_of_two() {
-    let times = begun(60_000, 90_000);
+    let times = start_times(60_000, 90_000);
 
     let over = times.iter().enumerate().find(|(first, start)| {
         times[*first..].iter().enumerate().any(|(more, end)| {
@@ -31,7 +31,7 @@
 /// add a burst of its own at once.
 #[test]
 fn a_new_leader_begins_no_load_at_once() {
-    let times = begun(0, 1_000);
+    let times = start_times(0, 1_000);
 
     assert!(times.first().is_some_and(|first| *first >= 333), "{times:?}");
 }
--- a/crates/hyssopfork-fleet/tests/fleet/plan.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/plan.rs
@@ -20,7 +20,7 @@
 fn models_are_spread_over_domains_by_their_shares() {
     let models = [model("large", 4, 0.5), model("small", 2, 0.5)];
 
-    let layout = plan::layout(&domains(&[10, 10, 10]), &models, plan::RESERVE);
+    let layout = plan::compute_layout(&domains(&[10, 10, 10]), &models, plan::RESERVE_SHARE);
 
     for domain in domains(&[0, 0, 0]).into_keys() {
         let large = layout.get(&(domain.clone(), name::Model::from("large")));
@@ -34,9 +34,9 @@
 fn a_group_that_needs_most_of_a_domain_finds_its_place() {
     let models = [model("huge", 8, 0.5), model("small", 1, 0.5)];
 
-    let layout = plan::layout(&domains(&[10, 10]), &models, plan::RESERVE);
+    let layout = plan::compute_layout(&domains(&[10, 10]), &models, plan::RESERVE_SHARE);
 
-    assert_eq!(plan::total(&layout, &name::Model::from("huge")), 1);
+    assert_eq!(plan::count_groups(&layout, &name::Model::from("huge")), 1);
 }
 
 proptest! {
@@ -52,7 +52,7 @@
             .collect();
         let domains = domains(&counts);
 
-        let layout = plan::layout(&domains, &models, plan::RESERVE);
+        let layout = plan::compute_layout(&domains, &models, plan::RESERVE_SHARE);
 
         for (domain, count) in &domains {
             let used: usize = models
@@ -63,7 +63,7 @@
                 })
                 .sum();
             prop_assert!(used <= *count);
-            let wanted = plan::wanted(&layout, domain, *count, &models);
+            let wanted = plan::target_instances(&layout, domain, *count, &models);
             prop_assert_eq!(wanted.values().sum::<usize>(), *count);
         }
     }
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -337,7 +337,7 @@
                     }
                     self.step(to, event::Event::Called { call, request: *request });
                 }
-                Delivery::Order(from, order) => self.obey(from, &order),
+                Delivery::Order(from, order) => self.deliver_order(from, &order),
                 Delivery::Watched(number, from, answer) => {
                     let process = self.processes.get_mut(&to).expect("it is there");
                     if process.watch == number {
@@ -396,14 +396,14 @@
                     self.send(to, WAY, event::Event::Seen(from, evidence));
                 }
             }
-            action::Action::Order(order) => self.carry_order(from, order),
+            action::Action::Order(order) => self.send_order(from, order),
             action::Action::Probe(instance, to) => {
                 let sign = self.probe(from, to);
-                let after = if sign == order::Sign::Missing { LOST } else { WAY };
+                let after = if sign == order::Liveness::TimedOut { LOST } else { WAY };
                 self.send(from, after, event::Event::Probed(instance, sign));
             }
             action::Action::Ask(instance, to) => {
-                if self.probe(from, to) == order::Sign::Alive {
+                if self.probe(from, to) == order::Liveness::Alive {
                     let report = self.engines[&instance].report();
                     self.send(from, WAY * 2, event::Event::Reported(instance, report));
                 }
@@ -411,7 +411,7 @@
             action::Action::AskPeer { peer, instance, address } => {
                 self.asked_peers.insert(peer);
                 let alive =
-                    self.reaches(from, peer) && self.probe(peer, address) == order::Sign::Alive;
+                    self.reaches(from, peer) && self.probe(peer, address) == order::Liveness::Alive;
                 self.send(from, LOST, event::Event::Vouched(peer, instance, alive));
             }
             action::Action::Publish(update, declaration) => {
