--- a/crates/hyssopfork-fleet/benches/review.rs
+++ b/crates/hyssopfork-fleet/benches/review.rs
@@ -1,5 +1,6 @@
-//! What a leader's review costs, by the number of engines: while all groups form, when nothing has
-//! changed, and after the loss of a member. Run by `cargo bench -p hyssopfork-fleet --bench review`.
+//! Benchmark of a leader's reconciliation pass by the number of engines: while all groups form, when
+//! nothing has changed, and after the loss of a member. Run by
+//! `cargo bench -p hyssopfork-fleet --bench review`.
 
 use hyssopfork_fleet::announcement::{Announcement, Membership, State};
 use hyssopfork_fleet::groups::{self, order};
@@ -9,11 +10,15 @@
 use std::net;
 use std::time::{Duration, Instant};
 
+/// Engines of one domain.
 const DOMAIN_SIZE: u32 = 19;
-const IDLE_PASSES: u32 = 50;
+/// Measured passes without a change.
+const QUIET_PASSES: u32 = 50;
+/// Measured losses of a member.
 const LOSSES: u32 = 20;
+/// Simulated time between two passes.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest simulated time until all groups serve.
+/// Most passes until all groups serve.
 const MAX_PASSES: u32 = 500;
 
 fn declaration() -> declaration::Declaration {
@@ -58,7 +63,7 @@
     }
 }
 
-/// A leader and its engines, which carry out orders at once.
+/// A leader and its engines, which carry out orders immediately.
 struct Fleet {
     declaration: declaration::Declaration,
     registry: registry::Registry,
@@ -80,33 +85,33 @@
             now,
         };
         for number in 0..engines {
-            let told = announcement(number);
-            fleet.engines.insert(told.instance.clone(), told.clone());
-            fleet.registry.announce(now, told);
+            let announcement = announcement(number);
+            fleet.engines.insert(announcement.instance.clone(), announcement.clone());
+            fleet.registry.announce(now, announcement);
         }
         fleet
     }
 
-    /// One review with its publication; its time and how many orders it gave.
+    /// Makes one pass with its publication; returns its duration and the number of its commands.
     fn reconcile(&mut self) -> (Duration, usize) {
         self.now = self.now + PASS_INTERVAL;
-        let nowhere = BTreeSet::new();
-        let began = Instant::now();
+        let no_zones = BTreeSet::new();
+        let start = Instant::now();
         let commands = self.groups.reconcile(
             self.now,
             &self.registry,
             &self.declaration,
             &BTreeSet::new(),
-            &nowhere,
+            &no_zones,
         );
         let upstreams = self.registry.published(self.now);
         self.board.publish(board::Rest::default(), upstreams, &self.groups.to_views());
-        let spent = began.elapsed();
-        let orders = commands.len();
+        let elapsed = start.elapsed();
+        let command_count = commands.len();
         for command in commands {
             self.carry_out(command);
         }
-        (spent, orders)
+        (elapsed, command_count)
     }
 
     fn carry_out(&mut self, command: groups::Command) {
@@ -126,8 +131,8 @@
     }
 
     fn handle_order(&mut self, order: &order::Order) {
-        let Some(told) = self.engines.get_mut(&order.instance) else { return };
-        let member = |rank: usize, state| Membership {
+        let Some(announcement) = self.engines.get_mut(&order.instance) else { return };
+        let membership = |rank: usize, state| Membership {
             group: order.group.clone(),
             epoch: order.epoch,
             rank: rank as u32,
@@ -136,17 +141,17 @@
         match &order.task {
             order::Task::Join { model, members } => {
                 let rank = members.iter().position(|it| *it == order.instance).unwrap_or(0);
-                told.loaded = Some(model.clone());
-                told.membership = Some(member(rank, State::Ready));
+                announcement.loaded = Some(model.clone());
+                announcement.membership = Some(membership(rank, State::Ready));
             }
-            order::Task::Open => told.membership = Some(member(0, State::Open)),
-            order::Task::Close => told.membership = Some(member(0, State::Ready)),
-            order::Task::Leave => told.membership = None,
-            order::Task::Stage(model) => told.staged.push(model.clone()),
+            order::Task::Open => announcement.membership = Some(membership(0, State::Open)),
+            order::Task::Close => announcement.membership = Some(membership(0, State::Ready)),
+            order::Task::Leave => announcement.membership = None,
+            order::Task::Stage(model) => announcement.staged.push(model.clone()),
         }
-        told.sequence += 1;
-        let told = told.clone();
-        self.registry.announce(self.now, told);
+        announcement.sequence += 1;
+        let announcement = announcement.clone();
+        self.registry.announce(self.now, announcement);
     }
 
     fn count_serving_groups(&self) -> usize {
@@ -159,12 +164,12 @@
     for engines in [30, 300, 1_000, 3_000] {
         let mut fleet = Fleet::new(engines);
         let mut forming = Duration::ZERO;
-        let mut idle = 0;
+        let mut idle_passes = 0;
         for _ in 0..MAX_PASSES {
-            let (spent, orders) = fleet.reconcile();
-            forming += spent;
-            idle = if orders == 0 { idle + 1 } else { 0 };
-            if idle > 40 {
+            let (elapsed, command_count) = fleet.reconcile();
+            forming += elapsed;
+            idle_passes = if command_count == 0 { idle_passes + 1 } else { 0 };
+            if idle_passes > 40 {
                 break;
             }
         }
@@ -174,7 +179,7 @@
         for _ in 0..MAX_PASSES {
             fleet.reconcile();
         }
-        let quiet: Duration = (0..IDLE_PASSES).map(|_| fleet.reconcile().0).sum();
+        let quiet: Duration = (0..QUIET_PASSES).map(|_| fleet.reconcile().0).sum();
         let mut loss = Duration::ZERO;
         for number in 0..LOSSES {
             let lost = announcement(number * 7 % engines).instance;
@@ -185,7 +190,7 @@
             "{engines:>8} {:>8} {:>14?} {:>14?} {:>14?}",
             fleet.count_serving_groups(),
             forming,
-            quiet / IDLE_PASSES,
+            quiet / QUIET_PASSES,
             loss / LOSSES,
         );
     }
--- a/crates/hyssopfork-fleet/tests/fleet/engine.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/engine.rs
@@ -1,5 +1,4 @@
-//! An engine that joins, opens and leaves as it is told, and notices when it is told what must not
-//! be.
+//! A simulated engine that joins groups, opens and leaves as ordered.
 
 use crate::fixture;
 use hyssopfork_fleet::announcement::{Announcement, Membership, State};
@@ -9,25 +8,27 @@
 use std::net;
 use std::time::Duration;
 
-/// Time to take up the model of the last group, one that the host holds, and any other.
+/// Time to load the model of the last group.
 const LAST_MODEL_TIME: Duration = Duration::from_millis(200);
+/// Time to load a model that is staged on the host.
 const STAGED_MODEL_TIME: Duration = Duration::from_secs(1);
+/// Time to load any other model.
 const LOAD_TIME: Duration = Duration::from_secs(10);
-/// Time from the order to open until the head takes requests.
+/// Time from the order to open until the head accepts requests.
 const FORMATION_TIME: Duration = Duration::from_millis(300);
 
-/// The engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub announcement: Announcement,
     pub alive: bool,
     /// Members of its group, in order.
     pub members: Vec<name::Instance>,
-    /// Whether it is ready under this membership, or has been.
-    pub is_ready: bool,
-    /// Epochs under which it has been ready in this life.
+    /// Whether it is or has been ready under its current membership.
+    pub was_ready: bool,
+    /// Epochs under which it has been ready since its process started.
     ready_epochs: BTreeSet<u64>,
-    /// When it last called.
+    /// Time of its last announcement.
     pub announced_at: clock::Instant,
     last_model: Option<name::Model>,
     model: Option<name::Model>,
@@ -36,23 +37,23 @@
     staging: Option<(name::Model, clock::Instant)>,
     newest_epoch: u64,
     newest_members: Vec<name::Instance>,
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     accepted_orders: u64,
 }
 
 impl Engine {
     pub fn new(number: u8, domain: &str, now: clock::Instant) -> Engine {
-        let told = Announcement {
+        let announcement = Announcement {
             domain: name::Domain::from(domain),
             zone: name::Zone::new(format!("z-{domain}")),
             address: net::SocketAddr::from(([10, 1, 0, number], 8_000)),
             ..fixture::announcement(&format!("e{number}"))
         };
         Engine {
-            announcement: told,
+            announcement,
             alive: true,
             members: Vec::new(),
-            is_ready: false,
+            was_ready: false,
             ready_epochs: BTreeSet::new(),
             announced_at: now,
             last_model: None,
@@ -66,11 +67,11 @@
         }
     }
 
-    /// Ends this life and starts another one under the same name.
+    /// Restarts the engine's process under the same instance name.
     pub fn restart(&mut self, now: clock::Instant) {
         let staged = self.announcement.staged.clone();
-        let (born, number) = (self.announcement.born + 1, self.announcement.address);
-        let told = Announcement {
+        let (born, address) = (self.announcement.born + 1, self.announcement.address);
+        let restarted = Announcement {
             born,
             staged,
             sequence: 0,
@@ -79,9 +80,10 @@
             ..self.announcement.clone()
         };
         let fresh = Engine::new(0, "", now);
-        *self = Engine { announcement: Announcement { address: number, ..told }, ..fresh };
+        *self = Engine { announcement: Announcement { address, ..restarted }, ..fresh };
     }
 
+    /// Whether it is the head of the group under this epoch and open or closing.
     pub fn is_open_in(&self, group: &name::Group, epoch: u64) -> bool {
         let membership = self.announcement.membership.as_ref();
         self.alive
@@ -93,17 +95,17 @@
             })
     }
 
-    /// Whether it has been ready under this epoch, also if it has left it since.
+    /// Whether it has been ready under this epoch, even if it has left the group since.
     pub fn has_been_ready(&self, epoch: u64) -> bool {
         self.ready_epochs.contains(&epoch)
     }
 
-    /// Lets time pass; whether anything changed that is told at once.
+    /// Moves the engine on to `now`; returns whether its announcement changed.
     pub fn advance(&mut self, now: clock::Instant) -> bool {
         let before = self.announcement.clone();
         if self.ready_at.take_if(|at| *at <= now).is_some() {
             self.set_state(State::Ready);
-            self.is_ready = true;
+            self.was_ready = true;
             self.ready_epochs.extend(self.announcement.membership.as_ref().map(|it| it.epoch));
             self.last_model = self.model.clone();
             self.announcement.loaded = self.model.clone();
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Carries out an order.
+    /// Handles an order and returns its outcome.
     pub fn handle(&mut self, now: clock::Instant, order: &Order) -> Outcome {
         if order.instance != self.announcement.instance {
             return Outcome::WrongInstance;
@@ -133,18 +135,18 @@
         if order.expected_orders.is_some_and(|expected| expected != self.accepted_orders) {
             return Outcome::Conflict;
         }
-        let holds = self.is_duplicate(order);
-        let outcome = if holds { Outcome::Accepted } else { self.carry_out(now, order) };
-        self.accepted_orders += u64::from(outcome == Outcome::Accepted && !holds);
+        let duplicate = self.is_duplicate(order);
+        let outcome = if duplicate { Outcome::Accepted } else { self.carry_out(now, order) };
+        self.accepted_orders += u64::from(outcome == Outcome::Accepted && !duplicate);
         outcome
     }
 
-    /// Whether the order would begin something.
+    /// Whether the engine would accept the order and change its state.
     pub fn has_effect(&self, now: clock::Instant, order: &Order) -> bool {
         !self.is_duplicate(order) && self.clone().handle(now, order) == Outcome::Accepted
     }
 
-    /// Whether the order would begin nothing: such an order is answered with yes and not counted.
+    /// Whether the order is already fulfilled: it is accepted but not counted.
     fn is_duplicate(&self, order: &Order) -> bool {
         let state = self.announcement.membership.as_ref().map(|membership| membership.state);
         match &order.task {
@@ -165,7 +167,7 @@
                 Outcome::Accepted
             }
             Task::Open | Task::Close | Task::Leave if !self.is_in(order) => Outcome::Conflict,
-            Task::Open if !self.is_ready => Outcome::Conflict,
+            Task::Open if !self.was_ready => Outcome::Conflict,
             Task::Open => {
                 self.open_at = Some(now + FORMATION_TIME);
                 Outcome::Accepted
@@ -188,13 +190,13 @@
         model: &name::Model,
         members: &[name::Instance],
     ) -> Outcome {
-        let other = order.epoch == self.newest_epoch && self.newest_members != members;
-        if order.epoch < self.newest_epoch || other {
+        let differs = order.epoch == self.newest_epoch && self.newest_members != members;
+        if order.epoch < self.newest_epoch || differs {
             return Outcome::Outdated;
         }
         let rank = members.iter().position(|it| *it == self.announcement.instance);
         let Some(rank) = rank else { return Outcome::Conflict };
-        let time = if self.last_model.as_ref() == Some(model) {
+        let load_time = if self.last_model.as_ref() == Some(model) {
             LAST_MODEL_TIME
         } else if self.announcement.staged.contains(model) {
             STAGED_MODEL_TIME
@@ -206,7 +208,7 @@
         self.newest_members = members.to_vec();
         self.members = members.to_vec();
         self.model = Some(model.clone());
-        self.ready_at = Some(now + time);
+        self.ready_at = Some(now + load_time);
         self.announcement.membership = Some(Membership {
             group: order.group.clone(),
             epoch: order.epoch,
@@ -220,7 +222,7 @@
         self.announcement.membership = None;
         self.announcement.loaded = None;
         self.members.clear();
-        self.is_ready = false;
+        self.was_ready = false;
         self.ready_at = None;
         self.open_at = None;
     }
--- a/crates/hyssopfork-fleet/tests/fleet/groups.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/groups.rs
@@ -1,4 +1,4 @@
-//! Groups form, are mended and handed on, and never break what must hold.
+//! Tests of serving groups in a simulated fleet: formation, repair, recovery and their invariants.
 
 use crate::{fixture, world};
 use hyssopfork_fleet::announcement::Announcement;
@@ -7,7 +7,7 @@
 use hyssopfork_wire::name;
 use std::time::Duration;
 
-/// Ten engines of one domain, grouped before any caller sends.
+/// A world with ten engines of one domain, whose groups were formed before any client sends requests.
 fn world_with_groups() -> world::World {
     let mut world = world::World::declared(3, 2);
     world.add_engines(1..=10, "d1");
@@ -22,30 +22,30 @@
 fn large_group(world: &world::World) -> Vec<name::Instance> {
     let large = name::Model::from("large");
     let groups = world.serving();
-    groups.into_iter().find(|group| group.model == large).expect("one serves").members
+    groups.into_iter().find(|group| group.model == large).expect("a large group serves").members
 }
 
-/// A group of two by its members' own words.
+/// Members of a group of two, as its engines see it.
 fn large_group_of_engines(world: &world::World) -> Vec<name::Instance> {
     let pairs = world.engines.values().filter(|engine| engine.members.len() == 2);
-    pairs.map(|engine| engine.members.clone()).next().expect("a pair is there")
+    pairs.map(|engine| engine.members.clone()).next().expect("there is a group of two")
 }
 
 #[test]
-fn groups_of_every_model_serve_and_some_engines_are_kept_in_reserve() {
+fn groups_of_every_model_serve_and_some_engines_stay_in_reserve() {
     let world = world_with_groups();
 
     assert_eq!((count_groups(&world, "large"), count_groups(&world, "small")), (2, 4));
 }
 
-/// Callers see the streams of a group stand still: a member went dark. A reserve takes its place and
-/// the group's model serves as before within two seconds, not after a load of ten.
+/// A member is lost and the group's streams stall. A reserve must replace the member, so that the
+/// model serves as before within two seconds, not after a load of ten.
 #[test]
-fn a_lost_member_is_replaced_from_the_reserve() {
+fn lost_member_is_replaced_from_the_reserve() {
     let mut world = world_with_groups();
     let members = large_group(&world);
 
-    world.engines.get_mut(&members[1]).expect("it is there").alive = false;
+    world.engines.get_mut(&members[1]).expect("the engine exists").alive = false;
     world.run(300);
     report_stalls(&mut world, &members[..1]);
     world.run(4_500);
@@ -54,15 +54,15 @@
     assert!(world.serving().iter().all(|group| !group.members.contains(&members[1])));
 }
 
-/// A member goes dark and callers of its model wait for the next group. The other member is free a
-/// few milliseconds later and has the weights; a group of two reserves, formed at once, would first
-/// take the weights up from the host for more than a second.
+/// Guards against a group of two reserves, formed at once after the loss of a member, which first loads
+/// the weights from the host for more than a second while clients wait. The lost group's other member
+/// is free a few milliseconds later and has the weights.
 #[test]
-fn the_next_group_waits_for_the_member_that_is_left() {
+fn next_group_waits_for_the_surviving_member() {
     let mut world = world_with_groups();
     let members = large_group(&world);
 
-    world.engines.get_mut(&members[1]).expect("it is there").alive = false;
+    world.engines.get_mut(&members[1]).expect("the engine exists").alive = false;
     world.run(300);
     report_stalls(&mut world, &members[..1]);
     world.run(4_500);
@@ -73,9 +73,9 @@
     assert_eq!(next.filter(|group| group.members.contains(&members[0])).count(), 1);
 }
 
-/// The head of a group is cut off from every process of ours and stays open, serving nobody. Its
-/// members must leave it before they join others (the engines check that), and so must the head
-/// itself once it is heard of again.
+/// The head of a group is cut off from every process and stays open. Its members must leave the group
+/// before they join others, which is checked at each order, and so must the head once it is reachable
+/// again.
 #[test]
 fn members_of_a_head_that_is_cut_off_leave_it_first() {
     let mut world = world_with_groups();
@@ -89,10 +89,10 @@
     assert_eq!(count_groups(&world, "large"), 2);
 }
 
-/// Guards against an engine that is free for a third group, since an answer of the first one erases
-/// its place in the second.
+/// Guards against an engine that counts as free for a third group because a late answer to its first
+/// group's order removes it from the second.
 #[test]
-fn an_answer_about_an_old_group_leaves_the_engine_in_its_new_one() {
+fn late_answer_about_an_old_group_keeps_the_engine_in_its_new_one() {
     let mut world = world::World::declared(3, 2);
     assert!(world.declare(fixture::LARGE_OF_FOUR));
     world.add_engines(1..=14, "d1");
@@ -105,17 +105,17 @@
     for process in world.processes.keys().copied() {
         world.cuts.insert((process, second));
     }
-    world.engines.get_mut(&members[3]).expect("it is there").alive = false;
+    world.engines.get_mut(&members[3]).expect("the engine exists").alive = false;
     world.run(8_000);
 
     let served = world.serving();
     assert!(served.iter().any(|group| group.members.contains(&members[0])), "it serves again");
 }
 
-/// An engine was in two groups at once, for a moment, under one leader. A member of its group had been
-/// lost while connections to the engine itself were reset: the order to leave ended at the reset and
-/// counted as carried out. Heard of again, with its group open, the engine was free to join another.
-/// Replayed with resets and crashes, the leader's log shows the two steps in this order (5034, 5020).
+/// Guards against an engine in two groups at once. A member of its group is lost while connections to
+/// the engine are reset. If the order to leave counts as carried out although a reset ended it, the
+/// engine is free to join another group while its own is still open. The leader's log then shows the
+/// events 5034 and 5020 in this order.
 #[test]
 fn an_order_to_leave_that_a_reset_ended_frees_nobody() {
     let mut world = world_with_groups();
@@ -123,26 +123,26 @@
     let head = world.engines[&members[0]].announcement.address;
 
     world.resets.insert(head);
-    world.engines.get_mut(&members[1]).expect("it is there").alive = false;
+    world.engines.get_mut(&members[1]).expect("the engine exists").alive = false;
     world.run(6_000);
     world.resets.clear();
     let next = large_group(&world);
-    world.engines.get_mut(&next[1]).expect("it is there").alive = false;
+    world.engines.get_mut(&next[1]).expect("the engine exists").alive = false;
     world.run(10_000);
 
     let served = world.serving();
     assert!(served.iter().any(|group| group.members.contains(&members[0])), "it is used again");
 }
 
-/// Orders get no answer and are carried out three seconds late, after newer ones. Nothing that must
-/// hold is broken meanwhile, and groups serve again afterwards.
+/// Orders get no answer and are carried out three seconds late, after newer ones. No invariant may be
+/// violated meanwhile, and groups must serve again afterwards.
 #[test]
-fn late_orders_undo_nothing() {
+fn late_orders_violate_no_invariant() {
     let mut world = world_with_groups();
     let members = large_group(&world);
 
     world.late_orders = Some(Duration::from_secs(3));
-    world.engines.get_mut(&members[0]).expect("it is there").alive = false;
+    world.engines.get_mut(&members[0]).expect("the engine exists").alive = false;
     world.run(8_000);
     world.late_orders = None;
     world.run(15_000);
@@ -150,13 +150,13 @@
     assert_eq!(count_groups(&world, "large"), 2);
 }
 
-/// The leader is lost and another takes over. Groups that serve go on serving: the new leader knows
-/// them from its own copy and from those who followed the old one.
+/// The leader is lost and another takes over. Serving groups must go on: the new leader knows them from
+/// its own copy and from the old one's followers.
 #[test]
-fn groups_outlast_their_leader() {
+fn groups_keep_serving_after_the_leader_is_lost() {
     let mut world = world_with_groups();
     let before: Vec<u64> = world.serving().iter().map(|group| group.epoch).collect();
-    let leader = world.leader().expect("somebody leads");
+    let leader = world.leader().expect("there is a leader");
 
     world.kill(leader);
     world.run(3_000);
@@ -165,10 +165,10 @@
     assert_eq!(after, before);
 }
 
-/// Every process is killed at once and starts again knowing no group. The members' own words are
-/// enough to serve on.
+/// All processes are killed at once and start again without knowing any group. The members'
+/// announcements must suffice to go on serving.
 #[test]
-fn groups_are_known_again_after_all_processes_were_killed() {
+fn groups_are_recovered_after_all_processes_were_killed() {
     let mut world = world_with_groups();
     let before = world.serving().len();
 
@@ -180,22 +180,22 @@
     assert_eq!(world.serving().len(), before);
 }
 
-/// Every process was killed at once. Callers are served again by the first heads that call, before
-/// the last members have.
+/// After all processes were killed at once, the first heads that announce themselves must serve clients
+/// again before the last members have announced themselves.
 #[test]
-fn heads_serve_before_all_their_members_have_called() {
+fn heads_serve_before_all_members_have_announced_themselves() {
     let mut world = world_with_groups();
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
     all.iter().for_each(|address| world.boot(*address, false));
     let members = large_group_of_engines(&world);
     let now = world.now;
-    let mut calls_at = |instance: &name::Instance, millis: u64| {
-        let engine = world.engines.get_mut(instance).expect("it is there");
+    let mut announce_at = |instance: &name::Instance, millis: u64| {
+        let engine = world.engines.get_mut(instance).expect("the engine exists");
         engine.announced_at = now + Duration::from_millis(millis - 1_200);
     };
-    calls_at(&members[0], 1_500);
-    calls_at(&members[1], 2_600);
+    announce_at(&members[0], 1_500);
+    announce_at(&members[1], 2_600);
     let mut served = None;
     for _ in 0..200 {
         world.run(20);
@@ -206,11 +206,11 @@
     assert!(served.is_some(), "{members:?}");
 }
 
-/// Every process was killed at once, and the heads of one model call the new leader first. Groups of
-/// that model would be closed for the other, which has no group as far as the leader knows, while
-/// callers come back to all of them.
+/// After all processes were killed at once, the heads of one model announce themselves to the new leader
+/// first. Guards against a leader that closes groups of that model for the other one, of which it knows
+/// no group yet.
 #[test]
-fn a_leader_that_knows_few_groups_gives_none_up() {
+fn new_leader_that_knows_few_groups_closes_none() {
     let mut world = world_with_groups();
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
@@ -226,27 +226,27 @@
 
     world.run(4_000);
 
-    let closing = |(_, notice): &(_, notice::Notice)| {
+    let is_closing = |(_, notice): &(_, notice::Notice)| {
         matches!(notice, notice::Notice::Turned(_, group::Phase::Closing))
     };
-    assert!(!world.notices[before..].iter().any(closing));
+    assert!(!world.notices[before..].iter().any(is_closing));
 }
 
 #[test]
-fn a_member_that_leaves_on_request_is_replaced() {
+fn member_that_leaves_on_request_is_replaced() {
     let mut world = world_with_groups();
     let members = large_group(&world);
 
-    world.engines.get_mut(&members[1]).expect("it is there").announcement.draining = true;
+    world.engines.get_mut(&members[1]).expect("the engine exists").announcement.draining = true;
     world.run(5_000);
 
     assert_eq!(count_groups(&world, "large"), 2);
     assert!(world.serving().iter().all(|group| !group.members.contains(&members[1])));
 }
 
-/// A zone is taken out: its groups get nothing, and reserves of the other domain form groups.
+/// A zone is taken out: its groups get no requests, and reserves of the other domain form groups.
 #[test]
-fn reserves_stand_in_for_a_zone_that_is_out() {
+fn reserves_form_groups_when_a_zone_is_out() {
     let mut world = world::World::declared(3, 1);
     world.add_engines(1..=10, "d1");
     world.add_engines(11..=20, "d2");
@@ -266,12 +266,12 @@
     assert!(serving(&world) > before, "{before} groups before");
 }
 
-/// A process that followed nobody for a while leads all at once, with an old copy of everything. It
-/// must not take engines into groups before it has their own word: they may be in others by now.
+/// A process that followed no leader for a while becomes leader with a stale copy. It must not form
+/// groups of engines before they have announced themselves, since they may have joined others.
 #[test]
-fn a_leader_with_an_old_copy_forms_nothing_of_engines_that_it_has_not_heard() {
+fn leader_with_a_stale_copy_forms_no_groups_of_unheard_engines() {
     let mut world = world_with_groups();
-    let leader = world.leader().expect("somebody leads");
+    let leader = world.leader().expect("there is a leader");
     let next = *world.processes.keys().take(3).find(|it| **it != leader).expect("there are three");
     let others: Vec<_> = world.processes.keys().copied().filter(|it| *it != next).collect();
     for other in &others {
@@ -279,7 +279,7 @@
         world.cuts.insert((*other, next));
     }
     let lost = large_group(&world)[1].clone();
-    world.engines.get_mut(&lost).expect("it is there").alive = false;
+    world.engines.get_mut(&lost).expect("the engine exists").alive = false;
     world.run(12_000);
 
     world.cuts.clear();
@@ -291,9 +291,9 @@
     assert!(!world.serving().is_empty());
 }
 
-/// Every process was killed at once, and a call of a member that was held up since before it joined
-/// its group is the first that the new leader hears of it. The leader takes it for free and wants it
-/// in another group, while callers are served by the head of its own. It must find out before.
+/// After all processes were killed at once, the new leader's first announcement of a member is a delayed
+/// one from before the member joined its group. Guards against a leader that takes the member for free
+/// and orders it to join another group while the head of its own serves clients.
 #[test]
 fn a_call_older_than_its_membership_frees_no_member() {
     let mut world = world::World::declared(3, 2);
@@ -318,7 +318,7 @@
         ..world.engines[&members[1]].announcement.clone()
     };
     world.run(1_150);
-    let leader = world.leader().expect("somebody leads");
+    let leader = world.leader().expect("there is a leader");
     world.call(leader, event::announced(old));
     world.run(1_000);
 
@@ -330,18 +330,18 @@
     );
 }
 
-/// Three of a large group of four are lost, the reserves and two small groups with them, and one new
-/// engine comes. The domain's large model has lost the most, but would need two engines more; given
-/// the small one, the engine serves callers as soon as it has loaded its weights.
+/// Three members of a large group of four are lost, together with the reserves and two small groups, and
+/// one new engine starts. The large model has lost the most but would need two more engines. With the
+/// small model, the new engine serves clients as soon as it has loaded the weights.
 #[test]
-fn a_new_engine_goes_to_the_group_that_is_complete_soonest() {
+fn new_engine_loads_the_model_whose_group_is_complete_soonest() {
     let mut world = world::World::start(3, 1);
     world.run(2_500);
     assert!(world.declare(fixture::LARGE_OF_FOUR));
     world.add_engines(1..=10, "d1");
     world.run(36_000);
     let served = world.serving();
-    let large = served.iter().find(|group| group.members.len() == 4).expect("one is there");
+    let large = served.iter().find(|group| group.members.len() == 4).expect("there is one");
     let small: Vec<_> = served.iter().filter(|group| group.members.len() == 1).collect();
     let is_free =
         |instance: &&name::Instance| !served.iter().any(|group| group.members.contains(instance));
@@ -349,7 +349,7 @@
     lost.extend(large.members[1..].iter().cloned());
     lost.extend(small[..2].iter().map(|group| group.members[0].clone()));
     for instance in &lost {
-        world.engines.get_mut(instance).expect("it is there").alive = false;
+        world.engines.get_mut(instance).expect("the engine exists").alive = false;
     }
     let heads = [&large.members[0], &small[0].members[0], &small[1].members[0]].map(Clone::clone);
     report_stalls(&mut world, &heads);
@@ -362,16 +362,16 @@
     assert_eq!(loaded, Some(name::Model::from("small")));
 }
 
-/// Tells the leader, as an entry does, that everything stands still on these upstreams.
+/// Reports these upstreams to the leader as stalled, as an entry does.
 fn report_stalls(world: &mut world::World, heads: &[name::Instance]) {
-    let leader = world.leader().expect("somebody leads");
+    let leader = world.leader().expect("there is a leader");
     let evidence = hyssopfork_fleet::peer::Evidence {
         stalled: heads.to_vec(),
         traffic: true,
         ..Default::default()
     };
     let core = world.processes.get_mut(&leader).and_then(|it| it.core.as_mut()).expect("it runs");
-    let _told = core.step(world.now, event::Event::Seen(fixture::address(5), evidence));
+    let _actions = core.step(world.now, event::Event::Seen(fixture::address(5), evidence));
 }
 
 fn count_free_engines(world: &world::World, domain: &str) -> usize {
@@ -383,11 +383,11 @@
         .count()
 }
 
-/// The engines of one domain have a model at hand and are ready seconds before those of the other.
-/// Were groups formed of whoever is first, that domain would keep no reserve, and the first loss in
-/// it would leave callers without a group for as long as a load takes.
+/// The engines of one domain have a model staged and are ready seconds before those of the other. Guards
+/// against groups formed of whichever engines are ready first: that domain would keep no reserve, and
+/// its first loss would leave clients without a group for the time of a load.
 #[test]
-fn each_domain_keeps_a_reserve_whoever_is_ready_first() {
+fn each_domain_keeps_a_reserve_whichever_is_ready_first() {
     let mut world = world::World::declared(3, 1);
     world.add_engines(1..=10, "d1");
     world.add_engines(11..=20, "d2");
@@ -402,11 +402,11 @@
     assert_eq!((count_free_engines(&world, "d1"), count_free_engines(&world, "d2")), (2, 2));
 }
 
-/// A member goes dark while both domains have a reserve. The survivor is free a few milliseconds
-/// later; a group formed of the other domain's reserve meanwhile would leave nobody there for the
-/// next loss, and the survivor without a use.
+/// A member is lost while both domains have a reserve, and the survivor is free a few milliseconds later.
+/// Guards against a group formed meanwhile of the other domain's reserve, which would leave no reserve
+/// there for the next loss and the survivor unused.
 #[test]
-fn a_loss_does_not_take_the_reserve_of_another_domain() {
+fn loss_does_not_use_the_reserve_of_another_domain() {
     let mut world = world::World::declared(3, 1);
     world.add_engines(1..=10, "d1");
     world.add_engines(11..=20, "d2");
@@ -415,7 +415,7 @@
     let domain = world.engines[&members[0]].announcement.domain.to_string();
     let other = if domain == "d1" { "d2" } else { "d1" };
 
-    world.engines.get_mut(&members[1]).expect("it is there").alive = false;
+    world.engines.get_mut(&members[1]).expect("the engine exists").alive = false;
     world.run(300);
     report_stalls(&mut world, &members[..1]);
     world.run(4_500);
@@ -424,9 +424,9 @@
     assert_eq!(count_free_engines(&world, other), 2);
 }
 
-/// A member of a large group and two small groups go dark at once. The large model has one group
-/// left of two and its survivor is free in a moment; small groups that took both reserves meanwhile
-/// would leave callers of the large model with half of what they need.
+/// A member of a large group and two small groups are lost at once. One of two large groups is left, and
+/// its counterpart's survivor is free soon. Guards against small groups that use both reserves meanwhile
+/// and leave the large model with half of its groups.
 #[test]
 fn the_model_farther_behind_gets_the_reserve() {
     let mut world = world_with_groups();
@@ -437,7 +437,7 @@
     let lost = [&large[1], &small[0].members[0], &small[1].members[0]];
 
     for instance in lost {
-        world.engines.get_mut(instance).expect("it is there").alive = false;
+        world.engines.get_mut(instance).expect("the engine exists").alive = false;
     }
     world.run(300);
     let heads = [large[0].clone(), lost[1].clone(), lost[2].clone()];
@@ -447,10 +447,10 @@
     assert_eq!(count_groups(&world, "large"), 2);
 }
 
-/// A group of four loses a member while its domain has no reserve, and a small group is lost too.
-/// The three survivors could each serve the small model in a second, and callers of the large one
-/// would then wait for four engines to load its weights. They are kept, and a small group of the
-/// domain is given up to complete them.
+/// A group of four loses a member while its domain has no reserve, and a small group is lost too. Guards
+/// against the three survivors being used for the small model, which each could serve in a second:
+/// clients of the large one would then wait for four engines to load its weights. The survivors must be
+/// kept, and a small group of the domain closed to complete their group.
 #[test]
 fn survivors_are_kept_for_the_model_farther_behind() {
     let mut world = world::World::start(3, 1);
@@ -464,8 +464,8 @@
         world.engines[instance].announcement.domain == name::Domain::from("d1")
     };
     let here: Vec<_> = served.iter().filter(|group| in_first(&group.members[0])).collect();
-    let large = here.iter().find(|group| group.members.len() == 4).expect("one is there");
-    let small = here.iter().find(|group| group.members.len() == 1).expect("one is there");
+    let large = here.iter().find(|group| group.members.len() == 4).expect("there is one");
+    let small = here.iter().find(|group| group.members.len() == 1).expect("there is one");
     let is_free = |instance: &&name::Instance| {
         in_first(instance) && !here.iter().any(|group| group.members.contains(instance))
     };
@@ -474,7 +474,7 @@
     lost.extend([large.members[1].clone(), small.members[0].clone()]);
 
     for instance in &lost {
-        world.engines.get_mut(instance).expect("it is there").alive = false;
+        world.engines.get_mut(instance).expect("the engine exists").alive = false;
     }
     world.run(300);
     report_stalls(&mut world, &heads);
@@ -483,9 +483,9 @@
     assert_eq!(count_groups(&world, "large"), 2);
 }
 
-/// Guards against a leader that loses its lease because it reviews all engines after each event.
+/// Guards against a leader that loses its lease by a pass over all engines after each event.
 #[test]
-fn changes_of_many_engines_are_reviewed_together() {
+fn changes_of_many_engines_are_handled_in_few_passes() {
     let mut world = world::World::declared(1, 0);
     world.add_engines(1..=250, "d1");
     let before = world.publications;
--- a/crates/hyssopfork-fleet/tests/fleet/loads.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/loads.rs
@@ -1,20 +1,20 @@
-//! Loads from the weight store keep to its rate over every span of time.
+//! Tests of the token bucket for loads from the weight store.
 
 use crate::fixture;
 use hyssopfork_fleet::groups::loads;
 
-/// Loads a second that the store bears.
+/// Loads per second that the weight store can serve.
 const RATE: f64 = 3.0;
 
-/// Times in milliseconds at which loads begin when one is wished for every 10 ms.
+/// Times in milliseconds at which loads begin if one is attempted every 10 ms from `quiet_until`.
 fn start_times(quiet_until: u64, until: u64) -> Vec<u64> {
-    let mut pace = loads::Limiter::new(fixture::at(0));
+    let mut limiter = loads::Limiter::new(fixture::at(0));
     let times = (quiet_until..until).step_by(10);
-    times.filter(|millis| pace.try_start(fixture::at(*millis), RATE)).collect()
+    times.filter(|millis| limiter.try_start(fixture::at(*millis), RATE)).collect()
 }
 
 #[test]
-fn no_span_of_time_has_more_loads_than_the_rate_and_a_burst_of_two() {
+fn every_interval_has_at_most_the_loads_of_the_rate_and_a_burst_of_two() {
     let times = start_times(60_000, 90_000);
 
     let over = times.iter().enumerate().find(|(first, start)| {
@@ -27,10 +27,10 @@
     assert!(times.len() as f64 > 30.0 * RATE * 0.7, "{} loads in 30 s", times.len());
 }
 
-/// A leader is lost just after it gave orders to load. The next one doesn't know of them, and must not
-/// add a burst of its own at once.
+/// A leader is lost just after it ordered loads. The next one doesn't know of them and must not add a
+/// burst of its own.
 #[test]
-fn a_new_leader_begins_no_load_at_once() {
+fn new_leader_starts_without_tokens() {
     let times = start_times(0, 1_000);
 
     assert!(times.first().is_some_and(|first| *first >= 333), "{times:?}");
--- a/crates/hyssopfork-fleet/tests/fleet/plan.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! How instances are divided.
+//! Tests of the capacity plan.
 
 use hyssopfork_fleet::groups::plan::{self, Model};
 use hyssopfork_wire::name;
@@ -14,8 +14,8 @@
     named.map(|(index, count)| (name::Domain::new(format!("d{index}")), *count)).collect()
 }
 
-/// Thirty instances in three domains, two models of equal shares: each domain gets one group of four
-/// and two of two, so that the loss of a domain takes a third of each model and no more.
+/// With thirty instances in three domains and two models of equal shares, each domain gets one group
+/// of four and two of two, so the loss of a domain takes only a third of each model's groups.
 #[test]
 fn models_are_spread_over_domains_by_their_shares() {
     let models = [model("large", 4, 0.5), model("small", 2, 0.5)];
@@ -29,9 +29,9 @@
     }
 }
 
-/// A model whose group needs most of a domain finds its place: smaller groups are placed after it.
+/// Guards against smaller groups that are placed first and leave no room for a large one.
 #[test]
-fn a_group_that_needs_most_of_a_domain_finds_its_place() {
+fn group_that_needs_most_of_a_domain_is_placed() {
     let models = [model("huge", 8, 0.5), model("small", 1, 0.5)];
 
     let layout = plan::compute_layout(&domains(&[10, 10]), &models, plan::RESERVE_SHARE);
@@ -41,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn no_domain_is_given_more_than_it_has(
+    fn no_domain_gets_more_groups_than_it_has_instances_for(
         counts in prop::collection::vec(0_usize..40, 1..6),
         sizes in prop::collection::vec((1_usize..9, 1_u32..10), 1..4),
     ) {
@@ -63,8 +63,8 @@
                 })
                 .sum();
             prop_assert!(used <= *count);
-            let wanted = plan::target_instances(&layout, domain, *count, &models);
-            prop_assert_eq!(wanted.values().sum::<usize>(), *count);
+            let targets = plan::target_instances(&layout, domain, *count, &models);
+            prop_assert_eq!(targets.values().sum::<usize>(), *count);
         }
     }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
@@ -1,4 +1,4 @@
-//! The world's engines: how orders and probes reach them, and how they announce themselves.
+//! Simulated engines in the world: delivery of orders and probes to them, and their announcements.
 
 use super::{Delivery, HEARTBEAT, LOST, WAY, World};
 use crate::{engine, invariants, random};
@@ -8,20 +8,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A part of the orders gets no answer, and each of these is carried out at a time of its own.
+/// Fault that delays a share of the orders: a delayed order gets no answer and is carried out after a
+/// random time.
 #[derive(Clone, Debug)]
 pub struct OrderFaults {
     pub random: random::Random,
-    /// Orders of a hundred that are late.
+    /// Percentage of orders that are delayed.
     pub percent: u64,
-    /// Longest time by which an order is late, in milliseconds.
+    /// Upper bound of the delay, in milliseconds.
     pub max_delay_ms: u64,
 }
 
 impl OrderFaults {
+    /// Draws the delay of the next order; `None` for none.
     fn draw_delay(&mut self) -> Option<Duration> {
-        let late = self.random.below(100) < self.percent;
-        late.then(|| Duration::from_millis(self.random.below(self.max_delay_ms)))
+        let is_delayed = self.random.below(100) < self.percent;
+        is_delayed.then(|| Duration::from_millis(self.random.below(self.max_delay_ms)))
     }
 }
 
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Cuts everything between an engine and all processes.
+    /// Cuts the network between an engine and all processes, in both directions.
     pub fn cut_engine(&mut self, instance: &name::Instance) {
         let engine = self.engines[instance].announcement.address;
         for process in self.processes.keys().copied().collect::<Vec<_>>() {
@@ -44,8 +46,8 @@
     }
 
     pub(super) fn engine_at(&self, address: SocketAddr) -> Option<name::Instance> {
-        let at = |engine: &engine::Engine| engine.announcement.address == address;
-        self.engines.iter().find(|(_, engine)| at(engine)).map(|(instance, _)| instance.clone())
+        let is_at = |engine: &engine::Engine| engine.announcement.address == address;
+        self.engines.iter().find(|(_, engine)| is_at(engine)).map(|(instance, _)| instance.clone())
     }
 
     pub(super) fn probe(&self, from: SocketAddr, to: SocketAddr) -> order::Liveness {
@@ -62,15 +64,15 @@
 
     pub(super) fn send_order(&mut self, from: SocketAddr, order: order::Order) {
         let ended = |outcome| event::Event::Ordered(order.id, outcome);
-        let drawn = self.order_faults.as_mut().and_then(OrderFaults::draw_delay);
-        match (self.probe(from, order.address), drawn.or(self.late_orders)) {
+        let delay = self.order_faults.as_mut().and_then(OrderFaults::draw_delay);
+        match (self.probe(from, order.address), delay.or(self.late_orders)) {
             (order::Liveness::TimedOut, _) => self.send(from, LOST, ended(order::Outcome::Unknown)),
             (order::Liveness::Refused, _) => {
                 self.send(from, WAY, ended(order::Outcome::Unreachable));
             }
-            (order::Liveness::Alive, Some(late)) => {
+            (order::Liveness::Alive, Some(delay)) => {
                 self.send(from, LOST, ended(order::Outcome::Unknown));
-                self.push(order.address, late, Delivery::Order(from, order));
+                self.push(order.address, delay, Delivery::Order(from, order));
             }
             (order::Liveness::Alive, None) => {
                 self.push(order.address, WAY, Delivery::Order(from, order));
@@ -87,11 +89,11 @@
         if self.engines[&instance].has_effect(now, order) {
             invariants::check(&self.engines, &instance, order);
         }
-        let engine = self.engines.get_mut(&instance).expect("it was found");
+        let engine = self.engines.get_mut(&instance).expect("the engine exists");
         let outcome = engine.handle(now, order);
         self.announce(&instance);
-        let slow = self.slow_answers.get(&order.address).copied().unwrap_or_default();
-        self.send(from, WAY + slow, event::Event::Ordered(order.id, outcome));
+        let delay = self.slow_answers.get(&order.address).copied().unwrap_or_default();
+        self.send(from, WAY + delay, event::Event::Ordered(order.id, outcome));
     }
 
     pub(super) fn run_engines(&mut self) {
@@ -107,18 +109,19 @@
         }
     }
 
-    /// An engine calls the first process that it reaches.
+    /// Sends an engine's announcement to the leader, or to the first process that it reaches.
     fn announce(&mut self, instance: &name::Instance) {
         let now = self.now;
         let leader = self.leader();
-        let engine = self.engines.get_mut(instance).expect("it is there");
+        let engine = self.engines.get_mut(instance).expect("the engine exists");
         engine.announced_at = now;
         engine.announcement.sequence += 1;
-        let told = engine.announcement.clone();
+        let announcement = engine.announcement.clone();
         let others = self.processes.keys().copied();
-        let reached = leader.into_iter().chain(others).find(|to| self.reaches(told.address, *to));
+        let reached =
+            leader.into_iter().chain(others).find(|to| self.reaches(announcement.address, *to));
         if let Some(to) = reached {
-            self.call(to, event::announced(told));
+            self.call(to, event::announced(announcement));
         }
     }
 }
