--- a/crates/hyssopfork-fleet/src/groups/planner.rs
+++ b/crates/hyssopfork-fleet/src/groups/planner.rs
@@ -153,7 +153,8 @@
         context.registry.iter().filter(is_free).map(candidate).collect()
     }
 
-    /// Whether a group may be formed of the engine: it is alive, stays, and is in no group.
+    /// Whether a group may be formed of the engine: it is alive and stays, its zone is not out, and it
+    /// is in no group or in reserve with its weights loaded.
     pub(super) fn is_free(
         &self,
         context: &Context<'_>,
--- a/crates/hyssopfork-fleet/src/groups/reserves.rs
+++ b/crates/hyssopfork-fleet/src/groups/reserves.rs
@@ -217,7 +217,8 @@
         record.announcement.pool == *context.pool && record.is_sound()
     }
 
-    /// The second model that the engine's host is to stage; `None` if it has one or is staging one.
+    /// The second model that the engine's host is to stage; `None` if the host has it or is staging one,
+    /// or if the engine has been in no group yet.
     fn missing_second_model(
         &self,
         context: &Context<'_>,
