--- a/crates/hyssopfork-agent/src/engine.rs
+++ b/crates/hyssopfork-agent/src/engine.rs
@@ -1,7 +1,7 @@
 //! Back end as this agent knows it: alive, loaded, warm.
 
 use crate::event;
-use hyssopfork_policy::ramp;
+use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{clock, configuration, fleet, number, timing};
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
     loaded_at: clock::Instant,
     order: Option<number::Fence>,
     order_at: clock::Instant,
-    ramp: ramp::Ramp,
+    ramp: slow_start::SlowStart,
     kind: configuration::Kind,
     /// When work last broke off; until a probe that was sent later has told, the ramp's limit
     /// doesn't hold.
@@ -71,7 +71,7 @@
             loaded_at: now,
             order: None,
             order_at: now,
-            ramp: ramp::Ramp::new(now, profile.concurrency),
+            ramp: slow_start::SlowStart::new(now, profile.concurrency),
             kind: profile.kind,
             suspected: None,
         }
@@ -94,7 +94,7 @@
     }
 
     /// Limit on concurrent work.
-    pub fn ramp(&mut self) -> &mut ramp::Ramp {
+    pub fn ramp(&mut self) -> &mut slow_start::SlowStart {
         &mut self.ramp
     }
 
@@ -103,7 +103,7 @@
         let limit = self.ramp.limit();
         match (self.suspected, self.kind) {
             (None, _) => limit,
-            (Some(_), configuration::Kind::Service) => limit.min(ramp::INITIAL),
+            (Some(_), configuration::Kind::Service) => limit.min(slow_start::INITIAL_LIMIT),
             (Some(_), configuration::Kind::Engine) => 0,
         }
     }
@@ -232,6 +232,6 @@
 
     fn turn(&mut self, now: clock::Instant) {
         self.loaded = None;
-        self.ramp.cool(now);
+        self.ramp.reset(now);
     }
 }
--- a/crates/hyssopfork-agent/src/offers.rs
+++ b/crates/hyssopfork-agent/src/offers.rs
@@ -1,7 +1,7 @@
 //! Attempts: offered, handed to the upstream, cancelled, ended.
 
 use crate::{action, attempts, core, event, memory, notice};
-use hyssopfork_policy::ramp;
+use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{attempt, clock, refusal};
 
 impl core::Core {
@@ -83,7 +83,7 @@
         }
         let (begun, cost) = (live.forwarded, live.offer.cost);
         let cancelled = live.cancelled;
-        self.engine.ramp().end(now, begun, cost, ramp::Outcome::Completed);
+        self.engine.ramp().on_request_ended(now, begun, cost, slow_start::Outcome::Completed);
         if cancelled {
             self.attempts.bury(attempt, memory::End::Finished);
         } else {
@@ -107,7 +107,7 @@
         let (begun, cost) = (live.forwarded, live.offer.cost);
         self.engine.suspect(now);
         if started {
-            self.engine.ramp().end(now, begun, cost, ramp::Outcome::Failed);
+            self.engine.ramp().on_request_ended(now, begun, cost, slow_start::Outcome::Failed);
         }
         let reason = refusal::Reason::UpstreamFailed;
         let refusal = if started {
--- a/crates/hyssopfork-agent/tests/agent/gate.rs
+++ b/crates/hyssopfork-agent/tests/agent/gate.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture;
 use hyssopfork_agent::{engine, event};
-use hyssopfork_policy::ramp;
+use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{number, refusal, timing};
 use std::time::Duration;
 
@@ -133,7 +133,7 @@
     agent.run(fixture::plain_offer(2));
     let third = agent.refusal(fixture::plain_offer(3));
     complete(&mut agent, 1, 2);
-    run_and_complete(&mut agent, 4, ramp::HOLD - 2);
+    run_and_complete(&mut agent, 4, slow_start::HOLD_COMPLETIONS - 2);
     agent.run(fixture::plain_offer(20));
     agent.run(fixture::plain_offer(21));
     let held = agent.refusal(fixture::plain_offer(22));
@@ -155,7 +155,7 @@
 #[test]
 fn broken_work_holds_the_limit_down_until_probes_tell() {
     let mut agent = fixture::service(true);
-    run_and_complete(&mut agent, 1, ramp::HOLD + 2);
+    run_and_complete(&mut agent, 1, slow_start::HOLD_COMPLETIONS + 2);
     (30..=32).for_each(|count| agent.run(fixture::plain_offer(count)));
 
     let sent = agent.now;
--- a/crates/hyssopfork-control/src/groups.rs
+++ b/crates/hyssopfork-control/src/groups.rs
@@ -2,7 +2,7 @@
 //! policy's decisions as commands.
 
 use crate::holders;
-use hyssopfork_policy::{loads, placement};
+use hyssopfork_policy::{placement, weight_loads};
 use hyssopfork_state::{command, upstream};
 use hyssopfork_wire::{change, clock, configuration, fleet, name, number, timing};
 use std::cmp;
@@ -85,7 +85,10 @@
             instances: self.instances(now, view, holders),
             groups: self.candidates(view),
             placements: self.placements(now, view, holders),
-            budget: loads::Budget { limit: loads, running: self.loading(now, view, holders) },
+            budget: weight_loads::Budget {
+                limit: loads,
+                running: self.loading(now, view, holders),
+            },
         };
         let decisions = placement::decide(&fleet);
         decisions.into_iter().filter_map(|decision| command(view, decision)).collect()
@@ -120,7 +123,7 @@
         let usable = |instance: &name::Instance| {
             let member = view.members.get(instance);
             member.is_some_and(|member| {
-                self.standing(now, view, holders, member) == placement::Standing::Usable
+                self.standing(now, view, holders, member) == placement::Availability::Available
             })
         };
         view.configuration.groups.keys().all(|group| {
@@ -204,8 +207,8 @@
             zone: announcement.zone.clone(),
             domain: announcement.domain.clone(),
             pool: announcement.pool.clone(),
-            standing: self.standing(now, view, holders, member),
-            holds: holds.map(|(_, model)| model.clone()),
+            availability: self.standing(now, view, holders, member),
+            loaded_model: holds.map(|(_, model)| model.clone()),
         }
     }
 
@@ -215,20 +218,20 @@
         view: &change::View,
         holders: &holders::Holders,
         member: &fleet::Member,
-    ) -> placement::Standing {
+    ) -> placement::Availability {
         let instance = &member.announcement.instance;
         if !member.present || self.shunned.contains_key(instance) {
-            return placement::Standing::Missing;
+            return placement::Availability::Missing;
         }
         let Some(agent) = agent(view, holders, instance) else {
-            return placement::Standing::Closed;
+            return placement::Availability::Cordoned;
         };
         if !agent.report.alive {
             return dead(now, agent);
         }
         match upstream::obstacle(view, instance) {
-            None => placement::Standing::Usable,
-            Some(_) => placement::Standing::Closed,
+            None => placement::Availability::Available,
+            Some(_) => placement::Availability::Cordoned,
         }
     }
 
@@ -237,10 +240,10 @@
         now: clock::Instant,
         view: &change::View,
         holders: &holders::Holders,
-    ) -> BTreeMap<name::Group, placement::Current> {
+    ) -> BTreeMap<name::Group, placement::Placement> {
         let current = |(group, placed): (&name::Group, &fleet::Placement)| {
             let running = self.running(now, view, holders, group, placed);
-            (group.clone(), placement::Current { members: placed.members.clone(), running })
+            (group.clone(), placement::Placement { members: placed.members.clone(), running })
         };
         view.placements.iter().map(current).collect()
     }
@@ -362,12 +365,12 @@
 /// One report is not enough. An agent that was paused for a second reports an engine that it has
 /// not probed lately as dead, and alive again half a second later; moved at once, its group would
 /// wait minutes for weights in place of that half second.
-fn dead(now: clock::Instant, agent: &holders::Agent) -> placement::Standing {
+fn dead(now: clock::Instant, agent: &holders::Agent) -> placement::Availability {
     let confirmed = agent.was_alive && agent.dead >= DEAD_REPORTS;
     if confirmed || !agent.was_alive && now.since(agent.since) >= timing::PRESENCE_LIMIT {
-        placement::Standing::Missing
+        placement::Availability::Missing
     } else {
-        placement::Standing::Closed
+        placement::Availability::Cordoned
     }
 }
 
--- a/crates/hyssopfork-entry/src/ending.rs
+++ b/crates/hyssopfork-entry/src/ending.rs
@@ -104,7 +104,7 @@
         if self.requests.get(&number).is_some_and(request::Request::is_over) {
             if let Some(pool) = self.pool_of(number) {
                 pool.queue.remove(number);
-                pool.queue.complete(now, number);
+                pool.queue.on_request_ended(now, number);
             }
             self.requests.remove(&number);
             self.claiming.remove(&number);
--- a/crates/hyssopfork-entry/src/offer.rs
+++ b/crates/hyssopfork-entry/src/offer.rs
@@ -30,8 +30,8 @@
             refusal::Refusal::not_run(refusal::Reason::NoUpstream, Some(after))
         } else {
             match pool.queue.enqueue(now, item, random) {
-                queue::Entered::Queued => return,
-                queue::Entered::Refused(refusal) => refusal,
+                queue::Admission::Queued => return,
+                queue::Admission::Rejected(refusal) => refusal,
             }
         };
         self.turn_back(now, number, refusal);
@@ -119,7 +119,7 @@
             request.excluded.clear();
             let item = item(number, request);
             if let Some(pool) = self.pools.get_mut(&request.plan.pool) {
-                pool.queue.restore(now, item);
+                pool.queue.requeue(now, item);
             }
         }
     }
@@ -127,11 +127,11 @@
     fn dispatch_pool(&mut self, now: clock::Instant, name: &name::Pool) {
         let random = self.random();
         let pool = follow(&mut self.pools, &self.watcher, now, name);
-        let room = pool.chooser.room(now);
-        let batch = pool.queue.next(now, room, random);
+        let room = pool.chooser.capacity(now);
+        let batch = pool.queue.dispatch(now, room, random);
         let empty = pool.is_empty();
         for expired in batch.expired {
-            let mut refusal = expired.refusal;
+            let mut refusal = expired.rejection;
             if empty {
                 refusal.reason = refusal::Reason::NoUpstream;
             }
@@ -156,9 +156,9 @@
             None => {
                 let Some(pool) = self.pools.get_mut(name) else { return };
                 if waiting {
-                    pool.queue.restore(now, item);
+                    pool.queue.requeue(now, item);
                 } else {
-                    pool.queue.complete(now, number);
+                    pool.queue.on_request_ended(now, number);
                 }
             }
         }
@@ -187,7 +187,7 @@
         let random = self.random();
         let request = self.requests.get(&number)?;
         let pool = follow(&mut self.pools, &self.watcher, now, &request.plan.pool);
-        let want = choice::Want {
+        let want = choice::Criteria {
             zone: &self.settings.zone,
             prefix: request.arrival.prefix,
             excluded: &request.excluded,
@@ -207,9 +207,9 @@
         request.attempts.push(identifier);
         request.excluded.push(place.instance.clone());
         if let Some(pool) = self.pools.get_mut(&request.plan.pool) {
-            pool.chooser.begin(now, &place.instance, identifier, request.arrival.cost);
+            pool.chooser.on_attempt_sent(now, &place.instance, identifier, request.arrival.cost);
             if request.tries == 1 {
-                pool.budget.first();
+                pool.budget.on_first_attempt();
             }
         }
         let version = self.watcher.view().version;
--- a/crates/hyssopfork-entry/src/pool.rs
+++ b/crates/hyssopfork-entry/src/pool.rs
@@ -47,10 +47,10 @@
         }
         self.version = Some(view.version);
         for (zone, declared) in &view.configuration.zones {
-            self.chooser.set_zone(zone, declared.out);
+            self.chooser.set_zone_evacuated(zone, declared.out);
         }
         for (team, declared) in &view.configuration.teams {
-            self.queue.weigh(team, declared.weight);
+            self.queue.set_weight(team, declared.weight);
         }
         self.follow_upstreams(now, view, name);
         self.empty_since = match self.places.is_empty() {
@@ -83,7 +83,7 @@
     /// sent; spends from the budget when it may.
     pub fn may_hedge(&mut self, class: configuration::Class, waited: Duration) -> bool {
         let hedge = self.hedges.entry(class).or_default();
-        hedge.again(true, waited, &mut self.budget)
+        hedge.try_hedge(true, waited, &mut self.budget)
     }
 
     fn follow_upstreams(&mut self, now: clock::Instant, view: &change::View, name: &name::Pool) {
--- a/crates/hyssopfork-entry/src/serve.rs
+++ b/crates/hyssopfork-entry/src/serve.rs
@@ -26,7 +26,7 @@
         let Some(pool) = self.pool_of(attempt.request) else { return };
         // A report of another process or placement says nothing of the one there now.
         if pool.place(&place.instance) == Some(&place) {
-            pool.chooser.report(now, &place.instance, load);
+            pool.chooser.on_load_report(now, &place.instance, load);
         }
     }
 
@@ -91,7 +91,7 @@
         let Some(attempt) = self.attempts.get(identifier) else { return };
         let (number, elapsed) = (attempt.request, now.since(attempt.sent));
         if let Some(pool) = self.pool_of(number) {
-            pool.chooser.begun(now, identifier);
+            pool.chooser.on_response_started(now, identifier);
         }
         let Some(request) = self.requests.get_mut(&number) else { return };
         if request.begun.is_some() {
@@ -100,8 +100,8 @@
         request.begun = Some(now);
         let class = request.plan.class;
         let Some(pool) = self.pool_of(number) else { return };
-        pool.queue.begun(now, number);
-        pool.hedge(class).observe(elapsed);
+        pool.queue.on_response_started(now, number);
+        pool.hedge(class).record_start_latency(elapsed);
     }
 
     /// Events of the stream were delivered.
@@ -127,7 +127,7 @@
         if attempt.state != attempt::State::Forwarding {
             return;
         }
-        if let Some(number) = self.land(now, identifier, choice::Outcome::Answered) {
+        if let Some(number) = self.land(now, identifier, choice::Outcome::Completed) {
             self.answered(now, number);
         }
     }
@@ -145,7 +145,7 @@
         if !self.requests.get(&attempt.request).is_some_and(collects) {
             return;
         }
-        if let Some(number) = self.land(now, identifier, choice::Outcome::Answered) {
+        if let Some(number) = self.land(now, identifier, choice::Outcome::Completed) {
             self.record_answer(now, number, head, body);
         }
     }
@@ -158,7 +158,7 @@
         refusal: refusal::Refusal,
     ) {
         let outcome = match refusal.ran {
-            refusal::Ran::NotRun => choice::Outcome::Refused(refusal.reason),
+            refusal::Ran::NotRun => choice::Outcome::Rejected(refusal.reason),
             refusal::Ran::MayHaveRun => choice::Outcome::Failed,
         };
         let Some(number) = self.land(now, identifier, outcome) else { return };
@@ -229,7 +229,7 @@
         let attempt = self.attempts.remove(identifier)?;
         let number = attempt.request;
         if let Some(pool) = self.pool_of(number) {
-            pool.chooser.end(now, identifier, outcome);
+            pool.chooser.on_attempt_ended(now, identifier, outcome);
         }
         let request = self.requests.get_mut(&number)?;
         request.attempts.retain(|other| *other != identifier);
@@ -239,7 +239,7 @@
     fn heard(&mut self, now: clock::Instant, identifier: wire::Identifier) {
         let Some(attempt) = self.attempts.get(identifier) else { return };
         if let Some(pool) = self.pool_of(attempt.request) {
-            pool.chooser.heard(now, identifier);
+            pool.chooser.on_response_data(now, identifier);
         }
     }
 
@@ -264,8 +264,8 @@
         let free = matches!(refusal.reason, refusal::Reason::Overloaded | refusal::Reason::Cold);
         let allowed = may
             && self.pool_of(number).is_some_and(|pool| match free {
-                true => retry::may_repeat(repeatable, ran),
-                false => pool.budget.again(repeatable, ran),
+                true => retry::is_retryable(repeatable, ran),
+                false => pool.budget.try_retry(repeatable, ran),
             });
         if allowed {
             self.try_again(now, number);
--- a/crates/hyssopfork-policy/benches/policy.rs
+++ b/crates/hyssopfork-policy/benches/policy.rs
@@ -60,7 +60,7 @@
         row("normal again, seconds", &|it| recovery(it, from));
     }
     if !scenario.warm {
-        let alone = simulation::ramp_alone().as_secs_f64();
+        let alone = simulation::slow_start_duration().as_secs_f64();
         println!("| full limit by the ramp alone, seconds | | {alone:.1} |");
     }
     print_waits(baseline, ours);
--- a/crates/hyssopfork-policy/model/src/ours.rs
+++ b/crates/hyssopfork-policy/model/src/ours.rs
@@ -86,7 +86,7 @@
             deadline: request.deadline(),
         };
         let random = self.random();
-        if let queue::Entered::Refused(refusal) = self.queue.enqueue(now, item.clone(), random) {
+        if let queue::Admission::Rejected(refusal) = self.queue.enqueue(now, item.clone(), random) {
             return vec![Effect::Refuse { request: id, after: refusal.retry_after }];
         }
         let live = Live {
@@ -109,7 +109,7 @@
         };
         let mut effects = match reply {
             Reply::Loaded(load) => {
-                self.chooser.report(now, &instance, load);
+                self.chooser.on_load_report(now, &instance, load);
                 Vec::new()
             }
             Reply::Refused(load) => self.refused(now, attempt, request, &instance, load),
@@ -131,26 +131,26 @@
 
     /// A zone is taken out or brought back.
     pub fn zone(&mut self, zone: &name::Zone, out: bool) {
-        self.chooser.set_zone(zone, out);
+        self.chooser.set_zone_evacuated(zone, out);
     }
 
     fn pump(&mut self, now: clock::Instant) -> Vec<Effect> {
         let random = self.random();
-        let batch = self.queue.next(now, self.chooser.room(now), random);
+        let batch = self.queue.dispatch(now, self.chooser.capacity(now), random);
         let mut effects = Vec::new();
         for expired in batch.expired {
             let request = expired.item.request as usize;
             self.live.remove(&request);
-            effects.push(Effect::Refuse { request, after: expired.refusal.retry_after });
+            effects.push(Effect::Refuse { request, after: expired.rejection.retry_after });
         }
         for item in batch.ready {
             let request = item.request as usize;
             if self.live[&request].sent.is_none() {
-                self.budget.first();
+                self.budget.on_first_attempt();
             }
             match self.send(now, request) {
                 Some(effect) => effects.push(effect),
-                None => self.queue.restore(now, item),
+                None => self.queue.requeue(now, item),
             }
         }
         effects
@@ -160,11 +160,12 @@
     fn send(&mut self, now: clock::Instant, request: usize) -> Option<Effect> {
         let random = self.random();
         let live = self.live.get_mut(&request)?;
-        let want = choice::Want { zone: &self.zone, prefix: live.prefix, excluded: &live.tried };
+        let want =
+            choice::Criteria { zone: &self.zone, prefix: live.prefix, excluded: &live.tried };
         let instance = self.chooser.pick(now, want, random)?;
         self.count += 1;
         let attempt = entry::attempt(self.index, self.count);
-        self.chooser.begin(now, &instance, identifier(attempt), live.item.cost);
+        self.chooser.on_attempt_sent(now, &instance, identifier(attempt), live.item.cost);
         live.sent.get_or_insert(now);
         live.attempts.push(attempt);
         let upstream = index_of(&instance);
@@ -180,32 +181,32 @@
         instance: &name::Instance,
         load: frame::Load,
     ) -> Vec<Effect> {
-        self.close(now, attempt, choice::Outcome::Refused(refusal::Reason::Cold));
-        self.chooser.report(now, instance, load);
+        self.close(now, attempt, choice::Outcome::Rejected(refusal::Reason::Cold));
+        self.chooser.on_load_report(now, instance, load);
         if let Some(live) = self.live.get(&request)
             && live.attempts.is_empty()
         {
-            self.queue.restore(now, live.item.clone());
+            self.queue.requeue(now, live.item.clone());
         }
         Vec::new()
     }
 
     fn begun(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
-        self.chooser.begun(now, identifier(attempt));
+        self.chooser.on_response_started(now, identifier(attempt));
         let Some(live) = self.live.get_mut(&request) else { return Vec::new() };
         live.begun = true;
         if let Some(sent) = live.sent {
-            self.hedges.entry(live.item.class).or_default().observe(now.since(sent));
+            self.hedges.entry(live.item.class).or_default().record_start_latency(now.since(sent));
         }
-        self.queue.begun(now, request as u64);
+        self.queue.on_response_started(now, request as u64);
         let others: Vec<u64> =
             live.attempts.iter().copied().filter(|other| *other != attempt).collect();
         others.into_iter().filter_map(|other| self.cancel(now, other)).collect()
     }
 
     fn ended(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
-        self.close(now, attempt, choice::Outcome::Answered);
-        self.queue.complete(now, request as u64);
+        self.close(now, attempt, choice::Outcome::Completed);
+        self.queue.on_request_ended(now, request as u64);
         self.live.remove(&request);
         Vec::new()
     }
@@ -218,12 +219,12 @@
             return Vec::new();
         }
         live.tried.extend(instance);
-        if !live.begun && self.budget.again(live.repeatable, refusal::Ran::MayHaveRun) {
-            self.queue.restore(now, live.item.clone());
+        if !live.begun && self.budget.try_retry(live.repeatable, refusal::Ran::MayHaveRun) {
+            self.queue.requeue(now, live.item.clone());
             return Vec::new();
         }
         self.live.remove(&request);
-        self.queue.complete(now, request as u64);
+        self.queue.on_request_ended(now, request as u64);
         vec![Effect::Fail(request)]
     }
 
@@ -241,7 +242,7 @@
                 effects.extend(self.cancel_as(now, attempt, choice::Outcome::Failed));
             }
             self.queue.remove(request as u64);
-            self.queue.complete(now, request as u64);
+            self.queue.on_request_ended(now, request as u64);
             let random = self.random();
             let after = self.queue.retry_after(live.item.class, random);
             effects.push(Effect::Refuse { request, after: Some(after) });
@@ -262,7 +263,7 @@
             let Some(live) = self.live.get_mut(&request) else { continue };
             let waited = live.sent.map(|sent| now.since(sent)).unwrap_or_default();
             let hedge = self.hedges.entry(live.item.class).or_default();
-            if !hedge.again(live.repeatable, waited, &mut self.budget) {
+            if !hedge.try_hedge(live.repeatable, waited, &mut self.budget) {
                 continue;
             }
             let on = self.attempts.get(&live.attempts[0]).map(|(_, instance)| instance.clone());
@@ -290,7 +291,7 @@
 
     /// Ends an attempt in the books.
     fn close(&mut self, now: clock::Instant, attempt: u64, outcome: choice::Outcome) {
-        self.chooser.end(now, identifier(attempt), outcome);
+        self.chooser.on_attempt_ended(now, identifier(attempt), outcome);
         if let Some((request, _)) = self.attempts.remove(&attempt)
             && let Some(live) = self.live.get_mut(&request)
         {
--- a/crates/hyssopfork-policy/model/src/repair.rs
+++ b/crates/hyssopfork-policy/model/src/repair.rs
@@ -7,7 +7,7 @@
 //! that no repair can beat which learns of a loss when it happens.
 
 use crate::entry::Kind;
-use hyssopfork_policy::{loads, placement, random};
+use hyssopfork_policy::{placement, random, weight_loads};
 use hyssopfork_wire::name;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -90,7 +90,7 @@
     case: &'a Case,
     kind: Kind,
     missing: BTreeMap<name::Instance, u32>,
-    placements: BTreeMap<name::Group, placement::Current>,
+    placements: BTreeMap<name::Group, placement::Placement>,
     loading: BTreeMap<name::Instance, f64>,
     ready: BTreeMap<name::Group, u32>,
     cost: Cost,
@@ -211,7 +211,7 @@
         let fleet = self.fleet(0, u32::MAX);
         for decision in placement::decide(&fleet) {
             let placement::Decision::Place { group, members } = decision else { continue };
-            self.placements.insert(group, placement::Current { members, running: 0 });
+            self.placements.insert(group, placement::Placement { members, running: 0 });
         }
     }
 
@@ -250,7 +250,7 @@
             }
         }
         self.ready.remove(&group);
-        self.placements.insert(group, placement::Current { members, running: 0 });
+        self.placements.insert(group, placement::Placement { members, running: 0 });
     }
 
     fn load(&mut self) {
@@ -338,12 +338,12 @@
                 zone: name::Zone::new(format!("zone-{}", domain / 2)),
                 domain: name::Domain::new(format!("domain-{domain}")),
                 pool: "engines".into(),
-                standing: if seen {
-                    placement::Standing::Missing
+                availability: if seen {
+                    placement::Availability::Missing
                 } else {
-                    placement::Standing::Usable
+                    placement::Availability::Available
                 },
-                holds: None,
+                loaded_model: None,
             }
         });
         let groups = (0..self.case.groups).map(|index| placement::Group {
@@ -357,7 +357,7 @@
             instances: instances.collect(),
             groups: groups.collect(),
             placements: self.placements.clone(),
-            budget: loads::Budget { limit, running: self.loading.len() as u32 },
+            budget: weight_loads::Budget { limit, running: self.loading.len() as u32 },
         }
     }
 }
--- a/crates/hyssopfork-policy/model/src/simulation.rs
+++ b/crates/hyssopfork-policy/model/src/simulation.rs
@@ -3,7 +3,7 @@
 use crate::engine::{Engine, Fault, Job, Note};
 use crate::entry::{self, Effect, Entry, Kind, Reply};
 use crate::{figures, report, scenario, traffic};
-use hyssopfork_policy::ramp;
+use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{clock, frame, name, number};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -24,7 +24,7 @@
 /// The agent in front of an upstream.
 #[derive(Clone, Debug)]
 struct Agent {
-    ramp: ramp::Ramp,
+    slow_start: slow_start::SlowStart,
     running: BTreeMap<u64, (clock::Instant, u32)>,
 }
 
@@ -65,7 +65,7 @@
         let zones: Vec<_> = (0..scenario.upstreams).map(zone).collect();
         let entries =
             (0..figures::ENTRIES).map(|index| Entry::new(kind, index, &zones, seed)).collect();
-        let agent = Agent { ramp: warm_ramp(scenario.warm), running: BTreeMap::new() };
+        let agent = Agent { slow_start: new_slow_start(scenario.warm), running: BTreeMap::new() };
         let requests = traffic::arrivals(&scenario.sources, seed);
         Simulation {
             scenario,
@@ -212,7 +212,7 @@
     /// The agent's gate.
     fn refuses(&self, upstream: usize) -> bool {
         let agent = &self.agents[upstream];
-        let full = agent.running.len() >= agent.ramp.limit() as usize;
+        let full = agent.running.len() >= agent.slow_start.limit() as usize;
         let down = !self.engines[upstream].is_up(self.now);
         full || down || self.out.contains(&self.zones[upstream])
     }
@@ -223,8 +223,8 @@
         frame::Load {
             version: number::Version(0),
             running: agent.running.len() as u32,
-            limit: if closed { 0 } else { agent.ramp.limit() },
-            warm: agent.ramp.is_warm(),
+            limit: if closed { 0 } else { agent.slow_start.limit() },
+            warm: agent.slow_start.is_warm(),
         }
     }
 
@@ -244,13 +244,17 @@
         for note in notes {
             let (attempt, reply, outcome) = match note {
                 Note::Begun(attempt) => (attempt, Reply::Begun, None),
-                Note::Ended(attempt) => (attempt, Reply::Ended, Some(ramp::Outcome::Completed)),
-                Note::Failed(attempt) => (attempt, Reply::Failed, Some(ramp::Outcome::Failed)),
+                Note::Ended(attempt) => {
+                    (attempt, Reply::Ended, Some(slow_start::Outcome::Completed))
+                }
+                Note::Failed(attempt) => {
+                    (attempt, Reply::Failed, Some(slow_start::Outcome::Failed))
+                }
             };
             if let Some(outcome) = outcome {
                 let agent = &mut self.agents[upstream];
                 if let Some((begun, cost)) = agent.running.remove(&attempt) {
-                    agent.ramp.end(self.now, begun, cost, outcome);
+                    agent.slow_start.on_request_ended(self.now, begun, cost, outcome);
                 }
             }
             self.respond(attempt, reply);
@@ -320,7 +324,7 @@
         for upstream in 0..self.engines.len() {
             if self.zones[upstream] == zone {
                 self.restart(upstream);
-                self.agents[upstream].ramp.cool(self.now);
+                self.agents[upstream].slow_start.reset(self.now);
             }
         }
     }
@@ -349,30 +353,40 @@
     }
 }
 
-fn warm_ramp(warm: bool) -> ramp::Ramp {
+fn new_slow_start(warm: bool) -> slow_start::SlowStart {
     let full = figures::BATCH as u32;
-    let mut ramp = ramp::Ramp::new(clock::Instant::ORIGIN, full);
-    while warm && !ramp.is_warm() {
+    let mut slow_start = slow_start::SlowStart::new(clock::Instant::ORIGIN, full);
+    while warm && !slow_start.is_warm() {
         let origin = clock::Instant::ORIGIN;
-        ramp.end(origin + Duration::from_secs(1), origin, 50, ramp::Outcome::Completed);
+        slow_start.on_request_ended(
+            origin + Duration::from_secs(1),
+            origin,
+            50,
+            slow_start::Outcome::Completed,
+        );
     }
-    ramp
+    slow_start
 }
 
 /// Time until an upstream that is cold at first has its full limit, when it always gets as much
 /// work as the ramp lets through: the bound that the ramp alone gives.
-pub fn ramp_alone() -> Duration {
+pub fn slow_start_duration() -> Duration {
     let mut engine = Engine::new(false);
-    let mut ramp = ramp::Ramp::new(clock::Instant::ORIGIN, figures::BATCH as u32);
+    let mut slow_start = slow_start::SlowStart::new(clock::Instant::ORIGIN, figures::BATCH as u32);
     let mut begun = HashMap::new();
     let (mut now, mut count) = (clock::Instant::ORIGIN, 0);
-    while !ramp.is_warm() {
+    while !slow_start.is_warm() {
         for note in engine.wake(now) {
             if let Note::Ended(attempt) = note {
-                ramp.end(now, begun[&attempt], 50, ramp::Outcome::Completed);
+                slow_start.on_request_ended(
+                    now,
+                    begun[&attempt],
+                    50,
+                    slow_start::Outcome::Completed,
+                );
             }
         }
-        while engine.load() < ramp.limit() as usize {
+        while engine.load() < slow_start.limit() as usize {
             let (prompt, decode) = figures::SHORT;
             let prefill = prompt * figures::PREFILL;
             begun.insert(count, now);
--- a/crates/hyssopfork-policy/src/admission.rs
+++ b/crates/hyssopfork-policy/src/admission.rs
@@ -18,36 +18,36 @@
 /// spread of costs and by teams that overtake later; the rest is room for that error, so that who
 /// is queued is served and who is refused is refused at once. Tried from 0.75 to 0.95 at twice the
 /// capacity: goodput stays at 0.998 and more, refusals given at once fall from 0.999 to 0.967.
-pub const FILL: f64 = 0.75;
+pub const MAX_WAIT_SHARE: f64 = 0.75;
 
 /// Shortest time named to a refused caller: less would bring it back within the same burst.
-pub const RETRY_LEAST: Duration = Duration::from_millis(500);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Longest time named to a refused caller: after it the measured rate says nothing any more.
-pub const RETRY_MOST: Duration = Duration::from_secs(60);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Whether a request with `deadline` may wait `wait` and then `begin` until its answer begins.
 /// An unknown wait is taken for none.
-pub fn fits(
+pub fn fits_deadline(
     now: clock::Instant,
     deadline: clock::Instant,
     wait: Option<Duration>,
-    begin: Duration,
+    start_latency: Duration,
 ) -> bool {
     let left = now.until(deadline);
     let wait = wait.unwrap_or_default();
-    !left.is_zero() && wait + begin <= left.mul_f64(FILL)
+    !left.is_zero() && wait + start_latency <= left.mul_f64(MAX_WAIT_SHARE)
 }
 
 /// When to come back, if serving what waits now takes `wait`: that time, and up to as much again
 /// by `random`, so that callers refused together don't return together.
 pub fn retry_after(wait: Option<Duration>, random: u64) -> Duration {
-    let base = wait.unwrap_or_default().max(RETRY_LEAST);
+    let base = wait.unwrap_or_default().max(MIN_RETRY_AFTER);
     let jitter = base.mul_f64(random::fraction(random));
-    (base + jitter).min(RETRY_MOST)
+    (base + jitter).min(MAX_RETRY_AFTER)
 }
 
 /// The refusal of a request that cannot be served before its deadline.
-pub fn refusal(reason: refusal::Reason, wait: Option<Duration>, random: u64) -> refusal::Refusal {
+pub fn rejection(reason: refusal::Reason, wait: Option<Duration>, random: u64) -> refusal::Refusal {
     refusal::Refusal::not_run(reason, Some(retry_after(wait, random)))
 }
--- a/crates/hyssopfork-policy/src/choice.rs
+++ b/crates/hyssopfork-policy/src/choice.rs
@@ -5,13 +5,13 @@
 //! Between them and the upstreams' agents, which alone can refuse for sure, stand late reports;
 //! an agent's refusal "not run" is the correction.
 
-use crate::{affinity, balance, classes, ejection, evacuation, limit, ramp};
+use crate::{affinity, balance, classes, ejection, evacuation, limit, slow_start};
 use hyssopfork_wire::{attempt, clock, frame, name, refusal};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 /// Time between two comparisons of the upstreams with each other.
-const JUDGEMENT: Duration = Duration::from_millis(100);
+const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An upstream that work may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// What a piece of work asks of its upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// Zone of the entry.
     pub zone: &'a name::Zone,
     /// Hash of the prompt prefix, where there is one.
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered in full.
-    Answered,
+    Completed,
     /// Refused before any of it ran.
-    Refused(refusal::Reason),
+    Rejected(refusal::Reason),
     /// The upstream failed, broke off or could not be reached.
     Failed,
     /// Ended for a reason that says nothing of the upstream.
@@ -49,41 +49,41 @@
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct State {
     upstream: Upstream,
     load: balance::Load,
     limit: limit::Limit,
     record: ejection::Record,
     /// Attempts in flight.
-    flying: BTreeMap<attempt::Identifier, Flying>,
+    in_flight: BTreeMap<attempt::Identifier, Attempt>,
     /// Present while the upstream returns from an ejection.
-    ramp: Option<ramp::Ramp>,
+    slow_start: Option<slow_start::SlowStart>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Flying {
-    sent: clock::Instant,
+struct Attempt {
+    sent_at: clock::Instant,
     cost: u32,
     /// Whether its answer has begun.
-    begun: bool,
+    is_responding: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct Dispatch {
     instance: name::Instance,
-    begun: clock::Instant,
+    sent_at: clock::Instant,
     cost: u32,
 }
 
 /// The upstreams of one pool as one entry sees them.
 #[derive(Clone, Debug, Default)]
 pub struct Chooser {
-    entries: Vec<Entry>,
+    upstreams: Vec<State>,
     index: BTreeMap<name::Instance, usize>,
-    attempts: HashMap<attempt::Identifier, Running>,
+    attempts: HashMap<attempt::Identifier, Dispatch>,
     holders: affinity::Holders,
     evacuation: evacuation::Evacuation,
-    judged: clock::Instant,
+    last_outlier_check: clock::Instant,
 }
 
 impl Chooser {
@@ -91,16 +91,16 @@
     /// its agent's first report.
     pub fn insert(&mut self, now: clock::Instant, upstream: Upstream) {
         if let Some(&index) = self.index.get(&upstream.instance) {
-            self.entries[index].upstream = upstream;
+            self.upstreams[index].upstream = upstream;
             return;
         }
-        self.index.insert(upstream.instance.clone(), self.entries.len());
-        self.entries.push(Entry {
+        self.index.insert(upstream.instance.clone(), self.upstreams.len());
+        self.upstreams.push(State {
             load: balance::Load::default(),
             limit: limit::Limit::new(upstream.concurrency),
             record: ejection::Record::new(now),
-            flying: BTreeMap::new(),
-            ramp: None,
+            in_flight: BTreeMap::new(),
+            slow_start: None,
             upstream,
         });
     }
@@ -108,11 +108,11 @@
     /// Removes an upstream. Attempts on it may still end.
     pub fn remove(&mut self, instance: &name::Instance) {
         let Some(index) = self.index.remove(instance) else { return };
-        self.entries.swap_remove(index);
-        if let Some(moved) = self.entries.get(index) {
+        self.upstreams.swap_remove(index);
+        if let Some(moved) = self.upstreams.get(index) {
             self.index.insert(moved.upstream.instance.clone(), index);
         }
-        self.holders.forget(instance);
+        self.holders.forget_instance(instance);
     }
 
     /// Upstreams that are known.
@@ -121,217 +121,239 @@
     }
 
     /// Takes in whether a zone is out.
-    pub fn set_zone(&mut self, zone: &name::Zone, out: bool) {
-        if !self.evacuation.set(zone, out) {
+    pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
+        if !self.evacuation.set(zone, evacuated) {
             return;
         }
-        for entry in self.entries.iter_mut().filter(|entry| entry.upstream.zone == *zone) {
-            entry.load.distrust();
+        for state in self.upstreams.iter_mut().filter(|state| state.upstream.zone == *zone) {
+            state.load.reset_report();
         }
     }
 
     /// Takes in a load report of an agent.
-    pub fn report(&mut self, now: clock::Instant, instance: &name::Instance, load: frame::Load) {
-        let Some(entry) = self.entry(instance) else { return };
-        entry.load.report(now, load);
-        entry.record.heard(now);
+    pub fn on_load_report(
+        &mut self,
+        now: clock::Instant,
+        instance: &name::Instance,
+        load: frame::Load,
+    ) {
+        let Some(state) = self.state_mut(instance) else { return };
+        state.load.on_report(now, load);
+        state.record.on_activity(now);
     }
 
     /// Takes in a cache event: the upstream holds a prompt prefix now, or has dropped it.
-    pub fn cached(
+    pub fn on_cache_event(
         &mut self,
         now: clock::Instant,
         instance: &name::Instance,
         prefix: u64,
-        held: bool,
+        cached: bool,
     ) {
-        self.holders.event(now, instance, prefix, held);
+        self.holders.on_cache_event(now, instance, prefix, cached);
     }
 
     /// Forgets what cache events of an upstream told: there was a gap, or it turned cold.
-    pub fn uncached(&mut self, instance: &name::Instance) {
-        self.holders.forget(instance);
+    pub fn forget_cache(&mut self, instance: &name::Instance) {
+        self.holders.forget_instance(instance);
     }
 
     /// Work that the upstreams have room for. What other entries hold, and their part of what is
     /// free, is no room of this one: shares of a total that counted it would never bind.
-    pub fn room(&self, now: clock::Instant) -> classes::Room {
-        let (mut own, mut others, mut free) = (0, 0.0, 0);
-        for entry in &self.entries {
-            let bound = self.bound(now, entry);
-            own += entry.load.own;
-            others += entry.load.others(now);
-            free += entry.load.free(now, bound);
+    pub fn capacity(&self, now: clock::Instant) -> classes::Capacity {
+        let (mut in_flight, mut others, mut free) = (0, 0.0, 0);
+        for state in &self.upstreams {
+            let limit = self.concurrency_limit(now, state);
+            in_flight += state.load.in_flight;
+            others += state.load.others_in_flight(now);
+            free += state.load.free_slots(now, limit);
         }
-        let part = f64::from(own + 1) / (f64::from(own + 1) + others);
-        classes::Room { free, total: own + (f64::from(free) * part).ceil() as u32 }
+        let share = f64::from(in_flight + 1) / (f64::from(in_flight + 1) + others);
+        classes::Capacity { free, total: in_flight + (f64::from(free) * share).ceil() as u32 }
     }
 
     /// Chooses an upstream with room; `None` when there is none.
     pub fn pick(
         &mut self,
         now: clock::Instant,
-        want: Want<'_>,
+        criteria: Criteria<'_>,
         random: u64,
     ) -> Option<name::Instance> {
-        self.judge(now);
-        let candidates = self.candidates(now, want);
-        let preferred = want.prefix.and_then(|prefix| self.preferred(now, prefix, &candidates));
-        let chosen = preferred.or_else(|| balance::choose(&candidates, random))?;
-        Some(self.entries[chosen.index].upstream.instance.clone())
+        self.check_outliers(now);
+        let candidates = self.candidates(now, criteria);
+        let affine = criteria.prefix.and_then(|prefix| self.find_affine(now, prefix, &candidates));
+        let chosen = affine.or_else(|| balance::choose(&candidates, random))?;
+        Some(self.upstreams[chosen.index].upstream.instance.clone())
     }
 
     /// Takes in that an attempt was sent.
-    pub fn begin(
+    pub fn on_attempt_sent(
         &mut self,
         now: clock::Instant,
         instance: &name::Instance,
         attempt: attempt::Identifier,
         cost: u32,
     ) {
-        let running = Running { instance: instance.clone(), begun: now, cost };
-        self.attempts.insert(attempt, running);
-        let Some(entry) = self.entry(instance) else { return };
-        if entry.load.own == 0 {
-            entry.record.heard(now);
+        let dispatch = Dispatch { instance: instance.clone(), sent_at: now, cost };
+        self.attempts.insert(attempt, dispatch);
+        let Some(state) = self.state_mut(instance) else { return };
+        if state.load.in_flight == 0 {
+            state.record.on_activity(now);
         }
-        entry.load.own += 1;
-        entry.flying.insert(attempt, Flying { sent: now, cost, begun: false });
+        state.load.in_flight += 1;
+        state.in_flight.insert(attempt, Attempt { sent_at: now, cost, is_responding: false });
     }
 
     /// Takes in that an attempt's answer has begun.
-    pub fn begun(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
-        let Some(running) = self.attempts.get(&attempt) else { return };
-        let instance = running.instance.clone();
-        let Some(entry) = self.entry(&instance) else { return };
-        let flying = entry.flying.get_mut(&attempt).filter(|flying| !flying.begun);
-        let Some(flying) = flying else { return };
-        flying.begun = true;
-        entry.record.begun(now, now.since(flying.sent), flying.cost);
+    pub fn on_response_started(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
+        let Some(dispatch) = self.attempts.get(&attempt) else { return };
+        let instance = dispatch.instance.clone();
+        let Some(state) = self.state_mut(&instance) else { return };
+        let in_flight = state.in_flight.get_mut(&attempt).filter(|attempt| !attempt.is_responding);
+        let Some(in_flight) = in_flight else { return };
+        in_flight.is_responding = true;
+        state.record.on_response_started(now, now.since(in_flight.sent_at), in_flight.cost);
     }
 
     /// Takes in that something of an attempt's answer came.
-    pub fn heard(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
-        let Some(running) = self.attempts.get(&attempt) else { return };
-        let instance = running.instance.clone();
-        if let Some(entry) = self.entry(&instance) {
-            entry.record.heard(now);
+    pub fn on_response_data(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
+        let Some(dispatch) = self.attempts.get(&attempt) else { return };
+        let instance = dispatch.instance.clone();
+        if let Some(state) = self.state_mut(&instance) {
+            state.record.on_activity(now);
         }
     }
 
     /// Takes in how an attempt ended.
-    pub fn end(&mut self, now: clock::Instant, attempt: attempt::Identifier, outcome: Outcome) {
-        let Some(running) = self.attempts.remove(&attempt) else { return };
-        if let Some(entry) = self.entry(&running.instance) {
-            entry.flying.remove(&attempt);
-            entry.end(now, &running, outcome);
+    pub fn on_attempt_ended(
+        &mut self,
+        now: clock::Instant,
+        attempt: attempt::Identifier,
+        outcome: Outcome,
+    ) {
+        let Some(dispatch) = self.attempts.remove(&attempt) else { return };
+        if let Some(state) = self.state_mut(&dispatch.instance) {
+            state.in_flight.remove(&attempt);
+            state.on_attempt_ended(now, &dispatch, outcome);
         }
     }
 
-    fn entry(&mut self, instance: &name::Instance) -> Option<&mut Entry> {
+    fn state_mut(&mut self, instance: &name::Instance) -> Option<&mut State> {
         let index = *self.index.get(instance)?;
-        self.entries.get_mut(index)
+        self.upstreams.get_mut(index)
     }
 
     /// Work that an upstream may carry now.
-    fn bound(&self, now: clock::Instant, entry: &Entry) -> u32 {
-        if entry.record.is_ejected(now) || self.evacuation.is_out(&entry.upstream.zone) {
+    fn concurrency_limit(&self, now: clock::Instant, state: &State) -> u32 {
+        if state.record.is_ejected(now) || self.evacuation.is_evacuated(&state.upstream.zone) {
             return 0;
         }
-        let ramp = entry.ramp.as_ref().map_or(u32::MAX, ramp::Ramp::limit);
-        entry.load.limit(now).min(entry.limit.get()).min(ramp)
+        let slow_start = state.slow_start.as_ref().map_or(u32::MAX, slow_start::SlowStart::limit);
+        state.load.limit(now).min(state.limit.get()).min(slow_start)
     }
 
-    fn candidates(&self, now: clock::Instant, want: Want<'_>) -> Vec<balance::Candidate> {
-        let median = ejection::median_pace(self.entries.iter().map(|entry| &entry.record));
+    fn candidates(&self, now: clock::Instant, criteria: Criteria<'_>) -> Vec<balance::Candidate> {
+        let median =
+            ejection::median_token_latency(self.upstreams.iter().map(|state| &state.record));
         let mut candidates = Vec::new();
-        for (index, entry) in self.entries.iter().enumerate() {
-            let bound = self.bound(now, entry);
-            let excluded = want.excluded.contains(&entry.upstream.instance);
-            if excluded || entry.load.free(now, bound) == 0 {
+        for (index, state) in self.upstreams.iter().enumerate() {
+            let limit = self.concurrency_limit(now, state);
+            let excluded = criteria.excluded.contains(&state.upstream.instance);
+            if excluded || state.load.free_slots(now, limit) == 0 {
                 continue;
             }
             candidates.push(balance::Candidate {
                 index,
-                share: (f64::from(entry.load.own) + entry.load.others(now)) / f64::from(bound),
-                pace: entry.record.pace().zip(median).map_or(1.0, |(own, usual)| own / usual),
-                local: entry.upstream.zone == *want.zone,
+                utilization: (f64::from(state.load.in_flight) + state.load.others_in_flight(now))
+                    / f64::from(limit),
+                relative_latency: state
+                    .record
+                    .token_latency()
+                    .zip(median)
+                    .map_or(1.0, |(own, median)| own / median),
+                same_zone: state.upstream.zone == *criteria.zone,
             });
         }
         candidates
     }
 
     /// The first in rank for the prefix, known holders ahead, whose load is within the bound.
-    fn preferred(
+    fn find_affine(
         &self,
         now: clock::Instant,
         prefix: u64,
         candidates: &[balance::Candidate],
     ) -> Option<balance::Candidate> {
-        let mean = candidates.iter().map(|candidate| candidate.share).sum::<f64>();
-        let mean = mean / candidates.len().max(1) as f64;
-        let holders = self.holders.of(now, prefix);
+        let total = candidates.iter().map(|candidate| candidate.utilization).sum::<f64>();
+        let mean = total / candidates.len().max(1) as f64;
+        let holders = self.holders.holders_of(now, prefix);
         let mut ranked: Vec<_> = candidates.iter().collect();
         ranked.sort_by_cached_key(|candidate| {
-            let instance = &self.entries[candidate.index].upstream.instance;
+            let instance = &self.upstreams[candidate.index].upstream.instance;
             (!holders.contains(instance), std::cmp::Reverse(affinity::rank(instance, prefix)))
         });
-        let mut first = ranked.into_iter().take(affinity::RANKS);
-        first.find(|candidate| affinity::within(candidate.share, mean)).copied()
+        let mut first = ranked.into_iter().take(affinity::MAX_CANDIDATES);
+        first.find(|candidate| affinity::is_within_bound(candidate.utilization, mean)).copied()
     }
 
-    fn judge(&mut self, now: clock::Instant) {
-        if now.since(self.judged) < JUDGEMENT {
+    fn check_outliers(&mut self, now: clock::Instant) {
+        if now.since(self.last_outlier_check) < OUTLIER_CHECK_INTERVAL {
             return;
         }
-        self.judged = now;
-        let peers = self.entries.iter_mut().map(|entry| {
-            let work = entry.work(now);
-            (&mut entry.record, work)
+        self.last_outlier_check = now;
+        let records = self.upstreams.iter_mut().map(|state| {
+            let ages = state.in_flight_ages(now);
+            (&mut state.record, ages)
         });
-        let mut records: Vec<_> = peers.collect();
-        for index in ejection::judge(now, &mut records) {
-            let entry = &mut self.entries[index];
-            entry.ramp = Some(ramp::Ramp::new(now, entry.upstream.concurrency));
+        let mut records: Vec<_> = records.collect();
+        for index in ejection::eject_outliers(now, &mut records) {
+            let state = &mut self.upstreams[index];
+            state.slow_start = Some(slow_start::SlowStart::new(now, state.upstream.concurrency));
         }
     }
 }
 
-impl Entry {
-    fn work(&self, now: clock::Instant) -> ejection::Work {
-        let mut work = ejection::Work::default();
-        for flying in self.flying.values() {
-            let waited = now.since(flying.sent);
-            let each = waited.as_secs_f64() / f64::from(flying.cost.max(1));
-            work.late = work.late.max(each);
-            if !flying.begun && waited >= ejection::SILENCE_LEAST {
-                work.overdue = work.overdue.max(each);
+impl State {
+    fn in_flight_ages(&self, now: clock::Instant) -> ejection::Ages {
+        let mut ages = ejection::Ages::default();
+        for attempt in self.in_flight.values() {
+            let waited = now.since(attempt.sent_at);
+            let per_token = waited.as_secs_f64() / f64::from(attempt.cost.max(1));
+            ages.response = ages.response.max(per_token);
+            if !attempt.is_responding && waited >= ejection::MIN_SILENCE {
+                ages.start_wait = ages.start_wait.max(per_token);
             }
         }
-        work
+        ages
     }
 
-    fn end(&mut self, now: clock::Instant, running: &Running, outcome: Outcome) {
-        self.load.own = self.load.own.saturating_sub(1);
-        let elapsed = now.since(running.begun);
-        let (feedback, ramped) = match outcome {
-            Outcome::Answered => {
-                self.record.answered(now, elapsed, running.cost);
-                (limit::Feedback::Answered, ramp::Outcome::Completed)
+    fn on_attempt_ended(&mut self, now: clock::Instant, dispatch: &Dispatch, outcome: Outcome) {
+        self.load.in_flight = self.load.in_flight.saturating_sub(1);
+        let elapsed = now.since(dispatch.sent_at);
+        let (feedback, slow_start_outcome) = match outcome {
+            Outcome::Completed => {
+                self.record.on_completion(now, elapsed, dispatch.cost);
+                (limit::Feedback::Completed, slow_start::Outcome::Completed)
             }
             Outcome::Failed => {
-                self.record.failed(now, running.begun);
-                (limit::Feedback::Overloaded, ramp::Outcome::Failed)
+                self.record.on_failure(now, dispatch.sent_at);
+                (limit::Feedback::Overloaded, slow_start::Outcome::Failed)
             }
-            Outcome::Refused(_) | Outcome::Cancelled => {
-                (limit::Feedback::Neutral, ramp::Outcome::Neutral)
+            Outcome::Rejected(_) | Outcome::Cancelled => {
+                (limit::Feedback::Neutral, slow_start::Outcome::Neutral)
             }
         };
-        self.limit.end(now, running.begun, running.cost, self.load.own, feedback);
-        let Some(ramp) = &mut self.ramp else { return };
-        ramp.end(now, running.begun, running.cost, ramped);
-        if ramp.is_warm() {
-            self.ramp = None;
+        self.limit.on_attempt_ended(
+            now,
+            dispatch.sent_at,
+            dispatch.cost,
+            self.load.in_flight,
+            feedback,
+        );
+        let Some(slow_start) = &mut self.slow_start else { return };
+        slow_start.on_request_ended(now, dispatch.sent_at, dispatch.cost, slow_start_outcome);
+        if slow_start.is_warm() {
+            self.slow_start = None;
         }
     }
 }
--- a/crates/hyssopfork-policy/src/ejection.rs
+++ b/crates/hyssopfork-policy/src/ejection.rs
@@ -12,7 +12,7 @@
 //! [`MOST`] of the upstreams are out: beyond that the fault is common to all, and ejection would
 //! only take capacity away.
 
-use crate::average;
+use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
@@ -21,188 +21,191 @@
 pub const SLOW_FACTOR: f64 = 4.0;
 
 /// Failures in a row that are an outlier.
-pub const FAILURE_RUN: u32 = 3;
+pub const CONSECUTIVE_FAILURES: u32 = 3;
 
 /// Time to a whole answer, for each unit of cost and as a multiple of the peers' median, from which
 /// it is overdue. Costs are estimates that may be wrong by two, and a full batch takes twice the
 /// time of an empty one. Silence alone says nothing: an upstream that runs one long job is silent
 /// for minutes where its answer isn't streamed.
-pub const LATE_FACTOR: f64 = 6.0;
+pub const LATE_END_FACTOR: f64 = 6.0;
 
 /// Time until an answer begins, for each unit of cost and as a multiple of the peers' median, from
 /// which it is overdue. A cold upstream takes two to three times as long.
-pub const OVERDUE_FACTOR: f64 = 5.0;
+pub const LATE_START_FACTOR: f64 = 5.0;
 
 /// Least silence that counts: a pause of a garbage collector or a checkpoint is shorter.
-pub const SILENCE_LEAST: Duration = Duration::from_millis(500);
+pub const MIN_SILENCE: Duration = Duration::from_millis(500);
 
 /// Share of the upstreams that may be out at once.
-pub const MOST: f64 = 0.3;
+pub const MAX_EJECTED_SHARE: f64 = 0.3;
 
 /// Time of the first ejection.
-pub const FIRST: Duration = Duration::from_secs(5);
+pub const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
 
 /// Longest time of an ejection.
-pub const LONGEST: Duration = Duration::from_secs(60);
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
 /// Answers over which the pace is averaged.
-const PACE_SPAN: f64 = 16.0;
+const LATENCY_SPAN: f64 = 16.0;
 
 /// Answers needed before the pace is judged.
-const JUDGED: f64 = 4.0;
+const MIN_SAMPLES: f64 = 4.0;
 
 /// Peers needed for a comparison.
-const PEERS: usize = 3;
+const MIN_PEERS: usize = 3;
 
 /// What is remembered of one upstream.
 #[derive(Clone, Debug)]
 pub struct Record {
-    pace: average::Average,
-    begin: average::Average,
-    failures: u32,
-    failed: clock::Instant,
-    heard: clock::Instant,
-    until: Option<clock::Instant>,
-    times: u32,
+    token_latency: ewma::Ewma,
+    start_latency: ewma::Ewma,
+    consecutive_failures: u32,
+    last_failure_at: clock::Instant,
+    last_heard_at: clock::Instant,
+    ejected_until: Option<clock::Instant>,
+    ejections: u32,
 }
 
 impl Record {
     /// An upstream of which nothing is known.
     pub fn new(now: clock::Instant) -> Record {
         Record {
-            pace: average::Average::new(PACE_SPAN),
-            begin: average::Average::new(PACE_SPAN),
-            failures: 0,
-            failed: now,
-            heard: now,
-            until: None,
-            times: 0,
+            token_latency: ewma::Ewma::new(LATENCY_SPAN),
+            start_latency: ewma::Ewma::new(LATENCY_SPAN),
+            consecutive_failures: 0,
+            last_failure_at: now,
+            last_heard_at: now,
+            ejected_until: None,
+            ejections: 0,
         }
     }
 
     /// Takes in a full answer to work of `cost` after `elapsed`.
-    pub fn answered(&mut self, now: clock::Instant, elapsed: Duration, cost: u32) {
-        self.heard = now;
-        self.failures = 0;
-        self.pace.add(elapsed.as_secs_f64() / f64::from(cost.max(1)));
-        self.forgive(now);
+    pub fn on_completion(&mut self, now: clock::Instant, elapsed: Duration, cost: u32) {
+        self.last_heard_at = now;
+        self.consecutive_failures = 0;
+        self.token_latency.add(elapsed.as_secs_f64() / f64::from(cost.max(1)));
+        self.reset_ejections(now);
     }
 
     /// Takes in that an answer to work of `cost` began after `elapsed`.
-    pub fn begun(&mut self, now: clock::Instant, elapsed: Duration, cost: u32) {
-        self.heard = now;
-        self.begin.add(elapsed.as_secs_f64() / f64::from(cost.max(1)));
+    pub fn on_response_started(&mut self, now: clock::Instant, elapsed: Duration, cost: u32) {
+        self.last_heard_at = now;
+        self.start_latency.add(elapsed.as_secs_f64() / f64::from(cost.max(1)));
     }
 
     /// Takes in that the upstream failed a piece of work that began at `begun`. Work that had begun
     /// when it last failed one fell to the same cause, a crash perhaps, and counts with it: what a
     /// crashed upstream does next is the ramp's to find out.
-    pub fn failed(&mut self, now: clock::Instant, begun: clock::Instant) {
-        self.heard = now;
-        if self.failures > 0 && begun <= self.failed {
+    pub fn on_failure(&mut self, now: clock::Instant, sent_at: clock::Instant) {
+        self.last_heard_at = now;
+        if self.consecutive_failures > 0 && sent_at <= self.last_failure_at {
             return;
         }
-        self.failures += 1;
-        self.failed = now;
+        self.consecutive_failures += 1;
+        self.last_failure_at = now;
     }
 
     /// Takes in that the upstream said something, or that its first piece of work began.
-    pub fn heard(&mut self, now: clock::Instant) {
-        self.heard = now;
+    pub fn on_activity(&mut self, now: clock::Instant) {
+        self.last_heard_at = now;
     }
 
     /// Whether the upstream is ejected now.
     pub fn is_ejected(&self, now: clock::Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Time for each unit of cost lately.
-    pub fn pace(&self) -> Option<f64> {
-        self.pace.get().filter(|_| self.pace.weight() >= JUDGED)
+    pub fn token_latency(&self) -> Option<f64> {
+        self.token_latency.mean().filter(|_| self.token_latency.sample_count() >= MIN_SAMPLES)
     }
 
     fn eject(&mut self, now: clock::Instant) {
-        let term = FIRST.saturating_mul(1 << self.times.min(8)).min(LONGEST);
-        let (until, times) = (now + term, self.times + 1);
-        *self = Record::new(until);
-        self.until = Some(until);
-        self.times = times;
+        let duration =
+            BASE_EJECTION_TIME.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION_TIME);
+        let (ejected_until, ejections) = (now + duration, self.ejections + 1);
+        *self = Record::new(ejected_until);
+        self.ejected_until = Some(ejected_until);
+        self.ejections = ejections;
     }
 
     /// Forgets earlier ejections after the upstream has answered well for [`LONGEST`].
-    fn forgive(&mut self, now: clock::Instant) {
-        if self.until.is_some_and(|until| now >= until + LONGEST) {
-            self.until = None;
-            self.times = 0;
+    fn reset_ejections(&mut self, now: clock::Instant) {
+        if self.ejected_until.is_some_and(|until| now >= until + MAX_EJECTION_TIME) {
+            self.ejected_until = None;
+            self.ejections = 0;
         }
     }
 
-    fn begin(&self) -> Option<f64> {
-        self.begin.get().filter(|_| self.begin.weight() >= JUDGED)
+    fn start_latency(&self) -> Option<f64> {
+        self.start_latency.mean().filter(|_| self.start_latency.sample_count() >= MIN_SAMPLES)
     }
 
-    fn is_outlier(&self, now: clock::Instant, work: Work, usual: &Usual) -> bool {
-        if self.failures >= FAILURE_RUN {
+    fn is_outlier(&self, now: clock::Instant, ages: Ages, medians: &Medians) -> bool {
+        if self.consecutive_failures >= CONSECUTIVE_FAILURES {
             return true;
         }
-        if usual.begin.is_some_and(|begin| work.overdue > begin * OVERDUE_FACTOR) {
+        if medians.start_latency.is_some_and(|median| ages.start_wait > median * LATE_START_FACTOR)
+        {
             return true;
         }
-        let slow = usual.pace.zip(self.pace());
-        if slow.is_some_and(|(usual, own)| own > usual * SLOW_FACTOR) {
+        let latencies = medians.token_latency.zip(self.token_latency());
+        if latencies.is_some_and(|(median, own)| own > median * SLOW_FACTOR) {
             return true;
         }
-        let silent = now.since(self.heard) > SILENCE_LEAST;
-        silent && usual.pace.is_some_and(|pace| work.late > pace * LATE_FACTOR)
+        let is_silent = now.since(self.last_heard_at) > MIN_SILENCE;
+        is_silent
+            && medians.token_latency.is_some_and(|median| ages.response > median * LATE_END_FACTOR)
     }
 }
 
 /// What an upstream has in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct Ages {
     /// Longest time of an answer so far, in seconds for each unit of its cost.
-    pub late: f64,
+    pub response: f64,
     /// Longest wait of an answer that has not begun, in seconds for each unit of its cost; 0 when
     /// none has waited for [`SILENCE_LEAST`].
-    pub overdue: f64,
+    pub start_wait: f64,
 }
 
-struct Usual {
-    pace: Option<f64>,
-    begin: Option<f64>,
+struct Medians {
+    token_latency: Option<f64>,
+    start_latency: Option<f64>,
 }
 
 /// Median pace of all upstreams that have one; `None` with too few for a comparison.
-pub fn median_pace<'a>(records: impl Iterator<Item = &'a Record>) -> Option<f64> {
-    median(records.filter_map(Record::pace).collect())
+pub fn median_token_latency<'a>(records: impl Iterator<Item = &'a Record>) -> Option<f64> {
+    median(records.filter_map(Record::token_latency).collect())
 }
 
 /// Ejects the outliers among `records` (each with what is in flight), within the bound on how many
 /// may be out. Returns the places of those newly ejected.
-pub fn judge(now: clock::Instant, records: &mut [(&mut Record, Work)]) -> Vec<usize> {
-    let most = (records.len() as f64 * MOST) as usize;
-    let mut out = records.iter().filter(|(record, _)| record.is_ejected(now)).count();
-    let usual = usual(records);
+pub fn eject_outliers(now: clock::Instant, records: &mut [(&mut Record, Ages)]) -> Vec<usize> {
+    let max_ejected = (records.len() as f64 * MAX_EJECTED_SHARE) as usize;
+    let mut ejected_count = records.iter().filter(|(record, _)| record.is_ejected(now)).count();
+    let medians = peer_medians(records);
     let mut ejected = Vec::new();
-    for (index, (record, work)) in records.iter_mut().enumerate() {
-        let judged = !record.is_ejected(now) && out < most;
-        if judged && record.is_outlier(now, *work, &usual) {
+    for (index, (record, ages)) in records.iter_mut().enumerate() {
+        let is_eligible = !record.is_ejected(now) && ejected_count < max_ejected;
+        if is_eligible && record.is_outlier(now, *ages, &medians) {
             record.eject(now);
-            out += 1;
+            ejected_count += 1;
             ejected.push(index);
         }
     }
     ejected
 }
 
-fn usual(records: &[(&mut Record, Work)]) -> Usual {
-    let paces = records.iter().filter_map(|(record, _)| record.pace()).collect();
-    let begins = records.iter().filter_map(|(record, _)| record.begin()).collect();
-    Usual { pace: median(paces), begin: median(begins) }
+fn peer_medians(records: &[(&mut Record, Ages)]) -> Medians {
+    let token_latencies = records.iter().filter_map(|(record, _)| record.token_latency()).collect();
+    let start_latencies = records.iter().filter_map(|(record, _)| record.start_latency()).collect();
+    Medians { token_latency: median(token_latencies), start_latency: median(start_latencies) }
 }
 
 fn median(mut values: Vec<f64>) -> Option<f64> {
-    if values.len() < PEERS {
+    if values.len() < MIN_PEERS {
         return None;
     }
     values.sort_unstable_by(f64::total_cmp);
--- a/crates/hyssopfork-policy/src/evacuation.rs
+++ b/crates/hyssopfork-policy/src/evacuation.rs
@@ -18,21 +18,21 @@
 /// Zones that are out.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuation {
-    out: BTreeSet<name::Zone>,
+    zones: BTreeSet<name::Zone>,
 }
 
 impl Evacuation {
     /// Takes in whether a zone is out. Returns whether it is back from having been out.
-    pub fn set(&mut self, zone: &name::Zone, out: bool) -> bool {
-        if out {
-            self.out.insert(zone.clone());
+    pub fn set(&mut self, zone: &name::Zone, evacuated: bool) -> bool {
+        if evacuated {
+            self.zones.insert(zone.clone());
             return false;
         }
-        self.out.remove(zone)
+        self.zones.remove(zone)
     }
 
     /// Whether the zone is out.
-    pub fn is_out(&self, zone: &name::Zone) -> bool {
-        self.out.contains(zone)
+    pub fn is_evacuated(&self, zone: &name::Zone) -> bool {
+        self.zones.contains(zone)
     }
 }
--- a/crates/hyssopfork-policy/src/average.rs
+++ b/crates/hyssopfork-policy/src/ewma.rs
@@ -2,31 +2,31 @@
 
 /// A decaying mean; empty until the first sample.
 #[derive(Clone, Copy, Debug)]
-pub struct Average {
+pub struct Ewma {
     span: f64,
-    weight: f64,
+    sample_count: f64,
     mean: f64,
 }
 
-impl Average {
+impl Ewma {
     /// An empty mean over about the last `span` samples.
-    pub const fn new(span: f64) -> Average {
-        Average { span, weight: 0.0, mean: 0.0 }
+    pub const fn new(span: f64) -> Ewma {
+        Ewma { span, sample_count: 0.0, mean: 0.0 }
     }
 
     /// Takes in a sample. The first `span` samples weigh alike, so that the mean is right early.
     pub fn add(&mut self, sample: f64) {
-        self.weight = (self.weight + 1.0).min(self.span);
-        self.mean += (sample - self.mean) / self.weight;
+        self.sample_count = (self.sample_count + 1.0).min(self.span);
+        self.mean += (sample - self.mean) / self.sample_count;
     }
 
     /// The mean; `None` before the first sample.
-    pub fn get(&self) -> Option<f64> {
-        (self.weight > 0.0).then_some(self.mean)
+    pub fn mean(&self) -> Option<f64> {
+        (self.sample_count > 0.0).then_some(self.mean)
     }
 
     /// Number of samples taken in, at most the span.
-    pub fn weight(&self) -> f64 {
-        self.weight
+    pub fn sample_count(&self) -> f64 {
+        self.sample_count
     }
 }
--- a/crates/hyssopfork-policy/src/fairness.rs
+++ b/crates/hyssopfork-policy/src/fairness.rs
@@ -11,19 +11,19 @@
 //! is kept for its next turn. A small team's wait is then bounded by one turn of
 //! each other team, whatever their backlog.
 
-use crate::average;
+use crate::ewma;
 use hyssopfork_wire::name;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Worth of a turn in tokens before any cost was seen.
-const FIRST_QUANTUM: u64 = 64;
+const INITIAL_QUANTUM_TOKENS: u64 = 64;
 
 /// Requests over which the worth of a turn is averaged. A turn of the mean cost serves about one
 /// request, so that a round over all teams is as short as it can be without many empty turns.
 const QUANTUM_SPAN: f64 = 256.0;
 
 #[derive(Clone, Debug)]
-struct Lane<T> {
+struct Backlog<T> {
     weight: u32,
     deficit: u64,
     cost: u64,
@@ -33,12 +33,12 @@
 /// Queues of all teams.
 #[derive(Clone, Debug)]
 pub struct Scheduler<T> {
-    lanes: BTreeMap<name::Team, Lane<T>>,
+    backlogs: BTreeMap<name::Team, Backlog<T>>,
     /// Teams with work, in the order of their turns; the first has the turn.
-    turns: VecDeque<name::Team>,
+    active: VecDeque<name::Team>,
     /// Whether the first of `turns` has had its turn's worth added.
-    opened: bool,
-    mean: average::Average,
+    has_quantum: bool,
+    mean_cost: ewma::Ewma,
     cost: u64,
     length: usize,
 }
@@ -46,10 +46,10 @@
 impl<T> Default for Scheduler<T> {
     fn default() -> Self {
         Scheduler {
-            lanes: BTreeMap::new(),
-            turns: VecDeque::new(),
-            opened: false,
-            mean: average::Average::new(QUANTUM_SPAN),
+            backlogs: BTreeMap::new(),
+            active: VecDeque::new(),
+            has_quantum: false,
+            mean_cost: ewma::Ewma::new(QUANTUM_SPAN),
             cost: 0,
             length: 0,
         }
@@ -58,69 +58,69 @@
 
 impl<T> Scheduler<T> {
     /// Sets a team's weight; teams without one have weight 1.
-    pub fn weigh(&mut self, team: &name::Team, weight: u32) {
-        self.lane(team).weight = weight.max(1);
+    pub fn set_weight(&mut self, team: &name::Team, weight: u32) {
+        self.backlog_mut(team).weight = weight.max(1);
     }
 
     /// Adds an item at the end of its team's queue.
     pub fn push(&mut self, team: &name::Team, cost: u32, item: T) {
         let cost = u64::from(cost.max(1));
-        let lane = self.lane(team);
-        lane.items.push_back((cost, item));
-        self.mean.add(cost as f64);
-        self.pushed(team, cost);
+        let backlog = self.backlog_mut(team);
+        backlog.items.push_back((cost, item));
+        self.mean_cost.add(cost as f64);
+        self.on_push(team, cost);
     }
 
     /// Puts an item back at the front of its team's queue.
-    pub fn restore(&mut self, team: &name::Team, cost: u32, item: T) {
+    pub fn push_front(&mut self, team: &name::Team, cost: u32, item: T) {
         let cost = u64::from(cost.max(1));
-        let lane = self.lane(team);
-        lane.items.push_front((cost, item));
-        lane.deficit += cost;
-        self.pushed(team, cost);
+        let backlog = self.backlog_mut(team);
+        backlog.items.push_front((cost, item));
+        backlog.deficit += cost;
+        self.on_push(team, cost);
     }
 
     /// Takes the item whose turn it is.
     pub fn pop(&mut self) -> Option<T> {
         loop {
-            let team = self.turns.front()?.clone();
-            let opened = self.opened;
+            let team = self.active.front()?.clone();
+            let has_quantum = self.has_quantum;
             let quantum = self.quantum();
-            let lane = self.lane(&team);
-            if !opened {
-                lane.deficit += quantum * u64::from(lane.weight);
-                self.opened = true;
+            let backlog = self.backlog_mut(&team);
+            if !has_quantum {
+                backlog.deficit += quantum * u64::from(backlog.weight);
+                self.has_quantum = true;
                 continue;
             }
-            let Some(&(cost, _)) = lane.items.front() else {
-                self.close(&team);
+            let Some(&(cost, _)) = backlog.items.front() else {
+                self.end_turn(&team);
                 continue;
             };
-            if cost > lane.deficit {
-                self.turns.rotate_left(1);
-                self.opened = false;
+            if cost > backlog.deficit {
+                self.active.rotate_left(1);
+                self.has_quantum = false;
                 continue;
             }
-            lane.deficit -= cost;
-            let item = lane.items.pop_front().map(|(_, item)| item);
-            self.popped(&team, cost);
+            backlog.deficit -= cost;
+            let item = backlog.items.pop_front().map(|(_, item)| item);
+            self.on_pop(&team, cost);
             return item;
         }
     }
 
     /// Removes the items for which `remove` says so, and returns them.
-    pub fn extract(&mut self, mut remove: impl FnMut(&T) -> bool) -> Vec<T> {
+    pub fn extract_if(&mut self, mut remove: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let items = std::mem::take(&mut lane.items);
+        for backlog in self.backlogs.values_mut() {
+            let items = std::mem::take(&mut backlog.items);
             for (cost, item) in items {
                 if remove(&item) {
-                    lane.cost -= cost;
+                    backlog.cost -= cost;
                     self.cost -= cost;
                     self.length -= 1;
                     removed.push(item);
                 } else {
-                    lane.items.push_back((cost, item));
+                    backlog.items.push_back((cost, item));
                 }
             }
         }
@@ -130,15 +130,16 @@
     /// Cost that will be served before an item of `cost` that the team adds now, with all teams
     /// sharing by weight: its own backlog, and of each other team as much as it may take
     /// meanwhile.
-    pub fn ahead(&self, team: &name::Team, cost: u32) -> u64 {
-        let own = self.lanes.get(team);
-        let weight = own.map_or(1, |lane| lane.weight);
-        let backlog = own.map_or(0, |lane| lane.cost);
-        let turn = (backlog + u64::from(cost)) / u64::from(weight) + self.quantum();
-        let others = self.turns.iter().filter(|other| *other != team);
-        let others = others.filter_map(|other| self.lanes.get(other));
-        let others: u64 = others.map(|lane| lane.cost.min(turn * u64::from(lane.weight))).sum();
-        backlog + others
+    pub fn cost_ahead(&self, team: &name::Team, cost: u32) -> u64 {
+        let own = self.backlogs.get(team);
+        let weight = own.map_or(1, |backlog| backlog.weight);
+        let own_cost = own.map_or(0, |backlog| backlog.cost);
+        let turn = (own_cost + u64::from(cost)) / u64::from(weight) + self.quantum();
+        let others = self.active.iter().filter(|other| *other != team);
+        let others = others.filter_map(|other| self.backlogs.get(other));
+        let others: u64 =
+            others.map(|backlog| backlog.cost.min(turn * u64::from(backlog.weight))).sum();
+        own_cost + others
     }
 
     /// Cost of all that waits.
@@ -147,8 +148,8 @@
     }
 
     /// Cost of what waits for one team.
-    pub fn cost_of(&self, team: &name::Team) -> u64 {
-        self.lanes.get(team).map_or(0, |lane| lane.cost)
+    pub fn team_cost(&self, team: &name::Team) -> u64 {
+        self.backlogs.get(team).map_or(0, |backlog| backlog.cost)
     }
 
     /// Number of items that wait.
@@ -162,42 +163,42 @@
     }
 
     fn quantum(&self) -> u64 {
-        self.mean.get().map_or(FIRST_QUANTUM, |mean| mean.ceil() as u64)
+        self.mean_cost.mean().map_or(INITIAL_QUANTUM_TOKENS, |mean| mean.ceil() as u64)
     }
 
-    fn lane(&mut self, team: &name::Team) -> &mut Lane<T> {
-        if !self.lanes.contains_key(team) {
-            let lane = Lane { weight: 1, deficit: 0, cost: 0, items: VecDeque::new() };
-            self.lanes.insert(team.clone(), lane);
+    fn backlog_mut(&mut self, team: &name::Team) -> &mut Backlog<T> {
+        if !self.backlogs.contains_key(team) {
+            let backlog = Backlog { weight: 1, deficit: 0, cost: 0, items: VecDeque::new() };
+            self.backlogs.insert(team.clone(), backlog);
         }
-        self.lanes.get_mut(team).expect("the lane was just added")
+        self.backlogs.get_mut(team).expect("the team's backlog was just added")
     }
 
-    fn pushed(&mut self, team: &name::Team, cost: u64) {
-        let lane = self.lane(team);
-        lane.cost += cost;
+    fn on_push(&mut self, team: &name::Team, cost: u64) {
+        let backlog = self.backlog_mut(team);
+        backlog.cost += cost;
         self.cost += cost;
         self.length += 1;
-        if !self.turns.contains(team) {
-            self.turns.push_back(team.clone());
+        if !self.active.contains(team) {
+            self.active.push_back(team.clone());
         }
     }
 
-    fn popped(&mut self, team: &name::Team, cost: u64) {
-        let lane = self.lane(team);
-        lane.cost -= cost;
-        let empty = lane.items.is_empty();
+    fn on_pop(&mut self, team: &name::Team, cost: u64) {
+        let backlog = self.backlog_mut(team);
+        backlog.cost -= cost;
+        let empty = backlog.items.is_empty();
         self.cost -= cost;
         self.length -= 1;
         if empty {
-            self.close(team);
+            self.end_turn(team);
         }
     }
 
     /// Ends the turn of a team that has nothing left: what it did not use is not saved up.
-    fn close(&mut self, team: &name::Team) {
-        self.lane(team).deficit = 0;
-        self.turns.pop_front();
-        self.opened = false;
+    fn end_turn(&mut self, team: &name::Team) {
+        self.backlog_mut(team).deficit = 0;
+        self.active.pop_front();
+        self.has_quantum = false;
     }
 }
--- a/crates/hyssopfork-policy/src/hedge.rs
+++ b/crates/hyssopfork-policy/src/hedge.rs
@@ -14,37 +14,37 @@
 use std::time::Duration;
 
 /// Answers whose times to begin are remembered.
-const SAMPLES: usize = 256;
+const MAX_SAMPLES: usize = 256;
 
 /// Samples needed before anything is hedged.
-const LEAST: usize = 64;
+const MIN_SAMPLES: usize = 64;
 
 /// Place of the hedge delay among the remembered times: past it only one in twenty is hedged, half
 /// of the retry budget's share.
-const QUANTILE: f64 = 0.95;
+const DELAY_QUANTILE: f64 = 0.95;
 
 /// Multiple of the quantile, so that a uniform slow-down of all upstreams hedges little.
-const MARGIN: f64 = 1.5;
+const DELAY_MARGIN: f64 = 1.5;
 
 /// When to hedge, for one pool and class.
 #[derive(Clone, Debug, Default)]
 pub struct Hedge {
     samples: VecDeque<Duration>,
     delay: Option<Duration>,
-    since: usize,
+    samples_since_update: usize,
 }
 
 impl Hedge {
     /// Takes in the time that an answer took to begin.
-    pub fn observe(&mut self, elapsed: Duration) {
-        if self.samples.len() == SAMPLES {
+    pub fn record_start_latency(&mut self, elapsed: Duration) {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back(elapsed);
-        self.since += 1;
-        if self.since >= LEAST {
-            self.since = 0;
-            self.delay = Some(self.measure());
+        self.samples_since_update += 1;
+        if self.samples_since_update >= MIN_SAMPLES {
+            self.samples_since_update = 0;
+            self.delay = Some(self.compute_delay());
         }
     }
 
@@ -56,15 +56,20 @@
 
     /// Whether to send a second copy of a request that has waited for `waited`; spends from the
     /// budget when so. Never for a request that may not repeat: both copies may run.
-    pub fn again(&self, repeatable: bool, waited: Duration, budget: &mut retry::Budget) -> bool {
-        let due = self.delay.is_some_and(|delay| waited >= delay);
-        repeatable && due && budget.spend()
+    pub fn try_hedge(
+        &self,
+        repeatable: bool,
+        waited: Duration,
+        budget: &mut retry::Budget,
+    ) -> bool {
+        let is_due = self.delay.is_some_and(|delay| waited >= delay);
+        repeatable && is_due && budget.try_spend()
     }
 
-    fn measure(&self) -> Duration {
+    fn compute_delay(&self) -> Duration {
         let mut sorted: Vec<Duration> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
-        let place = (sorted.len() as f64 * QUANTILE) as usize;
-        sorted[place.min(sorted.len() - 1)].mul_f64(MARGIN)
+        let index = (sorted.len() as f64 * DELAY_QUANTILE) as usize;
+        sorted[index.min(sorted.len() - 1)].mul_f64(DELAY_MARGIN)
     }
 }
--- a/crates/hyssopfork-policy/src/lib.rs
+++ b/crates/hyssopfork-policy/src/lib.rs
@@ -21,8 +21,8 @@
 //!     concurrency: 16,
 //! };
 //! chooser.insert(now, upstream);
-//! chooser.set_zone(&"zone-b".into(), true);
-//! queue.weigh(&"team-a".into(), 2);
+//! chooser.set_zone_evacuated(&"zone-b".into(), true);
+//! queue.set_weight(&"team-a".into(), 2);
 //!
 //! // A request arrives: it waits, or is refused at once.
 //! let item = queue::Item {
@@ -32,34 +32,34 @@
 //!     cost: 400,
 //!     deadline: now + Duration::from_secs(2),
 //! };
-//! assert_eq!(queue.enqueue(now, item, 17), queue::Entered::Queued);
+//! assert_eq!(queue.enqueue(now, item, 17), queue::Admission::Queued);
 //!
 //! // At once, on each tick and after each end: start what there is room for.
-//! let batch = queue.next(now, chooser.room(now), 18);
+//! let batch = queue.dispatch(now, chooser.capacity(now), 18);
 //! assert!(batch.expired.is_empty());
 //! for item in batch.ready {
 //!     let zone = "zone-a".into();
-//!     let want = choice::Want { zone: &zone, prefix: None, excluded: &[] };
-//!     let Some(instance) = chooser.pick(now, want, 19) else {
-//!         queue.restore(now, item);
+//!     let criteria = choice::Criteria { zone: &zone, prefix: None, excluded: &[] };
+//!     let Some(instance) = chooser.pick(now, criteria, 19) else {
+//!         queue.requeue(now, item);
 //!         break;
 //!     };
 //!     let attempt = attempt::Identifier { boot: 7, count: 1 };
-//!     chooser.begin(now, &instance, attempt, item.cost);
+//!     chooser.on_attempt_sent(now, &instance, attempt, item.cost);
 //!
 //!     // What comes back.
 //!     let load = frame::Load { version: number::Version(3), running: 1, limit: 16, warm: true };
-//!     chooser.report(now, &instance, load);
-//!     chooser.heard(now, attempt);
-//!     chooser.begun(now, attempt);
-//!     queue.begun(now, item.request);
-//!     chooser.end(now, attempt, choice::Outcome::Answered);
-//!     queue.complete(now, item.request);
+//!     chooser.on_load_report(now, &instance, load);
+//!     chooser.on_response_data(now, attempt);
+//!     chooser.on_response_started(now, attempt);
+//!     queue.on_response_started(now, item.request);
+//!     chooser.on_attempt_ended(now, attempt, choice::Outcome::Completed);
+//!     queue.on_request_ended(now, item.request);
 //! }
 //! ```
 //!
 //! A request that is tried again picks anew with the tried upstreams excluded, if
-//! [`retry::Budget::again`] allows it; it stays started in the queue until its last end.
+//! [`retry::Budget::try_retry`] allows it; it stays started in the queue until its last end.
 //!
 //! ```
 //! use hyssopfork_policy::{hedge, retry};
@@ -67,35 +67,35 @@
 //! use std::time::Duration;
 //!
 //! let mut budget = retry::Budget::default();
-//! budget.first();
-//! assert!(budget.again(false, refusal::Ran::NotRun));
-//! assert!(!budget.again(false, refusal::Ran::MayHaveRun));
-//! assert!(budget.again(true, refusal::Ran::MayHaveRun));
+//! budget.on_first_attempt();
+//! assert!(budget.try_retry(false, refusal::Ran::NotRun));
+//! assert!(!budget.try_retry(false, refusal::Ran::MayHaveRun));
+//! assert!(budget.try_retry(true, refusal::Ran::MayHaveRun));
 //!
 //! let mut hedge = hedge::Hedge::default();
-//! hedge.observe(Duration::from_millis(80));
-//! assert!(!hedge.again(true, Duration::from_millis(90), &mut budget));
+//! hedge.record_start_latency(Duration::from_millis(80));
+//! assert!(!hedge.try_hedge(true, Duration::from_millis(90), &mut budget));
 //! ```
 //!
 //! # What an agent uses
 //!
 //! ```
-//! use hyssopfork_policy::ramp;
+//! use hyssopfork_policy::slow_start;
 //! use hyssopfork_wire::clock;
 //!
 //! let now = clock::Instant::from_millis(1_000);
-//! let mut ramp = ramp::Ramp::new(now, 16);
-//! assert_eq!(ramp.limit(), ramp::INITIAL);
-//! ramp.incarnation(now, "boot-1");
+//! let mut slow_start = slow_start::SlowStart::new(now, 16);
+//! assert_eq!(slow_start.limit(), slow_start::INITIAL_LIMIT);
+//! slow_start.on_incarnation(now, "boot-1");
 //! let later = clock::Instant::from_millis(1_200);
-//! ramp.end(later, now, 400, ramp::Outcome::Completed);
-//! assert!(!ramp.is_warm());
+//! slow_start.on_request_ended(later, now, 400, slow_start::Outcome::Completed);
+//! assert!(!slow_start.is_warm());
 //! ```
 //!
 //! # What control uses
 //!
 //! ```
-//! use hyssopfork_policy::{loads, placement};
+//! use hyssopfork_policy::{placement, weight_loads};
 //! use std::collections::BTreeMap;
 //!
 //! let instance = |name: &str| placement::Instance {
@@ -103,8 +103,8 @@
 //!     zone: "zone-a".into(),
 //!     domain: "rack-1".into(),
 //!     pool: "engines".into(),
-//!     standing: placement::Standing::Usable,
-//!     holds: None,
+//!     availability: placement::Availability::Available,
+//!     loaded_model: None,
 //! };
 //! let group = placement::Group {
 //!     name: "group-1".into(),
@@ -117,7 +117,7 @@
 //!     instances: vec![instance("a"), instance("b"), instance("c")],
 //!     groups: vec![group],
 //!     placements: BTreeMap::new(),
-//!     budget: loads::Budget { limit: 4, running: 0 },
+//!     budget: weight_loads::Budget { limit: 4, running: 0 },
 //! };
 //! let place = placement::Decision::Place {
 //!     group: "group-1".into(),
@@ -128,20 +128,20 @@
 
 pub mod admission;
 pub mod affinity;
-pub mod average;
 pub mod balance;
 pub mod choice;
 pub mod classes;
 pub mod demand;
-pub mod drain;
 pub mod ejection;
 pub mod evacuation;
+pub mod ewma;
 pub mod fairness;
 pub mod hedge;
 pub mod limit;
-pub mod loads;
 pub mod placement;
 pub mod queue;
-pub mod ramp;
 pub mod random;
 pub mod retry;
+pub mod slow_start;
+pub mod throughput;
+pub mod weight_loads;
--- a/crates/hyssopfork-policy/src/placement.rs
+++ b/crates/hyssopfork-policy/src/placement.rs
@@ -21,21 +21,21 @@
 //!   large holes stay whole for further groups.
 //! - The function looks only at the present: a second loss right after a repair is one more call.
 
-use crate::loads;
+use crate::weight_loads;
 use hyssopfork_wire::name;
 use std::collections::{BTreeMap, BTreeSet};
 
-mod offer;
+mod candidate;
 mod planner;
 
 /// Whether an instance may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// It may take part in new placements.
-    Usable,
+    Available,
     /// It is alive but takes part in no new placement: its zone is out, or it is drained or
     /// leaving.
-    Closed,
+    Cordoned,
     /// It is gone or silent.
     Missing,
 }
@@ -52,9 +52,9 @@
     /// Its pool.
     pub pool: name::Pool,
     /// Whether it may be used.
-    pub standing: Standing,
+    pub availability: Availability,
     /// Model whose weights it holds, where known: joining a group of that model needs no load.
-    pub holds: Option<name::Model>,
+    pub loaded_model: Option<name::Model>,
 }
 
 /// A declared group.
@@ -74,7 +74,7 @@
 
 /// Where a group stands now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Current {
+pub struct Placement {
     /// Members in order.
     pub members: Vec<name::Instance>,
     /// Requests that run on it now.
@@ -89,9 +89,9 @@
     /// Declared groups.
     pub groups: Vec<Group>,
     /// Current placements.
-    pub placements: BTreeMap<name::Group, Current>,
+    pub placements: BTreeMap<name::Group, Placement>,
     /// Pacing of weight loads.
-    pub budget: loads::Budget,
+    pub budget: weight_loads::Budget,
 }
 
 /// A decision, to be applied in the order given.
@@ -115,15 +115,15 @@
 
 /// A fabric domain: names of domains are unique only within a zone and pool.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Domain {
     pool: name::Pool,
     zone: name::Zone,
     domain: name::Domain,
 }
 
-impl Place {
-    fn of(instance: &Instance) -> Place {
-        Place {
+impl Domain {
+    fn of(instance: &Instance) -> Domain {
+        Domain {
             pool: instance.pool.clone(),
             zone: instance.zone.clone(),
             domain: instance.domain.clone(),
@@ -132,4 +132,4 @@
 }
 
 /// Free usable instances by domain.
-type Spares = BTreeMap<Place, BTreeSet<name::Instance>>;
+type Spares = BTreeMap<Domain, BTreeSet<name::Instance>>;
--- a/crates/hyssopfork-policy/src/placement/planner.rs
+++ b/crates/hyssopfork-policy/src/placement/planner.rs
@@ -1,7 +1,7 @@
 //! One run of placement: the state that decisions are tried on, in order.
 
-use super::{Current, Decision, Fleet, Group, Instance, Place, Spares, Standing, offer};
-use crate::loads;
+use super::{Availability, Decision, Domain, Fleet, Group, Instance, Placement, Spares, candidate};
+use crate::weight_loads;
 use hyssopfork_wire::name;
 use std::cmp;
 use std::collections::BTreeMap;
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
     /// All members are usable.
-    Whole,
+    Healthy,
     /// All members are alive, and some of them closed.
-    Closing,
+    Cordoned,
     /// Members are missing.
     Broken,
     /// It stands nowhere, or where it stands doesn't fit its declaration any more.
@@ -22,9 +22,9 @@
 pub(super) struct Planner<'a> {
     fleet: &'a Fleet,
     pub(super) instances: BTreeMap<&'a name::Instance, &'a Instance>,
-    pub(super) placements: BTreeMap<name::Group, Current>,
+    pub(super) placements: BTreeMap<name::Group, Placement>,
     pub(super) spares: Spares,
-    budget: loads::Budget,
+    budget: weight_loads::Budget,
     decisions: Vec<Decision>,
 }
 
@@ -44,9 +44,9 @@
     }
 
     pub(super) fn run(mut self) -> Vec<Decision> {
-        self.drop_undeclared();
+        self.remove_undeclared();
         self.repair();
-        self.vacate();
+        self.move_off_cordoned();
         self.decisions
     }
 
@@ -54,18 +54,20 @@
         let placed: std::collections::BTreeSet<_> =
             self.placements.values().flat_map(|current| current.members.clone()).collect();
         for instance in &self.fleet.instances {
-            if instance.standing == Standing::Usable && !placed.contains(&instance.name) {
-                let place = Place::of(instance);
-                self.spares.entry(place).or_default().insert(instance.name.clone());
+            if instance.availability == Availability::Available && !placed.contains(&instance.name)
+            {
+                let domain = Domain::of(instance);
+                self.spares.entry(domain).or_default().insert(instance.name.clone());
             }
         }
     }
 
-    fn drop_undeclared(&mut self) {
+    fn remove_undeclared(&mut self) {
         let declared =
             |name: &name::Group| self.fleet.groups.iter().any(|group| group.name == *name);
-        let gone: Vec<_> = self.placements.keys().filter(|name| !declared(name)).cloned().collect();
-        for name in gone {
+        let undeclared: Vec<_> =
+            self.placements.keys().filter(|name| !declared(name)).cloned().collect();
+        for name in undeclared {
             self.unplace(&name);
         }
     }
@@ -76,30 +78,30 @@
         waiting.retain(|group| {
             matches!(self.condition(group), Condition::Broken | Condition::Unplaced)
         });
-        while let Some((index, offer)) = self.next_repair(&waiting) {
+        while let Some((index, candidate)) = self.next_repair(&waiting) {
             let group = waiting.remove(index);
-            if self.budget.allows(offer.loads) {
-                self.place(group, offer);
+            if self.budget.allows(candidate.loads) {
+                self.place(group, candidate);
             } else {
                 return;
             }
         }
-        self.take_over(waiting);
+        self.preempt(waiting);
     }
 
     /// The waiting group to mend next, and how.
-    fn next_repair(&self, waiting: &[&Group]) -> Option<(usize, offer::Offer)> {
-        let offers = waiting.iter().enumerate().filter_map(|(index, group)| {
-            let offer = self.best_offer(group)?;
-            Some((cmp::Reverse(group.priority), offer.loads, &group.name, index, offer))
+    fn next_repair(&self, waiting: &[&Group]) -> Option<(usize, candidate::Candidate)> {
+        let candidates = waiting.iter().enumerate().filter_map(|(index, group)| {
+            let candidate = self.best_candidate(group)?;
+            Some((cmp::Reverse(group.priority), candidate.loads, &group.name, index, candidate))
         });
-        let first = offers
+        let first = candidates
             .min_by(|left, right| (left.0, left.1, left.2).cmp(&(right.0, right.1, right.2)))?;
         Some((first.3, first.4))
     }
 
     /// Groups that found no room take it from groups that count less.
-    fn take_over(&mut self, mut waiting: Vec<&'a Group>) {
+    fn preempt(&mut self, mut waiting: Vec<&'a Group>) {
         waiting.sort_by_key(|group| (cmp::Reverse(group.priority), group.name.clone()));
         for index in 0..waiting.len() {
             let group = waiting[index];
@@ -107,7 +109,7 @@
                 continue;
             }
             for victim in self.victims(group, &waiting[index + 1..]) {
-                if self.take_from(group, &victim) {
+                if self.preempt_victim(group, &victim) {
                     break;
                 }
             }
@@ -117,21 +119,22 @@
     /// Groups that may be broken up for `group`: those that don't serve anyway, then those of
     /// lesser priority, least first.
     fn victims(&self, group: &Group, waiting: &[&Group]) -> Vec<name::Group> {
-        let idle = waiting.iter().rev().map(|other| other.name.clone());
+        let not_serving = waiting.iter().rev().map(|other| other.name.clone());
         let mut serving: Vec<&Group> =
             self.fleet.groups.iter().filter(|other| other.priority < group.priority).collect();
         serving.sort_by_key(|other| (other.priority, other.name.clone()));
         let serving = serving.into_iter().map(|other| other.name.clone());
-        idle.chain(serving).filter(|name| self.placements.contains_key(name)).collect()
+        not_serving.chain(serving).filter(|name| self.placements.contains_key(name)).collect()
     }
 
     /// Breaks up `victim` if that makes room for `group`, and places it; else changes nothing.
-    fn take_from(&mut self, group: &Group, victim: &name::Group) -> bool {
+    fn preempt_victim(&mut self, group: &Group, victim: &name::Group) -> bool {
         let before = (self.placements.clone(), self.spares.clone(), self.decisions.len());
         self.unplace(victim);
-        let offer = self.best_offer(group).filter(|offer| self.budget.allows(offer.loads));
-        if let Some(offer) = offer {
-            self.place(group, offer);
+        let candidate =
+            self.best_candidate(group).filter(|candidate| self.budget.allows(candidate.loads));
+        if let Some(candidate) = candidate {
+            self.place(group, candidate);
             return true;
         }
         (self.placements, self.spares) = (before.0, before.1);
@@ -140,58 +143,62 @@
     }
 
     /// Moves groups off closed instances once nothing runs on them.
-    fn vacate(&mut self) {
+    fn move_off_cordoned(&mut self) {
         for group in &self.fleet.groups {
             let idle = self.placements.get(&group.name).is_some_and(|current| current.running == 0);
-            if !idle || self.condition(group) != Condition::Closing {
+            if !idle || self.condition(group) != Condition::Cordoned {
                 continue;
             }
-            let offer = self.best_offer(group).filter(|offer| self.budget.allows(offer.loads));
-            if let Some(offer) = offer {
-                self.place(group, offer);
+            let candidate =
+                self.best_candidate(group).filter(|candidate| self.budget.allows(candidate.loads));
+            if let Some(candidate) = candidate {
+                self.place(group, candidate);
             }
         }
     }
 
     fn condition(&self, group: &Group) -> Condition {
         let Some(current) = self.placements.get(&group.name) else { return Condition::Unplaced };
-        if !self.fits(group, current) {
+        if !self.is_valid(group, current) {
             return Condition::Unplaced;
         }
-        let standing = |name| self.instances.get(name).map_or(Standing::Missing, |it| it.standing);
-        if current.members.iter().any(|name| standing(name) == Standing::Missing) {
+        let availability =
+            |name| self.instances.get(name).map_or(Availability::Missing, |it| it.availability);
+        if current.members.iter().any(|name| availability(name) == Availability::Missing) {
             return Condition::Broken;
         }
-        let whole = current.members.iter().all(|name| standing(name) == Standing::Usable);
-        if whole { Condition::Whole } else { Condition::Closing }
+        let all_available =
+            current.members.iter().all(|name| availability(name) == Availability::Available);
+        if all_available { Condition::Healthy } else { Condition::Cordoned }
     }
 
     /// Whether a placement is of the declared size, and of one domain of the declared pool.
-    fn fits(&self, group: &Group, current: &Current) -> bool {
+    fn is_valid(&self, group: &Group, current: &Placement) -> bool {
         if current.members.len() != group.size as usize {
             return false;
         }
         let known = current.members.iter().filter_map(|name| self.instances.get(name));
-        let mut places: Vec<Place> = known.map(|instance| Place::of(instance)).collect();
-        places.dedup();
-        places.len() <= 1 && places.iter().all(|place| place.pool == group.pool)
+        let mut domains: Vec<Domain> = known.map(|instance| Domain::of(instance)).collect();
+        domains.dedup();
+        domains.len() <= 1 && domains.iter().all(|domain| domain.pool == group.pool)
     }
 
-    fn best_offer(&self, group: &Group) -> Option<offer::Offer> {
-        offer::best(self, group)
+    fn best_candidate(&self, group: &Group) -> Option<candidate::Candidate> {
+        candidate::find_best(self, group)
     }
 
-    fn place(&mut self, group: &Group, offer: offer::Offer) {
+    fn place(&mut self, group: &Group, candidate: candidate::Candidate) {
         self.release(&group.name);
-        for member in &offer.members {
+        for member in &candidate.members {
             for spares in self.spares.values_mut() {
                 spares.remove(member);
             }
         }
-        let current = Current { members: offer.members.clone(), running: 0 };
+        let current = Placement { members: candidate.members.clone(), running: 0 };
         self.placements.insert(group.name.clone(), current);
-        self.budget.start(offer.loads);
-        self.decisions.push(Decision::Place { group: group.name.clone(), members: offer.members });
+        self.budget.start(candidate.loads);
+        self.decisions
+            .push(Decision::Place { group: group.name.clone(), members: candidate.members });
     }
 
     fn unplace(&mut self, name: &name::Group) {
@@ -204,8 +211,8 @@
         let Some(current) = self.placements.remove(name) else { return };
         for member in current.members {
             let Some(instance) = self.instances.get(&member) else { continue };
-            if instance.standing == Standing::Usable {
-                self.spares.entry(Place::of(instance)).or_default().insert(member);
+            if instance.availability == Availability::Available {
+                self.spares.entry(Domain::of(instance)).or_default().insert(member);
             }
         }
     }
--- a/crates/hyssopfork-policy/src/queue.rs
+++ b/crates/hyssopfork-policy/src/queue.rs
@@ -4,13 +4,13 @@
 //! while another is free. [`Queue::enqueue`] answers at once whether a request may wait;
 //! [`Queue::next`] gives what to start now, and what can no longer be served in time.
 
-use crate::{admission, average, classes, drain, fairness, random};
+use crate::{admission, classes, ewma, fairness, random, throughput};
 use hyssopfork_wire::{clock, configuration, name, refusal};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 /// Samples over which the time until an answer begins is averaged.
-const BEGIN_SPAN: f64 = 64.0;
+const START_LATENCY_SPAN: f64 = 64.0;
 
 /// Time, beside the average itself, after which the average says nothing any more.
 ///
@@ -19,10 +19,10 @@
 /// forgotten when no answer has begun for this long, and what comes then tries anew. Long jobs
 /// begin seconds apart in any case; an average over [`BEGIN_LEAST`] of them and more lasts longer
 /// by itself.
-const BEGIN_MEMORY: Duration = drain::MEMORY;
+const START_LATENCY_TTL: Duration = throughput::MIN_DECAY;
 
 /// Answers after which the average is no accident.
-const BEGIN_LEAST: f64 = 8.0;
+const MIN_START_LATENCY_SAMPLES: f64 = 8.0;
 
 /// A request that waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,11 +41,11 @@
 
 /// What became of a request that asked to wait.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Entered {
+pub enum Admission {
     /// It waits.
     Queued,
     /// It is refused, and is to be answered at once.
-    Refused(refusal::Refusal),
+    Rejected(refusal::Refusal),
 }
 
 /// A request that waited in vain.
@@ -54,7 +54,7 @@
     /// The request.
     pub item: Item,
     /// Its refusal, to be answered at once.
-    pub refusal: refusal::Refusal,
+    pub rejection: refusal::Refusal,
 }
 
 /// What leaves the queue.
@@ -70,73 +70,76 @@
 struct Running {
     lane: classes::Lane,
     cost: u32,
-    started: clock::Instant,
+    started_at: clock::Instant,
 }
 
 #[derive(Clone, Debug)]
-struct Line {
+struct LaneQueue {
     scheduler: fairness::Scheduler<Item>,
-    drain: drain::Drain,
+    throughput: throughput::Throughput,
     /// Rates of the teams, each measured while that team waits.
-    teams: BTreeMap<name::Team, drain::Drain>,
-    begin: average::Average,
-    begun: clock::Instant,
+    team_throughputs: BTreeMap<name::Team, throughput::Throughput>,
+    start_latency: ewma::Ewma,
+    last_start_at: clock::Instant,
 }
 
-impl Default for Line {
+impl Default for LaneQueue {
     fn default() -> Self {
-        Line {
+        LaneQueue {
             scheduler: fairness::Scheduler::default(),
-            drain: drain::Drain::default(),
-            teams: BTreeMap::new(),
-            begin: average::Average::new(BEGIN_SPAN),
-            begun: clock::Instant::ORIGIN,
+            throughput: throughput::Throughput::default(),
+            team_throughputs: BTreeMap::new(),
+            start_latency: ewma::Ewma::new(START_LATENCY_SPAN),
+            last_start_at: clock::Instant::ORIGIN,
         }
     }
 }
 
-impl Line {
-    fn begin(&self, now: clock::Instant) -> Duration {
-        let begin = Duration::from_secs_f64(self.begin.get().unwrap_or_default());
-        let sound = self.begin.weight() >= BEGIN_LEAST;
-        let memory = if sound { BEGIN_MEMORY + begin } else { BEGIN_MEMORY };
-        let forgotten = now.since(self.begun) >= memory;
-        if forgotten { Duration::ZERO } else { begin }
+impl LaneQueue {
+    fn start_latency(&self, now: clock::Instant) -> Duration {
+        let latency = Duration::from_secs_f64(self.start_latency.mean().unwrap_or_default());
+        let is_reliable = self.start_latency.sample_count() >= MIN_START_LATENCY_SAMPLES;
+        let ttl = if is_reliable { START_LATENCY_TTL + latency } else { START_LATENCY_TTL };
+        let is_expired = now.since(self.last_start_at) >= ttl;
+        if is_expired { Duration::ZERO } else { latency }
     }
 
-    fn note_begin(&mut self, now: clock::Instant, elapsed: Duration) {
-        if self.begin(now).is_zero() {
-            self.begin = average::Average::new(BEGIN_SPAN);
+    fn record_start_latency(&mut self, now: clock::Instant, elapsed: Duration) {
+        if self.start_latency(now).is_zero() {
+            self.start_latency = ewma::Ewma::new(START_LATENCY_SPAN);
         }
-        self.begin.add(elapsed.as_secs_f64());
-        self.begun = now;
+        self.start_latency.add(elapsed.as_secs_f64());
+        self.last_start_at = now;
     }
 
     /// Estimated wait of an item of `cost` that the team adds now. What waits ahead of it says too
     /// little while other teams, never waiting long, keep taking their turns; then the team's own
     /// rate says more.
-    fn wait(&self, team: &name::Team, cost: u32, room: u32) -> Option<Duration> {
-        let ahead = self.scheduler.ahead(team, cost);
-        let shared = self.drain.time(ahead, room);
-        let own = self.scheduler.cost_of(team);
-        let drain = self.teams.get(team).filter(|drain| own > 0 && drain.is_measured());
-        shared.max(drain.and_then(|drain| drain.time(own, room)))
+    fn estimate_wait(&self, team: &name::Team, cost: u32, slots: u32) -> Option<Duration> {
+        let ahead = self.scheduler.cost_ahead(team, cost);
+        let shared = self.throughput.time_to_serve(ahead, slots);
+        let own = self.scheduler.team_cost(team);
+        let throughput = self
+            .team_throughputs
+            .get(team)
+            .filter(|throughput| own > 0 && throughput.is_measured());
+        shared.max(throughput.and_then(|throughput| throughput.time_to_serve(own, slots)))
     }
 
-    fn started(&mut self, now: clock::Instant, team: &name::Team, cost: u32) {
-        self.drain.started(now, cost);
-        self.teams.entry(team.clone()).or_default().started(now, cost);
+    fn on_start(&mut self, now: clock::Instant, team: &name::Team, cost: u32) {
+        self.throughput.on_start(now, cost);
+        self.team_throughputs.entry(team.clone()).or_default().on_start(now, cost);
     }
 
-    fn returned(&mut self, now: clock::Instant, team: &name::Team, cost: u32) {
-        self.drain.returned(now, cost);
-        self.teams.entry(team.clone()).or_default().returned(now, cost);
+    fn on_requeue(&mut self, now: clock::Instant, team: &name::Team, cost: u32) {
+        self.throughput.on_requeue(now, cost);
+        self.team_throughputs.entry(team.clone()).or_default().on_requeue(now, cost);
     }
 
-    fn mark(&mut self, now: clock::Instant) {
-        self.drain.mark(now, !self.scheduler.is_empty());
-        for (team, drain) in &mut self.teams {
-            drain.mark(now, self.scheduler.cost_of(team) > 0);
+    fn update_backlog(&mut self, now: clock::Instant) {
+        self.throughput.set_backlogged(now, !self.scheduler.is_empty());
+        for (team, throughput) in &mut self.team_throughputs {
+            throughput.set_backlogged(now, self.scheduler.team_cost(team) > 0);
         }
     }
 }
@@ -144,76 +147,81 @@
 /// The queue.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    lines: [Line; classes::LANES],
-    classes: classes::Classes,
+    lanes: [LaneQueue; classes::LANE_COUNT],
+    allocator: classes::Allocator,
     waiting: HashMap<u64, (classes::Lane, clock::Instant)>,
     deadlines: BTreeSet<(clock::Instant, u64)>,
     running: HashMap<u64, Running>,
-    total: u32,
+    total_slots: u32,
 }
 
 impl Queue {
     /// Sets a team's weight; teams without one have weight 1.
-    pub fn weigh(&mut self, team: &name::Team, weight: u32) {
-        for line in &mut self.lines {
-            line.scheduler.weigh(team, weight);
+    pub fn set_weight(&mut self, team: &name::Team, weight: u32) {
+        for lane_queue in &mut self.lanes {
+            lane_queue.scheduler.set_weight(team, weight);
         }
     }
 
     /// Takes a request in, or refuses it at once. Call [`Queue::next`] at once after it: only what
     /// still waits then counts as a backlog.
-    pub fn enqueue(&mut self, now: clock::Instant, item: Item, random: u64) -> Entered {
-        let lane = self.classes.lane(item.class, item.cost);
-        self.classes.arrive(now, lane);
-        let line = &self.lines[lane.index()];
-        let wait = line.wait(&item.team, item.cost, self.total);
-        if !admission::fits(now, item.deadline, wait, line.begin(now)) {
-            return Entered::Refused(self.refuse(lane, &item, wait, random));
+    pub fn enqueue(&mut self, now: clock::Instant, item: Item, random: u64) -> Admission {
+        let lane = self.allocator.classify(item.class, item.cost);
+        self.allocator.on_arrival(now, lane);
+        let lane_queue = &self.lanes[lane.index()];
+        let wait = lane_queue.estimate_wait(&item.team, item.cost, self.total_slots);
+        if !admission::fits_deadline(now, item.deadline, wait, lane_queue.start_latency(now)) {
+            return Admission::Rejected(self.reject(lane, &item, wait, random));
         }
         self.insert(lane, item, false);
-        Entered::Queued
+        Admission::Queued
     }
 
     /// Puts a request back at the front of its team's queue, after it was taken and an upstream
     /// refused it before any of it ran. It is not judged again, but expires as before.
-    pub fn restore(&mut self, now: clock::Instant, item: Item) {
+    pub fn requeue(&mut self, now: clock::Instant, item: Item) {
         if let Some(running) = self.running.remove(&item.request) {
-            self.classes.put_back(running.lane);
-            self.lines[running.lane.index()].returned(now, &item.team, running.cost);
+            self.allocator.undo_start(running.lane);
+            self.lanes[running.lane.index()].on_requeue(now, &item.team, running.cost);
         }
-        let lane = self.classes.lane(item.class, item.cost);
+        let lane = self.allocator.classify(item.class, item.cost);
         self.insert(lane, item, true);
     }
 
     /// Takes what can start in `room`, and what can no longer be served in time.
-    pub fn next(&mut self, now: clock::Instant, room: classes::Room, random: u64) -> Batch {
-        self.total = room.total;
+    pub fn dispatch(
+        &mut self,
+        now: clock::Instant,
+        capacity: classes::Capacity,
+        random: u64,
+    ) -> Batch {
+        self.total_slots = capacity.total;
         let expired = self.expire(now, random);
         let mut ready = Vec::new();
-        let mut room = room;
-        while let Some(lane) = self.classes.choose(now, room, self.lanes_waiting()) {
-            let Some(item) = self.take(now, lane) else { break };
-            room.free -= 1;
+        let mut capacity = capacity;
+        while let Some(lane) = self.allocator.choose_lane(now, capacity, self.waiting_lanes()) {
+            let Some(item) = self.dequeue(now, lane) else { break };
+            capacity.free -= 1;
             ready.push(item);
         }
-        self.mark(now);
+        self.update_backlog(now);
         Batch { ready, expired }
     }
 
     /// Takes in that a started request's answer has begun.
-    pub fn begun(&mut self, now: clock::Instant, request: u64) {
+    pub fn on_response_started(&mut self, now: clock::Instant, request: u64) {
         if let Some(running) = self.running.get(&request) {
-            let elapsed = now.since(running.started);
-            self.lines[running.lane.index()].note_begin(now, elapsed);
+            let elapsed = now.since(running.started_at);
+            self.lanes[running.lane.index()].record_start_latency(now, elapsed);
         }
     }
 
     /// Takes in that a started request has ended, whichever way.
-    pub fn complete(&mut self, now: clock::Instant, request: u64) {
+    pub fn on_request_ended(&mut self, now: clock::Instant, request: u64) {
         if let Some(running) = self.running.remove(&request) {
-            let elapsed = now.since(running.started);
-            self.classes.end(running.lane, elapsed);
-            self.lines[running.lane.index()].drain.completed(running.cost, elapsed);
+            let elapsed = now.since(running.started_at);
+            self.allocator.on_end(running.lane, elapsed);
+            self.lanes[running.lane.index()].throughput.on_completion(running.cost, elapsed);
         }
     }
 
@@ -221,8 +229,8 @@
     pub fn remove(&mut self, request: u64) -> Option<Item> {
         let (lane, deadline) = self.waiting.remove(&request)?;
         self.deadlines.remove(&(deadline, request));
-        let scheduler = &mut self.lines[lane.index()].scheduler;
-        scheduler.extract(|item| item.request == request).pop()
+        let scheduler = &mut self.lanes[lane.index()].scheduler;
+        scheduler.extract_if(|item| item.request == request).pop()
     }
 
     /// When a caller of the class whom the entry refuses for want of an upstream should come back.
@@ -232,8 +240,11 @@
             configuration::Class::Interactive => classes::Lane::Short,
             configuration::Class::Batch => classes::Lane::Long,
         };
-        let line = &self.lines[lane.index()];
-        admission::retry_after(line.drain.time(line.scheduler.cost(), self.total), random)
+        let lane_queue = &self.lanes[lane.index()];
+        admission::retry_after(
+            lane_queue.throughput.time_to_serve(lane_queue.scheduler.cost(), self.total_slots),
+            random,
+        )
     }
 
     /// Number of requests that wait.
@@ -246,87 +257,95 @@
         self.waiting.is_empty()
     }
 
-    fn refuse(
+    fn reject(
         &self,
         lane: classes::Lane,
         item: &Item,
         wait: Option<Duration>,
         random: u64,
     ) -> refusal::Refusal {
-        let line = &self.lines[lane.index()];
-        let own = line.scheduler.cost_of(&item.team);
-        let reason = if own * 2 > line.scheduler.cost() && line.scheduler.cost() > own {
+        let lane_queue = &self.lanes[lane.index()];
+        let team_cost = lane_queue.scheduler.team_cost(&item.team);
+        let reason = if team_cost * 2 > lane_queue.scheduler.cost()
+            && lane_queue.scheduler.cost() > team_cost
+        {
             refusal::Reason::TeamLimit
         } else {
             refusal::Reason::Overloaded
         };
-        admission::refusal(reason, wait, random::mix(random, item.request))
+        admission::rejection(reason, wait, random::mix(random, item.request))
     }
 
     fn insert(&mut self, lane: classes::Lane, item: Item, front: bool) {
         self.waiting.insert(item.request, (lane, item.deadline));
         self.deadlines.insert((item.deadline, item.request));
-        let scheduler = &mut self.lines[lane.index()].scheduler;
+        let scheduler = &mut self.lanes[lane.index()].scheduler;
         let (team, cost) = (item.team.clone(), item.cost);
         if front {
-            scheduler.restore(&team, cost, item);
+            scheduler.push_front(&team, cost, item);
         } else {
             scheduler.push(&team, cost, item);
         }
     }
 
-    fn take(&mut self, now: clock::Instant, lane: classes::Lane) -> Option<Item> {
-        let line = &mut self.lines[lane.index()];
-        let item = line.scheduler.pop()?;
-        line.started(now, &item.team, item.cost);
-        self.classes.start(lane);
+    fn dequeue(&mut self, now: clock::Instant, lane: classes::Lane) -> Option<Item> {
+        let lane_queue = &mut self.lanes[lane.index()];
+        let item = lane_queue.scheduler.pop()?;
+        lane_queue.on_start(now, &item.team, item.cost);
+        self.allocator.on_start(lane);
         self.waiting.remove(&item.request);
         self.deadlines.remove(&(item.deadline, item.request));
-        self.running.insert(item.request, Running { lane, cost: item.cost, started: now });
+        self.running.insert(item.request, Running { lane, cost: item.cost, started_at: now });
         Some(item)
     }
 
     fn expire(&mut self, now: clock::Instant, random: u64) -> Vec<Expired> {
         let mut late = BTreeSet::new();
-        let most = self.lines.iter().map(|line| line.begin(now)).max().unwrap_or_default();
+        let max_start_latency = self
+            .lanes
+            .iter()
+            .map(|lane_queue| lane_queue.start_latency(now))
+            .max()
+            .unwrap_or_default();
         for &(deadline, request) in &self.deadlines {
-            if deadline > now + most {
+            if deadline > now + max_start_latency {
                 break;
             }
             let Some((lane, _)) = self.waiting.get(&request) else { continue };
-            if deadline <= now + self.lines[lane.index()].begin(now) {
+            if deadline <= now + self.lanes[lane.index()].start_latency(now) {
                 late.insert(request);
             }
         }
         if late.is_empty() {
             return Vec::new();
         }
-        self.drop_late(&late, random)
+        self.remove_late(&late, random)
     }
 
-    fn drop_late(&mut self, late: &BTreeSet<u64>, random: u64) -> Vec<Expired> {
+    fn remove_late(&mut self, late: &BTreeSet<u64>, random: u64) -> Vec<Expired> {
         let mut expired = Vec::new();
-        for index in 0..classes::LANES {
-            let line = &mut self.lines[index];
-            let wait = line.drain.time(line.scheduler.cost(), self.total);
-            for item in line.scheduler.extract(|item| late.contains(&item.request)) {
+        for index in 0..classes::LANE_COUNT {
+            let lane_queue = &mut self.lanes[index];
+            let wait =
+                lane_queue.throughput.time_to_serve(lane_queue.scheduler.cost(), self.total_slots);
+            for item in lane_queue.scheduler.extract_if(|item| late.contains(&item.request)) {
                 self.waiting.remove(&item.request);
                 self.deadlines.remove(&(item.deadline, item.request));
                 let random = random::mix(random, item.request);
-                let refusal = admission::refusal(refusal::Reason::Deadline, wait, random);
-                expired.push(Expired { item, refusal });
+                let rejection = admission::rejection(refusal::Reason::Deadline, wait, random);
+                expired.push(Expired { item, rejection });
             }
         }
         expired
     }
 
-    fn lanes_waiting(&self) -> [bool; classes::LANES] {
-        std::array::from_fn(|index| !self.lines[index].scheduler.is_empty())
+    fn waiting_lanes(&self) -> [bool; classes::LANE_COUNT] {
+        std::array::from_fn(|index| !self.lanes[index].scheduler.is_empty())
     }
 
-    fn mark(&mut self, now: clock::Instant) {
-        for line in &mut self.lines {
-            line.mark(now);
+    fn update_backlog(&mut self, now: clock::Instant) {
+        for lane_queue in &mut self.lanes {
+            lane_queue.update_backlog(now);
         }
     }
 }
--- a/crates/hyssopfork-policy/src/retry.rs
+++ b/crates/hyssopfork-policy/src/retry.rs
@@ -13,11 +13,11 @@
 
 /// Second tries for each first try: load grows by a tenth at most, within the headroom that a
 /// fleet needs anyway for the loss of an instance in thirty.
-pub const SHARE: f64 = 0.1;
+pub const RETRY_RATIO: f64 = 0.1;
 
 /// Second tries that may come in a row after quiet: one upstream's worth of running work, so that
 /// the sudden loss of one upstream is retried in full.
-pub const BURST: f64 = 32.0;
+pub const MAX_BURST: f64 = 32.0;
 
 /// Budget of one process for one pool.
 #[derive(Clone, Debug)]
@@ -27,34 +27,34 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { tokens: BURST }
+        Budget { tokens: MAX_BURST }
     }
 }
 
 impl Budget {
     /// Counts a first try.
-    pub fn first(&mut self) {
-        self.tokens = (self.tokens + SHARE).min(BURST);
+    pub fn on_first_attempt(&mut self) {
+        self.tokens = (self.tokens + RETRY_RATIO).min(MAX_BURST);
     }
 
     /// Whether a second try may go out now; spends from the budget when it may.
-    pub fn spend(&mut self) -> bool {
-        let enough = self.tokens >= 1.0;
-        if enough {
+    pub fn try_spend(&mut self) -> bool {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
             self.tokens -= 1.0;
         }
-        enough
+        has_token
     }
 
     /// Whether a request may be tried again now after a try that ended with `ran`; spends from the
     /// budget when it may.
-    pub fn again(&mut self, repeatable: bool, ran: refusal::Ran) -> bool {
-        may_repeat(repeatable, ran) && self.spend()
+    pub fn try_retry(&mut self, repeatable: bool, ran: refusal::Ran) -> bool {
+        is_retryable(repeatable, ran) && self.try_spend()
     }
 }
 
 /// Whether work may be sent again at all: it surely did not run, or its route says that it may
 /// run more than once. Non-repeatable work that may have run is never sent again.
-pub fn may_repeat(repeatable: bool, ran: refusal::Ran) -> bool {
+pub fn is_retryable(repeatable: bool, ran: refusal::Ran) -> bool {
     repeatable || ran == refusal::Ran::NotRun
 }
--- a/crates/hyssopfork-policy/tests/choice.rs
+++ b/crates/hyssopfork-policy/tests/choice.rs
@@ -1,6 +1,6 @@
 //! The choice of an upstream, and the budget for trying again.
 
-use hyssopfork_policy::{choice, ejection, hedge, ramp, retry};
+use hyssopfork_policy::{choice, ejection, hedge, retry, slow_start};
 use hyssopfork_wire::{attempt, clock, frame, name, number, refusal};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -31,14 +31,14 @@
         let zone = name::Zone::new(format!("zone-{}", index % 2));
         let upstream = choice::Upstream { instance: instance(index), zone, concurrency: LIMIT };
         chooser.insert(at(0), upstream);
-        chooser.report(at(0), &instance(index), load(0, LIMIT));
+        chooser.on_load_report(at(0), &instance(index), load(0, LIMIT));
     }
     chooser
 }
 
 fn pick(chooser: &mut choice::Chooser, now: u64, prefix: Option<u64>) -> Option<name::Instance> {
     let zone = "zone-0".into();
-    let want = choice::Want { zone: &zone, prefix, excluded: &[] };
+    let want = choice::Criteria { zone: &zone, prefix, excluded: &[] };
     chooser.pick(at(now), want, now.wrapping_mul(0x9e37_79b9))
 }
 
@@ -47,7 +47,7 @@
     let mut sent = Vec::new();
     for number in 0..count {
         let Some(chosen) = pick(chooser, number, prefix) else { break };
-        chooser.begin(at(number), &chosen, identifier(number), 50);
+        chooser.on_attempt_sent(at(number), &chosen, identifier(number), 50);
         sent.push(chosen);
     }
     sent
@@ -62,7 +62,7 @@
 
     let sent = send(&mut chooser, 10, None);
 
-    assert_eq!(sent.len(), ramp::INITIAL as usize);
+    assert_eq!(sent.len(), slow_start::INITIAL_LIMIT as usize);
 }
 
 #[test]
@@ -86,9 +86,9 @@
     let other = (0..UPSTREAMS).map(instance).find(|it| *it != first).expect("there are six");
 
     let again = pick(&mut chooser, 2, Some(7));
-    chooser.cached(at(2), &other, 7, true);
+    chooser.on_cache_event(at(2), &other, 7, true);
     let told = pick(&mut chooser, 3, Some(7));
-    chooser.uncached(&other);
+    chooser.forget_cache(&other);
     let forgotten = pick(&mut chooser, 4, Some(7));
 
     assert_eq!(again.as_ref(), Some(&first));
@@ -99,7 +99,7 @@
 #[test]
 fn zone_that_is_out_gets_nothing() {
     let mut chooser = chooser();
-    chooser.set_zone(&"zone-0".into(), true);
+    chooser.set_zone_evacuated(&"zone-0".into(), true);
 
     let sent = send(&mut chooser, 100, None);
 
@@ -112,15 +112,15 @@
     // The zone's upstreams may have been restarted while it was out; what they bore before says
     // nothing of what they bear now.
     let mut chooser = chooser();
-    chooser.set_zone(&"zone-0".into(), true);
-    chooser.set_zone(&"zone-0".into(), false);
+    chooser.set_zone_evacuated(&"zone-0".into(), true);
+    chooser.set_zone_evacuated(&"zone-0".into(), false);
 
-    let back = chooser.room(at(1)).free;
-    chooser.report(at(2), &instance(0), load(0, LIMIT));
-    let reported = chooser.room(at(2)).free;
+    let back = chooser.capacity(at(1)).free;
+    chooser.on_load_report(at(2), &instance(0), load(0, LIMIT));
+    let reported = chooser.capacity(at(2)).free;
 
-    assert_eq!(back, 3 * LIMIT + 3 * ramp::INITIAL);
-    assert_eq!(reported, 4 * LIMIT + 2 * ramp::INITIAL);
+    assert_eq!(back, 3 * LIMIT + 3 * slow_start::INITIAL_LIMIT);
+    assert_eq!(reported, 4 * LIMIT + 2 * slow_start::INITIAL_LIMIT);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let mut chooser = chooser();
     let zone = "zone-0".into();
     let excluded: Vec<_> = (0..UPSTREAMS - 1).map(instance).collect();
-    let want = choice::Want { zone: &zone, prefix: None, excluded: &excluded };
+    let want = choice::Criteria { zone: &zone, prefix: None, excluded: &excluded };
 
     let chosen = chooser.pick(at(1), want, 1);
 
@@ -157,21 +157,21 @@
     let mut chooser = chooser();
     let mut number = 0;
     for index in 0..UPSTREAMS - 1 {
-        for _ in 0..ejection::FAILURE_RUN {
+        for _ in 0..ejection::CONSECUTIVE_FAILURES {
             number += 1;
-            chooser.begin(at(number), &instance(index), identifier(number), 50);
-            chooser.end(at(number), identifier(number), choice::Outcome::Failed);
+            chooser.on_attempt_sent(at(number), &instance(index), identifier(number), 50);
+            chooser.on_attempt_ended(at(number), identifier(number), choice::Outcome::Failed);
         }
     }
     pick(&mut chooser, 200, None);
 
-    let before = chooser.room(at(200)).free;
-    let after = chooser.room(at(200) + ejection::FIRST).free;
+    let before = chooser.capacity(at(200)).free;
+    let after = chooser.capacity(at(200) + ejection::BASE_EJECTION_TIME).free;
 
     // One of six is out; the limits of four others were lowered by their failures.
     assert!(before >= 3 * LIMIT, "{before}");
     assert!(before < UPSTREAMS as u32 * LIMIT, "{before}");
-    assert_eq!(after, before + ramp::INITIAL);
+    assert_eq!(after, before + slow_start::INITIAL_LIMIT);
 }
 
 #[test]
@@ -180,14 +180,14 @@
     // cold: the ramp lets it warm up, where an ejection would keep its part of the load from it.
     let mut chooser = chooser();
     for number in 0..10 {
-        chooser.begin(at(number), &instance(0), identifier(number), 50);
+        chooser.on_attempt_sent(at(number), &instance(0), identifier(number), 50);
     }
     for number in 0..10 {
-        chooser.end(at(20 + number), identifier(number), choice::Outcome::Failed);
+        chooser.on_attempt_ended(at(20 + number), identifier(number), choice::Outcome::Failed);
     }
     pick(&mut chooser, 200, None);
 
-    let room = chooser.room(at(200)).free;
+    let room = chooser.capacity(at(200)).free;
 
     assert!(room > (UPSTREAMS as u32 - 1) * LIMIT, "{room}");
 }
@@ -195,39 +195,39 @@
 #[test]
 fn attempts_of_a_removed_upstream_still_end() {
     let mut chooser = chooser();
-    chooser.begin(at(1), &instance(0), identifier(1), 50);
+    chooser.on_attempt_sent(at(1), &instance(0), identifier(1), 50);
 
     chooser.remove(&instance(0));
-    chooser.end(at(2), identifier(1), choice::Outcome::Failed);
+    chooser.on_attempt_ended(at(2), identifier(1), choice::Outcome::Failed);
 
     assert_eq!(chooser.instances().count(), UPSTREAMS - 1);
-    assert_eq!(chooser.room(at(2)).free, (UPSTREAMS as u32 - 1) * LIMIT);
+    assert_eq!(chooser.capacity(at(2)).free, (UPSTREAMS as u32 - 1) * LIMIT);
 }
 
 #[test]
 fn work_that_may_have_run_and_may_not_repeat_is_never_tried_again() {
     let mut budget = retry::Budget::default();
 
-    assert!(!budget.again(false, refusal::Ran::MayHaveRun));
-    assert!(budget.again(false, refusal::Ran::NotRun));
-    assert!(budget.again(true, refusal::Ran::MayHaveRun));
+    assert!(!budget.try_retry(false, refusal::Ran::MayHaveRun));
+    assert!(budget.try_retry(false, refusal::Ran::NotRun));
+    assert!(budget.try_retry(true, refusal::Ran::MayHaveRun));
 }
 
 #[test]
 fn retries_are_a_share_of_first_tries() {
     let mut budget = retry::Budget::default();
     for _ in 0..1_000 {
-        budget.spend();
+        budget.try_spend();
     }
 
     let mut retried = 0;
     for _ in 0..1_000 {
-        budget.first();
-        retried += u32::from(budget.again(true, refusal::Ran::MayHaveRun));
+        budget.on_first_attempt();
+        retried += u32::from(budget.try_retry(true, refusal::Ran::MayHaveRun));
     }
 
     let share = f64::from(retried) / 1_000.0;
-    assert!((share - retry::SHARE).abs() <= 0.005, "{share}");
+    assert!((share - retry::RETRY_RATIO).abs() <= 0.005, "{share}");
 }
 
 #[test]
@@ -235,13 +235,13 @@
     let mut hedge = hedge::Hedge::default();
     let mut budget = retry::Budget::default();
     for millis in 1..=200 {
-        hedge.observe(Duration::from_millis(millis));
+        hedge.record_start_latency(Duration::from_millis(millis));
     }
     let delay = hedge.delay().expect("enough was seen");
 
-    let early = hedge.again(true, delay / 2, &mut budget);
-    let twice = hedge.again(false, delay * 2, &mut budget);
-    let due = hedge.again(true, delay, &mut budget);
+    let early = hedge.try_hedge(true, delay / 2, &mut budget);
+    let twice = hedge.try_hedge(false, delay * 2, &mut budget);
+    let due = hedge.try_hedge(true, delay, &mut budget);
 
     assert!(delay >= Duration::from_millis(190), "{delay:?}");
     assert!(!early && !twice && due);
@@ -256,12 +256,12 @@
     let upstream =
         choice::Upstream { instance: instance(0), zone: "zone-0".into(), concurrency: LIMIT };
     chooser.insert(at(0), upstream);
-    chooser.report(at(0), &instance(0), load(5, 0));
+    chooser.on_load_report(at(0), &instance(0), load(5, 0));
 
     let at_once = pick(&mut chooser, 10, None);
     let later = pick(&mut chooser, 260, None);
 
     assert_eq!(at_once, None);
     assert_eq!(later, Some(instance(0)));
-    assert_eq!(chooser.room(at(260)).free, 1);
+    assert_eq!(chooser.capacity(at(260)).free, 1);
 }
--- a/crates/hyssopfork-policy/tests/cold.rs
+++ b/crates/hyssopfork-policy/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Cold upstreams, and zones that leave and return, as callers see them.
 
-use hyssopfork_policy::ramp;
+use hyssopfork_policy::slow_start;
 use hyssopfork_policy_model::entry::Kind;
 use hyssopfork_policy_model::report::{Answer, Report};
 use hyssopfork_policy_model::{scenario, simulation};
@@ -21,10 +21,15 @@
 }
 
 /// Ends `count` pieces of work, one a second, each of which took `millis`; returns the time.
-fn work(ramp: &mut ramp::Ramp, from: u64, count: u64, millis: u64) -> u64 {
+fn work(slow_start: &mut slow_start::SlowStart, from: u64, count: u64, millis: u64) -> u64 {
     for index in 1..=count {
         let now = from + index * 1_000;
-        ramp.end(at(now), at(now - millis), COST, ramp::Outcome::Completed);
+        slow_start.on_request_ended(
+            at(now),
+            at(now - millis),
+            COST,
+            slow_start::Outcome::Completed,
+        );
     }
     from + count * 1_000
 }
@@ -35,7 +40,7 @@
     // over, restarts and tips over again, and nobody is served at all. The ramp lets through what
     // they bear; callers beyond that are refused, and full service comes with the ramp.
     let report = run(&scenario::cold());
-    let alone = simulation::ramp_alone().as_secs_f64();
+    let alone = simulation::slow_start_duration().as_secs_f64();
 
     assert_eq!(report.crashes, 0);
     assert_eq!(report.answers().get(&Answer::Failed), None, "{:?}", report.answers());
@@ -71,62 +76,62 @@
 
 #[test]
 fn limit_grows_by_completed_work_only() {
-    let mut ramp = ramp::Ramp::new(at(0), FULL);
-
-    let idle = ramp.limit();
-    let held_until = work(&mut ramp, 3_600_000, ramp::HOLD.into(), 500);
-    let held = ramp.limit();
-    let later = work(&mut ramp, held_until, 4, 500);
-    let worked = ramp.limit();
-    work(&mut ramp, later, 40, 500);
-
-    assert_eq!(idle, ramp::INITIAL);
-    assert_eq!(held, ramp::INITIAL);
-    assert_eq!(worked, ramp::INITIAL + 2);
-    assert!(ramp.is_warm());
+    let mut slow_start = slow_start::SlowStart::new(at(0), FULL);
+
+    let idle = slow_start.limit();
+    let held_until = work(&mut slow_start, 3_600_000, slow_start::HOLD_COMPLETIONS.into(), 500);
+    let held = slow_start.limit();
+    let later = work(&mut slow_start, held_until, 4, 500);
+    let worked = slow_start.limit();
+    work(&mut slow_start, later, 40, 500);
+
+    assert_eq!(idle, slow_start::INITIAL_LIMIT);
+    assert_eq!(held, slow_start::INITIAL_LIMIT);
+    assert_eq!(worked, slow_start::INITIAL_LIMIT + 2);
+    assert!(slow_start.is_warm());
 }
 
 #[test]
 fn another_incarnation_is_cold() {
-    let mut ramp = ramp::Ramp::new(at(0), FULL);
-    ramp.incarnation(at(0), "first");
-    let now = work(&mut ramp, 0, 40, 500);
+    let mut slow_start = slow_start::SlowStart::new(at(0), FULL);
+    slow_start.on_incarnation(at(0), "first");
+    let now = work(&mut slow_start, 0, 40, 500);
 
-    let same = ramp.incarnation(at(now), "first");
-    let other = ramp.incarnation(at(now), "second");
+    let same = slow_start.on_incarnation(at(now), "first");
+    let other = slow_start.on_incarnation(at(now), "second");
 
     assert!(!same && other);
-    assert_eq!(ramp.limit(), ramp::INITIAL);
+    assert_eq!(slow_start.limit(), slow_start::INITIAL_LIMIT);
 }
 
 #[test]
 fn work_as_slow_as_on_a_cold_upstream_means_cold() {
-    let mut ramp = ramp::Ramp::new(at(0), FULL);
-    let now = work(&mut ramp, 0, 80, 100);
+    let mut slow_start = slow_start::SlowStart::new(at(0), FULL);
+    let now = work(&mut slow_start, 0, 80, 100);
 
-    work(&mut ramp, now, u64::from(ramp::SLOW_RUN), 900);
+    work(&mut slow_start, now, u64::from(slow_start::CONSECUTIVE_SLOW), 900);
 
-    assert_eq!(ramp.limit(), ramp::INITIAL);
+    assert_eq!(slow_start.limit(), slow_start::INITIAL_LIMIT);
 }
 
 #[test]
 fn a_full_batch_does_not_count_as_cold() {
-    let mut ramp = ramp::Ramp::new(at(0), FULL);
-    let now = work(&mut ramp, 0, 80, 100);
+    let mut slow_start = slow_start::SlowStart::new(at(0), FULL);
+    let now = work(&mut slow_start, 0, 80, 100);
 
-    work(&mut ramp, now, 20, 300);
+    work(&mut slow_start, now, 20, 300);
 
-    assert!(ramp.is_warm());
+    assert!(slow_start.is_warm());
 }
 
 #[test]
 fn work_from_before_the_cold_turn_does_not_warm() {
-    let mut ramp = ramp::Ramp::new(at(0), FULL);
-    ramp.cool(at(10_000));
+    let mut slow_start = slow_start::SlowStart::new(at(0), FULL);
+    slow_start.reset(at(10_000));
 
     for _ in 0..40 {
-        ramp.end(at(11_000), at(9_000), COST, ramp::Outcome::Completed);
+        slow_start.on_request_ended(at(11_000), at(9_000), COST, slow_start::Outcome::Completed);
     }
 
-    assert_eq!(ramp.limit(), ramp::INITIAL);
+    assert_eq!(slow_start.limit(), slow_start::INITIAL_LIMIT);
 }
--- a/crates/hyssopfork-policy/tests/placement.rs
+++ b/crates/hyssopfork-policy/tests/placement.rs
@@ -1,8 +1,8 @@
 //! Placement and repair: properties over random fleets, and the losses that it is meant for.
 
-use hyssopfork_policy::{loads, placement};
+use hyssopfork_policy::{placement, weight_loads};
 use hyssopfork_wire::name;
-use placement::{Decision, Standing};
+use placement::{Availability, Decision};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,14 +17,14 @@
     places.iter().map(|place| name_of(domain, *place)).collect()
 }
 
-fn instance(domain: usize, place: usize, standing: Standing) -> placement::Instance {
+fn instance(domain: usize, place: usize, standing: Availability) -> placement::Instance {
     placement::Instance {
         name: name_of(domain, place),
         zone: name::Zone::new(format!("zone-{}", domain % 2)),
         domain: name::Domain::new(format!("domain-{}", domain / 2)),
         pool: "engines".into(),
-        standing,
-        holds: None,
+        availability: standing,
+        loaded_model: None,
     }
 }
 
@@ -36,22 +36,22 @@
 /// Instances of all domains, usable, with nothing placed.
 fn fleet(groups: Vec<placement::Group>) -> placement::Fleet {
     let places = (0..DOMAINS).flat_map(|domain| (0..INSTANCES).map(move |place| (domain, place)));
-    let usable = places.map(|(domain, place)| instance(domain, place, Standing::Usable));
+    let usable = places.map(|(domain, place)| instance(domain, place, Availability::Available));
     placement::Fleet {
         instances: usable.collect(),
         groups,
         placements: BTreeMap::new(),
-        budget: loads::Budget { limit: 100, running: 0 },
+        budget: weight_loads::Budget { limit: 100, running: 0 },
     }
 }
 
 fn stand(fleet: &mut placement::Fleet, group: &str, members: Vec<name::Instance>) {
-    fleet.placements.insert(group.into(), placement::Current { members, running: 0 });
+    fleet.placements.insert(group.into(), placement::Placement { members, running: 0 });
 }
 
-fn set(fleet: &mut placement::Fleet, name: &name::Instance, standing: Standing) {
+fn set(fleet: &mut placement::Fleet, name: &name::Instance, standing: Availability) {
     let found = fleet.instances.iter_mut().find(|instance| instance.name == *name);
-    found.expect("the instance is in the fleet").standing = standing;
+    found.expect("the instance is in the fleet").availability = standing;
 }
 
 fn place(group: &str, members: Vec<name::Instance>) -> Decision {
@@ -65,7 +65,7 @@
                 fleet.placements.remove(group);
             }
             Decision::Place { group, members } => {
-                let current = placement::Current { members: members.clone(), running: 0 };
+                let current = placement::Placement { members: members.clone(), running: 0 };
                 fleet.placements.insert(group.clone(), current);
             }
         }
@@ -95,15 +95,18 @@
         members.iter().map(|name| (&found(name).zone, &found(name).domain)).collect();
     assert_eq!(members.len(), declared.size as usize);
     assert_eq!(domains.len(), 1, "{members:?}");
-    assert!(members.iter().all(|name| found(name).standing == Standing::Usable), "{members:?}");
+    assert!(
+        members.iter().all(|name| found(name).availability == Availability::Available),
+        "{members:?}"
+    );
     assert!(members.iter().all(|name| found(name).pool == declared.pool), "{members:?}");
 }
 
-fn standings() -> impl Strategy<Value = Vec<Standing>> {
+fn standings() -> impl Strategy<Value = Vec<Availability>> {
     let one = prop_oneof![
-        6 => Just(Standing::Usable),
-        1 => Just(Standing::Closed),
-        2 => Just(Standing::Missing),
+        6 => Just(Availability::Available),
+        1 => Just(Availability::Cordoned),
+        2 => Just(Availability::Missing),
     ];
     prop::collection::vec(one, DOMAINS * INSTANCES)
 }
@@ -115,9 +118,9 @@
     })
 }
 
-fn suffer(fleet: &mut placement::Fleet, standings: &[Standing]) {
+fn suffer(fleet: &mut placement::Fleet, standings: &[Availability]) {
     for (instance, standing) in fleet.instances.iter_mut().zip(standings) {
-        instance.standing = *standing;
+        instance.availability = *standing;
     }
 }
 
@@ -166,7 +169,7 @@
         suffer(&mut fleet, &standings);
         let most = fleet.groups.iter().map(|it| it.priority).max().unwrap_or_default();
         let usable = |name: &name::Instance| {
-            fleet.instances.iter().any(|it| it.name == *name && it.standing == Standing::Usable)
+            fleet.instances.iter().any(|it| it.name == *name && it.availability == Availability::Available)
         };
 
         let decisions = placement::decide(&fleet);
@@ -185,7 +188,7 @@
 fn lost_member_is_replaced_in_its_place_by_a_spare_of_its_domain() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
     stand(&mut fleet, "a", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 1), Standing::Missing);
+    set(&mut fleet, &name_of(1, 1), Availability::Missing);
 
     let decisions = placement::decide(&fleet);
 
@@ -196,10 +199,10 @@
 fn second_loss_right_after_the_repair_is_mended_alike() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
     stand(&mut fleet, "a", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 1), Standing::Missing);
+    set(&mut fleet, &name_of(1, 1), Availability::Missing);
     let first = placement::decide(&fleet);
     apply(&mut fleet, &first);
-    set(&mut fleet, &name_of(1, 3), Standing::Missing);
+    set(&mut fleet, &name_of(1, 3), Availability::Missing);
 
     let second = placement::decide(&fleet);
 
@@ -210,9 +213,9 @@
 fn spare_that_holds_the_weights_goes_first() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
     stand(&mut fleet, "a", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 0), Standing::Missing);
+    set(&mut fleet, &name_of(1, 0), Availability::Missing);
     let held = fleet.instances.iter_mut().find(|it| it.name == name_of(1, 4));
-    held.expect("in the fleet").holds = Some("model".into());
+    held.expect("in the fleet").loaded_model = Some("model".into());
 
     let decisions = placement::decide(&fleet);
 
@@ -224,7 +227,7 @@
     let mut fleet = fleet(vec![group("a", 3, 0)]);
     stand(&mut fleet, "a", names(1, &[0, 1, 2]));
     for place in 0..INSTANCES {
-        set(&mut fleet, &name_of(1, place), Standing::Missing);
+        set(&mut fleet, &name_of(1, place), Availability::Missing);
     }
 
     let decisions = placement::decide(&fleet);
@@ -244,7 +247,7 @@
         stand(&mut fleet, name, names(domain, &[0, 1, 2, 3]));
     }
     for place in 0..INSTANCES {
-        set(&mut fleet, &name_of(0, place), Standing::Missing);
+        set(&mut fleet, &name_of(0, place), Availability::Missing);
     }
 
     let decisions = placement::decide(&fleet);
@@ -265,8 +268,8 @@
     fleet.instances.truncate(4);
     stand(&mut fleet, "a", names(0, &[0, 1]));
     stand(&mut fleet, "b", names(0, &[2, 3]));
-    set(&mut fleet, &name_of(0, 1), Standing::Missing);
-    set(&mut fleet, &name_of(0, 2), Standing::Missing);
+    set(&mut fleet, &name_of(0, 1), Availability::Missing);
+    set(&mut fleet, &name_of(0, 2), Availability::Missing);
 
     let decisions = placement::decide(&fleet);
 
@@ -280,7 +283,7 @@
     let mut fleet = fleet(vec![group("a", 3, 0), group("b", 3, 0)]);
     fleet.budget.limit = 2;
     stand(&mut fleet, "b", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 1), Standing::Missing);
+    set(&mut fleet, &name_of(1, 1), Availability::Missing);
 
     let first = placement::decide(&fleet);
     apply(&mut fleet, &first);
@@ -300,8 +303,8 @@
     let mut fleet = fleet(vec![group("a", 3, 0)]);
     stand(&mut fleet, "a", names(0, &[0, 1, 2]));
     for place in 0..INSTANCES {
-        set(&mut fleet, &name_of(0, place), Standing::Closed);
-        set(&mut fleet, &name_of(2, place), Standing::Closed);
+        set(&mut fleet, &name_of(0, place), Availability::Cordoned);
+        set(&mut fleet, &name_of(2, place), Availability::Cordoned);
     }
     let busy = fleet.placements.get_mut(&name::Group::from("a"));
     busy.expect("placed").running = 1;
--- a/crates/hyssopfork-policy/tests/queue.rs
+++ b/crates/hyssopfork-policy/tests/queue.rs
@@ -21,8 +21,8 @@
     }
 }
 
-fn room(free: u32) -> classes::Room {
-    classes::Room { free, total: 10 }
+fn room(free: u32) -> classes::Capacity {
+    classes::Capacity { free, total: 10 }
 }
 
 /// A queue of team `a` that was served ten requests a second for two seconds and is never empty;
@@ -36,23 +36,23 @@
             queue.enqueue(now, item(now, next, "a"), next);
             next += 1;
         }
-        for started in queue.next(now, room(1), step).ready {
-            queue.complete(now, started.request);
+        for started in queue.dispatch(now, room(1), step).ready {
+            queue.on_request_ended(now, started.request);
         }
     }
     (queue, at(2_000), next)
 }
 
-fn fill(queue: &mut queue::Queue, now: clock::Instant, first: u64) -> Vec<queue::Entered> {
+fn fill(queue: &mut queue::Queue, now: clock::Instant, first: u64) -> Vec<queue::Admission> {
     (first..first + 40)
         .map(|request| queue.enqueue(now, item(now, request, "a"), request))
         .collect()
 }
 
-fn refusals(entered: &[queue::Entered]) -> Vec<refusal::Refusal> {
+fn refusals(entered: &[queue::Admission]) -> Vec<refusal::Refusal> {
     let refused = entered.iter().filter_map(|entered| match entered {
-        queue::Entered::Refused(refusal) => Some(*refusal),
-        queue::Entered::Queued => None,
+        queue::Admission::Rejected(refusal) => Some(*refusal),
+        queue::Admission::Queued => None,
     });
     refused.collect()
 }
@@ -77,9 +77,9 @@
     fill(&mut queue, now, next);
 
     let entered = queue.enqueue(now, item(now, 10_000, "b"), 1);
-    let first = queue.next(now, room(2), 2).ready;
+    let first = queue.dispatch(now, room(2), 2).ready;
 
-    assert_eq!(entered, queue::Entered::Queued);
+    assert_eq!(entered, queue::Admission::Queued);
     assert!(first.iter().any(|it| it.request == 10_000), "{first:?}");
 }
 
@@ -103,13 +103,13 @@
     let mut queue = queue::Queue::default();
     queue.enqueue(at(0), item(at(0), 1, "a"), 1);
 
-    let waiting = queue.next(at(1_999), room(0), 2);
-    let late = queue.next(at(2_000), room(0), 3);
+    let waiting = queue.dispatch(at(1_999), room(0), 2);
+    let late = queue.dispatch(at(2_000), room(0), 3);
 
     assert_eq!(waiting, queue::Batch::default());
     assert_eq!(late.expired.len(), 1);
-    assert_eq!(late.expired[0].refusal.reason, refusal::Reason::Deadline);
-    assert_eq!(late.expired[0].refusal.ran, refusal::Ran::NotRun);
+    assert_eq!(late.expired[0].rejection.reason, refusal::Reason::Deadline);
+    assert_eq!(late.expired[0].rejection.ran, refusal::Ran::NotRun);
     assert!(queue.is_empty());
 }
 
@@ -120,8 +120,8 @@
     let (mut queue, now, next) = busy();
     for round in 0..50 {
         let now = now + Duration::from_millis(round);
-        for taken in queue.next(now, room(1), round).ready {
-            queue.restore(now, taken);
+        for taken in queue.dispatch(now, room(1), round).ready {
+            queue.requeue(now, taken);
         }
     }
 
@@ -136,13 +136,13 @@
     queue.enqueue(at(0), item(at(0), 1, "a"), 1);
     queue.enqueue(at(0), item(at(0), 2, "a"), 1);
 
-    let taken = queue.next(at(0), room(1), 1).ready.remove(0);
-    queue.restore(at(10), taken);
-    let again = queue.next(at(20), room(1), 1).ready.remove(0);
-    queue.restore(at(30), again);
+    let taken = queue.dispatch(at(0), room(1), 1).ready.remove(0);
+    queue.requeue(at(10), taken);
+    let again = queue.dispatch(at(20), room(1), 1).ready.remove(0);
+    queue.requeue(at(30), again);
 
     assert_eq!(queue.len(), 2);
-    assert_eq!(queue.next(at(2_000), room(0), 1).expired.len(), 2);
+    assert_eq!(queue.dispatch(at(2_000), room(0), 1).expired.len(), 2);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     queue.enqueue(at(0), item(at(0), 1, "a"), 1);
 
     let removed = queue.remove(1);
-    let batch = queue.next(at(5_000), room(5), 1);
+    let batch = queue.dispatch(at(5_000), room(5), 1);
 
     assert!(removed.is_some());
     assert_eq!(batch, queue::Batch::default());
@@ -167,7 +167,7 @@
     let class = configuration::Class::Status;
     queue.enqueue(at(0), queue::Item { class, ..item(at(0), 100, "a") }, 1);
 
-    let ready = queue.next(at(0), room(10), 1).ready;
+    let ready = queue.dispatch(at(0), room(10), 1).ready;
 
     assert_eq!(ready[0].request, 100);
     let long = ready.iter().filter(|it| it.class == configuration::Class::Batch).count();
@@ -177,13 +177,13 @@
 #[test]
 fn weights_share_the_service() {
     let mut queue = queue::Queue::default();
-    queue.weigh(&"a".into(), 3);
+    queue.set_weight(&"a".into(), 3);
     for request in 0..400 {
         queue.enqueue(at(0), item(at(0), request, if request < 200 { "a" } else { "b" }), 1);
     }
 
-    let room = classes::Room { free: 100, total: 100 };
-    let ready = queue.next(at(0), room, 1).ready;
+    let room = classes::Capacity { free: 100, total: 100 };
+    let ready = queue.dispatch(at(0), room, 1).ready;
 
     let a = ready.iter().filter(|it| it.team == "a".into()).count();
     assert!((70..=80).contains(&a), "{a} of {}", ready.len());
@@ -194,6 +194,6 @@
     let none = admission::retry_after(None, u64::MAX);
     let day = admission::retry_after(Some(Duration::from_secs(86_400)), u64::MAX);
 
-    assert!(none >= admission::RETRY_LEAST);
-    assert_eq!(day, admission::RETRY_MOST);
+    assert!(none >= admission::MIN_RETRY_AFTER);
+    assert_eq!(day, admission::MAX_RETRY_AFTER);
 }
