--- a/crates/hyssopfork-policy/src/throughput.rs
+++ b/crates/hyssopfork-policy/src/throughput.rs
@@ -26,9 +26,6 @@
 /// Busy time needed before the measured rate is trusted.
 const MIN_BUSY_SECONDS: f64 = 0.3;
 
-/// Longest estimated time to serve.
-pub const MAX_ESTIMATE: Duration = Duration::from_secs(3_600);
-
 /// Samples of completed work in the stand-in.
 const FALLBACK_SPAN: f64 = 128.0;
 
@@ -127,3 +124,6 @@
         self.busy_seconds = self.busy_seconds * kept + elapsed;
     }
 }
+
+/// Longest estimated time to serve.
+pub const MAX_ESTIMATE: Duration = Duration::from_secs(3_600);
