--- a/crates/hyssopfork-policy/src/choice.rs
+++ b/crates/hyssopfork-policy/src/choice.rs
@@ -1,50 +1,50 @@
-//! The choice of an upstream in an entry: balance, affinity, ejection, limits and evacuation put
-//! together for one pool.
+//! Upstream selection in an entry process: combines load balancing, prefix affinity, outlier
+//! ejection, concurrency limits and zone evacuation for one pool.
 //!
-//! [`Chooser::room`] says how much work may start, [`Chooser::pick`] where a piece of it goes.
-//! Between them and the upstreams' agents, which alone can refuse for sure, stand late reports;
-//! an agent's refusal "not run" is the correction.
+//! [`Chooser::capacity`] tells how many requests may start, [`Chooser::pick`] which upstream a
+//! request goes to. Both work from load reports that may be stale; only the upstream's agent
+//! decides for certain, and its rejection "not run" corrects a wrong choice.
 
 use crate::{affinity, balance, classes, ejection, evacuation, limit, slow_start};
 use hyssopfork_wire::{attempt, clock, frame, name, refusal};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Time between two comparisons of the upstreams with each other.
+/// Interval between two outlier checks.
 const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An upstream that work may go to.
+/// An upstream that requests may be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
     /// Its instance: for a group the first member.
     pub instance: name::Instance,
     /// Its availability zone.
     pub zone: name::Zone,
-    /// Pieces of work that it bears at once when warm, as announced.
+    /// Announced limit of concurrent requests when warm.
     pub concurrency: u32,
 }
 
-/// What a piece of work asks of its upstream.
+/// Criteria for the upstream of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// Zone of the entry.
+    /// Zone of the entry process.
     pub zone: &'a name::Zone,
-    /// Hash of the prompt prefix, where there is one.
+    /// Hash of the prompt prefix, if there is one.
     pub prefix: Option<u64>,
-    /// Upstreams that must not be chosen: they were tried already.
+    /// Upstreams that must not be chosen because the request has been sent to them already.
     pub excluded: &'a [name::Instance],
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered in full.
+    /// The response was complete.
     Completed,
-    /// Refused before any of it ran.
+    /// Rejected before any of it ran.
     Rejected(refusal::Reason),
     /// The upstream failed, broke off or could not be reached.
     Failed,
-    /// Ended for a reason that says nothing of the upstream.
+    /// Ended for a reason unrelated to the upstream.
     Cancelled,
 }
 
@@ -64,7 +64,7 @@
 struct Attempt {
     sent_at: clock::Instant,
     cost: u32,
-    /// Whether its answer has begun.
+    /// Whether the response has started.
     is_responding: bool,
 }
 
@@ -75,7 +75,7 @@
     cost: u32,
 }
 
-/// The upstreams of one pool as one entry sees them.
+/// The upstreams of one pool as one entry process sees them.
 #[derive(Clone, Debug, Default)]
 pub struct Chooser {
     upstreams: Vec<State>,
@@ -87,8 +87,8 @@
 }
 
 impl Chooser {
-    /// Adds an upstream, or takes in what changed of it. A new one is trusted with little until
-    /// its agent's first report.
+    /// Adds or updates an upstream. A new one has the limit of a cold upstream until its agent's
+    /// first report.
     pub fn insert(&mut self, now: clock::Instant, upstream: Upstream) {
         if let Some(&index) = self.index.get(&upstream.instance) {
             self.upstreams[index].upstream = upstream;
@@ -115,12 +115,12 @@
         self.holders.forget_instance(instance);
     }
 
-    /// Upstreams that are known.
+    /// The known upstreams.
     pub fn instances(&self) -> impl Iterator<Item = &name::Instance> {
         self.index.keys()
     }
 
-    /// Takes in whether a zone is out.
+    /// Sets whether a zone is evacuated. The load reports from a zone that returns are discarded.
     pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
         if !self.evacuation.set(zone, evacuated) {
             return;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes in a load report of an agent.
+    /// Applies a load report of an agent.
     pub fn on_load_report(
         &mut self,
         now: clock::Instant,
@@ -142,7 +142,7 @@
         state.record.on_activity(now);
     }
 
-    /// Takes in a cache event: the upstream holds a prompt prefix now, or has dropped it.
+    /// Applies a cache event: the upstream has cached a prompt prefix, or has evicted it.
     pub fn on_cache_event(
         &mut self,
         now: clock::Instant,
@@ -153,13 +153,14 @@
         self.holders.on_cache_event(now, instance, prefix, cached);
     }
 
-    /// Forgets what cache events of an upstream told: there was a gap, or it turned cold.
+    /// Discards the cache events of an upstream: there was a gap, or it turned cold.
     pub fn forget_cache(&mut self, instance: &name::Instance) {
         self.holders.forget_instance(instance);
     }
 
-    /// Work that the upstreams have room for. What other entries hold, and their part of what is
-    /// free, is no room of this one: shares of a total that counted it would never bind.
+    /// Capacity of the upstreams for this process. Requests of other entry processes, and their
+    /// share of the free slots, are not counted: a share of a total that included them would never
+    /// take effect as a limit.
     pub fn capacity(&self, now: clock::Instant) -> classes::Capacity {
         let (mut in_flight, mut others, mut free) = (0, 0.0, 0);
         for state in &self.upstreams {
@@ -172,7 +173,7 @@
         classes::Capacity { free, total: in_flight + (f64::from(free) * share).ceil() as u32 }
     }
 
-    /// Chooses an upstream with room; `None` when there is none.
+    /// Chooses an upstream with a free slot; `None` if there is none.
     pub fn pick(
         &mut self,
         now: clock::Instant,
@@ -186,7 +187,7 @@
         Some(self.upstreams[chosen.index].upstream.instance.clone())
     }
 
-    /// Takes in that an attempt was sent.
+    /// Records that an attempt was sent.
     pub fn on_attempt_sent(
         &mut self,
         now: clock::Instant,
@@ -204,7 +205,7 @@
         state.in_flight.insert(attempt, Attempt { sent_at: now, cost, is_responding: false });
     }
 
-    /// Takes in that an attempt's answer has begun.
+    /// Records that the response to an attempt has started.
     pub fn on_response_started(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
         let Some(dispatch) = self.attempts.get(&attempt) else { return };
         let instance = dispatch.instance.clone();
@@ -215,7 +216,7 @@
         state.record.on_response_started(now, now.since(in_flight.sent_at), in_flight.cost);
     }
 
-    /// Takes in that something of an attempt's answer came.
+    /// Records that a part of the response to an attempt arrived.
     pub fn on_response_data(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
         let Some(dispatch) = self.attempts.get(&attempt) else { return };
         let instance = dispatch.instance.clone();
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Takes in how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn on_attempt_ended(
         &mut self,
         now: clock::Instant,
@@ -243,7 +244,8 @@
         self.upstreams.get_mut(index)
     }
 
-    /// Work that an upstream may carry now.
+    /// Requests that an upstream may have in flight now: 0 while it is ejected or its zone is
+    /// evacuated.
     fn concurrency_limit(&self, now: clock::Instant, state: &State) -> u32 {
         if state.record.is_ejected(now) || self.evacuation.is_evacuated(&state.upstream.zone) {
             return 0;
@@ -277,7 +279,8 @@
         candidates
     }
 
-    /// The first in rank for the prefix, known holders ahead, whose load is within the bound.
+    /// The first in rank for the prefix, known holders ahead, whose load is within the affinity
+    /// bound.
     fn find_affine(
         &self,
         now: clock::Instant,
--- a/crates/hyssopfork-policy/src/classes.rs
+++ b/crates/hyssopfork-policy/src/classes.rs
@@ -1,42 +1,40 @@
-//! Classes: room kept for short work beside long.
+//! Capacity reservation by class: keeps slots for short requests and status checks beside long jobs
+//! (bulkheads).
 //!
-//! *Pattern.* Jobs a hundred times the usual length arrive among short ones, and status checks
-//! among both.
+//! When jobs a hundred times the usual length arrive among short requests, they come to hold every
+//! slot, and a status check of a millisecond waits for minutes, however fairly teams take turns.
 //!
-//! *Without it.* Long jobs come to hold every slot; a status check of a millisecond waits for
-//! minutes, however fairly teams take turns.
-//!
-//! *Rule.* Work is sorted into three lanes by its route's class and its cost. Status goes first.
-//! Long work leaves free what short work needs by its arrivals and time in service, since what it
-//! holds it holds for minutes; it is sure of [`LONG_LEAST`] of the room, so that each lane always
-//! moves.
+//! Requests are sorted into three lanes by the class of their route and by their cost. Status
+//! checks go first. Long jobs leave free the slots that short requests need by their arrival rate
+//! and service time, because a long job holds its slot for minutes. Long jobs are guaranteed
+//! [`MIN_LONG_SHARE`] of the slots, so that no lane starves.
 
 use crate::demand;
 use crate::ewma;
 use hyssopfork_wire::{clock, configuration};
 use std::time::Duration;
 
-/// Most of the room that long work may hold, however little short work has come of late: what
-/// comes next finds a slot.
+/// Largest share of the slots that long jobs may hold, even if few short requests came lately: the
+/// next short request finds a free slot.
 pub const MAX_LONG_SHARE: f64 = 0.9;
 
-/// Room kept for short work as a multiple of what it needs on average: the rest is for its swings,
-/// three standard deviations of a need of a hundred slots.
+/// Slots reserved for a lane as a multiple of what it needs on average: the margin covers three
+/// standard deviations of a need of a hundred slots.
 pub const HEADROOM_FACTOR: f64 = 1.3;
 
-/// Share of the room that waiting long work is sure of before short work.
+/// Share of the slots that waiting long jobs are guaranteed before short requests.
 pub const MIN_LONG_SHARE: f64 = 0.1;
 
-/// Most of the room that only status checks may use; as much of it as they need is kept for them,
-/// and nothing when none come.
+/// Largest share of the slots that is reserved for status checks. As many as they need are
+/// reserved, and none while no status checks arrive.
 pub const MAX_STATUS_SHARE: f64 = 0.05;
 
-/// Slots that long work leaves free as a share of what short work needs: they are free to all
-/// processes, and hold the swings of each.
+/// Slots that long jobs leave free, as a multiple of what short requests need: the free slots are
+/// shared by all entry processes and cover the fluctuations of each.
 pub const FREE_RESERVE_FACTOR: f64 = 1.0;
 
 /// Multiple of the typical interactive cost from which a request counts as long, whatever its
-/// class says.
+/// class.
 pub const LONG_COST_FACTOR: f64 = 16.0;
 
 /// Samples over which the typical cost is averaged.
@@ -47,9 +45,9 @@
 pub enum Lane {
     /// Status checks.
     Status,
-    /// Short work.
+    /// Short requests.
     Short,
-    /// Long work.
+    /// Long jobs.
     Long,
 }
 
@@ -57,22 +55,22 @@
 pub const LANE_COUNT: usize = 3;
 
 impl Lane {
-    /// Place of the lane in a table.
+    /// Index of the lane in an array of lanes.
     pub const fn index(self) -> usize {
         self as usize
     }
 }
 
-/// Pieces of work that the upstreams can take together.
+/// Concurrent requests that the upstreams of a pool can take together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// More pieces that can start now.
+    /// Further requests that can start now.
     pub free: u32,
-    /// Pieces that can run at once.
+    /// Requests that can run at once.
     pub total: u32,
 }
 
-/// Sorts work into lanes and shares the room among them.
+/// Sorts requests into lanes and shares the slots among them.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     running: [u32; LANE_COUNT],
@@ -93,7 +91,7 @@
 }
 
 impl Allocator {
-    /// The lane of a request of `class` that costs `cost`.
+    /// The lane of a request of `class` and `cost`.
     pub fn classify(&mut self, class: configuration::Class, cost: u32) -> Lane {
         match class {
             configuration::Class::Status => Lane::Status,
@@ -102,7 +100,8 @@
         }
     }
 
-    /// The lane to serve next, among those that wait; `None` when there is no room for any.
+    /// The lane to serve next, among those with waiting requests; `None` if no slot is available to
+    /// any.
     pub fn choose_lane(
         &self,
         now: clock::Instant,
@@ -132,7 +131,7 @@
         (long_waits && is_within_share && self.has_spare_slot(now, capacity)).then_some(Lane::Long)
     }
 
-    /// Counts work of a lane that arrives.
+    /// Counts the arrival of a request.
     pub fn on_arrival(&mut self, now: clock::Instant, lane: Lane) {
         match lane {
             Lane::Status => self.status_demand.on_arrival(now),
@@ -141,12 +140,12 @@
         }
     }
 
-    /// Counts work of a lane that starts.
+    /// Counts the start of a request.
     pub fn on_start(&mut self, lane: Lane) {
         self.running[lane.index()] += 1;
     }
 
-    /// Counts work of a lane that ends after `elapsed`.
+    /// Counts the end of a request that ran for `elapsed`.
     pub fn on_end(&mut self, lane: Lane, elapsed: Duration) {
         self.undo_start(lane);
         match lane {
@@ -156,27 +155,27 @@
         }
     }
 
-    /// Takes back the start of work that was refused before it ran.
+    /// Reverts the start of a request that was rejected before it ran.
     pub fn undo_start(&mut self, lane: Lane) {
         let running = &mut self.running[lane.index()];
         *running = running.saturating_sub(1);
     }
 
-    /// Slots that are kept for status checks.
+    /// Slots that are reserved for status checks.
     fn slots_for_status(&self, now: clock::Instant, total: f64) -> f64 {
         let needed = (self.status_demand.slots(now) * HEADROOM_FACTOR).ceil();
         needed.min((total * MAX_STATUS_SHARE).floor())
     }
 
-    /// Whether long work may take one more of the slots that are free, of which other processes know
-    /// as well: what is left must hold what short work lacks now, and its swings.
+    /// Whether a long job may take one of the free slots, which other entry processes see as well:
+    /// the rest must cover what short requests lack now, and their fluctuations.
     fn has_spare_slot(&self, now: clock::Instant, capacity: Capacity) -> bool {
         let needed = self.short_demand.slots(now);
         let held = f64::from(self.running[Lane::Short.index()]);
         f64::from(capacity.free) > (needed - held).max(0.0) + needed * FREE_RESERVE_FACTOR
     }
 
-    /// Slots that long work may hold.
+    /// Slots that long jobs may hold.
     fn max_long_slots(&self, now: clock::Instant, total: f64) -> f64 {
         let left = total - self.short_demand.slots(now) * HEADROOM_FACTOR;
         left.clamp(total * MIN_LONG_SHARE, total * MAX_LONG_SHARE).floor().max(1.0)
--- a/crates/hyssopfork-policy/src/demand.rs
+++ b/crates/hyssopfork-policy/src/demand.rs
@@ -1,18 +1,18 @@
-//! Demand: slots that a kind of work needs, by Little's law from its arrivals and its time in
-//! service. Unlike the slots that it holds, that doesn't shrink when the work is squeezed.
+//! Estimate of the slots that a lane needs, by Little's law: arrival rate times service time.
+//! Unlike the slots in use, the estimate doesn't shrink while the lane is short of slots.
 
 use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Time over which arrivals are forgotten: longer than the pauses between a team's batches of
+/// Time constant of the arrival count's decay: longer than the pauses between a team's batches of
 /// calls, shorter than a long job.
 pub const ARRIVAL_DECAY: Duration = Duration::from_secs(10);
 
-/// Pieces of work over which the time in service is averaged.
+/// Requests over which the service time is averaged.
 const SERVICE_TIME_SPAN: f64 = 128.0;
 
-/// Demand of one kind of work.
+/// Demand of one lane.
 #[derive(Clone, Debug)]
 pub struct Demand {
     arrivals: f64,
@@ -34,12 +34,12 @@
         self.updated_at = now;
     }
 
-    /// Takes in a time in service.
+    /// Records the service time of a request.
     pub fn record_service_time(&mut self, elapsed: Duration) {
         self.service_time.add(elapsed.as_secs_f64());
     }
 
-    /// Slots that the work needs on average.
+    /// Slots needed on average.
     pub fn slots(&self, now: clock::Instant) -> f64 {
         let rate = self.decayed_arrivals(now) / ARRIVAL_DECAY.as_secs_f64();
         rate * self.service_time.mean().unwrap_or_default()
--- a/crates/hyssopfork-policy/src/ejection.rs
+++ b/crates/hyssopfork-policy/src/ejection.rs
@@ -1,60 +1,60 @@
-//! Ejection: upstreams that do worse than their peers get no work for a while.
+//! Outlier ejection: an upstream that performs much worse than its peers gets no requests for a
+//! while.
 //!
-//! *Pattern.* One upstream in thirty is ten times slower, hangs, or fails every request at once.
+//! If one upstream in thirty is ten times slower, hangs, or fails every request at once, the others
+//! suffer too: one that fails fast is always free and so attracts most of the requests; one that
+//! hangs holds each request until its deadline.
 //!
-//! *Without it.* The one that fails fast is always free and so draws most of the work; the one
-//! that hangs holds each request until its deadline.
-//!
-//! *Rule.* An upstream is judged against its peers: a pace of [`SLOW_FACTOR`] times their median,
-//! a run of [`FAILURE_RUN`] failures, an answer that is overdue to begin, or silence while one is
-//! overdue to end. It is
-//! ejected for a time that doubles with each repetition, and returns through the ramp. At most
-//! [`MOST`] of the upstreams are out: beyond that the fault is common to all, and ejection would
-//! only take capacity away.
+//! An upstream is compared with its peers. It is an outlier if its time per token is
+//! [`SLOW_FACTOR`] times their median, after [`CONSECUTIVE_FAILURES`] failures, if the start of a
+//! response is overdue, or if it is silent while the end of a response is overdue. The ejection
+//! time doubles with each repetition, and the upstream returns by slow start. At most
+//! [`MAX_EJECTED_SHARE`] of the upstreams are ejected at once: beyond that the fault is common to
+//! all, and ejection would only reduce capacity.
 
 use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Pace, as a multiple of the peers' median, that is an outlier. Continuous batching alone varies
-/// the pace by 2 to 3 between an idle and a full upstream.
+/// Time per token, as a multiple of the peers' median, from which an upstream is an outlier.
+/// Continuous batching alone varies it by 2 to 3 between an idle and a full upstream.
 pub const SLOW_FACTOR: f64 = 4.0;
 
-/// Failures in a row that are an outlier.
+/// Consecutive failures from which an upstream is an outlier.
 pub const CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Time to a whole answer, for each unit of cost and as a multiple of the peers' median, from which
-/// it is overdue. Costs are estimates that may be wrong by two, and a full batch takes twice the
-/// time of an empty one. Silence alone says nothing: an upstream that runs one long job is silent
-/// for minutes where its answer isn't streamed.
+/// Time to the end of a response per token, as a multiple of the peers' median, from which the end
+/// is overdue. Costs are estimates that may be wrong by a factor of two, and a full batch takes
+/// twice the time of an empty one. Silence alone is no sign of a fault: an upstream that runs one
+/// long job is silent for minutes if its response isn't streamed.
 pub const LATE_END_FACTOR: f64 = 6.0;
 
-/// Time until an answer begins, for each unit of cost and as a multiple of the peers' median, from
-/// which it is overdue. A cold upstream takes two to three times as long.
+/// Time to the start of a response per token, as a multiple of the peers' median, from which the
+/// start is overdue. A cold upstream takes two to three times as long.
 pub const LATE_START_FACTOR: f64 = 5.0;
 
-/// Least silence that counts: a pause of a garbage collector or a checkpoint is shorter.
+/// Shortest silence that counts: a garbage collection or checkpoint pause is shorter.
 pub const MIN_SILENCE: Duration = Duration::from_millis(500);
 
-/// Share of the upstreams that may be out at once.
+/// Largest share of the upstreams that may be ejected at once.
 pub const MAX_EJECTED_SHARE: f64 = 0.3;
 
-/// Time of the first ejection.
+/// Duration of the first ejection.
 pub const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// Longest time of an ejection.
+/// Longest ejection.
 pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
-/// Answers over which the pace is averaged.
+/// Responses over which latencies are averaged.
 const LATENCY_SPAN: f64 = 16.0;
 
-/// Answers needed before the pace is judged.
+/// Responses needed before a latency is compared.
 const MIN_SAMPLES: f64 = 4.0;
 
-/// Peers needed for a comparison.
+/// Upstreams with data needed for a comparison.
 const MIN_PEERS: usize = 3;
 
-/// What is remembered of one upstream.
+/// Health record of one upstream.
 #[derive(Clone, Debug)]
 pub struct Record {
     token_latency: ewma::Ewma,
@@ -67,7 +67,7 @@
 }
 
 impl Record {
-    /// An upstream of which nothing is known.
+    /// An upstream without any history.
     pub fn new(now: clock::Instant) -> Record {
         Record {
             token_latency: ewma::Ewma::new(LATENCY_SPAN),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes in a full answer to work of `cost` after `elapsed`.
+    /// Records a complete response to a request of `cost` after `elapsed`.
     pub fn on_completion(&mut self, now: clock::Instant, elapsed: Duration, cost: u32) {
         self.last_heard_at = now;
         self.consecutive_failures = 0;
@@ -88,15 +88,15 @@
         self.reset_ejections(now);
     }
 
-    /// Takes in that an answer to work of `cost` began after `elapsed`.
+    /// Records that the response to a request of `cost` started after `elapsed`.
     pub fn on_response_started(&mut self, now: clock::Instant, elapsed: Duration, cost: u32) {
         self.last_heard_at = now;
         self.start_latency.add(elapsed.as_secs_f64() / f64::from(cost.max(1)));
     }
 
-    /// Takes in that the upstream failed a piece of work that began at `begun`. Work that had begun
-    /// when it last failed one fell to the same cause, a crash perhaps, and counts with it: what a
-    /// crashed upstream does next is the ramp's to find out.
+    /// Records the failure of a request sent at `sent_at`. A request sent before the last failure
+    /// is taken to have failed by the same cause, such as a crash, and is not counted again: slow
+    /// start handles what a crashed upstream does next.
     pub fn on_failure(&mut self, now: clock::Instant, sent_at: clock::Instant) {
         self.last_heard_at = now;
         if self.consecutive_failures > 0 && sent_at <= self.last_failure_at {
@@ -106,7 +106,7 @@
         self.last_failure_at = now;
     }
 
-    /// Takes in that the upstream said something, or that its first piece of work began.
+    /// Records a sign of life, or that the first request to an idle upstream was sent.
     pub fn on_activity(&mut self, now: clock::Instant) {
         self.last_heard_at = now;
     }
@@ -116,7 +116,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Time for each unit of cost lately.
+    /// Recent time per token of cost, in seconds.
     pub fn token_latency(&self) -> Option<f64> {
         self.token_latency.mean().filter(|_| self.token_latency.sample_count() >= MIN_SAMPLES)
     }
@@ -130,7 +130,7 @@
         self.ejections = ejections;
     }
 
-    /// Forgets earlier ejections after the upstream has answered well for [`LONGEST`].
+    /// Resets the ejection count after [`MAX_EJECTION_TIME`] of successful responses.
     fn reset_ejections(&mut self, now: clock::Instant) {
         if self.ejected_until.is_some_and(|until| now >= until + MAX_EJECTION_TIME) {
             self.ejected_until = None;
@@ -160,13 +160,13 @@
     }
 }
 
-/// What an upstream has in flight.
+/// Ages of the requests that an upstream has in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ages {
-    /// Longest time of an answer so far, in seconds for each unit of its cost.
+    /// Longest time since a request was sent, in seconds per token of its cost.
     pub response: f64,
-    /// Longest wait of an answer that has not begun, in seconds for each unit of its cost; 0 when
-    /// none has waited for [`SILENCE_LEAST`].
+    /// Longest wait for the start of a response, in seconds per token of its cost; 0 if none has
+    /// waited for [`MIN_SILENCE`].
     pub start_wait: f64,
 }
 
@@ -175,13 +175,13 @@
     start_latency: Option<f64>,
 }
 
-/// Median pace of all upstreams that have one; `None` with too few for a comparison.
+/// Median time per token of the upstreams with data; `None` if they are too few for a comparison.
 pub fn median_token_latency<'a>(records: impl Iterator<Item = &'a Record>) -> Option<f64> {
     median(records.filter_map(Record::token_latency).collect())
 }
 
-/// Ejects the outliers among `records` (each with what is in flight), within the bound on how many
-/// may be out. Returns the places of those newly ejected.
+/// Ejects the outliers among `records` (each with the ages of its requests in flight), up to the
+/// largest share that may be ejected. Returns the indices of the newly ejected.
 pub fn eject_outliers(now: clock::Instant, records: &mut [(&mut Record, Ages)]) -> Vec<usize> {
     let max_ejected = (records.len() as f64 * MAX_EJECTED_SHARE) as usize;
     let mut ejected_count = records.iter().filter(|(record, _)| record.is_ejected(now)).count();
--- a/crates/hyssopfork-policy/src/evacuation.rs
+++ b/crates/hyssopfork-policy/src/evacuation.rs
@@ -1,28 +1,27 @@
-//! Evacuation: how a zone's load leaves, and how it returns.
+//! Zone evacuation: how load leaves a zone, and how it returns.
 //!
-//! *Pattern.* Operators take a zone out at short notice while the others are near their limits,
-//! and bring it back later, with upstreams that may have been restarted meanwhile.
+//! Operators evacuate a zone at short notice while the others are near their limits, and bring it
+//! back later, with upstreams that may have been restarted meanwhile. Three faults must not occur:
+//! requests still go to a zone whose agents reject them; the load overloads the remaining zones; or
+//! the returning upstreams get the load that they had before, when they were warm.
 //!
-//! *Without it.* Work goes on to a zone whose agents refuse it; or the load lands on the others
-//! beyond their limits and tips them; on return the upstreams get what they bore when they were
-//! last heard of, warm.
-//!
-//! *Rule.* A zone that is out gets no new work from the moment it is known; its work in flight
-//! ends where it runs. What the others cannot take within their limits waits in the queue, which
-//! refuses by time. On return each upstream is trusted with as little as one never heard of until
-//! its agent reports: the agents' ramps, which see the work of all entries, set the pace.
+//! An evacuated zone gets no new requests from the moment the evacuation is known; its requests in
+//! flight finish where they run. What the other zones cannot take within their limits waits in the
+//! queue, which rejects by deadline. On return each upstream has the limit of an unknown one until
+//! its agent reports. The agents see the requests of all entry processes, so their slow start sets
+//! the pace.
 
 use hyssopfork_wire::name;
 use std::collections::BTreeSet;
 
-/// Zones that are out.
+/// The evacuated zones.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuation {
     zones: BTreeSet<name::Zone>,
 }
 
 impl Evacuation {
-    /// Takes in whether a zone is out. Returns whether it is back from having been out.
+    /// Sets whether a zone is evacuated. Returns whether it has just returned.
     pub fn set(&mut self, zone: &name::Zone, evacuated: bool) -> bool {
         if evacuated {
             self.zones.insert(zone.clone());
@@ -31,7 +30,7 @@
         self.zones.remove(zone)
     }
 
-    /// Whether the zone is out.
+    /// Whether the zone is evacuated.
     pub fn is_evacuated(&self, zone: &name::Zone) -> bool {
         self.zones.contains(zone)
     }
--- a/crates/hyssopfork-policy/src/ewma.rs
+++ b/crates/hyssopfork-policy/src/ewma.rs
@@ -1,6 +1,7 @@
-//! Averages that forget: a mean over samples whose weight halves with each further `span` samples.
+//! Exponentially weighted moving average (EWMA): a sample's weight decays with the number of later
+//! samples, by a factor of e over each `span` of them.
 
-/// A decaying mean; empty until the first sample.
+/// Exponentially weighted moving average; empty until the first sample.
 #[derive(Clone, Copy, Debug)]
 pub struct Ewma {
     span: f64,
@@ -9,12 +10,12 @@
 }
 
 impl Ewma {
-    /// An empty mean over about the last `span` samples.
+    /// An empty average over about the last `span` samples.
     pub const fn new(span: f64) -> Ewma {
         Ewma { span, sample_count: 0.0, mean: 0.0 }
     }
 
-    /// Takes in a sample. The first `span` samples weigh alike, so that the mean is right early.
+    /// Adds a sample. The first `span` samples weigh alike, so that the mean is accurate early.
     pub fn add(&mut self, sample: f64) {
         self.sample_count = (self.sample_count + 1.0).min(self.span);
         self.mean += (sample - self.mean) / self.sample_count;
@@ -25,7 +26,7 @@
         (self.sample_count > 0.0).then_some(self.mean)
     }
 
-    /// Number of samples taken in, at most the span.
+    /// Number of samples added, at most the span.
     pub fn sample_count(&self) -> f64 {
         self.sample_count
     }
--- a/crates/hyssopfork-policy/src/fairness.rs
+++ b/crates/hyssopfork-policy/src/fairness.rs
@@ -1,24 +1,22 @@
-//! Fairness: deficit round robin over teams, by cost.
+//! Deficit round robin (DRR) over teams, by cost.
 //!
-//! *Pattern.* A hot team sends twenty times its share, or a few very long prompts, while others
-//! send as usual.
+//! A hot team may send twenty times its share, or a few very long prompts, while the others send as
+//! usual. First come, first served would give each team service in proportion to what it sends:
+//! small teams would wait behind the hot team's backlog.
 //!
-//! *Without it.* First come first served gives each team service in proportion to what it sends:
-//! the hot team's backlog stands before everybody and small teams wait for it.
-//!
-//! *Rule.* Each team has its own queue. Teams with work take turns; a turn is worth the mean cost
-//! of a request times the team's weight, and what is not used of it while the team still has work
-//! is kept for its next turn. A small team's wait is then bounded by one turn of
-//! each other team, whatever their backlog.
+//! Each team has its own queue, and teams with waiting requests take turns. A turn is worth the
+//! mean cost of a request times the team's weight; the unused rest is kept for the team's next turn
+//! while it still has requests. The wait of a small team is bounded by one turn of each other team,
+//! whatever their backlogs.
 
 use crate::ewma;
 use hyssopfork_wire::name;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Worth of a turn in tokens before any cost was seen.
+/// Quantum before any cost is known.
 const INITIAL_QUANTUM_TOKENS: u64 = 64;
 
-/// Requests over which the worth of a turn is averaged. A turn of the mean cost serves about one
+/// Requests over which the quantum is averaged. A quantum of the mean cost serves about one
 /// request, so that a round over all teams is as short as it can be without many empty turns.
 const QUANTUM_SPAN: f64 = 256.0;
 
@@ -34,9 +32,9 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler<T> {
     backlogs: BTreeMap<name::Team, Backlog<T>>,
-    /// Teams with work, in the order of their turns; the first has the turn.
+    /// Teams with waiting items, in the order of their turns; the first has the turn.
     active: VecDeque<name::Team>,
-    /// Whether the first of `turns` has had its turn's worth added.
+    /// Whether the first of `active` has received its quantum for this turn.
     has_quantum: bool,
     mean_cost: ewma::Ewma,
     cost: u64,
@@ -57,12 +55,12 @@
 }
 
 impl<T> Scheduler<T> {
-    /// Sets a team's weight; teams without one have weight 1.
+    /// Sets a team's weight; the default is 1.
     pub fn set_weight(&mut self, team: &name::Team, weight: u32) {
         self.backlog_mut(team).weight = weight.max(1);
     }
 
-    /// Adds an item at the end of its team's queue.
+    /// Appends an item to its team's queue.
     pub fn push(&mut self, team: &name::Team, cost: u32, item: T) {
         let cost = u64::from(cost.max(1));
         let backlog = self.backlog_mut(team);
@@ -71,7 +69,8 @@
         self.on_push(team, cost);
     }
 
-    /// Puts an item back at the front of its team's queue.
+    /// Puts an item back at the front of its team's queue, and returns its cost to the team's
+    /// deficit.
     pub fn push_front(&mut self, team: &name::Team, cost: u32, item: T) {
         let cost = u64::from(cost.max(1));
         let backlog = self.backlog_mut(team);
@@ -80,7 +79,7 @@
         self.on_push(team, cost);
     }
 
-    /// Takes the item whose turn it is.
+    /// Removes the next item in turn.
     pub fn pop(&mut self) -> Option<T> {
         loop {
             let team = self.active.front()?.clone();
@@ -108,7 +107,7 @@
         }
     }
 
-    /// Removes the items for which `remove` says so, and returns them.
+    /// Removes and returns the items that `remove` selects.
     pub fn extract_if(&mut self, mut remove: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
         for backlog in self.backlogs.values_mut() {
@@ -127,9 +126,8 @@
         removed
     }
 
-    /// Cost that will be served before an item of `cost` that the team adds now, with all teams
-    /// sharing by weight: its own backlog, and of each other team as much as it may take
-    /// meanwhile.
+    /// Cost that is served before an item of `cost` that the team adds now, with all teams sharing
+    /// by weight: the team's own backlog, and of each other team as much as it may take meanwhile.
     pub fn cost_ahead(&self, team: &name::Team, cost: u32) -> u64 {
         let own = self.backlogs.get(team);
         let weight = own.map_or(1, |backlog| backlog.weight);
@@ -142,22 +140,22 @@
         own_cost + others
     }
 
-    /// Cost of all that waits.
+    /// Cost of all waiting items.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// Cost of what waits for one team.
+    /// Cost of one team's waiting items.
     pub fn team_cost(&self, team: &name::Team) -> u64 {
         self.backlogs.get(team).map_or(0, |backlog| backlog.cost)
     }
 
-    /// Number of items that wait.
+    /// Number of waiting items.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
@@ -195,7 +193,7 @@
         }
     }
 
-    /// Ends the turn of a team that has nothing left: what it did not use is not saved up.
+    /// Ends the turn of a team without waiting items: its unused deficit is not saved.
     fn end_turn(&mut self, team: &name::Team) {
         self.backlog_mut(team).deficit = 0;
         self.active.pop_front();
--- a/crates/hyssopfork-policy/src/hedge.rs
+++ b/crates/hyssopfork-policy/src/hedge.rs
@@ -1,32 +1,30 @@
-//! Hedging: a second copy of a request whose first copy is stuck on a straggler.
+//! Hedged requests: a second copy of a request whose first copy is stuck on a slow upstream.
 //!
-//! *Pattern.* One upstream in many pauses or slows; a few requests on it take many times the usual
-//! time while its peers idle.
+//! If one upstream in many pauses or slows down, a few requests take many times the usual time
+//! while its peers idle: the slowest hundredth of responses takes as long as the pause, although
+//! another upstream would have responded in the usual time.
 //!
-//! *Without it.* The slowest hundredth of answers takes as long as the pause, though another
-//! upstream would have answered in the usual time.
-//!
-//! *Rule.* For repeatable requests only, a second copy after a wait longer than nearly all answers
-//! take to begin, spent from the same budget as retries.
+//! Only repeatable requests are hedged, after a wait longer than nearly all responses take to
+//! start, and from the same budget as retries.
 
 use crate::retry;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Answers whose times to begin are remembered.
+/// Responses whose times to the start are remembered.
 const MAX_SAMPLES: usize = 256;
 
-/// Samples needed before anything is hedged.
+/// Samples needed before any request is hedged, and between two updates of the delay.
 const MIN_SAMPLES: usize = 64;
 
-/// Place of the hedge delay among the remembered times: past it only one in twenty is hedged, half
-/// of the retry budget's share.
+/// Quantile of the remembered times that sets the hedge delay: only one request in twenty is
+/// slower, half of the retry budget's share.
 const DELAY_QUANTILE: f64 = 0.95;
 
-/// Multiple of the quantile, so that a uniform slow-down of all upstreams hedges little.
+/// Multiple of the quantile, so that a uniform slow-down of all upstreams causes few hedges.
 const DELAY_MARGIN: f64 = 1.5;
 
-/// When to hedge, for one pool and class.
+/// Hedge delay of one pool and class.
 #[derive(Clone, Debug, Default)]
 pub struct Hedge {
     samples: VecDeque<Duration>,
@@ -35,7 +33,7 @@
 }
 
 impl Hedge {
-    /// Takes in the time that an answer took to begin.
+    /// Records the time to the start of a response.
     pub fn record_start_latency(&mut self, elapsed: Duration) {
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
@@ -48,14 +46,14 @@
         }
     }
 
-    /// Time after which a request that has not begun to be answered is worth a second copy; `None`
-    /// until enough answers were seen.
+    /// Time without a response after which a request is hedged; `None` until there are enough
+    /// samples.
     pub fn delay(&self) -> Option<Duration> {
         self.delay
     }
 
     /// Whether to send a second copy of a request that has waited for `waited`; spends from the
-    /// budget when so. Never for a request that may not repeat: both copies may run.
+    /// budget if so. Never for a non-repeatable request, because both copies may run.
     pub fn try_hedge(
         &self,
         repeatable: bool,
--- a/crates/hyssopfork-policy/src/lib.rs
+++ b/crates/hyssopfork-policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions under load, without network, clock or threads.
+//! Load-management policies as plain state machines, without network, clock or threads.
 //!
-//! Time (`now`) and random numbers come in as arguments; everything else is plain state. Each
-//! module answers one load pattern and says what happens without it and what its figures rest on.
+//! Time (`now`) and random numbers are passed as arguments. Each module handles one load pattern;
+//! its documentation gives the failure that it prevents and the reasons for its constants.
 //!
-//! # What an entry uses, for each pool
+//! # In an entry process, for each pool
 //!
 //! ```
 //! use hyssopfork_policy::{choice, queue};
@@ -14,7 +14,7 @@
 //! let mut chooser = choice::Chooser::default();
 //! let mut queue = queue::Queue::default();
 //!
-//! // From the view, whenever it changes: upstreams, zones, weights.
+//! // Whenever the view changes: upstreams, zones, weights.
 //! let upstream = choice::Upstream {
 //!     instance: "runner-1".into(),
 //!     zone: "zone-a".into(),
@@ -24,7 +24,7 @@
 //! chooser.set_zone_evacuated(&"zone-b".into(), true);
 //! queue.set_weight(&"team-a".into(), 2);
 //!
-//! // A request arrives: it waits, or is refused at once.
+//! // A request arrives: it is queued, or rejected immediately.
 //! let item = queue::Item {
 //!     request: 1,
 //!     team: "team-a".into(),
@@ -34,7 +34,8 @@
 //! };
 //! assert_eq!(queue.enqueue(now, item, 17), queue::Admission::Queued);
 //!
-//! // At once, on each tick and after each end: start what there is room for.
+//! // Right after that, on each tick and after each end: start the requests that there is capacity
+//! // for.
 //! let batch = queue.dispatch(now, chooser.capacity(now), 18);
 //! assert!(batch.expired.is_empty());
 //! for item in batch.ready {
@@ -58,8 +59,8 @@
 //! }
 //! ```
 //!
-//! A request that is tried again picks anew with the tried upstreams excluded, if
-//! [`retry::Budget::try_retry`] allows it; it stays started in the queue until its last end.
+//! If [`retry::Budget::try_retry`] allows a retry, the request picks another upstream, with the
+//! tried ones excluded; in the queue it stays started until its last attempt ends.
 //!
 //! ```
 //! use hyssopfork_policy::{hedge, retry};
@@ -77,7 +78,7 @@
 //! assert!(!hedge.try_hedge(true, Duration::from_millis(90), &mut budget));
 //! ```
 //!
-//! # What an agent uses
+//! # In an agent
 //!
 //! ```
 //! use hyssopfork_policy::slow_start;
@@ -92,7 +93,7 @@
 //! assert!(!slow_start.is_warm());
 //! ```
 //!
-//! # What control uses
+//! # In control
 //!
 //! ```
 //! use hyssopfork_policy::{placement, weight_loads};
--- a/crates/hyssopfork-policy/src/limit.rs
+++ b/crates/hyssopfork-policy/src/limit.rs
@@ -1,49 +1,48 @@
-//! Adaptive concurrency limit of one upstream, by what its answers say.
+//! Adaptive concurrency limit of one upstream (AIMD), driven by response times and failures.
 //!
-//! *Pattern.* The concurrency that an upstream bears isn't what was declared: long prompts fill
-//! its memory, a neighbour slows its fabric, another entry sends to it as well.
+//! An upstream's real concurrency differs from the declared one: long prompts fill its memory, a
+//! neighbour slows its fabric, another entry process sends to it as well. Requests beyond the knee
+//! only wait inside the upstream, where no deadline, class or team counts, until it crashes.
 //!
-//! *Without it.* Work beyond the knee only waits inside the upstream, where no deadline, class or
-//! team counts, until it falls over.
-//!
-//! *Rule.* Additive increase while answers come at the usual pace and the limit is used;
-//! multiplicative decrease, once for each round trip, when the pace falls off, the upstream
-//! refuses, or it fails.
+//! Additive increase while responses take the usual time and the limit is used; multiplicative
+//! decrease, once per round trip, when responses slow down, the upstream rejects, or it fails.
 
 use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Factor of a decrease: gentler than halving, since the pace of a full batch varies by itself.
+/// Factor of a decrease: gentler than halving, because the response times of a full batch vary by
+/// themselves.
 pub const DECREASE_FACTOR: f64 = 0.8;
 
-/// Pace, as a multiple of the long-run one, from which the upstream counts as overloaded.
+/// Time per token, as a multiple of the long-term average, from which the upstream counts as
+/// overloaded.
 pub const SLOW_FACTOR: f64 = 2.0;
 
-/// Least limit: one request keeps the measurement going.
+/// Smallest limit: one request keeps the measurement going.
 pub const MIN_LIMIT: f64 = 1.0;
 
-/// Samples of the long-run pace.
+/// Samples of the long-term latency average.
 const LONG_TERM_SPAN: f64 = 512.0;
 
-/// Samples of the present pace.
+/// Samples of the short-term latency average.
 const SHORT_TERM_SPAN: f64 = 8.0;
 
-/// Samples needed before the pace is judged.
+/// Samples needed before latencies are compared.
 const MIN_SAMPLES: f64 = 32.0;
 
-/// What an ended attempt says.
+/// What the outcome of an attempt says about the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feedback {
-    /// It was answered in full.
+    /// The response was complete.
     Completed,
-    /// It was refused for want of room, or the upstream failed it.
+    /// It was rejected for lack of capacity, or the upstream failed it.
     Overloaded,
-    /// It says nothing.
+    /// The outcome says nothing about the load.
     Neutral,
 }
 
-/// The limit.
+/// Adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub struct Limit {
     ceiling: f64,
@@ -54,7 +53,7 @@
 }
 
 impl Limit {
-    /// A limit that starts at and never exceeds `ceiling`.
+    /// A limit that starts at `ceiling` and never exceeds it.
     pub fn new(ceiling: u32) -> Limit {
         let ceiling = f64::from(ceiling.max(1));
         Limit {
@@ -66,12 +65,12 @@
         }
     }
 
-    /// Pieces of work that may be in flight.
+    /// Requests that may be in flight.
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Takes another ceiling.
+    /// Changes the ceiling.
     pub fn set_ceiling(&mut self, ceiling: u32) {
         let ceiling = f64::from(ceiling.max(1));
         let was_full = self.limit >= self.ceiling;
@@ -79,13 +78,13 @@
         self.limit = if was_full { ceiling } else { self.limit.min(ceiling) };
     }
 
-    /// Time for each unit of cost lately; `None` before the first answer.
+    /// Recent time per token of cost, in seconds; `None` before the first response.
     pub fn token_latency(&self) -> Option<f64> {
         self.short_term_latency.mean()
     }
 
-    /// Takes in the end of an attempt that cost `cost`, began at `begun` and shared the upstream
-    /// with `in_flight` others of this process.
+    /// Records the end of an attempt of `cost` that was sent at `sent_at`, with `in_flight` others
+    /// of this process on the upstream.
     pub fn on_attempt_ended(
         &mut self,
         now: clock::Instant,
@@ -132,8 +131,8 @@
             .is_some_and(|(long_term, short_term)| short_term > long_term * SLOW_FACTOR)
     }
 
-    /// Lowers the limit, unless the attempt began before the last decrease: what it says was
-    /// answered by that one.
+    /// Decreases the limit, unless the attempt was sent before the last decrease, which has already
+    /// accounted for it.
     fn decrease(&mut self, now: clock::Instant, sent_at: clock::Instant) {
         if sent_at <= self.last_decrease_at {
             return;
--- a/crates/hyssopfork-policy/src/placement.rs
+++ b/crates/hyssopfork-policy/src/placement.rs
@@ -1,25 +1,23 @@
-//! Placement and repair of serving groups: where each group stands, and what is done when members
-//! are lost.
+//! Placement and repair of serving groups: assigns instances to groups, and replaces lost members.
 //!
-//! *Pattern.* An instance dies, then another right after the repair; a whole fabric domain goes
-//! dark; more groups are broken than there are instances to mend them, and the weight store bears
-//! only a few loads at once.
+//! An instance dies, then another right after the repair; a whole fabric domain goes dark; more
+//! groups are broken than there are instances to repair them, and the weight store serves only a
+//! few loads at once. A naive repair rebuilds groups from scratch elsewhere, so that every member
+//! loads weights; the most important group waits behind lesser ones; free instances lie scattered
+//! over domains where no group fits.
 //!
-//! *Without it.* Groups are rebuilt from nothing elsewhere, so that every member loads weights;
-//! the greatest group waits behind lesser ones; free instances lie scattered over domains where no
-//! group fits.
-//!
-//! *Rules.*
-//! - All members of a group share one fabric domain and one pool; no instance is in two groups.
-//! - A broken group is mended with spares of its own domain, in the places of the missing, so that
-//!   survivors keep their weights. Only when its domain has too few is it rebuilt in another.
-//! - Greater priority first; among equals the fewest loads first, since each load then restores
-//!   the most work.
-//! - A group that cannot be mended otherwise takes instances from a broken group of no greater
-//!   priority that cannot be mended either, then from a serving group of lesser priority.
-//! - Among domains the fullest that keeps a spare, so that the next loss is mended in place and
-//!   large holes stay whole for further groups.
-//! - The function looks only at the present: a second loss right after a repair is one more call.
+//! Rules:
+//! - All members of a group are in one fabric domain and one pool; no instance is in two groups.
+//! - A broken group is repaired with spares of its own domain, at the ranks of the missing members,
+//!   so that survivors keep their weights. Only if its domain has too few is it rebuilt in another.
+//! - Higher priority first; among equals the fewest loads first, since each load then restores the
+//!   most capacity.
+//! - A group that cannot be repaired otherwise preempts a broken group of the same or lower
+//!   priority that cannot be repaired either, then a serving group of lower priority.
+//! - Among domains the fullest that keeps a spare, so that the next loss is repaired in place and
+//!   large free blocks stay whole for further groups.
+//! - Decisions depend only on the present state: a second loss right after a repair is one more
+//!   call.
 
 use crate::weight_loads;
 use hyssopfork_wire::name;
@@ -31,10 +29,9 @@
 /// Whether an instance may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It may take part in new placements.
+    /// It may be used in new placements.
     Available,
-    /// It is alive but takes part in no new placement: its zone is out, or it is drained or
-    /// leaving.
+    /// It is alive but gets no new placement: its zone is evacuated, or it is draining or leaving.
     Cordoned,
     /// It is gone or silent.
     Missing,
@@ -53,7 +50,7 @@
     pub pool: name::Pool,
     /// Whether it may be used.
     pub availability: Availability,
-    /// Model whose weights it holds, where known: joining a group of that model needs no load.
+    /// Model whose weights it has loaded, if known: joining a group of that model needs no load.
     pub loaded_model: Option<name::Model>,
 }
 
@@ -68,20 +65,20 @@
     pub model: name::Model,
     /// Number of members, at least 1.
     pub size: u32,
-    /// Higher is placed and mended first.
+    /// Groups of higher priority are placed and repaired first.
     pub priority: u32,
 }
 
-/// Where a group stands now.
+/// Current placement of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Members in order.
+    /// Members in order of rank.
     pub members: Vec<name::Instance>,
-    /// Requests that run on it now.
+    /// Requests that run on it.
     pub running: u32,
 }
 
-/// All that placement looks at.
+/// Input of the placement decision.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Instances; a member that isn't listed counts as missing.
@@ -90,30 +87,30 @@
     pub groups: Vec<Group>,
     /// Current placements.
     pub placements: BTreeMap<name::Group, Placement>,
-    /// Pacing of weight loads.
+    /// Concurrency limit of weight loads.
     pub budget: weight_loads::Budget,
 }
 
-/// A decision, to be applied in the order given.
+/// A decision. Decisions are applied in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The group stands on these members from now on, in place of where it stood.
+    /// Places the group on these members, instead of its current placement.
     Place {
         /// The group.
         group: name::Group,
-        /// Its members in order; who stayed kept the place that it had.
+        /// Its members in order of rank; members that stay keep their rank.
         members: Vec<name::Instance>,
     },
-    /// The group stands nowhere from now on.
+    /// Removes the group's placement.
     Unplace(name::Group),
 }
 
-/// What to change now. Empty when nothing can or need be done.
+/// Changes to make now. Empty if nothing can or need be changed.
 pub fn decide(fleet: &Fleet) -> Vec<Decision> {
     planner::Planner::new(fleet).run()
 }
 
-/// A fabric domain: names of domains are unique only within a zone and pool.
+/// Key of a fabric domain: names of domains are unique only within a zone and pool.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Domain {
     pool: name::Pool,
@@ -131,5 +128,5 @@
     }
 }
 
-/// Free usable instances by domain.
+/// Free available instances by domain.
 type Spares = BTreeMap<Domain, BTreeSet<name::Instance>>;
--- a/crates/hyssopfork-policy/src/placement/candidate.rs
+++ b/crates/hyssopfork-policy/src/placement/candidate.rs
@@ -1,10 +1,10 @@
-//! Ways to place one group, and the best of them.
+//! Candidate placements of one group, and the choice of the best.
 
 use super::{Availability, Domain, Group, Instance, planner};
 use hyssopfork_wire::name;
 use std::collections::BTreeSet;
 
-/// A way to place a group.
+/// A candidate placement of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) members: Vec<name::Instance>,
@@ -12,12 +12,12 @@
     pub(super) loads: u32,
 }
 
-/// The way with the fewest loads; among equals the one that leaves the better holes.
+/// Repairs the group in place if possible; otherwise rebuilds it in one domain.
 pub(super) fn find_best(planner: &planner::Planner<'_>, group: &Group) -> Option<Candidate> {
     repair(planner, group).or_else(|| rebuild(planner, group))
 }
 
-/// Fills the places of members that can't stay with spares of the same domain.
+/// Replaces the members that are not available with spares of the same domain.
 fn repair(planner: &planner::Planner<'_>, group: &Group) -> Option<Candidate> {
     let current = planner.placements.get(&group.name)?;
     if current.members.len() != group.size as usize {
@@ -49,7 +49,8 @@
     Some(Candidate { members, loads })
 }
 
-/// Places the whole group in one domain.
+/// Places the whole group in the domain that needs the fewest loads; among equals, one that keeps a
+/// spare, then the fullest.
 fn rebuild(planner: &planner::Planner<'_>, group: &Group) -> Option<Candidate> {
     let size = group.size as usize;
     let domains = planner
@@ -67,8 +68,8 @@
     best.map(|(_, _, candidate)| candidate)
 }
 
-/// Spares in the order in which the group takes them: those that hold its weights first, those
-/// that hold another model's last.
+/// Spares in order of preference: those with the group's weights loaded first, those with another
+/// model's last.
 fn rank_spares<'a>(
     planner: &'a planner::Planner<'_>,
     group: &Group,
--- a/crates/hyssopfork-policy/src/placement/planner.rs
+++ b/crates/hyssopfork-policy/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! One run of placement: the state that decisions are tried on, in order.
+//! One run of the placement decision: applies decisions in order to a copy of the state.
 
 use super::{Availability, Decision, Domain, Fleet, Group, Instance, Placement, Spares, candidate};
 use crate::weight_loads;
@@ -9,13 +9,13 @@
 /// Condition of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
-    /// All members are usable.
+    /// All members are available.
     Healthy,
-    /// All members are alive, and some of them closed.
+    /// All members are alive, and some of them are cordoned.
     Cordoned,
     /// Members are missing.
     Broken,
-    /// It stands nowhere, or where it stands doesn't fit its declaration any more.
+    /// It has no placement, or one that no longer matches its declaration.
     Unplaced,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Mends and places groups, greatest priority first, then those that need the fewest loads.
+    /// Repairs and places groups, highest priority first, then those that need the fewest loads.
     fn repair(&mut self) {
         let mut waiting: Vec<&Group> = self.fleet.groups.iter().collect();
         waiting.retain(|group| {
@@ -89,7 +89,7 @@
         self.preempt(waiting);
     }
 
-    /// The waiting group to mend next, and how.
+    /// The next waiting group to repair, and its placement.
     fn next_repair(&self, waiting: &[&Group]) -> Option<(usize, candidate::Candidate)> {
         let candidates = waiting.iter().enumerate().filter_map(|(index, group)| {
             let candidate = self.best_candidate(group)?;
@@ -100,7 +100,7 @@
         Some((first.3, first.4))
     }
 
-    /// Groups that found no room take it from groups that count less.
+    /// Lets groups that found no free instances take them from less important groups.
     fn preempt(&mut self, mut waiting: Vec<&'a Group>) {
         waiting.sort_by_key(|group| (cmp::Reverse(group.priority), group.name.clone()));
         for index in 0..waiting.len() {
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Groups that may be broken up for `group`: those that don't serve anyway, then those of
-    /// lesser priority, least first.
+    /// Groups that may be preempted for `group`: those that don't serve anyway, then those of lower
+    /// priority, lowest first.
     fn victims(&self, group: &Group, waiting: &[&Group]) -> Vec<name::Group> {
         let not_serving = waiting.iter().rev().map(|other| other.name.clone());
         let mut serving: Vec<&Group> =
@@ -127,7 +127,7 @@
         not_serving.chain(serving).filter(|name| self.placements.contains_key(name)).collect()
     }
 
-    /// Breaks up `victim` if that makes room for `group`, and places it; else changes nothing.
+    /// Removes `victim` if that lets `group` be placed, and places it; otherwise changes nothing.
     fn preempt_victim(&mut self, group: &Group, victim: &name::Group) -> bool {
         let before = (self.placements.clone(), self.spares.clone(), self.decisions.len());
         self.unplace(victim);
@@ -142,7 +142,7 @@
         false
     }
 
-    /// Moves groups off closed instances once nothing runs on them.
+    /// Moves groups off cordoned instances once no request runs on them.
     fn move_off_cordoned(&mut self) {
         for group in &self.fleet.groups {
             let idle = self.placements.get(&group.name).is_some_and(|current| current.running == 0);
@@ -172,7 +172,7 @@
         if all_available { Condition::Healthy } else { Condition::Cordoned }
     }
 
-    /// Whether a placement is of the declared size, and of one domain of the declared pool.
+    /// Whether a placement has the declared size and lies in one domain of the declared pool.
     fn is_valid(&self, group: &Group, current: &Placement) -> bool {
         if current.members.len() != group.size as usize {
             return false;
@@ -206,7 +206,7 @@
         self.decisions.push(Decision::Unplace(name.clone()));
     }
 
-    /// Ends a placement; its usable members are spares again.
+    /// Removes a placement; its available members become spares.
     fn release(&mut self, name: &name::Group) {
         let Some(current) = self.placements.remove(name) else { return };
         for member in current.members {
--- a/crates/hyssopfork-policy/src/queue.rs
+++ b/crates/hyssopfork-policy/src/queue.rs
@@ -1,63 +1,65 @@
-//! The queue of one pool in an entry: classes, fairness and admission put together.
+//! Request queue of one pool in an entry process: combines priority lanes, fair queueing and
+//! admission control.
 //!
-//! One queue stands before all upstreams of a pool, so that no request waits behind one upstream
-//! while another is free. [`Queue::enqueue`] answers at once whether a request may wait;
-//! [`Queue::next`] gives what to start now, and what can no longer be served in time.
+//! One queue serves all upstreams of a pool, so that no request waits for one upstream while
+//! another is free. [`Queue::enqueue`] decides at once whether a request may wait;
+//! [`Queue::dispatch`] returns the requests to start now, and those that can no longer be served in
+//! time.
 
 use crate::{admission, classes, ewma, fairness, random, throughput};
 use hyssopfork_wire::{clock, configuration, name, refusal};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Samples over which the time until an answer begins is averaged.
+/// Samples over which the time to the start of a response is averaged.
 const START_LATENCY_SPAN: f64 = 64.0;
 
-/// Time, beside the average itself, after which the average says nothing any more.
+/// Time, beside the average itself, after which the average is stale.
 ///
-/// It can refuse everybody, and is corrected only by answers to what was admitted: a few answers
-/// that began late, through a pause of the process say, would refuse a class for good. So it is
-/// forgotten when no answer has begun for this long, and what comes then tries anew. Long jobs
-/// begin seconds apart in any case; an average over [`BEGIN_LEAST`] of them and more lasts longer
-/// by itself.
+/// The average can cause every request to be rejected, and only responses to admitted requests
+/// correct it: a few responses that started late, for example through a pause of the process, would
+/// reject a class for good. So it is discarded when no response has started for this long, and the
+/// next requests are admitted. Long jobs start seconds apart in any case; an average over
+/// [`MIN_START_LATENCY_SAMPLES`] of them or more is kept longer, by the average itself.
 const START_LATENCY_TTL: Duration = throughput::MIN_DECAY;
 
-/// Answers after which the average is no accident.
+/// Samples from which the average is reliable.
 const MIN_START_LATENCY_SAMPLES: f64 = 8.0;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// The entry's number of the request.
+    /// Number of the request in the entry process.
     pub request: u64,
-    /// Team of the caller.
+    /// Team of the client.
     pub team: name::Team,
     /// Class of the route.
     pub class: configuration::Class,
     /// Estimated cost in tokens.
     pub cost: u32,
-    /// When the answer must have begun.
+    /// Time by which the response must have started.
     pub deadline: clock::Instant,
 }
 
-/// What became of a request that asked to wait.
+/// Admission decision for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits.
+    /// The request waits.
     Queued,
-    /// It is refused, and is to be answered at once.
+    /// The request is rejected; the client is to be answered at once.
     Rejected(refusal::Refusal),
 }
 
-/// A request that waited in vain.
+/// A request that can no longer be served in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expired {
     /// The request.
     pub item: Item,
-    /// Its refusal, to be answered at once.
+    /// Its rejection; the client is to be answered at once.
     pub rejection: refusal::Refusal,
 }
 
-/// What leaves the queue.
+/// Requests that leave the queue.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     /// Requests to start now, in order.
@@ -77,7 +79,7 @@
 struct LaneQueue {
     scheduler: fairness::Scheduler<Item>,
     throughput: throughput::Throughput,
-    /// Rates of the teams, each measured while that team waits.
+    /// Throughput of each team, measured while the team has a backlog.
     team_throughputs: BTreeMap<name::Team, throughput::Throughput>,
     start_latency: ewma::Ewma,
     last_start_at: clock::Instant,
@@ -112,9 +114,9 @@
         self.last_start_at = now;
     }
 
-    /// Estimated wait of an item of `cost` that the team adds now. What waits ahead of it says too
-    /// little while other teams, never waiting long, keep taking their turns; then the team's own
-    /// rate says more.
+    /// Estimated wait of an item of `cost` that the team adds now. The cost ahead of it gives too
+    /// short a wait while other teams, whose requests never wait long, keep taking turns; then the
+    /// team's own throughput gives the better estimate.
     fn estimate_wait(&self, team: &name::Team, cost: u32, slots: u32) -> Option<Duration> {
         let ahead = self.scheduler.cost_ahead(team, cost);
         let shared = self.throughput.time_to_serve(ahead, slots);
@@ -156,14 +158,14 @@
 }
 
 impl Queue {
-    /// Sets a team's weight; teams without one have weight 1.
+    /// Sets a team's weight; the default is 1.
     pub fn set_weight(&mut self, team: &name::Team, weight: u32) {
         for lane_queue in &mut self.lanes {
             lane_queue.scheduler.set_weight(team, weight);
         }
     }
 
-    /// Takes a request in, or refuses it at once. Call [`Queue::next`] at once after it: only what
+    /// Queues a request, or rejects it at once. Call [`Queue::dispatch`] right after it: only what
     /// still waits then counts as a backlog.
     pub fn enqueue(&mut self, now: clock::Instant, item: Item, random: u64) -> Admission {
         let lane = self.allocator.classify(item.class, item.cost);
@@ -177,8 +179,8 @@
         Admission::Queued
     }
 
-    /// Puts a request back at the front of its team's queue, after it was taken and an upstream
-    /// refused it before any of it ran. It is not judged again, but expires as before.
+    /// Puts a dispatched request back at the front of its team's queue, after an upstream rejected
+    /// it before any of it ran. It is not subject to admission again, but expires as before.
     pub fn requeue(&mut self, now: clock::Instant, item: Item) {
         if let Some(running) = self.running.remove(&item.request) {
             self.allocator.undo_start(running.lane);
@@ -188,7 +190,8 @@
         self.insert(lane, item, true);
     }
 
-    /// Takes what can start in `room`, and what can no longer be served in time.
+    /// Removes the requests that can start within `capacity`, and those that can no longer be
+    /// served in time.
     pub fn dispatch(
         &mut self,
         now: clock::Instant,
@@ -208,7 +211,7 @@
         Batch { ready, expired }
     }
 
-    /// Takes in that a started request's answer has begun.
+    /// Records that the response to a dispatched request has started.
     pub fn on_response_started(&mut self, now: clock::Instant, request: u64) {
         if let Some(running) = self.running.get(&request) {
             let elapsed = now.since(running.started_at);
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Takes in that a started request has ended, whichever way.
+    /// Records that a dispatched request has ended, with any outcome.
     pub fn on_request_ended(&mut self, now: clock::Instant, request: u64) {
         if let Some(running) = self.running.remove(&request) {
             let elapsed = now.since(running.started_at);
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Removes a request that waits, because its caller went away; `None` when it doesn't wait.
+    /// Removes a waiting request whose client has disconnected; `None` if it doesn't wait.
     pub fn remove(&mut self, request: u64) -> Option<Item> {
         let (lane, deadline) = self.waiting.remove(&request)?;
         self.deadlines.remove(&(deadline, request));
@@ -233,7 +236,8 @@
         scheduler.extract_if(|item| item.request == request).pop()
     }
 
-    /// When a caller of the class whom the entry refuses for want of an upstream should come back.
+    /// Retry-after time for a client of `class` whose request the entry process rejects for lack of
+    /// an upstream.
     pub fn retry_after(&self, class: configuration::Class, random: u64) -> Duration {
         let lane = match class {
             configuration::Class::Status => classes::Lane::Status,
@@ -247,12 +251,12 @@
         )
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/hyssopfork-policy/src/random.rs
+++ b/crates/hyssopfork-policy/src/random.rs
@@ -1,4 +1,5 @@
-//! Derived random numbers: one number that the caller hands in gives as many as a decision needs.
+//! Derived random numbers: one random number from the application gives as many as a decision
+//! needs.
 
 /// A well-mixed number from `seed` and `salt` (the finalizer of SplitMix64).
 pub const fn mix(seed: u64, salt: u64) -> u64 {
--- a/crates/hyssopfork-policy/src/slow_start.rs
+++ b/crates/hyssopfork-policy/src/slow_start.rs
@@ -1,65 +1,63 @@
-//! Cold start: how much work an upstream may bear while it warms up.
+//! Slow start: limits the concurrent requests of a cold upstream while it warms up.
 //!
-//! *Pattern.* An upstream that has just started (or restarted without a word) has empty caches,
-//! unbuilt graphs and unmapped memory: it bears a little load, slowly, and falls over under full
-//! load. It never gets warm if it is tipped over each time.
+//! An upstream that has just started, or restarted unannounced, has empty caches, unbuilt graphs
+//! and unmapped memory: it is slow, and crashes under full load. It never gets warm if it crashes
+//! each time. Without a limit, thirty instances that return together take their full share at once,
+//! all time out, are restarted, and do so again.
 //!
-//! *Without it.* Thirty instances that return together take their full share at once, all time
-//! out, are restarted, and do so again.
-//!
-//! *Rule.* A limit on concurrent work that grows only by work that the upstream completed, from
-//! [`INITIAL`] to full. Time alone never grows it. The upstream is cold again on a new
-//! incarnation, on a run of failures, or when work takes as long as on a cold one.
+//! The concurrency limit grows from [`INITIAL_LIMIT`] to full only with requests that the upstream
+//! completed; time alone never raises it. The upstream is cold again on a new incarnation, after
+//! consecutive failures, or if requests take as long as on a cold one.
 
 use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Concurrent work that any cold upstream is trusted with: the least that makes progress and
-/// still completes when one request hangs.
+/// Concurrent requests of any cold upstream: the fewest that make progress and still complete if
+/// one request hangs.
 pub const INITIAL_LIMIT: u32 = 2;
 
-/// Pieces of work that must complete before the limit grows at all. Each that completes shows that
-/// it was borne among at most [`INITIAL`], not that one more would be: an engine builds what it
-/// needs for a size of batch at its first use, and that is when it falls over. Two rounds at the
-/// first limit show that it bears that much. Four were tried: in the scenario of silent cold turns
-/// they cost 0.1 % of the answers and tipped nothing less over.
+/// Completed requests before the limit starts to grow. A completed request shows that the upstream
+/// handles [`INITIAL_LIMIT`] at once, not that it handles one more: an engine builds what a batch
+/// size needs at its first use, and that is when it crashes. Two rounds at the initial limit are
+/// enough: four rounds cost 0.1 % of the responses when upstreams are replaced unannounced, and
+/// prevent no further crash.
 pub const HOLD_COMPLETIONS: u32 = 2 * INITIAL_LIMIT;
 
-/// Growth of the limit with each completed piece of work. At 0.5 the limit grows by half each time
-/// that as much work as the limit has completed, so a wrong step overshoots what the upstream has
-/// shown by at most half.
+/// Growth of the limit with each completed request. At 0.5 the limit grows by half while as many
+/// requests as the limit complete, so it exceeds what the upstream has shown to handle by at most
+/// half.
 pub const LIMIT_GROWTH: f64 = 0.5;
 
-/// Work in a row that fails before the upstream counts as cold again: one or two failures are the
-/// request's fault more often than the upstream's.
+/// Consecutive failures after which the upstream counts as cold: one or two failures are more often
+/// the request's fault than the upstream's.
 pub const CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Time for each unit of cost, as a multiple of the warm one, that counts as cold. Batching to the
-/// full alone slows a warm engine by 2 to 3; a cold one is slower by 10 and more.
+/// Time per token, as a multiple of the warm average, that counts as cold. A full batch alone slows
+/// a warm engine by 2 to 3; a cold one is slower by 10 and more.
 pub const COLD_LATENCY_FACTOR: f64 = 5.0;
 
-/// Slow pieces of work in a row before the upstream counts as cold again.
+/// Consecutive slow requests after which the upstream counts as cold.
 pub const CONSECUTIVE_SLOW: u32 = 4;
 
-/// Samples over which the warm pace is averaged.
+/// Samples over which the warm latency is averaged.
 const LATENCY_SPAN: f64 = 256.0;
 
-/// Samples of warm pace needed before slowness is judged.
+/// Samples of the warm latency needed before requests are compared with it.
 const MIN_LATENCY_SAMPLES: f64 = 16.0;
 
-/// What a piece of work that ended says of the upstream.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was completed.
     Completed,
-    /// The upstream failed it or did not answer.
+    /// The upstream failed it or did not respond.
     Failed,
-    /// It ended for a reason that says nothing of the upstream (cancelled, caller gone).
+    /// It ended for a reason unrelated to the upstream (cancelled, client disconnected).
     Neutral,
 }
 
-/// Limit of one upstream.
+/// Concurrency limit of one upstream.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     full_limit: u32,
@@ -73,7 +71,7 @@
 }
 
 impl SlowStart {
-    /// A cold upstream that bears `full` pieces of work at once when warm.
+    /// A cold upstream that handles `full_limit` concurrent requests when warm.
     pub fn new(now: clock::Instant, full_limit: u32) -> SlowStart {
         let full_limit = full_limit.max(1);
         SlowStart {
@@ -88,7 +86,7 @@
         }
     }
 
-    /// Pieces of work that may run at once now.
+    /// Requests that may run at once now.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
@@ -103,13 +101,13 @@
         self.cold_since
     }
 
-    /// Takes another figure for what the upstream bears when warm.
+    /// Changes the limit of the warm upstream.
     pub fn set_full_limit(&mut self, full_limit: u32) {
         self.full_limit = full_limit.max(1);
         self.limit = self.limit.min(f64::from(self.full_limit));
     }
 
-    /// Back to cold, whatever the reason.
+    /// Resets the upstream to cold.
     pub fn reset(&mut self, now: clock::Instant) {
         self.limit = f64::from(INITIAL_LIMIT.min(self.full_limit));
         self.completed = 0;
@@ -118,8 +116,8 @@
         self.cold_since = now;
     }
 
-    /// Takes the incarnation that the back end reports: another than the last means a new process,
-    /// which is cold. Returns whether it turned cold.
+    /// Records the incarnation that the back end reports: a different one means a new process,
+    /// which is cold. Returns whether the upstream turned cold.
     pub fn on_incarnation(&mut self, now: clock::Instant, incarnation: &str) -> bool {
         let changed = self.incarnation.as_deref().is_some_and(|last| last != incarnation);
         self.incarnation = Some(incarnation.to_owned());
@@ -129,10 +127,11 @@
         changed
     }
 
-    /// Takes in the end of a piece of work that cost `cost` and began at `begun`. Returns whether
-    /// the upstream turned cold by it.
+    /// Records the end of a request of `cost` that started at `started_at`. Returns whether the
+    /// upstream turned cold by it.
     ///
-    /// Work that began before the upstream last turned cold says nothing of how it bears load now.
+    /// A request that started before the upstream last turned cold is ignored: it shows nothing
+    /// about the present process.
     pub fn on_request_ended(
         &mut self,
         now: clock::Instant,
--- a/crates/hyssopfork-policy/src/throughput.rs
+++ b/crates/hyssopfork-policy/src/throughput.rs
@@ -1,35 +1,35 @@
-//! Drain rate: how fast a queue is served, measured while somebody waits in it.
+//! Throughput of a queue: the rate at which it is served while requests wait in it.
 //!
-//! The rate at which work leaves a queue says what the upstreams can do only while the queue is
-//! never empty; else it says how much arrives. So only busy time counts. Before any was seen,
-//! Little's law over completed work stands in: room times cost over time in service.
+//! The rate at which requests leave a queue shows the upstreams' capacity only while the queue is
+//! never empty; otherwise it shows the arrival rate. So only busy time counts. Before there is any,
+//! Little's law over completed requests serves as the estimate: slots times cost over service time.
 
 use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Least time over which the rate forgets: short enough that a lost zone shows in the estimates
-/// within its length.
+/// Shortest time constant of the decay: short enough that the estimates show the loss of a zone
+/// within that time.
 pub const MIN_DECAY: Duration = Duration::from_secs(2);
 
-/// Longest time over which the rate forgets.
+/// Longest time constant of the decay.
 const MAX_DECAY: Duration = Duration::from_secs(60);
 
-/// Pieces of work that the rate rests on, where [`MEMORY_MOST`] allows: a lane of few long jobs
-/// remembers longer.
+/// Started requests that the rate should cover, if [`MAX_DECAY`] allows: a lane with few long jobs
+/// has a longer decay.
 const DECAY_STARTS: f64 = 8.0;
 
-/// Pieces of work needed before the measured rate is trusted. Fewer say more of a single wait than
-/// of the rate: a status check that waited for 300 ms had the next ones refused.
+/// Started requests needed before the measured rate is used. Fewer reflect single waits and not the
+/// rate: a status check that had waited for 300 ms caused the next ones to be rejected.
 const MIN_STARTS: f64 = 4.0;
 
-/// Busy time needed before the measured rate is trusted.
+/// Busy time needed before the measured rate is used, in seconds.
 const MIN_BUSY_SECONDS: f64 = 0.3;
 
-/// Samples of completed work in the stand-in.
+/// Completed requests over which the estimate by Little's law is averaged.
 const FALLBACK_SPAN: f64 = 128.0;
 
-/// Rate of one queue, in tokens of cost a second.
+/// Throughput of one queue, in tokens of cost per second.
 #[derive(Clone, Debug)]
 pub struct Throughput {
     cost: f64,
@@ -56,7 +56,7 @@
 }
 
 impl Throughput {
-    /// Counts work that leaves the queue to be served.
+    /// Counts a request that leaves the queue to be served.
     pub fn on_start(&mut self, now: clock::Instant, cost: u32) {
         self.advance(now);
         if self.is_backlogged {
@@ -65,32 +65,33 @@
         }
     }
 
-    /// Takes back work that left the queue and was refused before any of it ran: counted once more
-    /// with each refusal, it would make a full pool look fast and admission let everybody in.
+    /// Reverts the start of a request that was rejected before any of it ran: if each rejected
+    /// attempt counted, a full pool would look fast and admission control would accept every
+    /// request.
     pub fn on_requeue(&mut self, now: clock::Instant, cost: u32) {
         self.advance(now);
         self.cost = (self.cost - f64::from(cost)).max(0.0);
         self.starts = (self.starts - 1.0).max(0.0);
     }
 
-    /// Says whether somebody waits from now on.
+    /// Sets whether requests wait from now on.
     pub fn set_backlogged(&mut self, now: clock::Instant, backlogged: bool) {
         self.advance(now);
         self.is_backlogged = backlogged;
     }
 
-    /// Takes in completed work, for the stand-in.
+    /// Records a completed request, for the estimate by Little's law.
     pub fn on_completion(&mut self, cost: u32, elapsed: Duration) {
         self.completed_cost.add(f64::from(cost));
         self.service_time.add(elapsed.as_secs_f64());
     }
 
-    /// Whether enough busy time was seen for a measured rate.
+    /// Whether there was enough busy time for a measured rate.
     pub fn is_measured(&self) -> bool {
         self.busy_seconds >= MIN_BUSY_SECONDS && self.starts >= MIN_STARTS && self.cost > 0.0
     }
 
-    /// Tokens of cost a second with `room` pieces of work at once; `None` while nothing is known.
+    /// Tokens of cost per second with `slots` concurrent requests; `None` while there is no data.
     pub fn rate(&self, slots: u32) -> Option<f64> {
         if self.is_measured() {
             return Some(self.cost / self.busy_seconds);
@@ -99,14 +100,14 @@
         Some(f64::from(slots) * self.completed_cost.mean()? / service_time)
     }
 
-    /// Time to serve `cost` at the rate; `None` while nothing is known.
+    /// Time to serve `cost` at the current rate; `None` while there is no data.
     pub fn time_to_serve(&self, cost: u64, slots: u32) -> Option<Duration> {
         let rate = self.rate(slots).filter(|rate| *rate > 0.0)?;
         let seconds = (cost as f64 / rate).min(MAX_ESTIMATE.as_secs_f64());
         Some(Duration::from_secs_f64(seconds))
     }
 
-    /// Seconds over which the rate forgets now.
+    /// Current time constant of the decay, in seconds.
     fn decay_seconds(&self) -> f64 {
         let seconds = DECAY_STARTS * self.busy_seconds / self.starts.max(1.0);
         seconds.clamp(MIN_DECAY.as_secs_f64(), MAX_DECAY.as_secs_f64())
--- a/crates/hyssopfork-policy/src/weight_loads.rs
+++ b/crates/hyssopfork-policy/src/weight_loads.rs
@@ -1,26 +1,24 @@
-//! Pacing of weight loads under a rate-limited weight store.
+//! Concurrency limit for model weight loads from a rate-limited weight store.
 //!
-//! *Pattern.* A rack or domain goes; many members must load weights at once from a store that
-//! gives a fixed number of bytes a second in all.
+//! When a rack or a fabric domain is lost, many members must load weights from a store with a fixed
+//! total rate. If all loads ran at once they would share that rate and all end at the very end:
+//! with twenty groups to repair, no group would serve before the time of twenty loads.
 //!
-//! *Without it.* All loads share the store's rate and all end together, at the very end: with
-//! twenty groups to mend, no group serves before the time of twenty loads.
-//!
-//! *Rule.* Only as many loads run at once as the store serves at full speed each; the others wait
-//! undecided, so that what is loaded next is chosen by what is known then.
+//! Only as many loads run at once as the store serves at full speed each. The others are left
+//! undecided, so that the next load is chosen by the state at that time.
 
-/// What the weight store bears and what runs now.
+/// Capacity of the weight store, and its use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     /// Loads (one instance each) that the store serves at full speed at once; at least 1.
     pub limit: u32,
-    /// Loads that run now.
+    /// Loads in progress.
     pub running: u32,
 }
 
 impl Budget {
-    /// Whether `loads` more may start together. What is larger than the whole limit starts when
-    /// nothing else runs: it could never start otherwise.
+    /// Whether `loads` more may start together. A set larger than the whole limit starts when no
+    /// load is in progress: it could never start otherwise.
     pub fn allows(&self, loads: u32) -> bool {
         loads == 0 || self.running == 0 || self.running + loads <= self.limit.max(1)
     }
