--- a/crates/hyssopfork-policy/benches/policy.rs
+++ b/crates/hyssopfork-policy/benches/policy.rs
@@ -27,7 +27,7 @@
     println!("Seed {seed}.");
     for scenario in scenario::all().iter().filter(|scenario| asked(scenario.name)) {
         let baseline = simulation::run(scenario, entry::Kind::Baseline, seed);
-        let ours = simulation::run(scenario, entry::Kind::Ours, seed);
+        let ours = simulation::run(scenario, entry::Kind::Policy, seed);
         print_scenario(scenario, &baseline, &ours);
     }
     if asked("repair") {
@@ -43,20 +43,20 @@
     let end = scenario.length.as_secs_f64();
     row("answers", &answers);
     row("goodput, share of capacity", &|it| format!("{:.3}", it.goodput(STEADY, end)));
-    row("callers served", &|it| format!("{:.3}", it.callers_served()));
-    row("requests for each caller", &|it| format!("{:.2}", it.sends()));
+    row("callers served", &|it| format!("{:.3}", it.clients_served()));
+    row("requests for each caller", &|it| format!("{:.2}", it.requests_per_client()));
     row("refusals within 50 ms", &at_once);
-    row("work wasted", &|it| format!("{:.4}", it.wasted()));
-    row("Jain's index over teams", &|it| format!("{:.4}", it.jain()));
+    row("work wasted", &|it| format!("{:.4}", it.wasted_share()));
+    row("Jain's index over teams", &|it| format!("{:.4}", it.jain_index()));
     row("attempts run for each request", &|it| format!("{:.3}", it.amplification()));
-    row("attempts refused by agents", &|it| it.bounced.to_string());
+    row("attempts refused by agents", &|it| it.agent_rejections.to_string());
     row("non-repeatable run twice", &|it| it.ran_twice().to_string());
     row("upstreams crashed", &|it| it.crashes.to_string());
-    row("most attempts on one upstream, of the mean", &|it| format!("{:.2}", it.spread()));
-    if ours.hits.1 > 0 {
-        row("cache hits", &|it| format!("{:.3}", it.hits.0 as f64 / it.hits.1 as f64));
+    row("most attempts on one upstream, of the mean", &|it| format!("{:.2}", it.max_load_ratio()));
+    if ours.cache_hits.1 > 0 {
+        row("cache hits", &|it| format!("{:.3}", it.cache_hits.0 as f64 / it.cache_hits.1 as f64));
     }
-    if let Some(from) = scenario.recovery {
+    if let Some(from) = scenario.recovery_from {
         row("normal again, seconds", &|it| recovery(it, from));
     }
     if !scenario.warm {
@@ -81,20 +81,20 @@
 }
 
 fn answers(report: &report::Report) -> String {
-    let parts = report.answers().into_iter();
+    let parts = report.outcomes().into_iter();
     let parts: Vec<_> = parts.map(|(kind, count)| format!("{kind:?} {count}")).collect();
     parts.join(", ").to_lowercase()
 }
 
 fn at_once(report: &report::Report) -> String {
-    match report.answers().contains_key(&report::Answer::Refused) {
-        true => format!("{:.4}", report.refused_at_once()),
+    match report.outcomes().contains_key(&report::Outcome::Refused) {
+        true => format!("{:.4}", report.rejected_immediately()),
         false => "no refusals".to_owned(),
     }
 }
 
 fn recovery(report: &report::Report, from: f64) -> String {
-    let second = report.recovered(from, NORMAL);
+    let second = report.recovered_at(from, NORMAL);
     second.map_or("never".to_owned(), |second| format!("{:.0} after", second - from))
 }
 
@@ -106,17 +106,17 @@
     );
     println!("|---|---|---|---|---|---|");
     for case in repair::cases() {
-        let bound = repair::bound(&case);
+        let bound = repair::lower_bound(&case);
         println!(
             "| {} | bound | {} | | {} | {} |",
             case.name, bound.downtime, bound.stranded, bound.loads
         );
         print_cost("plain", repair::run(&case, entry::Kind::Baseline));
-        print_cost("ours", repair::run(&case, entry::Kind::Ours));
+        print_cost("ours", repair::run(&case, entry::Kind::Policy));
     }
     println!("| six members at random, sums over {RANDOM_LOSSES} runs | | | | | |");
     print_cost("plain", random_losses(entry::Kind::Baseline));
-    print_cost("ours", random_losses(entry::Kind::Ours));
+    print_cost("ours", random_losses(entry::Kind::Policy));
 }
 
 fn random_losses(kind: entry::Kind) -> repair::Cost {
--- a/crates/hyssopfork-policy/model/src/baseline.rs
+++ b/crates/hyssopfork-policy/model/src/baseline.rs
@@ -7,16 +7,16 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Tries of a request in all.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// An entry of the plain proxy.
 #[derive(Clone, Debug)]
 pub struct Entry {
     index: usize,
     zones: Vec<name::Zone>,
-    out: BTreeSet<name::Zone>,
-    turn: usize,
-    count: u64,
+    evacuated_zones: BTreeSet<name::Zone>,
+    next_upstream: usize,
+    attempt_count: u64,
     attempts: HashMap<u64, (usize, u32)>,
 }
 
@@ -26,56 +26,58 @@
         Entry {
             index,
             zones: zones.to_vec(),
-            out: BTreeSet::new(),
-            turn: index,
-            count: 0,
+            evacuated_zones: BTreeSet::new(),
+            next_upstream: index,
+            attempt_count: 0,
             attempts: HashMap::new(),
         }
     }
 
     /// A request arrives.
-    pub fn arrive(&mut self, request: usize) -> Vec<Effect> {
+    pub fn on_arrival(&mut self, request: usize) -> Vec<Effect> {
         vec![self.send(request, 1)]
     }
 
     /// An agent replies.
-    pub fn reply(&mut self, attempt: u64, reply: Reply) -> Vec<Effect> {
+    pub fn on_reply(&mut self, attempt: u64, reply: Reply) -> Vec<Effect> {
         match reply {
-            Reply::Loaded(_) | Reply::Begun => Vec::new(),
-            Reply::Ended => {
+            Reply::LoadReport(_) | Reply::Started => Vec::new(),
+            Reply::Completed => {
                 self.attempts.remove(&attempt);
                 Vec::new()
             }
-            Reply::Refused(_) | Reply::Failed => self.failed(attempt),
+            Reply::Rejected(_) | Reply::Failed => self.on_failure(attempt),
         }
     }
 
     /// A zone is taken out or brought back.
-    pub fn zone(&mut self, zone: &name::Zone, out: bool) {
-        if out {
-            self.out.insert(zone.clone());
+    pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
+        if evacuated {
+            self.evacuated_zones.insert(zone.clone());
         } else {
-            self.out.remove(zone);
+            self.evacuated_zones.remove(zone);
         }
     }
 
-    fn failed(&mut self, attempt: u64) -> Vec<Effect> {
+    fn on_failure(&mut self, attempt: u64) -> Vec<Effect> {
         match self.attempts.remove(&attempt) {
-            Some((request, tries)) if tries < TRIES => vec![self.send(request, tries + 1)],
+            Some((request, attempt_number)) if attempt_number < MAX_ATTEMPTS => {
+                vec![self.send(request, attempt_number + 1)]
+            }
             Some((request, _)) => vec![Effect::Fail(request)],
             None => Vec::new(),
         }
     }
 
-    fn send(&mut self, request: usize, tries: u32) -> Effect {
+    fn send(&mut self, request: usize, attempt_number: u32) -> Effect {
         let count = self.zones.len();
-        let mut turns = (0..count).map(|step| (self.turn + step) % count);
-        let open = turns.find(|index| !self.out.contains(&self.zones[*index]));
-        let upstream = open.unwrap_or(self.turn % count);
-        self.turn = upstream + 1;
-        self.count += 1;
-        let attempt = entry::attempt(self.index, self.count);
-        self.attempts.insert(attempt, (request, tries));
+        let mut indices = (0..count).map(|step| (self.next_upstream + step) % count);
+        let serving = indices.find(|index| !self.evacuated_zones.contains(&self.zones[*index]));
+        let upstream = serving.unwrap_or(self.next_upstream % count);
+        self.next_upstream = upstream + 1;
+        self.attempt_count += 1;
+        let attempt = entry::attempt_id(self.index, self.attempt_count);
+        self.attempts.insert(attempt, (request, attempt_number));
         Effect::Send { request, attempt, upstream }
     }
 }
--- a/crates/hyssopfork-policy/model/src/engine.rs
+++ b/crates/hyssopfork-policy/model/src/engine.rs
@@ -1,13 +1,13 @@
 //! An upstream that batches continuously: all requests of its batch advance at the same pace, which
 //! falls as the batch grows.
 
-use crate::figures;
+use crate::parameters;
 use hyssopfork_wire::clock;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 /// Virtual work is counted in millionths of a token, so that runs are exact.
-const SCALE: f64 = 1e6;
+const UNITS_PER_TOKEN: f64 = 1e6;
 
 /// A request as the upstream sees it.
 #[derive(Clone, Debug)]
@@ -24,11 +24,11 @@
 
 /// What happened to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Progress {
     /// Its answer began.
-    Begun(u64),
+    Started(u64),
     /// Its answer ended.
-    Ended(u64),
+    Completed(u64),
     /// It failed.
     Failed(u64),
 }
@@ -48,30 +48,30 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    begin: u64,
-    end: u64,
-    begun: bool,
-    start: u64,
+    response_at: u64,
+    end_at: u64,
+    is_responding: bool,
+    started_at: u64,
 }
 
 /// The upstream.
 #[derive(Clone, Debug)]
 pub struct Engine {
     progress: u64,
-    updated: clock::Instant,
+    updated_at: clock::Instant,
     batch: BTreeMap<u64, Slot>,
-    marks: BTreeSet<(u64, u64)>,
+    milestones: BTreeSet<(u64, u64)>,
     waiting: VecDeque<Job>,
-    cache: VecDeque<u64>,
-    bears: f64,
+    cached_prefixes: VecDeque<u64>,
+    capacity: f64,
     fault: Fault,
     down_until: Option<clock::Instant>,
     /// Crashes so far.
     pub crashes: u32,
     /// Work done so far for attempts that have left, in tokens.
-    pub spent: BTreeMap<u64, f64>,
+    pub work_done: BTreeMap<u64, f64>,
     /// Prompts found cached, and all prompts with a prefix.
-    pub hits: (u64, u64),
+    pub cache_hits: (u64, u64),
 }
 
 impl Engine {
@@ -79,17 +79,17 @@
     pub fn new(warm: bool) -> Engine {
         Engine {
             progress: 0,
-            updated: clock::Instant::ORIGIN,
+            updated_at: clock::Instant::ORIGIN,
             batch: BTreeMap::new(),
-            marks: BTreeSet::new(),
+            milestones: BTreeSet::new(),
             waiting: VecDeque::new(),
-            cache: VecDeque::new(),
-            bears: if warm { figures::BATCH as f64 } else { figures::COLD_BEARS },
+            cached_prefixes: VecDeque::new(),
+            capacity: if warm { parameters::BATCH_SIZE as f64 } else { parameters::COLD_CAPACITY },
             fault: Fault::None,
             down_until: None,
             crashes: 0,
-            spent: BTreeMap::new(),
-            hits: (0, 0),
+            work_done: BTreeMap::new(),
+            cache_hits: (0, 0),
         }
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Requests inside it.
-    pub fn load(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.batch.len() + self.waiting.len()
     }
 
@@ -109,138 +109,142 @@
     }
 
     /// Turns it cold without a word: its process was replaced. What ran fails.
-    pub fn restart(&mut self) -> Vec<Note> {
-        self.bears = figures::COLD_BEARS;
-        self.cache.clear();
+    pub fn restart(&mut self) -> Vec<Progress> {
+        self.capacity = parameters::COLD_CAPACITY;
+        self.cached_prefixes.clear();
         self.fail_all()
     }
 
     /// Takes a request in. Call [`Engine::wake`] before.
-    pub fn start(&mut self, now: clock::Instant, job: Job) -> Vec<Note> {
+    pub fn on_request(&mut self, now: clock::Instant, job: Job) -> Vec<Progress> {
         if !self.is_up(now) || self.fault == Fault::FailsFast {
-            return vec![Note::Failed(job.attempt)];
+            return vec![Progress::Failed(job.attempt)];
         }
         self.waiting.push_back(job);
-        self.fill();
-        if self.tips_over() { self.crash(now) } else { Vec::new() }
+        self.fill_batch();
+        if self.is_overloaded() { self.crash(now) } else { Vec::new() }
     }
 
     /// Drops a request. Call [`Engine::wake`] before.
     pub fn cancel(&mut self, attempt: u64) {
         self.waiting.retain(|job| job.attempt != attempt);
-        self.leave(attempt);
-        self.fill();
+        self.remove(attempt);
+        self.fill_batch();
     }
 
     /// Advances to `now` and tells what has happened.
-    pub fn wake(&mut self, now: clock::Instant) -> Vec<Note> {
-        let passed = now.since(self.updated).as_secs_f64();
-        self.updated = now;
-        self.progress += (passed * self.speed() * SCALE).round() as u64;
-        let mut notes = Vec::new();
-        while let Some(&(mark, attempt)) = self.marks.first() {
-            if mark > self.progress {
+    pub fn advance(&mut self, now: clock::Instant) -> Vec<Progress> {
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        self.progress += (elapsed * self.tokens_per_second() * UNITS_PER_TOKEN).round() as u64;
+        let mut events = Vec::new();
+        while let Some(&(milestone, attempt)) = self.milestones.first() {
+            if milestone > self.progress {
                 break;
             }
-            self.marks.pop_first();
-            notes.push(self.passed(attempt));
+            self.milestones.pop_first();
+            events.push(self.on_milestone(attempt));
         }
-        self.fill();
-        notes
+        self.fill_batch();
+        events
     }
 
     /// When to wake it next; `None` when nothing will happen by itself.
-    pub fn next(&self) -> Option<clock::Instant> {
-        let &(mark, _) = self.marks.first()?;
-        let speed = self.speed();
+    pub fn next_milestone_at(&self) -> Option<clock::Instant> {
+        let &(milestone, _) = self.milestones.first()?;
+        let speed = self.tokens_per_second();
         if speed <= 0.0 {
             return None;
         }
-        let left = mark.saturating_sub(self.progress) as f64 / SCALE;
-        Some(self.updated + Duration::from_micros((left / speed * 1e6).ceil() as u64 + 1))
+        let left = milestone.saturating_sub(self.progress) as f64 / UNITS_PER_TOKEN;
+        Some(self.updated_at + Duration::from_micros((left / speed * 1e6).ceil() as u64 + 1))
     }
 
     /// Tokens a second for each request of the batch.
-    fn speed(&self) -> f64 {
+    fn tokens_per_second(&self) -> f64 {
         let batch = self.batch.len() as f64;
-        let step = figures::STEP.as_secs_f64() + figures::STEP_EACH.as_secs_f64() * batch;
-        let warmth = self.bears / figures::BATCH as f64;
-        let warm = figures::COLD_SPEED + (1.0 - figures::COLD_SPEED) * warmth;
+        let step = parameters::STEP_TIME.as_secs_f64()
+            + parameters::STEP_TIME_PER_REQUEST.as_secs_f64() * batch;
+        let warmth = self.capacity / parameters::BATCH_SIZE as f64;
+        let relative_speed = parameters::COLD_SPEED + (1.0 - parameters::COLD_SPEED) * warmth;
         match self.fault {
             Fault::Stalled => 0.0,
-            Fault::Slow(factor) => warm / step / factor,
-            Fault::None | Fault::FailsFast => warm / step,
+            Fault::Slow(factor) => relative_speed / step / factor,
+            Fault::None | Fault::FailsFast => relative_speed / step,
         }
     }
 
-    fn fill(&mut self) {
-        while self.batch.len() < figures::BATCH {
+    fn fill_batch(&mut self) {
+        while self.batch.len() < parameters::BATCH_SIZE {
             let Some(job) = self.waiting.pop_front() else { return };
-            self.run(job);
+            self.add_to_batch(job);
         }
     }
 
-    fn run(&mut self, job: Job) {
-        let cached = job.prefix.is_some_and(|prefix| self.look_up(prefix));
-        let prefill = if cached { 0.0 } else { job.prefill };
-        let begin = self.progress + (prefill * SCALE) as u64 + 1;
-        let end = begin + (job.decode * SCALE) as u64 + 1;
-        self.marks.insert((begin, job.attempt));
-        let slot = Slot { begin, end, begun: false, start: self.progress };
+    fn add_to_batch(&mut self, job: Job) {
+        let is_cached = job.prefix.is_some_and(|prefix| self.look_up_prefix(prefix));
+        let prefill = if is_cached { 0.0 } else { job.prefill };
+        let response_at = self.progress + (prefill * UNITS_PER_TOKEN) as u64 + 1;
+        let end_at = response_at + (job.decode * UNITS_PER_TOKEN) as u64 + 1;
+        self.milestones.insert((response_at, job.attempt));
+        let slot = Slot { response_at, end_at, is_responding: false, started_at: self.progress };
         self.batch.insert(job.attempt, slot);
     }
 
-    fn look_up(&mut self, prefix: u64) -> bool {
-        let found = self.cache.iter().position(|held| *held == prefix);
-        if let Some(place) = found {
-            self.cache.remove(place);
+    fn look_up_prefix(&mut self, prefix: u64) -> bool {
+        let position = self.cached_prefixes.iter().position(|cached| *cached == prefix);
+        if let Some(index) = position {
+            self.cached_prefixes.remove(index);
         }
-        self.cache.push_back(prefix);
-        if self.cache.len() > figures::PREFIXES {
-            self.cache.pop_front();
+        self.cached_prefixes.push_back(prefix);
+        if self.cached_prefixes.len() > parameters::CACHED_PREFIXES {
+            self.cached_prefixes.pop_front();
         }
-        self.hits.0 += u64::from(found.is_some());
-        self.hits.1 += 1;
-        found.is_some()
-    }
-
-    fn passed(&mut self, attempt: u64) -> Note {
-        let slot = self.batch.get_mut(&attempt).expect("marks are of the batch");
-        if !slot.begun {
-            slot.begun = true;
-            self.marks.insert((slot.end, attempt));
-            return Note::Begun(attempt);
+        self.cache_hits.0 += u64::from(position.is_some());
+        self.cache_hits.1 += 1;
+        position.is_some()
+    }
+
+    fn on_milestone(&mut self, attempt: u64) -> Progress {
+        let slot =
+            self.batch.get_mut(&attempt).expect("milestones belong to requests of the batch");
+        if !slot.is_responding {
+            slot.is_responding = true;
+            self.milestones.insert((slot.end_at, attempt));
+            return Progress::Started(attempt);
         }
-        self.leave(attempt);
-        self.bears = (self.bears + figures::COLD_GROWTH).min(figures::BATCH as f64);
-        Note::Ended(attempt)
+        self.remove(attempt);
+        self.capacity =
+            (self.capacity + parameters::COLD_GROWTH).min(parameters::BATCH_SIZE as f64);
+        Progress::Completed(attempt)
     }
 
-    fn leave(&mut self, attempt: u64) {
+    fn remove(&mut self, attempt: u64) {
         let Some(slot) = self.batch.remove(&attempt) else { return };
-        let mark = if slot.begun { slot.end } else { slot.begin };
-        self.marks.remove(&(mark, attempt));
-        let spent = self.progress.min(slot.end) - slot.start;
-        *self.spent.entry(attempt).or_default() += spent as f64 / SCALE;
+        let milestone = if slot.is_responding { slot.end_at } else { slot.response_at };
+        self.milestones.remove(&(milestone, attempt));
+        let done = self.progress.min(slot.end_at) - slot.started_at;
+        *self.work_done.entry(attempt).or_default() += done as f64 / UNITS_PER_TOKEN;
     }
 
-    fn tips_over(&self) -> bool {
-        let cold = self.bears < figures::BATCH as f64;
-        self.load() >= figures::CRASH || (cold && self.load() as f64 > self.bears * 1.5)
+    fn is_overloaded(&self) -> bool {
+        let is_cold = self.capacity < parameters::BATCH_SIZE as f64;
+        self.request_count() >= parameters::CRASH_REQUESTS
+            || (is_cold && self.request_count() as f64 > self.capacity * 1.5)
     }
 
-    fn crash(&mut self, now: clock::Instant) -> Vec<Note> {
+    fn crash(&mut self, now: clock::Instant) -> Vec<Progress> {
         self.crashes += 1;
-        self.down_until = Some(now + figures::RESTART);
+        self.down_until = Some(now + parameters::RESTART_TIME);
         self.restart()
     }
 
-    fn fail_all(&mut self) -> Vec<Note> {
+    fn fail_all(&mut self) -> Vec<Progress> {
         let mut attempts: Vec<u64> = self.batch.keys().copied().collect();
         for attempt in &attempts {
-            self.leave(*attempt);
+            self.remove(*attempt);
         }
         attempts.extend(self.waiting.drain(..).map(|job| job.attempt));
-        attempts.into_iter().map(Note::Failed).collect()
+        attempts.into_iter().map(Progress::Failed).collect()
     }
 }
--- a/crates/hyssopfork-policy/model/src/entry.rs
+++ b/crates/hyssopfork-policy/model/src/entry.rs
@@ -1,6 +1,6 @@
 //! What entries tell the model to do, and what they hear from agents.
 
-use crate::{baseline, ours, traffic};
+use crate::{baseline, policy, traffic};
 use hyssopfork_wire::{clock, frame, name};
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
         upstream: usize,
     },
     /// Refuses a request.
-    Refuse {
+    Reject {
         /// The request.
         request: usize,
         /// When to come back.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Tells the caller that its request failed.
     Fail(usize),
@@ -38,13 +38,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
     /// The agent's load, ahead of an answer.
-    Loaded(frame::Load),
+    LoadReport(frame::Load),
     /// The agent refused it: it did not run.
-    Refused(frame::Load),
+    Rejected(frame::Load),
     /// The answer began.
-    Begun,
+    Started,
     /// The answer ended.
-    Ended,
+    Completed,
     /// The upstream failed it.
     Failed,
 }
@@ -55,7 +55,7 @@
     /// A plain proxy: round robin, no limits, first come first served, retries without a budget.
     Baseline,
     /// The policy package.
-    Ours,
+    Policy,
 }
 
 /// An entry.
@@ -64,7 +64,7 @@
     /// A plain proxy.
     Baseline(baseline::Entry),
     /// The policy package.
-    Ours(Box<ours::Entry>),
+    Policy(Box<policy::Entry>),
 }
 
 impl Entry {
@@ -72,54 +72,54 @@
     pub fn new(kind: Kind, index: usize, upstreams: &[name::Zone], seed: u64) -> Entry {
         match kind {
             Kind::Baseline => Entry::Baseline(baseline::Entry::new(index, upstreams)),
-            Kind::Ours => Entry::Ours(Box::new(ours::Entry::new(index, upstreams, seed))),
+            Kind::Policy => Entry::Policy(Box::new(policy::Entry::new(index, upstreams, seed))),
         }
     }
 
     /// A request arrives.
-    pub fn arrive(
+    pub fn on_arrival(
         &mut self,
         now: clock::Instant,
         id: usize,
         request: &traffic::Request,
     ) -> Vec<Effect> {
         match self {
-            Entry::Baseline(entry) => entry.arrive(id),
-            Entry::Ours(entry) => entry.arrive(now, id, request),
+            Entry::Baseline(entry) => entry.on_arrival(id),
+            Entry::Policy(entry) => entry.on_arrival(now, id, request),
         }
     }
 
     /// An agent replies.
-    pub fn reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
+    pub fn on_reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
         match self {
-            Entry::Baseline(entry) => entry.reply(attempt, reply),
-            Entry::Ours(entry) => entry.reply(now, attempt, reply),
+            Entry::Baseline(entry) => entry.on_reply(attempt, reply),
+            Entry::Policy(entry) => entry.on_reply(now, attempt, reply),
         }
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: clock::Instant) -> Vec<Effect> {
+    pub fn on_tick(&mut self, now: clock::Instant) -> Vec<Effect> {
         match self {
             Entry::Baseline(_) => Vec::new(),
-            Entry::Ours(entry) => entry.tick(now),
+            Entry::Policy(entry) => entry.on_tick(now),
         }
     }
 
     /// A zone is taken out or brought back.
-    pub fn zone(&mut self, zone: &name::Zone, out: bool) {
+    pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
         match self {
-            Entry::Baseline(entry) => entry.zone(zone, out),
-            Entry::Ours(entry) => entry.zone(zone, out),
+            Entry::Baseline(entry) => entry.set_zone_evacuated(zone, evacuated),
+            Entry::Policy(entry) => entry.set_zone_evacuated(zone, evacuated),
         }
     }
 }
 
 /// Number of an attempt: unique over entries.
-pub fn attempt(entry: usize, count: u64) -> u64 {
+pub fn attempt_id(entry: usize, count: u64) -> u64 {
     (entry as u64) << 40 | count
 }
 
 /// The entry of an attempt.
-pub fn of(attempt: u64) -> usize {
+pub fn entry_of(attempt: u64) -> usize {
     (attempt >> 40) as usize
 }
--- a/crates/hyssopfork-policy/model/src/lib.rs
+++ b/crates/hyssopfork-policy/model/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod baseline;
 pub mod engine;
 pub mod entry;
-pub mod figures;
-pub mod ours;
+pub mod parameters;
+pub mod policy;
 pub mod repair;
 pub mod report;
 pub mod scenario;
--- a/crates/hyssopfork-policy/model/src/figures.rs
+++ b/crates/hyssopfork-policy/model/src/parameters.rs
@@ -14,26 +14,26 @@
 
 /// Requests that an upstream runs in one batch, and declares: its memory for contexts is full
 /// then, and more wait inside it.
-pub const BATCH: usize = 16;
+pub const BATCH_SIZE: usize = 16;
 
 /// Time of a decoding step with an empty batch: reading the weights once.
-pub const STEP: Duration = Duration::from_millis(20);
+pub const STEP_TIME: Duration = Duration::from_millis(20);
 
 /// Addition to a step for each request in the batch: reading its context. With a full batch a
 /// token takes 36 ms, within the 43 ms that 95 in 100 are promised in two years.
-pub const STEP_EACH: Duration = Duration::from_millis(1);
+pub const STEP_TIME_PER_REQUEST: Duration = Duration::from_millis(1);
 
 /// Work of a prompt token as a share of a generated one's: prompts are computed in parallel.
-pub const PREFILL: f64 = 0.01;
+pub const PREFILL_COST: f64 = 0.01;
 
 /// Requests inside an upstream, running and waiting, at which it runs out of memory and crashes.
-pub const CRASH: usize = 192;
+pub const CRASH_REQUESTS: usize = 192;
 
 /// Time until a crashed upstream runs again, cold.
-pub const RESTART: Duration = Duration::from_secs(10);
+pub const RESTART_TIME: Duration = Duration::from_secs(10);
 
 /// Requests that a cold upstream bears; half as many again tip it over.
-pub const COLD_BEARS: f64 = 4.0;
+pub const COLD_CAPACITY: f64 = 4.0;
 
 /// Growth of what it bears with each completed request, up to the batch.
 pub const COLD_GROWTH: f64 = 1.0;
@@ -42,31 +42,31 @@
 pub const COLD_SPEED: f64 = 0.25;
 
 /// Prompt prefixes that an upstream's memory holds beside the contexts.
-pub const PREFIXES: usize = 32;
+pub const CACHED_PREFIXES: usize = 32;
 
 /// One way between an entry and an agent: within a zone or between near ones.
-pub const HOP: Duration = Duration::from_millis(1);
+pub const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
 /// Time between two ticks of an entry.
-pub const TICK: Duration = Duration::from_millis(10);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Prompt and answer of a short request, in tokens: a summary of a page.
-pub const SHORT: (f64, f64) = (400.0, 48.0);
+pub const SHORT_TOKENS: (f64, f64) = (400.0, 48.0);
 
 /// Time within which a short request's answer must begin.
-pub const SHORT_DEADLINE: Duration = Duration::from_secs(2);
+pub const SHORT_START_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Length of a long job as a multiple of a short request.
-pub const LONG: f64 = 100.0;
+pub const LONG_FACTOR: f64 = 100.0;
 
 /// Time within which a long job's answer must begin.
-pub const LONG_DEADLINE: Duration = Duration::from_secs(60);
+pub const LONG_START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Prompt and answer of a status check, in tokens.
-pub const STATUS: (f64, f64) = (10.0, 1.0);
+pub const STATUS_TOKENS: (f64, f64) = (10.0, 1.0);
 
 /// Time within which a status check's answer must begin.
-pub const STATUS_DEADLINE: Duration = Duration::from_secs(1);
+pub const STATUS_START_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Teams of the pool, with shares of the load that fall as one over their rank (Zipf).
 pub const TEAMS: usize = 10;
@@ -75,13 +75,13 @@
 pub const ESTIMATE_SPREAD: f64 = 2.0;
 
 /// Work of one short request, in generated tokens.
-pub const fn short_units() -> f64 {
-    SHORT.0 * PREFILL + SHORT.1
+pub const fn short_request_tokens() -> f64 {
+    SHORT_TOKENS.0 * PREFILL_COST + SHORT_TOKENS.1
 }
 
 /// Short requests a second that `upstreams` warm upstreams serve with full batches and no prompt
 /// cached.
 pub fn capacity(upstreams: usize) -> f64 {
-    let step = STEP.as_secs_f64() + STEP_EACH.as_secs_f64() * BATCH as f64;
-    upstreams as f64 * BATCH as f64 / step / short_units()
+    let step = STEP_TIME.as_secs_f64() + STEP_TIME_PER_REQUEST.as_secs_f64() * BATCH_SIZE as f64;
+    upstreams as f64 * BATCH_SIZE as f64 / step / short_request_tokens()
 }
--- a/crates/hyssopfork-policy/model/src/ours.rs
+++ b/crates/hyssopfork-policy/model/src/policy.rs
@@ -1,19 +1,19 @@
 //! An entry that decides by the policy package, wired as the entry's role wires it.
 
 use crate::entry::{self, Effect, Reply};
-use crate::{figures, traffic};
+use crate::{parameters, traffic};
 use hyssopfork_policy::{choice, hedge, queue, random, retry};
 use hyssopfork_wire::{attempt, clock, configuration, frame, name, refusal};
 use std::collections::{BTreeMap, HashMap};
 
 #[derive(Clone, Debug)]
-struct Live {
+struct Pending {
     item: queue::Item,
     prefix: Option<u64>,
     repeatable: bool,
     /// When it was first sent.
-    sent: Option<clock::Instant>,
-    begun: bool,
+    first_sent_at: Option<clock::Instant>,
+    is_responding: bool,
     attempts: Vec<u64>,
     tried: Vec<name::Instance>,
 }
@@ -27,9 +27,9 @@
     chooser: choice::Chooser,
     budget: retry::Budget,
     hedges: BTreeMap<configuration::Class, hedge::Hedge>,
-    live: BTreeMap<usize, Live>,
+    pending: BTreeMap<usize, Pending>,
     attempts: HashMap<u64, (usize, name::Instance)>,
-    count: u64,
+    attempt_count: u64,
     random: u64,
 }
 
@@ -38,7 +38,7 @@
     name::Instance::new(format!("runner-{index:03}"))
 }
 
-fn index_of(instance: &name::Instance) -> usize {
+fn upstream_index(instance: &name::Instance) -> usize {
     let digits = instance.as_str().trim_start_matches("runner-");
     digits.parse().expect("instances of the model are named by `instance`")
 }
@@ -52,7 +52,7 @@
     pub fn new(index: usize, zones: &[name::Zone], seed: u64) -> Entry {
         let mut chooser = choice::Chooser::default();
         for (upstream, zone) in zones.iter().enumerate() {
-            let concurrency = figures::BATCH as u32;
+            let concurrency = parameters::BATCH_SIZE as u32;
             let upstream =
                 choice::Upstream { instance: instance(upstream), zone: zone.clone(), concurrency };
             chooser.insert(clock::Instant::ORIGIN, upstream);
@@ -64,15 +64,15 @@
             chooser,
             budget: retry::Budget::default(),
             hedges: BTreeMap::new(),
-            live: BTreeMap::new(),
+            pending: BTreeMap::new(),
             attempts: HashMap::new(),
-            count: 0,
+            attempt_count: 0,
             random: random::mix(seed, index as u64),
         }
     }
 
     /// A request arrives.
-    pub fn arrive(
+    pub fn on_arrival(
         &mut self,
         now: clock::Instant,
         id: usize,
@@ -86,66 +86,67 @@
             deadline: request.deadline(),
         };
         let random = self.random();
-        if let queue::Admission::Rejected(refusal) = self.queue.enqueue(now, item.clone(), random) {
-            return vec![Effect::Refuse { request: id, after: refusal.retry_after }];
+        if let queue::Admission::Rejected(rejection) = self.queue.enqueue(now, item.clone(), random)
+        {
+            return vec![Effect::Reject { request: id, retry_after: rejection.retry_after }];
         }
-        let live = Live {
+        let pending = Pending {
             item,
             prefix: request.prefix,
             repeatable: request.repeatable,
-            sent: None,
-            begun: false,
+            first_sent_at: None,
+            is_responding: false,
             attempts: Vec::new(),
             tried: Vec::new(),
         };
-        self.live.insert(id, live);
-        self.pump(now)
+        self.pending.insert(id, pending);
+        self.dispatch(now)
     }
 
     /// An agent replies.
-    pub fn reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
+    pub fn on_reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
         let Some((request, instance)) = self.attempts.get(&attempt).cloned() else {
             return Vec::new();
         };
         let mut effects = match reply {
-            Reply::Loaded(load) => {
+            Reply::LoadReport(load) => {
                 self.chooser.on_load_report(now, &instance, load);
                 Vec::new()
             }
-            Reply::Refused(load) => self.refused(now, attempt, request, &instance, load),
-            Reply::Begun => self.begun(now, attempt, request),
-            Reply::Ended => self.ended(now, attempt, request),
-            Reply::Failed => self.failed(now, attempt, request),
+            Reply::Rejected(load) => self.on_rejected(now, attempt, request, &instance, load),
+            Reply::Started => self.on_started(now, attempt, request),
+            Reply::Completed => self.on_completed(now, attempt, request),
+            Reply::Failed => self.on_failed(now, attempt, request),
         };
-        effects.extend(self.pump(now));
+        effects.extend(self.dispatch(now));
         effects
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: clock::Instant) -> Vec<Effect> {
-        let mut effects = self.give_up(now);
-        effects.extend(self.hedge(now));
-        effects.extend(self.pump(now));
+    pub fn on_tick(&mut self, now: clock::Instant) -> Vec<Effect> {
+        let mut effects = self.time_out(now);
+        effects.extend(self.send_hedges(now));
+        effects.extend(self.dispatch(now));
         effects
     }
 
     /// A zone is taken out or brought back.
-    pub fn zone(&mut self, zone: &name::Zone, out: bool) {
-        self.chooser.set_zone_evacuated(zone, out);
+    pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
+        self.chooser.set_zone_evacuated(zone, evacuated);
     }
 
-    fn pump(&mut self, now: clock::Instant) -> Vec<Effect> {
+    fn dispatch(&mut self, now: clock::Instant) -> Vec<Effect> {
         let random = self.random();
         let batch = self.queue.dispatch(now, self.chooser.capacity(now), random);
         let mut effects = Vec::new();
         for expired in batch.expired {
             let request = expired.item.request as usize;
-            self.live.remove(&request);
-            effects.push(Effect::Refuse { request, after: expired.rejection.retry_after });
+            self.pending.remove(&request);
+            effects.push(Effect::Reject { request, retry_after: expired.rejection.retry_after });
         }
         for item in batch.ready {
             let request = item.request as usize;
-            if self.live[&request].sent.is_none() {
+            if self.pending[&request].first_sent_at.is_none() {
                 self.budget.on_first_attempt();
             }
             match self.send(now, request) {
@@ -159,21 +160,21 @@
     /// Sends one more attempt of a request; `None` when no upstream has room.
     fn send(&mut self, now: clock::Instant, request: usize) -> Option<Effect> {
         let random = self.random();
-        let live = self.live.get_mut(&request)?;
-        let want =
-            choice::Criteria { zone: &self.zone, prefix: live.prefix, excluded: &live.tried };
-        let instance = self.chooser.pick(now, want, random)?;
-        self.count += 1;
-        let attempt = entry::attempt(self.index, self.count);
-        self.chooser.on_attempt_sent(now, &instance, identifier(attempt), live.item.cost);
-        live.sent.get_or_insert(now);
-        live.attempts.push(attempt);
-        let upstream = index_of(&instance);
+        let pending = self.pending.get_mut(&request)?;
+        let criteria =
+            choice::Criteria { zone: &self.zone, prefix: pending.prefix, excluded: &pending.tried };
+        let instance = self.chooser.pick(now, criteria, random)?;
+        self.attempt_count += 1;
+        let attempt = entry::attempt_id(self.index, self.attempt_count);
+        self.chooser.on_attempt_sent(now, &instance, identifier(attempt), pending.item.cost);
+        pending.first_sent_at.get_or_insert(now);
+        pending.attempts.push(attempt);
+        let upstream = upstream_index(&instance);
         self.attempts.insert(attempt, (request, instance));
         Some(Effect::Send { request, attempt, upstream })
     }
 
-    fn refused(
+    fn on_rejected(
         &mut self,
         now: clock::Instant,
         attempt: u64,
@@ -181,93 +182,103 @@
         instance: &name::Instance,
         load: frame::Load,
     ) -> Vec<Effect> {
-        self.close(now, attempt, choice::Outcome::Rejected(refusal::Reason::Cold));
+        self.end_attempt(now, attempt, choice::Outcome::Rejected(refusal::Reason::Cold));
         self.chooser.on_load_report(now, instance, load);
-        if let Some(live) = self.live.get(&request)
-            && live.attempts.is_empty()
+        if let Some(pending) = self.pending.get(&request)
+            && pending.attempts.is_empty()
         {
-            self.queue.requeue(now, live.item.clone());
+            self.queue.requeue(now, pending.item.clone());
         }
         Vec::new()
     }
 
-    fn begun(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
+    fn on_started(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
         self.chooser.on_response_started(now, identifier(attempt));
-        let Some(live) = self.live.get_mut(&request) else { return Vec::new() };
-        live.begun = true;
-        if let Some(sent) = live.sent {
-            self.hedges.entry(live.item.class).or_default().record_start_latency(now.since(sent));
+        let Some(pending) = self.pending.get_mut(&request) else { return Vec::new() };
+        pending.is_responding = true;
+        if let Some(first_sent_at) = pending.first_sent_at {
+            self.hedges
+                .entry(pending.item.class)
+                .or_default()
+                .record_start_latency(now.since(first_sent_at));
         }
         self.queue.on_response_started(now, request as u64);
         let others: Vec<u64> =
-            live.attempts.iter().copied().filter(|other| *other != attempt).collect();
+            pending.attempts.iter().copied().filter(|other| *other != attempt).collect();
         others.into_iter().filter_map(|other| self.cancel(now, other)).collect()
     }
 
-    fn ended(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
-        self.close(now, attempt, choice::Outcome::Completed);
+    fn on_completed(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
+        self.end_attempt(now, attempt, choice::Outcome::Completed);
         self.queue.on_request_ended(now, request as u64);
-        self.live.remove(&request);
+        self.pending.remove(&request);
         Vec::new()
     }
 
-    fn failed(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
+    fn on_failed(&mut self, now: clock::Instant, attempt: u64, request: usize) -> Vec<Effect> {
         let instance = self.attempts.get(&attempt).map(|(_, instance)| instance.clone());
-        self.close(now, attempt, choice::Outcome::Failed);
-        let Some(live) = self.live.get_mut(&request) else { return Vec::new() };
-        if !live.attempts.is_empty() {
+        self.end_attempt(now, attempt, choice::Outcome::Failed);
+        let Some(pending) = self.pending.get_mut(&request) else { return Vec::new() };
+        if !pending.attempts.is_empty() {
             return Vec::new();
         }
-        live.tried.extend(instance);
-        if !live.begun && self.budget.try_retry(live.repeatable, refusal::Ran::MayHaveRun) {
-            self.queue.requeue(now, live.item.clone());
+        pending.tried.extend(instance);
+        if !pending.is_responding
+            && self.budget.try_retry(pending.repeatable, refusal::Ran::MayHaveRun)
+        {
+            self.queue.requeue(now, pending.item.clone());
             return Vec::new();
         }
-        self.live.remove(&request);
+        self.pending.remove(&request);
         self.queue.on_request_ended(now, request as u64);
         vec![Effect::Fail(request)]
     }
 
     /// Cancels and answers what has not begun by its deadline.
-    fn give_up(&mut self, now: clock::Instant) -> Vec<Effect> {
-        let late = self
-            .live
-            .iter()
-            .filter(|(_, live)| live.sent.is_some() && !live.begun && live.item.deadline <= now);
+    fn time_out(&mut self, now: clock::Instant) -> Vec<Effect> {
+        let late = self.pending.iter().filter(|(_, pending)| {
+            pending.first_sent_at.is_some()
+                && !pending.is_responding
+                && pending.item.deadline <= now
+        });
         let late: Vec<usize> = late.map(|(request, _)| *request).collect();
         let mut effects = Vec::new();
         for request in late {
-            let Some(live) = self.live.remove(&request) else { continue };
-            for attempt in live.attempts {
+            let Some(pending) = self.pending.remove(&request) else { continue };
+            for attempt in pending.attempts {
                 effects.extend(self.cancel_as(now, attempt, choice::Outcome::Failed));
             }
             self.queue.remove(request as u64);
             self.queue.on_request_ended(now, request as u64);
             let random = self.random();
-            let after = self.queue.retry_after(live.item.class, random);
-            effects.push(Effect::Refuse { request, after: Some(after) });
+            let retry_after = self.queue.retry_after(pending.item.class, random);
+            effects.push(Effect::Reject { request, retry_after: Some(retry_after) });
         }
         effects
     }
 
-    fn hedge(&mut self, now: clock::Instant) -> Vec<Effect> {
-        let slow = self.live.iter().filter(|(_, live)| {
-            let waited = live.sent.map(|sent| now.since(sent));
-            let delay = self.hedges.get(&live.item.class).and_then(hedge::Hedge::delay);
-            let due = waited.zip(delay).is_some_and(|(waited, delay)| waited >= delay);
-            due && live.repeatable && !live.begun && live.attempts.len() == 1
+    fn send_hedges(&mut self, now: clock::Instant) -> Vec<Effect> {
+        let overdue = self.pending.iter().filter(|(_, pending)| {
+            let waited = pending.first_sent_at.map(|first_sent_at| now.since(first_sent_at));
+            let delay = self.hedges.get(&pending.item.class).and_then(hedge::Hedge::delay);
+            let is_due = waited.zip(delay).is_some_and(|(waited, delay)| waited >= delay);
+            is_due && pending.repeatable && !pending.is_responding && pending.attempts.len() == 1
         });
-        let slow: Vec<usize> = slow.map(|(request, _)| *request).collect();
+        let overdue: Vec<usize> = overdue.map(|(request, _)| *request).collect();
         let mut effects = Vec::new();
-        for request in slow {
-            let Some(live) = self.live.get_mut(&request) else { continue };
-            let waited = live.sent.map(|sent| now.since(sent)).unwrap_or_default();
-            let hedge = self.hedges.entry(live.item.class).or_default();
-            if !hedge.try_hedge(live.repeatable, waited, &mut self.budget) {
+        for request in overdue {
+            let Some(pending) = self.pending.get_mut(&request) else { continue };
+            let waited = pending
+                .first_sent_at
+                .map(|first_sent_at| now.since(first_sent_at))
+                .unwrap_or_default();
+            let hedge = self.hedges.entry(pending.item.class).or_default();
+            if !hedge.try_hedge(pending.repeatable, waited, &mut self.budget) {
                 continue;
             }
-            let on = self.attempts.get(&live.attempts[0]).map(|(_, instance)| instance.clone());
-            live.tried.extend(on);
+            let tried =
+                self.attempts.get(&pending.attempts[0]).map(|(_, instance)| instance.clone());
+            pending.tried.extend(tried);
             effects.extend(self.send(now, request));
         }
         effects
@@ -284,18 +295,18 @@
         outcome: choice::Outcome,
     ) -> Option<Effect> {
         let (_, instance) = self.attempts.get(&attempt)?;
-        let upstream = index_of(instance);
-        self.close(now, attempt, outcome);
+        let upstream = upstream_index(instance);
+        self.end_attempt(now, attempt, outcome);
         Some(Effect::Cancel { attempt, upstream })
     }
 
     /// Ends an attempt in the books.
-    fn close(&mut self, now: clock::Instant, attempt: u64, outcome: choice::Outcome) {
+    fn end_attempt(&mut self, now: clock::Instant, attempt: u64, outcome: choice::Outcome) {
         self.chooser.on_attempt_ended(now, identifier(attempt), outcome);
         if let Some((request, _)) = self.attempts.remove(&attempt)
-            && let Some(live) = self.live.get_mut(&request)
+            && let Some(pending) = self.pending.get_mut(&request)
         {
-            live.attempts.retain(|other| *other != attempt);
+            pending.attempts.retain(|other| *other != attempt);
         }
     }
 
--- a/crates/hyssopfork-policy/model/src/repair.rs
+++ b/crates/hyssopfork-policy/model/src/repair.rs
@@ -16,30 +16,30 @@
 pub const DOMAINS: usize = 6;
 
 /// Instances of a domain: two groups and two spares.
-pub const INSTANCES: usize = 10;
+pub const INSTANCES_PER_DOMAIN: usize = 10;
 
 /// Members of a group.
-pub const SIZE: u32 = 4;
+pub const GROUP_SIZE: u32 = 4;
 
 /// Accelerators of an instance: about 19,000 over 4,800.
-pub const ACCELERATORS: u32 = 4;
+pub const ACCELERATORS_PER_INSTANCE: u32 = 4;
 
 /// Seconds until control counts an instance as missing and has decided: the presence limit, and a
 /// round of the log.
-pub const DETECT: u32 = 2;
+pub const DETECTION_SECONDS: u32 = 2;
 
 /// Seconds of a weight load at the store's full speed: some hundred gigabytes at some gigabytes a
 /// second.
-pub const LOAD: u32 = 60;
+pub const LOAD_SECONDS: u32 = 60;
 
 /// Loads that the store serves at full speed at once.
-pub const STORE: u32 = 8;
+pub const CONCURRENT_LOADS: u32 = 8;
 
 /// Seconds from the last load until the group carries its load again.
-pub const RAMP: u32 = 5;
+pub const WARM_UP_SECONDS: u32 = 5;
 
 /// Seconds of a run.
-pub const LENGTH: u32 = 1_200;
+pub const RUN_SECONDS: u32 = 1_200;
 
 /// Instances that are lost at a second.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
     /// Groups declared; the first third has priority over the rest.
     pub groups: usize,
     /// Loads that the store serves at full speed at once.
-    pub store: u32,
+    pub concurrent_loads: u32,
     /// What is lost when.
     pub losses: Vec<Loss>,
 }
@@ -99,11 +99,11 @@
 /// Runs a case.
 pub fn run(case: &Case, kind: Kind) -> Cost {
     let mut run = Run::new(case, kind);
-    for second in 0..LENGTH {
-        run.lose(second);
+    for second in 0..RUN_SECONDS {
+        run.apply_losses(second);
         run.decide(second);
-        run.load();
-        run.count(second);
+        run.advance_loads();
+        run.count_downtime(second);
     }
     run.cost
 }
@@ -111,9 +111,10 @@
 /// All cases, in the order in which the benchmark prints them.
 pub fn cases() -> Vec<Case> {
     let one = |at, place| Loss { at, instances: vec![(0, place)] };
-    let all = |domain: usize| (0..INSTANCES).map(move |place| (domain, place));
+    let all = |domain: usize| (0..INSTANCES_PER_DOMAIN).map(move |place| (domain, place));
     let dark = |domains: Range<usize>| Loss { at: 100, instances: domains.flat_map(all).collect() };
-    let case = |name, groups, losses| Case { name, groups, store: STORE, losses };
+    let case =
+        |name, groups, losses| Case { name, groups, concurrent_loads: CONCURRENT_LOADS, losses };
     let two = Loss { at: 100, instances: vec![(0, 1), (0, 2)] };
     let each = Loss { at: 100, instances: (0..DOMAINS).map(|domain| (domain, 1)).collect() };
     vec![
@@ -129,7 +130,10 @@
             10,
             vec![dark(0..1), Loss { at: 260, instances: vec![(1, 0)] }],
         ),
-        Case { store: 2, ..case("a member of each domain, a slow store", 12, vec![each]) },
+        Case {
+            concurrent_loads: 2,
+            ..case("a member of each domain, a slow store", 12, vec![each])
+        },
     ]
 }
 
@@ -138,49 +142,55 @@
     let loss = |index: u64| {
         let draw = |salt, length| random::index(random::mix(seed, index * 8 + salt), length);
         let at = 100 + draw(0, 600) as u32;
-        Loss { at, instances: vec![(draw(1, DOMAINS), draw(2, INSTANCES))] }
+        Loss { at, instances: vec![(draw(1, DOMAINS), draw(2, INSTANCES_PER_DOMAIN))] }
     };
     let losses = (0..6).map(loss).collect();
-    Case { name: "six members at random", groups: 12, store: STORE, losses }
+    Case { name: "six members at random", groups: 12, concurrent_loads: CONCURRENT_LOADS, losses }
 }
 
 /// Least downtime and stranded accelerator seconds of any repair that learns of each loss when it
 /// happens: each group that is hit loads one instance at least, or all of its members where its
 /// domain is dark; the store's rate binds; a group without room stays down. For losses that don't
 /// overlap.
-pub fn bound(case: &Case) -> Cost {
+pub fn lower_bound(case: &Case) -> Cost {
     let mut bound = Cost::default();
-    let mut usable = (DOMAINS * INSTANCES) as u32;
+    let mut available = (DOMAINS * INSTANCES_PER_DOMAIN) as u32;
     for loss in &case.losses {
-        usable -= loss.instances.len() as u32;
-        let dark = loss.instances.len() >= INSTANCES;
-        let hit = hit_groups(case, loss);
-        let each = if dark { SIZE } else { 1 };
-        let mended = if dark { hit.min(room_elsewhere(case, loss)) } else { hit };
-        let end = |place: u32| ((place + 1) * each).div_ceil(case.store) * LOAD + RAMP;
-        bound.downtime += (0..mended).map(end).sum::<u32>();
-        bound.downtime += (hit - mended) * (LENGTH - loss.at);
-        bound.loads += mended * each;
-        let span = if hit > mended { LENGTH - loss.at } else { end(mended.max(1) - 1) };
-        let whole = (case.groups as u32 - (hit - mended)) * SIZE;
-        bound.stranded += u64::from((usable - whole) * ACCELERATORS * span);
+        available -= loss.instances.len() as u32;
+        let dark = loss.instances.len() >= INSTANCES_PER_DOMAIN;
+        let hit = count_hit_groups(case, loss);
+        let each = if dark { GROUP_SIZE } else { 1 };
+        let repaired = if dark { hit.min(count_fitting_elsewhere(case, loss)) } else { hit };
+        let repair_seconds = |place: u32| {
+            ((place + 1) * each).div_ceil(case.concurrent_loads) * LOAD_SECONDS + WARM_UP_SECONDS
+        };
+        bound.downtime += (0..repaired).map(repair_seconds).sum::<u32>();
+        bound.downtime += (hit - repaired) * (RUN_SECONDS - loss.at);
+        bound.loads += repaired * each;
+        let duration = if hit > repaired {
+            RUN_SECONDS - loss.at
+        } else {
+            repair_seconds(repaired.max(1) - 1)
+        };
+        let complete = (case.groups as u32 - (hit - repaired)) * GROUP_SIZE;
+        bound.stranded += u64::from((available - complete) * ACCELERATORS_PER_INSTANCE * duration);
     }
     bound
 }
 
-fn hit_groups(case: &Case, loss: &Loss) -> u32 {
-    let lost = |member: &name::Instance| {
+fn count_hit_groups(case: &Case, loss: &Loss) -> u32 {
+    let is_lost = |member: &name::Instance| {
         loss.instances.iter().any(|(domain, place)| *member == instance(*domain, *place))
     };
-    let formed = Run::new(case, Kind::Ours).placements;
-    formed.values().filter(|it| it.members.iter().any(lost)).count() as u32
+    let placements = Run::new(case, Kind::Policy).placements;
+    placements.values().filter(|it| it.members.iter().any(is_lost)).count() as u32
 }
 
 /// Groups that fit into the other domains beside those that stand there.
-fn room_elsewhere(case: &Case, loss: &Loss) -> u32 {
-    let dark = loss.instances.len() / INSTANCES;
-    let capacity = (INSTANCES as u32 / SIZE) * (DOMAINS - dark) as u32;
-    capacity.saturating_sub(case.groups as u32 - hit_groups(case, loss))
+fn count_fitting_elsewhere(case: &Case, loss: &Loss) -> u32 {
+    let dark = loss.instances.len() / INSTANCES_PER_DOMAIN;
+    let capacity = (INSTANCES_PER_DOMAIN as u32 / GROUP_SIZE) * (DOMAINS - dark) as u32;
+    capacity.saturating_sub(case.groups as u32 - count_hit_groups(case, loss))
 }
 
 fn instance(domain: usize, place: usize) -> name::Instance {
@@ -202,12 +212,12 @@
             ready: BTreeMap::new(),
             cost: Cost::default(),
         };
-        run.form();
+        run.form_groups();
         run
     }
 
     /// Forms all groups, as the policy does, before the run.
-    fn form(&mut self) {
+    fn form_groups(&mut self) {
         let fleet = self.fleet(0, u32::MAX);
         for decision in placement::decide(&fleet) {
             let placement::Decision::Place { group, members } = decision else { continue };
@@ -215,7 +225,7 @@
         }
     }
 
-    fn lose(&mut self, second: u32) {
+    fn apply_losses(&mut self, second: u32) {
         for loss in self.case.losses.iter().filter(|loss| loss.at == second) {
             for (domain, place) in &loss.instances {
                 let lost = instance(*domain, *place);
@@ -227,8 +237,8 @@
 
     fn decide(&mut self, second: u32) {
         let decisions = match self.kind {
-            Kind::Ours => placement::decide(&self.fleet(second, self.case.store)),
-            Kind::Baseline => self.plain(second),
+            Kind::Policy => placement::decide(&self.fleet(second, self.case.concurrent_loads)),
+            Kind::Baseline => self.plain_repair(second),
         };
         for decision in decisions {
             match decision {
@@ -243,9 +253,9 @@
     fn place(&mut self, group: name::Group, members: Vec<name::Instance>) {
         let before = self.placements.remove(&group).map(|it| it.members).unwrap_or_default();
         for (rank, member) in members.iter().enumerate() {
-            let stays = self.kind == Kind::Ours && before.get(rank) == Some(member);
-            if !stays {
-                self.loading.insert(member.clone(), f64::from(LOAD));
+            let is_kept = self.kind == Kind::Policy && before.get(rank) == Some(member);
+            if !is_kept {
+                self.loading.insert(member.clone(), f64::from(LOAD_SECONDS));
                 self.cost.loads += 1;
             }
         }
@@ -253,44 +263,46 @@
         self.placements.insert(group, placement::Placement { members, running: 0 });
     }
 
-    fn load(&mut self) {
-        let speed = (f64::from(self.case.store) / self.loading.len().max(1) as f64).min(1.0);
+    fn advance_loads(&mut self) {
+        let speed =
+            (f64::from(self.case.concurrent_loads) / self.loading.len().max(1) as f64).min(1.0);
         for left in self.loading.values_mut() {
             *left -= speed;
         }
         self.loading.retain(|_, left| *left > 0.0);
     }
 
-    fn count(&mut self, second: u32) {
-        let mut whole = BTreeSet::new();
+    fn count_downtime(&mut self, second: u32) {
+        let mut complete = BTreeSet::new();
         let mut down = 0;
         for index in 0..self.case.groups {
             let group = group(index);
-            let serves = self.serves(&group, second);
-            down += u32::from(!serves);
-            self.cost.priority_downtime += u32::from(!serves && self.has_priority(index));
-            if self.is_whole(&group) {
-                whole.extend(self.placements[&group].members.clone());
+            let is_serving = self.is_serving(&group, second);
+            down += u32::from(!is_serving);
+            self.cost.priority_downtime += u32::from(!is_serving && self.has_priority(index));
+            if self.is_complete(&group) {
+                complete.extend(self.placements[&group].members.clone());
             }
         }
         self.cost.downtime += down;
         if down > 0 {
-            let usable = DOMAINS * INSTANCES - self.missing.len();
-            self.cost.stranded += ((usable - whole.len()) * ACCELERATORS as usize) as u64;
+            let available = DOMAINS * INSTANCES_PER_DOMAIN - self.missing.len();
+            self.cost.stranded +=
+                ((available - complete.len()) * ACCELERATORS_PER_INSTANCE as usize) as u64;
         }
     }
 
-    fn serves(&mut self, group: &name::Group, second: u32) -> bool {
-        let loaded = self.is_whole(group)
+    fn is_serving(&mut self, group: &name::Group, second: u32) -> bool {
+        let is_loaded = self.is_complete(group)
             && self.placements[group].members.iter().all(|it| !self.loading.contains_key(it));
-        if !loaded {
-            self.ready.insert(group.clone(), second + 1 + RAMP);
+        if !is_loaded {
+            self.ready.insert(group.clone(), second + 1 + WARM_UP_SECONDS);
             return false;
         }
         self.ready.get(group).is_none_or(|ready| second >= *ready)
     }
 
-    fn is_whole(&self, group: &name::Group) -> bool {
+    fn is_complete(&self, group: &name::Group) -> bool {
         let current = self.placements.get(group);
         current.is_some_and(|it| it.members.iter().all(|it| !self.missing.contains_key(it)))
     }
@@ -300,24 +312,27 @@
     }
 
     /// A plain repair: broken groups are given up and rebuilt at the first place with room.
-    fn plain(&self, second: u32) -> Vec<placement::Decision> {
-        let seen =
-            |it: &name::Instance| self.missing.get(it).is_some_and(|at| second >= at + DETECT);
+    fn plain_repair(&self, second: u32) -> Vec<placement::Decision> {
+        let is_detected = |it: &name::Instance| {
+            self.missing.get(it).is_some_and(|at| second >= at + DETECTION_SECONDS)
+        };
         let mut used = BTreeSet::new();
         let mut waiting = Vec::new();
         for index in 0..self.case.groups {
             match self.placements.get(&group(index)) {
-                Some(it) if !it.members.iter().any(seen) => used.extend(it.members.clone()),
+                Some(it) if !it.members.iter().any(is_detected) => used.extend(it.members.clone()),
                 _ => waiting.push(index),
             }
         }
         let mut decisions = Vec::new();
         for index in waiting {
             for domain in 0..DOMAINS {
-                let free = (0..INSTANCES).map(|place| instance(domain, place));
-                let free: Vec<_> =
-                    free.filter(|it| !used.contains(it) && !seen(it)).take(SIZE as usize).collect();
-                if free.len() == SIZE as usize {
+                let free = (0..INSTANCES_PER_DOMAIN).map(|place| instance(domain, place));
+                let free: Vec<_> = free
+                    .filter(|it| !used.contains(it) && !is_detected(it))
+                    .take(GROUP_SIZE as usize)
+                    .collect();
+                if free.len() == GROUP_SIZE as usize {
                     used.extend(free.clone());
                     decisions
                         .push(placement::Decision::Place { group: group(index), members: free });
@@ -329,16 +344,18 @@
     }
 
     fn fleet(&self, second: u32, limit: u32) -> placement::Fleet {
-        let places = (0..DOMAINS).flat_map(|domain| (0..INSTANCES).map(move |it| (domain, it)));
+        let places =
+            (0..DOMAINS).flat_map(|domain| (0..INSTANCES_PER_DOMAIN).map(move |it| (domain, it)));
         let instances = places.map(|(domain, place)| {
             let name = instance(domain, place);
-            let seen = self.missing.get(&name).is_some_and(|at| second >= at + DETECT);
+            let is_detected =
+                self.missing.get(&name).is_some_and(|at| second >= at + DETECTION_SECONDS);
             placement::Instance {
                 name,
                 zone: name::Zone::new(format!("zone-{}", domain / 2)),
                 domain: name::Domain::new(format!("domain-{domain}")),
                 pool: "engines".into(),
-                availability: if seen {
+                availability: if is_detected {
                     placement::Availability::Missing
                 } else {
                     placement::Availability::Available
@@ -350,7 +367,7 @@
             name: group(index),
             pool: "engines".into(),
             model: "model".into(),
-            size: SIZE,
+            size: GROUP_SIZE,
             priority: u32::from(self.has_priority(index)),
         });
         placement::Fleet {
--- a/crates/hyssopfork-policy/model/src/report.rs
+++ b/crates/hyssopfork-policy/model/src/report.rs
@@ -1,16 +1,16 @@
 //! What callers received in a run, and what the upstreams spent on it.
 
-use crate::{figures, scenario, traffic};
+use crate::{parameters, scenario, traffic};
 use hyssopfork_wire::{clock, configuration, name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Time within which a refusal counts as given at once.
-pub const AT_ONCE: Duration = Duration::from_millis(50);
+pub const IMMEDIATE: Duration = Duration::from_millis(50);
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Answer {
+pub enum Outcome {
     /// Whole, and begun before its deadline.
     Good,
     /// Whole, and begun after its deadline.
@@ -25,35 +25,35 @@
 
 /// One request.
 #[derive(Clone, Debug)]
-struct Line {
+struct Record {
     team: name::Team,
     class: configuration::Class,
-    at: clock::Instant,
+    arrived_at: clock::Instant,
     deadline: clock::Instant,
-    units: f64,
-    origin: usize,
-    begun: Option<clock::Instant>,
-    ended: Option<clock::Instant>,
-    refused: Option<clock::Instant>,
+    tokens: f64,
+    client: usize,
+    started_at: Option<clock::Instant>,
+    ended_at: Option<clock::Instant>,
+    rejected_at: Option<clock::Instant>,
     failed: bool,
-    runs: u32,
-    spent: f64,
+    attempts_run: u32,
+    tokens_spent: f64,
     repeatable: bool,
 }
 
 /// All requests of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    lines: Vec<Line>,
+    records: Vec<Record>,
     length: Duration,
     capacity: f64,
-    upstreams: Vec<u64>,
+    attempts_by_upstream: Vec<u64>,
     /// Attempts that agents refused before they ran.
-    pub bounced: u64,
+    pub agent_rejections: u64,
     /// Crashes of upstreams.
     pub crashes: u32,
     /// Prompts found cached, and all prompts with a prefix.
-    pub hits: (u64, u64),
+    pub cache_hits: (u64, u64),
 }
 
 /// Waits until the answer began, of the good answers of one kind of request.
@@ -71,132 +71,139 @@
     /// An empty report.
     pub fn new(scenario: &scenario::Scenario, requests: &[traffic::Request]) -> Report {
         Report {
-            lines: requests.iter().enumerate().map(|(index, it)| Line::new(index, it)).collect(),
+            records: requests
+                .iter()
+                .enumerate()
+                .map(|(index, it)| Record::new(index, it))
+                .collect(),
             length: scenario.length,
-            capacity: figures::capacity(scenario.upstreams) * figures::short_units(),
-            upstreams: vec![0; scenario.upstreams],
-            bounced: 0,
+            capacity: parameters::capacity(scenario.upstreams) * parameters::short_request_tokens(),
+            attempts_by_upstream: vec![0; scenario.upstreams],
+            agent_rejections: 0,
             crashes: 0,
-            hits: (0, 0),
+            cache_hits: (0, 0),
         }
     }
 
     /// The answer of a request began.
-    pub fn begun(&mut self, now: clock::Instant, request: usize) {
-        self.lines[request].begun.get_or_insert(now);
+    pub fn on_started(&mut self, now: clock::Instant, request: usize) {
+        self.records[request].started_at.get_or_insert(now);
     }
 
     /// The answer of a request ended.
-    pub fn ended(&mut self, now: clock::Instant, request: usize) {
-        self.lines[request].ended.get_or_insert(now);
+    pub fn on_ended(&mut self, now: clock::Instant, request: usize) {
+        self.records[request].ended_at.get_or_insert(now);
     }
 
     /// A request was refused.
-    pub fn refused(&mut self, now: clock::Instant, request: usize) {
-        self.lines[request].refused.get_or_insert(now);
+    pub fn on_rejected(&mut self, now: clock::Instant, request: usize) {
+        self.records[request].rejected_at.get_or_insert(now);
     }
 
     /// A request failed.
-    pub fn failed(&mut self, _now: clock::Instant, request: usize) {
-        self.lines[request].failed = true;
+    pub fn on_failed(&mut self, _now: clock::Instant, request: usize) {
+        self.records[request].failed = true;
     }
 
     /// An upstream began to work on a request.
-    pub fn ran(&mut self, request: usize, upstream: usize, repeatable: bool) {
-        self.lines[request].runs += 1;
-        self.lines[request].repeatable = repeatable;
-        self.upstreams[upstream] += 1;
+    pub fn on_run(&mut self, request: usize, upstream: usize, repeatable: bool) {
+        self.records[request].attempts_run += 1;
+        self.records[request].repeatable = repeatable;
+        self.attempts_by_upstream[upstream] += 1;
     }
 
     /// Work that upstreams spent on a request.
-    pub fn spent(&mut self, request: usize, units: f64) {
-        self.lines[request].spent += units;
+    pub fn add_tokens_spent(&mut self, request: usize, tokens: f64) {
+        self.records[request].tokens_spent += tokens;
     }
 
     /// The caller of a request sends it again.
-    pub fn resent(&mut self, request: usize, again: &traffic::Request) {
-        let origin = self.lines[request].origin;
-        self.lines.push(Line::new(origin, again));
+    pub fn on_resent(&mut self, request: usize, resent: &traffic::Request) {
+        let client = self.records[request].client;
+        self.records.push(Record::new(client, resent));
     }
 
     /// Whether a request has had no answer yet, nor its beginning.
-    pub fn is_open(&self, request: usize) -> bool {
-        let line = &self.lines[request];
-        line.begun.is_none() && line.refused.is_none() && !line.failed
+    pub fn is_unanswered(&self, request: usize) -> bool {
+        let record = &self.records[request];
+        record.started_at.is_none() && record.rejected_at.is_none() && !record.failed
     }
 
     /// Requests that ended in each way.
-    pub fn answers(&self) -> BTreeMap<Answer, usize> {
-        self.answers_where(|_| true)
+    pub fn outcomes(&self) -> BTreeMap<Outcome, usize> {
+        self.count_outcomes(|_| true)
     }
 
     /// The same for one class.
-    pub fn answers_of(&self, class: configuration::Class) -> BTreeMap<Answer, usize> {
-        self.answers_where(|line| line.class == class)
+    pub fn outcomes_of(&self, class: configuration::Class) -> BTreeMap<Outcome, usize> {
+        self.count_outcomes(|record| record.class == class)
     }
 
     /// Good answers' work between two seconds of the run, as a share of what the upstreams can
     /// do in that time.
     pub fn goodput(&self, from: f64, to: f64) -> f64 {
-        let inside = |line: &&Line| {
-            let ended = line.ended.map_or(0.0, seconds);
-            line.answer() == Answer::Good && ended >= from && ended < to
+        let inside = |record: &&Record| {
+            let ended_at = record.ended_at.map_or(0.0, seconds);
+            record.outcome() == Outcome::Good && ended_at >= from && ended_at < to
         };
-        let units: f64 = self.lines.iter().filter(inside).map(|line| line.units).sum();
-        units / ((to - from) * self.capacity)
+        let tokens: f64 = self.records.iter().filter(inside).map(|record| record.tokens).sum();
+        tokens / ((to - from) * self.capacity)
     }
 
     /// Good answers as a share of the requests that arrived between two seconds of the run.
-    pub fn served(&self, from: f64, to: f64) -> f64 {
-        self.share(from, to, |line| line.answer() == Answer::Good)
+    pub fn served_share(&self, from: f64, to: f64) -> f64 {
+        self.share_of(from, to, |record| record.outcome() == Outcome::Good)
     }
 
     /// Share of the refusals that came within [`AT_ONCE`]; 1 without refusals.
-    pub fn refused_at_once(&self) -> f64 {
-        let waits = self.lines.iter().filter_map(|line| Some(line.refused?.since(line.at)));
+    pub fn rejected_immediately(&self) -> f64 {
+        let waits = self
+            .records
+            .iter()
+            .filter_map(|record| Some(record.rejected_at?.since(record.arrived_at)));
         let waits: Vec<Duration> = waits.collect();
-        let fast = waits.iter().filter(|wait| **wait <= AT_ONCE).count();
+        let fast = waits.iter().filter(|wait| **wait <= IMMEDIATE).count();
         if waits.is_empty() { 1.0 } else { fast as f64 / waits.len() as f64 }
     }
 
     /// Share of the upstreams' work that went to requests without a good answer.
-    pub fn wasted(&self) -> f64 {
-        let all: f64 = self.lines.iter().map(|line| line.spent).sum();
-        let good: f64 = self.lines.iter().map(Line::well_spent).sum();
+    pub fn wasted_share(&self) -> f64 {
+        let all: f64 = self.records.iter().map(|record| record.tokens_spent).sum();
+        let good: f64 = self.records.iter().map(Record::useful_tokens).sum();
         if all > 0.0 { 1.0 - good / all } else { 0.0 }
     }
 
     /// Requests that may not repeat and ran more than once.
     pub fn ran_twice(&self) -> usize {
-        self.lines.iter().filter(|line| !line.repeatable && line.runs > 1).count()
+        self.records.iter().filter(|record| !record.repeatable && record.attempts_run > 1).count()
     }
 
     /// Attempts that ran, for each request.
     pub fn amplification(&self) -> f64 {
-        let runs: u32 = self.lines.iter().map(|line| line.runs).sum();
-        f64::from(runs) / self.lines.len().max(1) as f64
+        let runs: u32 = self.records.iter().map(|record| record.attempts_run).sum();
+        f64::from(runs) / self.records.len().max(1) as f64
     }
 
     /// Callers that got a good answer in the end, as a share of all callers.
-    pub fn callers_served(&self) -> f64 {
-        let all: BTreeSet<usize> = self.lines.iter().map(|line| line.origin).collect();
-        let good = self.lines.iter().filter(|line| line.answer() == Answer::Good);
-        let good: BTreeSet<usize> = good.map(|line| line.origin).collect();
+    pub fn clients_served(&self) -> f64 {
+        let all: BTreeSet<usize> = self.records.iter().map(|record| record.client).collect();
+        let good = self.records.iter().filter(|record| record.outcome() == Outcome::Good);
+        let good: BTreeSet<usize> = good.map(|record| record.client).collect();
         good.len() as f64 / all.len().max(1) as f64
     }
 
     /// Requests that arrived, resent ones too, for each caller.
-    pub fn sends(&self) -> f64 {
-        let all: BTreeSet<usize> = self.lines.iter().map(|line| line.origin).collect();
-        self.lines.len() as f64 / all.len().max(1) as f64
+    pub fn requests_per_client(&self) -> f64 {
+        let all: BTreeSet<usize> = self.records.iter().map(|record| record.client).collect();
+        self.records.len() as f64 / all.len().max(1) as f64
     }
 
     /// Waits of the good answers for each team and class.
     pub fn waits(&self) -> BTreeMap<(name::Team, configuration::Class), Waits> {
         let mut waits: BTreeMap<_, Vec<Duration>> = BTreeMap::new();
-        for line in &self.lines {
-            if let Some(wait) = line.wait() {
-                waits.entry((line.team.clone(), line.class)).or_default().push(wait);
+        for record in &self.records {
+            if let Some(wait) = record.wait() {
+                waits.entry((record.team.clone(), record.class)).or_default().push(wait);
             }
         }
         waits.into_iter().map(|(key, waits)| (key, percentiles(waits))).collect()
@@ -208,124 +215,127 @@
         class: configuration::Class,
         chosen: impl Fn(&name::Team) -> bool,
     ) -> Waits {
-        let lines = self.lines.iter().filter(|line| line.class == class && chosen(&line.team));
-        percentiles(lines.filter_map(Line::wait).collect())
+        let records =
+            self.records.iter().filter(|record| record.class == class && chosen(&record.team));
+        percentiles(records.filter_map(Record::wait).collect())
     }
 
     /// Jain's index over teams of good work as a share of what the team could have had: what it
     /// asked for, or its fair share of the capacity if that is less.
-    pub fn jain(&self) -> f64 {
+    pub fn jain_index(&self) -> f64 {
         let mut teams: BTreeMap<&name::Team, (f64, f64)> = BTreeMap::new();
-        for line in &self.lines {
-            let team = teams.entry(&line.team).or_default();
-            team.0 += line.units;
-            if line.answer() == Answer::Good {
-                team.1 += line.units;
+        for record in &self.records {
+            let team = teams.entry(&record.team).or_default();
+            team.0 += record.tokens;
+            if record.outcome() == Outcome::Good {
+                team.1 += record.tokens;
             }
         }
-        let asked = teams.values().map(|team| team.0).collect();
-        let level = water_level(asked, self.capacity * self.length.as_secs_f64());
-        let shares = teams.values().map(|(asked, good)| good / asked.min(level));
+        let demanded = teams.values().map(|team| team.0).collect();
+        let fair_share = max_min_share(demanded, self.capacity * self.length.as_secs_f64());
+        let shares = teams.values().map(|(demanded, good)| good / demanded.min(fair_share));
         let shares: Vec<f64> = shares.map(|share| share.min(1.0)).collect();
-        jain(&shares)
+        jain_index_of(&shares)
     }
 
     /// Most attempts on one upstream, as a multiple of the mean.
-    pub fn spread(&self) -> f64 {
-        let most = self.upstreams.iter().max().copied().unwrap_or_default() as f64;
-        let all: u64 = self.upstreams.iter().sum();
-        most * self.upstreams.len() as f64 / all.max(1) as f64
+    pub fn max_load_ratio(&self) -> f64 {
+        let max = self.attempts_by_upstream.iter().max().copied().unwrap_or_default() as f64;
+        let all: u64 = self.attempts_by_upstream.iter().sum();
+        max * self.attempts_by_upstream.len() as f64 / all.max(1) as f64
     }
 
     /// Answers that took longer than `limit` from the caller's sending to their end.
-    pub fn longer_than(&self, limit: Duration) -> usize {
-        let took = |line: &Line| Some(line.ended?.since(line.at) > limit);
-        self.lines.iter().filter(|line| took(line) == Some(true)).count()
+    pub fn count_longer_than(&self, limit: Duration) -> usize {
+        let took = |record: &Record| Some(record.ended_at?.since(record.arrived_at) > limit);
+        self.records.iter().filter(|record| took(record) == Some(true)).count()
     }
 
     /// First second of the run from `from` on after which every second's median wait is within
     /// `limit` and nothing is refused or late; `None` when that never is.
-    pub fn recovered(&self, from: f64, limit: Duration) -> Option<f64> {
+    pub fn recovered_at(&self, from: f64, limit: Duration) -> Option<f64> {
         let end = self.length.as_secs_f64();
         let mut normal_since = None;
         let mut second = from;
         while second < end {
-            let normal = self.is_normal(second, limit);
-            normal_since = if normal { normal_since.or(Some(second)) } else { None };
+            let is_normal = self.is_normal(second, limit);
+            normal_since = if is_normal { normal_since.or(Some(second)) } else { None };
             second += 1.0;
         }
         normal_since
     }
 
     fn is_normal(&self, second: f64, limit: Duration) -> bool {
-        let arrived = self.lines.iter().filter(|line| {
-            let at = seconds(line.at);
+        let arrived = self.records.iter().filter(|record| {
+            let at = seconds(record.arrived_at);
             at >= second && at < second + 1.0
         });
-        let arrived: Vec<&Line> = arrived.collect();
-        let good = arrived.iter().filter(|line| line.answer() == Answer::Good).count();
-        let waits = percentiles(arrived.iter().filter_map(|line| line.wait()).collect());
+        let arrived: Vec<&Record> = arrived.collect();
+        let good = arrived.iter().filter(|record| record.outcome() == Outcome::Good).count();
+        let waits = percentiles(arrived.iter().filter_map(|record| record.wait()).collect());
         good * 100 >= arrived.len() * 99 && waits.p50 <= limit
     }
 
-    fn share(&self, from: f64, to: f64, counts: impl Fn(&Line) -> bool) -> f64 {
-        let inside = |line: &&Line| seconds(line.at) >= from && seconds(line.at) < to;
-        let all = self.lines.iter().filter(inside).count();
-        let chosen = self.lines.iter().filter(inside).filter(|line| counts(line)).count();
+    fn share_of(&self, from: f64, to: f64, counts: impl Fn(&Record) -> bool) -> f64 {
+        let inside = |record: &&Record| {
+            seconds(record.arrived_at) >= from && seconds(record.arrived_at) < to
+        };
+        let all = self.records.iter().filter(inside).count();
+        let chosen = self.records.iter().filter(inside).filter(|record| counts(record)).count();
         chosen as f64 / all.max(1) as f64
     }
 
-    fn answers_where(&self, chosen: impl Fn(&Line) -> bool) -> BTreeMap<Answer, usize> {
-        let mut answers = BTreeMap::new();
-        for line in self.lines.iter().filter(|line| chosen(line)) {
-            *answers.entry(line.answer()).or_default() += 1;
+    fn count_outcomes(&self, chosen: impl Fn(&Record) -> bool) -> BTreeMap<Outcome, usize> {
+        let mut counts = BTreeMap::new();
+        for record in self.records.iter().filter(|record| chosen(record)) {
+            *counts.entry(record.outcome()).or_default() += 1;
         }
-        answers
+        counts
     }
 }
 
-impl Line {
-    fn new(origin: usize, request: &traffic::Request) -> Line {
-        Line {
+impl Record {
+    fn new(client: usize, request: &traffic::Request) -> Record {
+        Record {
             team: request.team.clone(),
             class: request.class,
-            at: request.at,
+            arrived_at: request.arrives_at,
             deadline: request.deadline(),
-            units: request.units(),
-            origin,
-            begun: None,
-            ended: None,
-            refused: None,
+            tokens: request.tokens(),
+            client,
+            started_at: None,
+            ended_at: None,
+            rejected_at: None,
             failed: false,
-            runs: 0,
-            spent: 0.0,
+            attempts_run: 0,
+            tokens_spent: 0.0,
             repeatable: request.repeatable,
         }
     }
 
-    fn answer(&self) -> Answer {
+    fn outcome(&self) -> Outcome {
         if self.failed {
-            return Answer::Failed;
+            return Outcome::Failed;
         }
-        if self.refused.is_some() {
-            return Answer::Refused;
+        if self.rejected_at.is_some() {
+            return Outcome::Refused;
         }
-        match (self.begun, self.ended) {
-            (Some(begun), Some(_)) if begun <= self.deadline => Answer::Good,
-            (_, Some(_)) => Answer::Late,
-            (Some(_), None) => Answer::Failed,
-            (None, None) => Answer::Silent,
+        match (self.started_at, self.ended_at) {
+            (Some(started_at), Some(_)) if started_at <= self.deadline => Outcome::Good,
+            (_, Some(_)) => Outcome::Late,
+            (Some(_), None) => Outcome::Failed,
+            (None, None) => Outcome::Silent,
         }
     }
 
     fn wait(&self) -> Option<Duration> {
-        let begun = self.begun?;
-        (self.answer() == Answer::Good).then(|| begun.since(self.at))
+        let started_at = self.started_at?;
+        (self.outcome() == Outcome::Good).then(|| started_at.since(self.arrived_at))
     }
 
     /// Work that the good answer needed; what duplicates spent is wasted.
-    fn well_spent(&self) -> f64 {
-        if self.answer() == Answer::Good { self.spent.min(self.units) } else { 0.0 }
+    fn useful_tokens(&self) -> f64 {
+        if self.outcome() == Outcome::Good { self.tokens_spent.min(self.tokens) } else { 0.0 }
     }
 }
 
@@ -336,18 +346,18 @@
 fn percentiles(mut waits: Vec<Duration>) -> Waits {
     waits.sort_unstable();
     let at = |share: f64| {
-        let place = (waits.len() as f64 * share) as usize;
-        waits.get(place.min(waits.len().saturating_sub(1))).copied().unwrap_or_default()
+        let index = (waits.len() as f64 * share) as usize;
+        waits.get(index.min(waits.len().saturating_sub(1))).copied().unwrap_or_default()
     };
     Waits { count: waits.len(), p50: at(0.5), p99: at(0.99) }
 }
 
 /// Share of `capacity` at which every team that asks for more is cut off (max-min fairness).
-fn water_level(mut asked: Vec<f64>, capacity: f64) -> f64 {
-    asked.sort_unstable_by(f64::total_cmp);
+fn max_min_share(mut demanded: Vec<f64>, capacity: f64) -> f64 {
+    demanded.sort_unstable_by(f64::total_cmp);
     let mut left = capacity;
-    for (index, amount) in asked.iter().enumerate() {
-        let share = left / (asked.len() - index) as f64;
+    for (index, amount) in demanded.iter().enumerate() {
+        let share = left / (demanded.len() - index) as f64;
         if *amount > share {
             return share;
         }
@@ -356,7 +366,7 @@
     f64::INFINITY
 }
 
-fn jain(shares: &[f64]) -> f64 {
+fn jain_index_of(shares: &[f64]) -> f64 {
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
     if squares > 0.0 { sum * sum / (shares.len() as f64 * squares) } else { 0.0 }
--- a/crates/hyssopfork-policy/model/src/simulation.rs
+++ b/crates/hyssopfork-policy/model/src/simulation.rs
@@ -1,8 +1,8 @@
 //! The discrete-event run: callers, entries, agents and upstreams.
 
-use crate::engine::{Engine, Fault, Job, Note};
+use crate::engine::{Engine, Fault, Job, Progress};
 use crate::entry::{self, Effect, Entry, Kind, Reply};
-use crate::{figures, report, scenario, traffic};
+use crate::{parameters, report, scenario, traffic};
 use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{clock, frame, name, number};
 use std::cmp::Reverse;
@@ -17,7 +17,7 @@
     Reply { attempt: u64, index: usize },
     Wake { upstream: usize, epoch: u64 },
     Change(usize),
-    Patience(usize),
+    StartTimeout(usize),
     Tick,
 }
 
@@ -37,34 +37,34 @@
     sequence: u64,
     requests: Vec<traffic::Request>,
     zones: Vec<name::Zone>,
-    out: BTreeSet<name::Zone>,
+    evacuated_zones: BTreeSet<name::Zone>,
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     engines: Vec<Engine>,
-    epochs: Vec<u64>,
+    wake_epochs: Vec<u64>,
     replies: Vec<Reply>,
     attempts: HashMap<u64, usize>,
     report: report::Report,
 }
 
 /// Name of the zone that an upstream stands in.
-pub fn zone(index: usize) -> name::Zone {
-    name::Zone::new(format!("zone-{}", index % figures::ZONES))
+pub fn zone_of(index: usize) -> name::Zone {
+    name::Zone::new(format!("zone-{}", index % parameters::ZONES))
 }
 
 /// Runs a scenario.
 pub fn run(scenario: &scenario::Scenario, kind: Kind, seed: u64) -> report::Report {
     let mut simulation = Simulation::new(scenario, kind, seed);
-    simulation.schedule();
-    simulation.drive();
-    simulation.finish()
+    simulation.schedule_inputs();
+    simulation.run_events();
+    simulation.into_report()
 }
 
 impl<'a> Simulation<'a> {
     fn new(scenario: &'a scenario::Scenario, kind: Kind, seed: u64) -> Simulation<'a> {
-        let zones: Vec<_> = (0..scenario.upstreams).map(zone).collect();
+        let zones: Vec<_> = (0..scenario.upstreams).map(zone_of).collect();
         let entries =
-            (0..figures::ENTRIES).map(|index| Entry::new(kind, index, &zones, seed)).collect();
+            (0..parameters::ENTRIES).map(|index| Entry::new(kind, index, &zones, seed)).collect();
         let agent = Agent { slow_start: new_slow_start(scenario.warm), running: BTreeMap::new() };
         let requests = traffic::arrivals(&scenario.sources, seed);
         Simulation {
@@ -76,19 +76,19 @@
             report: report::Report::new(scenario, &requests),
             requests,
             zones,
-            out: BTreeSet::new(),
+            evacuated_zones: BTreeSet::new(),
             entries,
             agents: vec![agent; scenario.upstreams],
             engines: vec![Engine::new(scenario.warm); scenario.upstreams],
-            epochs: vec![0; scenario.upstreams],
+            wake_epochs: vec![0; scenario.upstreams],
             replies: Vec::new(),
             attempts: HashMap::new(),
         }
     }
 
-    fn schedule(&mut self) {
+    fn schedule_inputs(&mut self) {
         for index in 0..self.requests.len() {
-            self.push(self.requests[index].at, Event::Arrive(index));
+            self.push(self.requests[index].arrives_at, Event::Arrive(index));
         }
         for index in 0..self.scenario.changes.len() {
             self.push(self.scenario.changes[index].0, Event::Change(index));
@@ -96,7 +96,7 @@
         self.push(clock::Instant::ORIGIN, Event::Tick);
     }
 
-    fn drive(&mut self) {
+    fn run_events(&mut self) {
         let end = clock::Instant::ORIGIN + self.scenario.length + self.scenario.drain;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
@@ -109,218 +109,222 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(request) => self.arrive(request),
+            Event::Arrive(request) => self.on_arrival(request),
             Event::Deliver { request, attempt, upstream } => {
-                self.deliver(request, attempt, upstream);
+                self.on_deliver(request, attempt, upstream);
             }
-            Event::Cancel { attempt, upstream } => self.cancel(attempt, upstream),
-            Event::Reply { attempt, index } => self.reply(attempt, index),
-            Event::Wake { upstream, epoch } if epoch == self.epochs[upstream] => {
-                self.wake(upstream);
-                self.rearm(upstream);
+            Event::Cancel { attempt, upstream } => self.on_cancel(attempt, upstream),
+            Event::Reply { attempt, index } => self.on_reply(attempt, index),
+            Event::Wake { upstream, epoch } if epoch == self.wake_epochs[upstream] => {
+                self.advance(upstream);
+                self.schedule_wake(upstream);
             }
             Event::Wake { .. } => {}
-            Event::Change(index) => self.change(index),
-            Event::Patience(request) => self.lose_patience(request),
-            Event::Tick => self.tick(),
+            Event::Change(index) => self.on_change(index),
+            Event::StartTimeout(request) => self.on_start_timeout(request),
+            Event::Tick => self.on_tick(),
         }
     }
 
-    fn arrive(&mut self, request: usize) {
+    fn on_arrival(&mut self, request: usize) {
         let entry = request % self.entries.len();
         if self.scenario.resend != scenario::Resend::Never {
-            self.push(self.requests[request].deadline(), Event::Patience(request));
+            self.push(self.requests[request].deadline(), Event::StartTimeout(request));
         }
-        let effects = self.entries[entry].arrive(self.now, request, &self.requests[request]);
+        let effects = self.entries[entry].on_arrival(self.now, request, &self.requests[request]);
         self.apply(effects);
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         for entry in 0..self.entries.len() {
-            let effects = self.entries[entry].tick(self.now);
+            let effects = self.entries[entry].on_tick(self.now);
             self.apply(effects);
         }
-        self.push(self.now + figures::TICK, Event::Tick);
+        self.push(self.now + parameters::TICK_INTERVAL, Event::Tick);
     }
 
     fn apply(&mut self, effects: Vec<Effect>) {
         for effect in effects {
-            let there = self.now + figures::HOP;
+            let arrives_at = self.now + parameters::NETWORK_DELAY;
             match effect {
                 Effect::Send { request, attempt, upstream } => {
-                    self.push(there, Event::Deliver { request, attempt, upstream });
+                    self.push(arrives_at, Event::Deliver { request, attempt, upstream });
                 }
                 Effect::Cancel { attempt, upstream } => {
-                    self.push(there, Event::Cancel { attempt, upstream });
+                    self.push(arrives_at, Event::Cancel { attempt, upstream });
                 }
-                Effect::Refuse { request, after } => self.refuse(request, after),
-                Effect::Fail(request) => self.report.failed(self.now, request),
+                Effect::Reject { request, retry_after } => self.on_rejected(request, retry_after),
+                Effect::Fail(request) => self.report.on_failed(self.now, request),
             }
         }
     }
 
-    fn refuse(&mut self, request: usize, after: Option<Duration>) {
-        self.report.refused(self.now, request);
-        let after = match self.scenario.resend {
+    fn on_rejected(&mut self, request: usize, retry_after: Option<Duration>) {
+        self.report.on_rejected(self.now, request);
+        let delay = match self.scenario.resend {
             scenario::Resend::Never => return,
-            scenario::Resend::AsAsked => after.unwrap_or(scenario::IMPATIENT),
-            scenario::Resend::AtOnce => scenario::IMPATIENT,
+            scenario::Resend::RetryAfter => retry_after.unwrap_or(scenario::RESEND_DELAY),
+            scenario::Resend::Immediate => scenario::RESEND_DELAY,
         };
-        self.resend(request, after);
+        self.resend(request, delay);
     }
 
-    fn lose_patience(&mut self, request: usize) {
-        if self.report.is_open(request) {
-            self.resend(request, scenario::IMPATIENT);
+    fn on_start_timeout(&mut self, request: usize) {
+        if self.report.is_unanswered(request) {
+            self.resend(request, scenario::RESEND_DELAY);
         }
     }
 
-    fn resend(&mut self, request: usize, after: Duration) {
-        let mut again = self.requests[request].clone();
-        if again.resends == scenario::RESENDS {
+    fn resend(&mut self, request: usize, delay: Duration) {
+        let mut resent = self.requests[request].clone();
+        if resent.resend_count == scenario::MAX_RESENDS {
             return;
         }
-        again.resends += 1;
-        again.at = self.now + after;
-        self.report.resent(request, &again);
-        let at = again.at;
-        self.requests.push(again);
+        resent.resend_count += 1;
+        resent.arrives_at = self.now + delay;
+        self.report.on_resent(request, &resent);
+        let at = resent.arrives_at;
+        self.requests.push(resent);
         self.push(at, Event::Arrive(self.requests.len() - 1));
     }
 
-    fn deliver(&mut self, request: usize, attempt: u64, upstream: usize) {
-        self.wake(upstream);
-        if self.kind == Kind::Ours && self.refuses(upstream) {
-            self.report.bounced += 1;
-            let load = self.load(upstream);
-            self.respond(attempt, Reply::Refused(load));
-            return self.rearm(upstream);
+    fn on_deliver(&mut self, request: usize, attempt: u64, upstream: usize) {
+        self.advance(upstream);
+        if self.kind == Kind::Policy && self.rejects(upstream) {
+            self.report.agent_rejections += 1;
+            let load = self.load_report(upstream);
+            self.send_reply(attempt, Reply::Rejected(load));
+            return self.schedule_wake(upstream);
         }
         self.attempts.insert(attempt, request);
-        self.report.ran(request, upstream, self.requests[request].repeatable);
-        let asked = &self.requests[request];
-        let job =
-            Job { attempt, prefill: asked.prefill, decode: asked.decode, prefix: asked.prefix };
-        self.agents[upstream].running.insert(attempt, (self.now, asked.cost));
-        let load = self.load(upstream);
-        self.respond(attempt, Reply::Loaded(load));
-        let notes = self.engines[upstream].start(self.now, job);
-        self.note(upstream, notes);
-        self.rearm(upstream);
+        self.report.on_run(request, upstream, self.requests[request].repeatable);
+        let arrival = &self.requests[request];
+        let job = Job {
+            attempt,
+            prefill: arrival.prefill,
+            decode: arrival.decode,
+            prefix: arrival.prefix,
+        };
+        self.agents[upstream].running.insert(attempt, (self.now, arrival.cost));
+        let load = self.load_report(upstream);
+        self.send_reply(attempt, Reply::LoadReport(load));
+        let progress = self.engines[upstream].on_request(self.now, job);
+        self.on_progress(upstream, progress);
+        self.schedule_wake(upstream);
     }
 
     /// The agent's gate.
-    fn refuses(&self, upstream: usize) -> bool {
+    fn rejects(&self, upstream: usize) -> bool {
         let agent = &self.agents[upstream];
-        let full = agent.running.len() >= agent.slow_start.limit() as usize;
-        let down = !self.engines[upstream].is_up(self.now);
-        full || down || self.out.contains(&self.zones[upstream])
+        let is_full = agent.running.len() >= agent.slow_start.limit() as usize;
+        let is_down = !self.engines[upstream].is_up(self.now);
+        is_full || is_down || self.evacuated_zones.contains(&self.zones[upstream])
     }
 
-    fn load(&self, upstream: usize) -> frame::Load {
+    fn load_report(&self, upstream: usize) -> frame::Load {
         let agent = &self.agents[upstream];
-        let closed = !self.engines[upstream].is_up(self.now);
+        let is_down = !self.engines[upstream].is_up(self.now);
         frame::Load {
             version: number::Version(0),
             running: agent.running.len() as u32,
-            limit: if closed { 0 } else { agent.slow_start.limit() },
+            limit: if is_down { 0 } else { agent.slow_start.limit() },
             warm: agent.slow_start.is_warm(),
         }
     }
 
-    fn cancel(&mut self, attempt: u64, upstream: usize) {
-        self.wake(upstream);
+    fn on_cancel(&mut self, attempt: u64, upstream: usize) {
+        self.advance(upstream);
         self.engines[upstream].cancel(attempt);
         self.agents[upstream].running.remove(&attempt);
-        self.rearm(upstream);
+        self.schedule_wake(upstream);
     }
 
-    fn wake(&mut self, upstream: usize) {
-        let notes = self.engines[upstream].wake(self.now);
-        self.note(upstream, notes);
+    fn advance(&mut self, upstream: usize) {
+        let progress = self.engines[upstream].advance(self.now);
+        self.on_progress(upstream, progress);
     }
 
-    fn note(&mut self, upstream: usize, notes: Vec<Note>) {
-        for note in notes {
-            let (attempt, reply, outcome) = match note {
-                Note::Begun(attempt) => (attempt, Reply::Begun, None),
-                Note::Ended(attempt) => {
-                    (attempt, Reply::Ended, Some(slow_start::Outcome::Completed))
+    fn on_progress(&mut self, upstream: usize, events: Vec<Progress>) {
+        for event in events {
+            let (attempt, reply, outcome) = match event {
+                Progress::Started(attempt) => (attempt, Reply::Started, None),
+                Progress::Completed(attempt) => {
+                    (attempt, Reply::Completed, Some(slow_start::Outcome::Completed))
                 }
-                Note::Failed(attempt) => {
+                Progress::Failed(attempt) => {
                     (attempt, Reply::Failed, Some(slow_start::Outcome::Failed))
                 }
             };
             if let Some(outcome) = outcome {
                 let agent = &mut self.agents[upstream];
-                if let Some((begun, cost)) = agent.running.remove(&attempt) {
-                    agent.slow_start.on_request_ended(self.now, begun, cost, outcome);
+                if let Some((started_at, cost)) = agent.running.remove(&attempt) {
+                    agent.slow_start.on_request_ended(self.now, started_at, cost, outcome);
                 }
             }
-            self.respond(attempt, reply);
+            self.send_reply(attempt, reply);
         }
     }
 
-    fn rearm(&mut self, upstream: usize) {
-        self.epochs[upstream] += 1;
-        if let Some(at) = self.engines[upstream].next() {
-            self.push(at, Event::Wake { upstream, epoch: self.epochs[upstream] });
+    fn schedule_wake(&mut self, upstream: usize) {
+        self.wake_epochs[upstream] += 1;
+        if let Some(at) = self.engines[upstream].next_milestone_at() {
+            self.push(at, Event::Wake { upstream, epoch: self.wake_epochs[upstream] });
         }
     }
 
-    fn respond(&mut self, attempt: u64, reply: Reply) {
+    fn send_reply(&mut self, attempt: u64, reply: Reply) {
         self.replies.push(reply);
         let index = self.replies.len() - 1;
-        self.push(self.now + figures::HOP, Event::Reply { attempt, index });
+        self.push(self.now + parameters::NETWORK_DELAY, Event::Reply { attempt, index });
     }
 
-    fn reply(&mut self, attempt: u64, index: usize) {
+    fn on_reply(&mut self, attempt: u64, index: usize) {
         let reply = self.replies[index];
         if let Some(&request) = self.attempts.get(&attempt) {
             match reply {
-                Reply::Begun => self.report.begun(self.now, request),
-                Reply::Ended => self.report.ended(self.now, request),
-                Reply::Loaded(_) | Reply::Refused(_) | Reply::Failed => {}
+                Reply::Started => self.report.on_started(self.now, request),
+                Reply::Completed => self.report.on_ended(self.now, request),
+                Reply::LoadReport(_) | Reply::Rejected(_) | Reply::Failed => {}
             }
         }
-        let effects = self.entries[entry::of(attempt)].reply(self.now, attempt, reply);
+        let effects = self.entries[entry::entry_of(attempt)].on_reply(self.now, attempt, reply);
         self.apply(effects);
     }
 
-    fn change(&mut self, index: usize) {
+    fn on_change(&mut self, index: usize) {
         match self.scenario.changes[index].1 {
-            scenario::Change::Fault(upstream, fault) => self.break_down(upstream, fault),
+            scenario::Change::Fault(upstream, fault) => self.set_fault(upstream, fault),
             scenario::Change::Restart(upstream) => self.restart(upstream),
-            scenario::Change::ZoneOut(number) => self.set_zone(number, true),
-            scenario::Change::ZoneBack(number) => self.set_zone(number, false),
+            scenario::Change::ZoneEvacuated(number) => self.set_zone_evacuated(number, true),
+            scenario::Change::ZoneRestored(number) => self.set_zone_evacuated(number, false),
         }
     }
 
-    fn break_down(&mut self, upstream: usize, fault: Fault) {
-        self.wake(upstream);
+    fn set_fault(&mut self, upstream: usize, fault: Fault) {
+        self.advance(upstream);
         self.engines[upstream].set_fault(fault);
-        self.rearm(upstream);
+        self.schedule_wake(upstream);
     }
 
     fn restart(&mut self, upstream: usize) {
-        self.wake(upstream);
-        let notes = self.engines[upstream].restart();
-        self.note(upstream, notes);
-        self.rearm(upstream);
+        self.advance(upstream);
+        let progress = self.engines[upstream].restart();
+        self.on_progress(upstream, progress);
+        self.schedule_wake(upstream);
     }
 
     /// Takes a zone out, or brings it back with engines that were restarted meanwhile, as their
     /// agents are told.
-    fn set_zone(&mut self, number: usize, out: bool) {
-        let zone = zone(number);
+    fn set_zone_evacuated(&mut self, number: usize, evacuated: bool) {
+        let zone = zone_of(number);
         for entry in &mut self.entries {
-            entry.zone(&zone, out);
+            entry.set_zone_evacuated(&zone, evacuated);
         }
-        if out {
-            self.out.insert(zone);
+        if evacuated {
+            self.evacuated_zones.insert(zone);
             return;
         }
-        self.out.remove(&zone);
+        self.evacuated_zones.remove(&zone);
         for upstream in 0..self.engines.len() {
             if self.zones[upstream] == zone {
                 self.restart(upstream);
@@ -334,18 +338,18 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn finish(mut self) -> report::Report {
+    fn into_report(mut self) -> report::Report {
         for (upstream, engine) in self.engines.iter_mut().enumerate() {
-            let left = self.agents[upstream].running.keys().copied().collect::<Vec<_>>();
-            for attempt in left {
+            let running = self.agents[upstream].running.keys().copied().collect::<Vec<_>>();
+            for attempt in running {
                 engine.cancel(attempt);
             }
             self.report.crashes += engine.crashes;
-            self.report.hits.0 += engine.hits.0;
-            self.report.hits.1 += engine.hits.1;
-            for (attempt, units) in &engine.spent {
+            self.report.cache_hits.0 += engine.cache_hits.0;
+            self.report.cache_hits.1 += engine.cache_hits.1;
+            for (attempt, tokens) in &engine.work_done {
                 if let Some(&request) = self.attempts.get(attempt) {
-                    self.report.spent(request, *units);
+                    self.report.add_tokens_spent(request, *tokens);
                 }
             }
         }
@@ -354,8 +358,8 @@
 }
 
 fn new_slow_start(warm: bool) -> slow_start::SlowStart {
-    let full = figures::BATCH as u32;
-    let mut slow_start = slow_start::SlowStart::new(clock::Instant::ORIGIN, full);
+    let full_limit = parameters::BATCH_SIZE as u32;
+    let mut slow_start = slow_start::SlowStart::new(clock::Instant::ORIGIN, full_limit);
     while warm && !slow_start.is_warm() {
         let origin = clock::Instant::ORIGIN;
         slow_start.on_request_ended(
@@ -372,28 +376,29 @@
 /// work as the ramp lets through: the bound that the ramp alone gives.
 pub fn slow_start_duration() -> Duration {
     let mut engine = Engine::new(false);
-    let mut slow_start = slow_start::SlowStart::new(clock::Instant::ORIGIN, figures::BATCH as u32);
-    let mut begun = HashMap::new();
+    let mut slow_start =
+        slow_start::SlowStart::new(clock::Instant::ORIGIN, parameters::BATCH_SIZE as u32);
+    let mut started = HashMap::new();
     let (mut now, mut count) = (clock::Instant::ORIGIN, 0);
     while !slow_start.is_warm() {
-        for note in engine.wake(now) {
-            if let Note::Ended(attempt) = note {
+        for event in engine.advance(now) {
+            if let Progress::Completed(attempt) = event {
                 slow_start.on_request_ended(
                     now,
-                    begun[&attempt],
+                    started[&attempt],
                     50,
                     slow_start::Outcome::Completed,
                 );
             }
         }
-        while engine.load() < slow_start.limit() as usize {
-            let (prompt, decode) = figures::SHORT;
-            let prefill = prompt * figures::PREFILL;
-            begun.insert(count, now);
-            engine.start(now, Job { attempt: count, prefill, decode, prefix: None });
+        while engine.request_count() < slow_start.limit() as usize {
+            let (prompt, decode) = parameters::SHORT_TOKENS;
+            let prefill = prompt * parameters::PREFILL_COST;
+            started.insert(count, now);
+            engine.on_request(now, Job { attempt: count, prefill, decode, prefix: None });
             count += 1;
         }
-        now = engine.next().unwrap_or(now);
+        now = engine.next_milestone_at().unwrap_or(now);
     }
     now.since(clock::Instant::ORIGIN)
 }
--- a/crates/hyssopfork-policy/model/src/traffic.rs
+++ b/crates/hyssopfork-policy/model/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Callers: seeded open-loop arrivals, the same for whoever serves them.
 
-use crate::figures;
+use crate::parameters;
 use hyssopfork_wire::{clock, configuration, name};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// When.
-    pub at: clock::Instant,
+    pub arrives_at: clock::Instant,
     /// Team of the caller.
     pub team: name::Team,
     /// Class of its route.
@@ -22,23 +22,23 @@
     /// Cost as an entry estimates it, in tokens.
     pub cost: u32,
     /// Time within which the answer must begin.
-    pub patience: Duration,
+    pub start_timeout: Duration,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Prompt prefix.
     pub prefix: Option<u64>,
     /// Times that its caller has sent it before.
-    pub resends: u32,
+    pub resend_count: u32,
 }
 
 impl Request {
     /// When its answer must have begun.
     pub fn deadline(&self) -> clock::Instant {
-        self.at + self.patience
+        self.arrives_at + self.start_timeout
     }
 
     /// Its work in tokens.
-    pub fn units(&self) -> f64 {
+    pub fn tokens(&self) -> f64 {
         self.prefill + self.decode
     }
 }
@@ -66,11 +66,11 @@
     /// Class of the route that they call.
     pub class: configuration::Class,
     /// First and last second of sending.
-    pub span: (f64, f64),
+    pub seconds: (f64, f64),
     /// Number of prompt prefixes, drawn with Zipf's shares; 0 for none.
     pub prefixes: usize,
     /// Share of the requests that may repeat.
-    pub repeatable: f64,
+    pub repeatable_share: f64,
 }
 
 impl Source {
@@ -81,20 +81,20 @@
             rate,
             length: Length::Short,
             class: configuration::Class::Interactive,
-            span: (0.0, seconds),
+            seconds: (0.0, seconds),
             prefixes: 0,
-            repeatable: 0.8,
+            repeatable_share: 0.8,
         }
     }
 
     /// The same with another length and class.
-    pub fn of(self, length: Length, class: configuration::Class) -> Source {
+    pub fn with_kind(self, length: Length, class: configuration::Class) -> Source {
         Source { length, class, ..self }
     }
 
     /// The same only from one second to another.
-    pub fn during(self, from: f64, to: f64) -> Source {
-        Source { span: (from, to), ..self }
+    pub fn between(self, from: f64, to: f64) -> Source {
+        Source { seconds: (from, to), ..self }
     }
 
     /// The same with so many prompt prefixes.
@@ -105,67 +105,70 @@
 
 /// Ten teams with Zipf's shares of `rate` short requests a second.
 pub fn teams(rate: f64, seconds: f64) -> Vec<Source> {
-    let total: f64 = (1..=figures::TEAMS).map(|rank| 1.0 / rank as f64).sum();
+    let total: f64 = (1..=parameters::TEAMS).map(|rank| 1.0 / rank as f64).sum();
     let share = |rank: usize| rate / rank as f64 / total;
     let team = |rank: usize| Source::short(&format!("team-{rank:02}"), share(rank), seconds);
-    (1..=figures::TEAMS).map(team).collect()
+    (1..=parameters::TEAMS).map(team).collect()
 }
 
 /// All arrivals of the sources, in order.
 pub fn arrivals(sources: &[Source], seed: u64) -> Vec<Request> {
     let mut requests = Vec::new();
     for (index, source) in sources.iter().enumerate() {
-        let mut random =
+        let mut rng =
             ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(index as u64));
-        let mut at = source.span.0;
+        let mut at = source.seconds.0;
         loop {
-            at += exponential(&mut random, 1.0 / source.rate);
-            if at >= source.span.1 {
+            at += exponential(&mut rng, 1.0 / source.rate);
+            if at >= source.seconds.1 {
                 break;
             }
-            requests.push(request(source, at, &mut random));
+            requests.push(request(source, at, &mut rng));
         }
     }
-    requests.sort_by_key(|request| request.at);
+    requests.sort_by_key(|request| request.arrives_at);
     requests
 }
 
-fn request(source: &Source, at: f64, random: &mut ChaCha8Rng) -> Request {
-    let ((prompt, answer), patience) = match source.length {
-        Length::Short => (figures::SHORT, figures::SHORT_DEADLINE),
-        Length::Status => (figures::STATUS, figures::STATUS_DEADLINE),
+fn request(source: &Source, at: f64, rng: &mut ChaCha8Rng) -> Request {
+    let ((prompt, response), start_timeout) = match source.length {
+        Length::Short => (parameters::SHORT_TOKENS, parameters::SHORT_START_TIMEOUT),
+        Length::Status => (parameters::STATUS_TOKENS, parameters::STATUS_START_TIMEOUT),
         Length::Long => {
-            let (prompt, answer) = figures::SHORT;
-            ((prompt * figures::LONG, answer * figures::LONG), figures::LONG_DEADLINE)
+            let (prompt, response) = parameters::SHORT_TOKENS;
+            (
+                (prompt * parameters::LONG_FACTOR, response * parameters::LONG_FACTOR),
+                parameters::LONG_START_TIMEOUT,
+            )
         }
     };
-    let prefill = prompt * figures::PREFILL;
+    let prefill = prompt * parameters::PREFILL_COST;
     // Between half and one and a half of the mean: answers vary, prompts of a route hardly do.
-    let decode = answer * random.random_range(0.5..1.5);
-    let spread = figures::ESTIMATE_SPREAD.ln();
-    let error: f64 = random.random_range(-spread..spread);
+    let decode = response * rng.random_range(0.5..1.5);
+    let spread = parameters::ESTIMATE_SPREAD.ln();
+    let error: f64 = rng.random_range(-spread..spread);
     Request {
-        at: clock::Instant::from_micros((at * 1e6) as u64),
+        arrives_at: clock::Instant::from_micros((at * 1e6) as u64),
         team: source.team.as_str().into(),
         class: source.class,
         prefill,
         decode,
         cost: ((prefill + decode) * error.exp()).ceil() as u32,
-        patience,
-        repeatable: random.random_range(0.0..1.0) < source.repeatable,
-        prefix: (source.prefixes > 0).then(|| zipf(random, source.prefixes)),
-        resends: 0,
+        start_timeout,
+        repeatable: rng.random_range(0.0..1.0) < source.repeatable_share,
+        prefix: (source.prefixes > 0).then(|| zipf(rng, source.prefixes)),
+        resend_count: 0,
     }
 }
 
-fn exponential(random: &mut ChaCha8Rng, mean: f64) -> f64 {
-    let uniform: f64 = random.random_range(0.0..1.0);
+fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
+    let uniform: f64 = rng.random_range(0.0..1.0);
     -(1.0 - uniform).ln() * mean
 }
 
-fn zipf(random: &mut ChaCha8Rng, count: usize) -> u64 {
+fn zipf(rng: &mut ChaCha8Rng, count: usize) -> u64 {
     let total: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
-    let mut left = random.random_range(0.0..total);
+    let mut left = rng.random_range(0.0..total);
     for rank in 1..=count {
         left -= 1.0 / rank as f64;
         if left <= 0.0 {
--- a/crates/hyssopfork-policy/src/choice.rs
+++ b/crates/hyssopfork-policy/src/choice.rs
@@ -210,10 +210,10 @@
         let Some(dispatch) = self.attempts.get(&attempt) else { return };
         let instance = dispatch.instance.clone();
         let Some(state) = self.state_mut(&instance) else { return };
-        let in_flight = state.in_flight.get_mut(&attempt).filter(|attempt| !attempt.is_responding);
-        let Some(in_flight) = in_flight else { return };
-        in_flight.is_responding = true;
-        state.record.on_response_started(now, now.since(in_flight.sent_at), in_flight.cost);
+        let waiting = state.in_flight.get_mut(&attempt).filter(|attempt| !attempt.is_responding);
+        let Some(waiting) = waiting else { return };
+        waiting.is_responding = true;
+        state.record.on_response_started(now, now.since(waiting.sent_at), waiting.cost);
     }
 
     /// Records that a part of the response to an attempt arrived.
--- a/crates/hyssopfork-policy/src/lib.rs
+++ b/crates/hyssopfork-policy/src/lib.rs
@@ -48,7 +48,7 @@
 //!     let attempt = attempt::Identifier { boot: 7, count: 1 };
 //!     chooser.on_attempt_sent(now, &instance, attempt, item.cost);
 //!
-//!     // What comes back.
+//!     // The response arrives.
 //!     let load = frame::Load { version: number::Version(3), running: 1, limit: 16, warm: true };
 //!     chooser.on_load_report(now, &instance, load);
 //!     chooser.on_response_data(now, attempt);
--- a/crates/hyssopfork-policy/tests/cold.rs
+++ b/crates/hyssopfork-policy/tests/cold.rs
@@ -2,7 +2,7 @@
 
 use hyssopfork_policy::slow_start;
 use hyssopfork_policy_model::entry::Kind;
-use hyssopfork_policy_model::report::{Answer, Report};
+use hyssopfork_policy_model::report::{Outcome, Report};
 use hyssopfork_policy_model::{scenario, simulation};
 use hyssopfork_wire::clock;
 use hyssopfork_wire::configuration::Class;
@@ -13,7 +13,7 @@
 const COST: u32 = 100;
 
 fn run(scenario: &scenario::Scenario) -> Report {
-    simulation::run(scenario, Kind::Ours, SEED)
+    simulation::run(scenario, Kind::Policy, SEED)
 }
 
 fn at(millis: u64) -> clock::Instant {
@@ -39,12 +39,12 @@
     // All upstreams come back at once, cold, under the usual load. With their full share each tips
     // over, restarts and tips over again, and nobody is served at all. The ramp lets through what
     // they bear; callers beyond that are refused, and full service comes with the ramp.
-    let report = run(&scenario::cold());
+    let report = run(&scenario::cold_start());
     let alone = simulation::slow_start_duration().as_secs_f64();
 
     assert_eq!(report.crashes, 0);
-    assert_eq!(report.answers().get(&Answer::Failed), None, "{:?}", report.answers());
-    let normal = report.recovered(0.0, Duration::from_millis(200));
+    assert_eq!(report.outcomes().get(&Outcome::Failed), None, "{:?}", report.outcomes());
+    let normal = report.recovered_at(0.0, Duration::from_millis(200));
     assert!(normal.is_some_and(|second| second <= alone), "{normal:?} against {alone}");
 }
 
@@ -52,11 +52,11 @@
 fn upstreams_that_turn_cold_in_silence_are_not_tipped_over() {
     // A third of the upstreams is replaced without a word under a load of 0.8. What ran there is
     // lost; the failures say that they are cold, and they get what a cold one bears.
-    let report = run(&scenario::silent_cold());
+    let report = run(&scenario::silent_restart());
 
     assert_eq!(report.crashes, 0);
     assert_eq!(report.ran_twice(), 0);
-    assert!(report.served(0.0, 60.0) >= 0.98, "{:?}", report.answers());
+    assert!(report.served_share(0.0, 60.0) >= 0.98, "{:?}", report.outcomes());
 }
 
 #[test]
@@ -64,14 +64,14 @@
     // Operators take one zone of three out at a load of 0.7, so that the others are past their
     // limits, and bring it back with cold upstreams. Nothing in flight may fail, no cold upstream
     // may tip over, and status checks are answered throughout.
-    let report = run(&scenario::zone());
-    let status = report.answers_of(Class::Status);
+    let report = run(&scenario::zone_evacuation());
+    let status = report.outcomes_of(Class::Status);
 
-    assert_eq!(report.answers().get(&Answer::Failed), None, "{:?}", report.answers());
+    assert_eq!(report.outcomes().get(&Outcome::Failed), None, "{:?}", report.outcomes());
     assert_eq!(report.crashes, 0);
     assert_eq!(report.ran_twice(), 0);
-    assert_eq!(status.get(&Answer::Good), Some(&status.values().sum()), "{status:?}");
-    assert!(report.served(0.0, 60.0) >= 0.98, "{:?}", report.answers());
+    assert_eq!(status.get(&Outcome::Good), Some(&status.values().sum()), "{status:?}");
+    assert!(report.served_share(0.0, 60.0) >= 0.98, "{:?}", report.outcomes());
 }
 
 #[test]
--- a/crates/hyssopfork-policy/tests/load.rs
+++ b/crates/hyssopfork-policy/tests/load.rs
@@ -2,7 +2,7 @@
 
 use hyssopfork_policy_model::engine::Fault;
 use hyssopfork_policy_model::entry::Kind;
-use hyssopfork_policy_model::report::{Answer, Report};
+use hyssopfork_policy_model::report::{Outcome, Report};
 use hyssopfork_policy_model::{scenario, simulation};
 use hyssopfork_wire::configuration::Class;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 const SLOW: usize = 16;
 
 fn run(scenario: &scenario::Scenario) -> Report {
-    simulation::run(scenario, Kind::Ours, SEED)
+    simulation::run(scenario, Kind::Policy, SEED)
 }
 
-fn count(report: &Report, answer: Answer) -> usize {
-    report.answers().get(&answer).copied().unwrap_or_default()
+fn count(report: &Report, outcome: Outcome) -> usize {
+    report.outcomes().get(&outcome).copied().unwrap_or_default()
 }
 
 #[test]
@@ -33,9 +33,9 @@
 
     // From second 12: what is served at the beginning of the burst ends two seconds later.
     assert!(report.goodput(12.0, 20.0) >= 0.95, "{}", report.goodput(12.0, 20.0));
-    assert!(report.refused_at_once() >= 0.97, "{}", report.refused_at_once());
-    assert!(report.recovered(20.0, NORMAL).is_some_and(|second| second <= 25.0));
-    assert_eq!(count(&report, Answer::Failed), 0);
+    assert!(report.rejected_immediately() >= 0.97, "{}", report.rejected_immediately());
+    assert!(report.recovered_at(20.0, NORMAL).is_some_and(|second| second <= 25.0));
+    assert_eq!(count(&report, Outcome::Failed), 0);
 }
 
 #[test]
@@ -52,7 +52,7 @@
 
     assert!(waits.count * 1000 >= alone.count * 995, "{waits:?} of {alone:?}");
     assert!(waits.p99 <= Duration::from_millis(600), "{waits:?}");
-    assert!(beside.jain() >= 0.995, "{}", beside.jain());
+    assert!(beside.jain_index() >= 0.995, "{}", beside.jain_index());
 }
 
 #[test]
@@ -61,11 +61,11 @@
     // each is computed everywhere; sent to one upstream each, the first overruns its upstream.
     let report = run(&scenario::hot_key());
     let plain = simulation::run(&scenario::hot_key(), Kind::Baseline, SEED);
-    let hits = |report: &Report| report.hits.0 as f64 / report.hits.1 as f64;
+    let hits = |report: &Report| report.cache_hits.0 as f64 / report.cache_hits.1 as f64;
 
     assert!(hits(&report) >= hits(&plain) + 0.3, "{} against {}", hits(&report), hits(&plain));
-    assert!(report.spread() <= 1.6, "{}", report.spread());
-    assert_eq!(count(&report, Answer::Good), report.answers().values().sum::<usize>());
+    assert!(report.max_load_ratio() <= 1.6, "{}", report.max_load_ratio());
+    assert_eq!(count(&report, Outcome::Good), report.outcomes().values().sum::<usize>());
 }
 
 #[test]
@@ -73,11 +73,11 @@
     // One upstream of thirty becomes ten times slower. It stays alive and always has room again,
     // so that callers sent to it wait ten times as long for the whole answer, for as long as the
     // fault lasts. Judged against its peers it gets a little work now and then.
-    let report = run(&scenario::bad_upstream("slow", Fault::Slow(10.0)));
+    let report = run(&scenario::faulty_upstream("slow", Fault::Slow(10.0)));
 
-    let slow = report.longer_than(Duration::from_secs(6));
+    let slow = report.count_longer_than(Duration::from_secs(6));
 
-    assert_eq!(count(&report, Answer::Good), report.answers().values().sum::<usize>());
+    assert_eq!(count(&report, Outcome::Good), report.outcomes().values().sum::<usize>());
     assert!(slow <= SLOW, "{slow}");
 }
 
@@ -86,10 +86,10 @@
     // One upstream makes no progress any more and says nothing. What it holds is lost unless it
     // can be sent again; without ejection each new request on it is lost as well until its
     // deadline passes.
-    let report = run(&scenario::bad_upstream("stalls", Fault::Stalled));
-    let lost = count(&report, Answer::Failed) + count(&report, Answer::Refused);
+    let report = run(&scenario::faulty_upstream("stalls", Fault::Stalled));
+    let lost = count(&report, Outcome::Failed) + count(&report, Outcome::Refused);
 
-    assert!(lost <= 16, "{:?}", report.answers());
+    assert!(lost <= 16, "{:?}", report.outcomes());
     assert_eq!(report.ran_twice(), 0);
 }
 
@@ -97,9 +97,9 @@
 fn failing_upstream_does_not_draw_the_work() {
     // One upstream fails each request at once, and so is always the least loaded. Balanced by load
     // alone it draws nearly all requests and fails them; ejected, it fails a few.
-    let report = run(&scenario::bad_upstream("fails", Fault::FailsFast));
+    let report = run(&scenario::faulty_upstream("fails", Fault::FailsFast));
 
-    assert!(count(&report, Answer::Failed) <= 40, "{:?}", report.answers());
+    assert!(count(&report, Outcome::Failed) <= 40, "{:?}", report.outcomes());
     assert_eq!(report.ran_twice(), 0);
 }
 
@@ -110,15 +110,15 @@
     // checks and short requests expire behind them.
     let report = run(&scenario::long_jobs());
     let status = report.waits_of(Class::Status, |_| true);
-    let answers = report.answers_of(Class::Status);
+    let outcomes = report.outcomes_of(Class::Status);
 
-    assert_eq!(answers.get(&Answer::Good), Some(&answers.values().sum()), "{answers:?}");
+    assert_eq!(outcomes.get(&Outcome::Good), Some(&outcomes.values().sum()), "{outcomes:?}");
     assert!(status.p99 <= Duration::from_millis(250), "{status:?}");
-    let short = report.answers_of(Class::Interactive);
-    let good = short.get(&Answer::Good).copied().unwrap_or_default();
+    let short = report.outcomes_of(Class::Interactive);
+    let good = short.get(&Outcome::Good).copied().unwrap_or_default();
     assert!(good * 100 >= short.values().sum::<usize>() * 98, "{short:?}");
-    let long = report.answers_of(Class::Batch);
-    let good = long.get(&Answer::Good).copied().unwrap_or_default();
+    let long = report.outcomes_of(Class::Batch);
+    let good = long.get(&Outcome::Good).copied().unwrap_or_default();
     assert!(good * 2 >= long.values().sum::<usize>(), "{long:?}");
 }
 
@@ -130,9 +130,9 @@
         let report = run(&scenario::overload(name, factor));
 
         assert!(report.goodput(5.0, 60.0) >= 0.95, "{name}: {}", report.goodput(5.0, 60.0));
-        assert!(report.refused_at_once() >= 0.98, "{name}: {}", report.refused_at_once());
-        assert!(report.wasted() < 0.02, "{name}: {}", report.wasted());
-        assert!(report.jain() >= 0.99, "{name}: {}", report.jain());
+        assert!(report.rejected_immediately() >= 0.98, "{name}: {}", report.rejected_immediately());
+        assert!(report.wasted_share() < 0.02, "{name}: {}", report.wasted_share());
+        assert!(report.jain_index() >= 0.99, "{name}: {}", report.jain_index());
     }
 }
 
@@ -141,21 +141,21 @@
     // Every refused caller sends again, as asked or at once, five times. With retries in every
     // layer the storm feeds itself and stays after its cause is gone; with refusals that cost
     // nothing, and a budget for the system's own retries, it is over when the callers are served.
-    for resend in [scenario::Resend::AsAsked, scenario::Resend::AtOnce] {
-        let report = run(&scenario::storm("storm", resend));
+    for resend in [scenario::Resend::RetryAfter, scenario::Resend::Immediate] {
+        let report = run(&scenario::retry_storm("storm", resend));
 
         assert!(report.goodput(12.0, 20.0) >= 0.95, "{resend:?}: {}", report.goodput(12.0, 20.0));
-        assert!(report.recovered(20.0, NORMAL).is_some(), "{resend:?}");
-        assert!(report.wasted() < 0.02, "{resend:?}: {}", report.wasted());
+        assert!(report.recovered_at(20.0, NORMAL).is_some(), "{resend:?}");
+        assert!(report.wasted_share() < 0.02, "{resend:?}: {}", report.wasted_share());
     }
 }
 
 #[test]
 fn same_seed_gives_the_same_figures() {
-    let scenario = scenario::bad_upstream("slow", Fault::Slow(10.0));
+    let scenario = scenario::faulty_upstream("slow", Fault::Slow(10.0));
 
     let (first, second) = (run(&scenario), run(&scenario));
 
-    assert_eq!(first.answers(), second.answers());
+    assert_eq!(first.outcomes(), second.outcomes());
     assert_eq!(first.waits(), second.waits());
 }
