--- a/crates/hyssopfork-policy/benches/policy.rs
+++ b/crates/hyssopfork-policy/benches/policy.rs
@@ -1,5 +1,6 @@
 //! Prints every scenario with the plain proxy beside the policy package, as tables for
-//! docs/BENCHMARK.md. The same seed prints the same figures.
+//! docs/BENCHMARK.md. The same seed prints the same results.
+//!
 //! `scripts/benchmark [SEED] [WORD OF A SCENARIO'S NAME]`.
 
 use hyssopfork_policy_model::{entry, repair, report, scenario, simulation};
@@ -10,27 +11,27 @@
 /// Seed when none is given.
 const SEED: u64 = 1;
 
-/// Seeds over which random losses are summed.
-const RANDOM_LOSSES: u64 = 20;
+/// Runs with random losses whose costs are summed, one for each seed.
+const RANDOM_LOSS_RUNS: u64 = 20;
 
-/// Median wait up to which a second counts as normal: nobody waits in a queue.
-const NORMAL: Duration = Duration::from_millis(200);
+/// Median wait up to which a second counts as normal: no request waits in a queue.
+const NORMAL_WAIT: Duration = Duration::from_millis(200);
 
 /// Second from which on goodput is counted, so that the start of a run is left out.
-const STEADY: f64 = 5.0;
+const STEADY_SECOND: f64 = 5.0;
 
 fn main() {
     let arguments: Vec<String> = env::args().skip(1).filter(|it| !it.starts_with("--")).collect();
     let seed = arguments.first().and_then(|text| text.parse().ok()).unwrap_or(SEED);
     let word = arguments.iter().find(|text| text.parse::<u64>().is_err());
-    let asked = |name: &str| word.is_none_or(|word| name.contains(word.as_str()));
+    let is_selected = |name: &str| word.is_none_or(|word| name.contains(word.as_str()));
     println!("Seed {seed}.");
-    for scenario in scenario::all().iter().filter(|scenario| asked(scenario.name)) {
+    for scenario in scenario::all().iter().filter(|scenario| is_selected(scenario.name)) {
         let baseline = simulation::run(scenario, entry::Kind::Baseline, seed);
         let ours = simulation::run(scenario, entry::Kind::Policy, seed);
         print_scenario(scenario, &baseline, &ours);
     }
-    if asked("repair") {
+    if is_selected("repair") {
         print_repairs();
     }
 }
@@ -42,7 +43,7 @@
     };
     let end = scenario.length.as_secs_f64();
     row("answers", &answers);
-    row("goodput, share of capacity", &|it| format!("{:.3}", it.goodput(STEADY, end)));
+    row("goodput, share of capacity", &|it| format!("{:.3}", it.goodput(STEADY_SECOND, end)));
     row("callers served", &|it| format!("{:.3}", it.clients_served()));
     row("requests for each caller", &|it| format!("{:.2}", it.requests_per_client()));
     row("refusals within 50 ms", &at_once);
@@ -60,8 +61,8 @@
         row("normal again, seconds", &|it| recovery(it, from));
     }
     if !scenario.warm {
-        let alone = simulation::slow_start_duration().as_secs_f64();
-        println!("| full limit by the ramp alone, seconds | | {alone:.1} |");
+        let slow_start_seconds = simulation::slow_start_duration().as_secs_f64();
+        println!("| full limit by the ramp alone, seconds | | {slow_start_seconds:.1} |");
     }
     print_waits(baseline, ours);
 }
@@ -94,7 +95,7 @@
 }
 
 fn recovery(report: &report::Report, from: f64) -> String {
-    let second = report.recovered_at(from, NORMAL);
+    let second = report.recovered_at(from, NORMAL_WAIT);
     second.map_or("never".to_owned(), |second| format!("{:.0} after", second - from))
 }
 
@@ -114,14 +115,14 @@
         print_cost("plain", repair::run(&case, entry::Kind::Baseline));
         print_cost("ours", repair::run(&case, entry::Kind::Policy));
     }
-    println!("| six members at random, sums over {RANDOM_LOSSES} runs | | | | | |");
+    println!("| six members at random, sums over {RANDOM_LOSS_RUNS} runs | | | | | |");
     print_cost("plain", random_losses(entry::Kind::Baseline));
     print_cost("ours", random_losses(entry::Kind::Policy));
 }
 
 fn random_losses(kind: entry::Kind) -> repair::Cost {
     let mut sum = repair::Cost::default();
-    for seed in 1..=RANDOM_LOSSES {
+    for seed in 1..=RANDOM_LOSS_RUNS {
         sum.add(repair::run(&repair::random_losses(seed), kind));
     }
     sum
--- a/crates/hyssopfork-policy/model/src/baseline.rs
+++ b/crates/hyssopfork-policy/model/src/baseline.rs
@@ -1,15 +1,15 @@
-//! What the policy is compared with: a plain proxy that sends round robin, first come first
-//! served, without limits or queue, and tries a failed request again at once on the next upstream,
-//! three times in all, whatever it is.
+//! The baseline of the comparison: a plain proxy that sends round robin, first come, first served,
+//! without limits or a queue, and retries a failed request immediately on the next upstream, up to
+//! three attempts, whether it is repeatable or not.
 
 use crate::entry::{self, Effect, Reply};
 use hyssopfork_wire::name;
 use std::collections::{BTreeSet, HashMap};
 
-/// Tries of a request in all.
+/// Attempts of a request, the first included.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// An entry of the plain proxy.
+/// An entry process of the plain proxy.
 #[derive(Clone, Debug)]
 pub struct Entry {
     index: usize,
@@ -21,7 +21,7 @@
 }
 
 impl Entry {
-    /// An entry that knows `zones`, the zone of each upstream.
+    /// An entry process that knows `zones`, the zone of each upstream.
     pub fn new(index: usize, zones: &[name::Zone]) -> Entry {
         Entry {
             index,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub fn on_arrival(&mut self, request: usize) -> Vec<Effect> {
         vec![self.send(request, 1)]
     }
 
-    /// An agent replies.
+    /// Handles a reply of an agent.
     pub fn on_reply(&mut self, attempt: u64, reply: Reply) -> Vec<Effect> {
         match reply {
             Reply::LoadReport(_) | Reply::Started => Vec::new(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A zone is taken out or brought back.
+    /// Sets whether a zone is evacuated.
     pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
         if evacuated {
             self.evacuated_zones.insert(zone.clone());
--- a/crates/hyssopfork-policy/model/src/engine.rs
+++ b/crates/hyssopfork-policy/model/src/engine.rs
@@ -1,4 +1,4 @@
-//! An upstream that batches continuously: all requests of its batch advance at the same pace, which
+//! An upstream with continuous batching: all requests of its batch advance at the same speed, which
 //! falls as the batch grows.
 
 use crate::parameters;
@@ -6,34 +6,34 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Virtual work is counted in millionths of a token, so that runs are exact.
+/// Progress is counted in millionths of a token, so that runs are reproducible.
 const UNITS_PER_TOKEN: f64 = 1e6;
 
 /// A request as the upstream sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Work before the answer begins, in tokens.
+    /// Work before the response starts, in tokens.
     pub prefill: f64,
-    /// Work from there to the answer's end, in tokens.
+    /// Work from the start to the end of the response, in tokens.
     pub decode: f64,
-    /// Prompt prefix, which saves the prefill when it is cached.
+    /// Prompt prefix, which saves the prefill if it is cached.
     pub prefix: Option<u64>,
 }
 
-/// What happened to an attempt.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Its answer began.
+    /// Its response started.
     Started(u64),
-    /// Its answer ended.
+    /// Its response ended.
     Completed(u64),
     /// It failed.
     Failed(u64),
 }
 
-/// What is wrong with an upstream.
+/// Fault of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Nothing.
@@ -68,9 +68,9 @@
     down_until: Option<clock::Instant>,
     /// Crashes so far.
     pub crashes: u32,
-    /// Work done so far for attempts that have left, in tokens.
+    /// Work done for each attempt, in tokens.
     pub work_done: BTreeMap<u64, f64>,
-    /// Prompts found cached, and all prompts with a prefix.
+    /// Prompt prefixes found in the cache, and all lookups.
     pub cache_hits: (u64, u64),
 }
 
@@ -93,29 +93,29 @@
         }
     }
 
-    /// Whether it answers at all.
+    /// Whether it responds at all.
     pub fn is_up(&self, now: clock::Instant) -> bool {
         self.down_until.is_none_or(|until| now >= until)
     }
 
-    /// Requests inside it.
+    /// Requests inside it, running and waiting.
     pub fn request_count(&self) -> usize {
         self.batch.len() + self.waiting.len()
     }
 
-    /// Sets what is wrong with it. Call [`Engine::wake`] before.
+    /// Sets its fault. Call [`Engine::advance`] before.
     pub fn set_fault(&mut self, fault: Fault) {
         self.fault = fault;
     }
 
-    /// Turns it cold without a word: its process was replaced. What ran fails.
+    /// Replaces its process unannounced: the new one is cold, and all running requests fail.
     pub fn restart(&mut self) -> Vec<Progress> {
         self.capacity = parameters::COLD_CAPACITY;
         self.cached_prefixes.clear();
         self.fail_all()
     }
 
-    /// Takes a request in. Call [`Engine::wake`] before.
+    /// Accepts a request. Call [`Engine::advance`] before.
     pub fn on_request(&mut self, now: clock::Instant, job: Job) -> Vec<Progress> {
         if !self.is_up(now) || self.fault == Fault::FailsFast {
             return vec![Progress::Failed(job.attempt)];
@@ -125,14 +125,14 @@
         if self.is_overloaded() { self.crash(now) } else { Vec::new() }
     }
 
-    /// Drops a request. Call [`Engine::wake`] before.
+    /// Cancels a request. Call [`Engine::advance`] before.
     pub fn cancel(&mut self, attempt: u64) {
         self.waiting.retain(|job| job.attempt != attempt);
         self.remove(attempt);
         self.fill_batch();
     }
 
-    /// Advances to `now` and tells what has happened.
+    /// Advances to `now` and returns the progress made.
     pub fn advance(&mut self, now: clock::Instant) -> Vec<Progress> {
         let elapsed = now.since(self.updated_at).as_secs_f64();
         self.updated_at = now;
@@ -149,7 +149,7 @@
         events
     }
 
-    /// When to wake it next; `None` when nothing will happen by itself.
+    /// Time of the next progress; `None` if there will be none by itself.
     pub fn next_milestone_at(&self) -> Option<clock::Instant> {
         let &(milestone, _) = self.milestones.first()?;
         let speed = self.tokens_per_second();
@@ -160,7 +160,7 @@
         Some(self.updated_at + Duration::from_micros((left / speed * 1e6).ceil() as u64 + 1))
     }
 
-    /// Tokens a second for each request of the batch.
+    /// Tokens per second of each request in the batch.
     fn tokens_per_second(&self) -> f64 {
         let batch = self.batch.len() as f64;
         let step = parameters::STEP_TIME.as_secs_f64()
--- a/crates/hyssopfork-policy/model/src/entry.rs
+++ b/crates/hyssopfork-policy/model/src/entry.rs
@@ -1,10 +1,10 @@
-//! What entries tell the model to do, and what they hear from agents.
+//! Interface between the model's entry processes and the simulation.
 
 use crate::{baseline, policy, traffic};
 use hyssopfork_wire::{clock, frame, name};
 use std::time::Duration;
 
-/// What an entry does.
+/// An action of an entry process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Sends an attempt to an upstream.
@@ -23,52 +23,52 @@
         /// The upstream that it is on.
         upstream: usize,
     },
-    /// Refuses a request.
+    /// Rejects a request.
     Reject {
         /// The request.
         request: usize,
-        /// When to come back.
+        /// When the client should retry.
         retry_after: Option<Duration>,
     },
-    /// Tells the caller that its request failed.
+    /// Reports to the client that its request failed.
     Fail(usize),
 }
 
-/// What an entry hears of an attempt.
+/// A message to an entry process about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// The agent's load, ahead of an answer.
+    /// The agent's load report, ahead of the response.
     LoadReport(frame::Load),
-    /// The agent refused it: it did not run.
+    /// The agent rejected the attempt: it did not run.
     Rejected(frame::Load),
-    /// The answer began.
+    /// The response started.
     Started,
-    /// The answer ended.
+    /// The response ended.
     Completed,
     /// The upstream failed it.
     Failed,
 }
 
-/// Who decides in an entry.
+/// Kind of an entry process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A plain proxy: round robin, no limits, first come first served, retries without a budget.
     Baseline,
-    /// The policy package.
+    /// Decides by the policy package.
     Policy,
 }
 
-/// An entry.
+/// An entry process.
 #[derive(Clone, Debug)]
 pub enum Entry {
     /// A plain proxy.
     Baseline(baseline::Entry),
-    /// The policy package.
+    /// Decides by the policy package.
     Policy(Box<policy::Entry>),
 }
 
 impl Entry {
-    /// An entry that knows `upstreams`, each with its zone.
+    /// An entry process that knows `upstreams`, given by their zones.
     pub fn new(kind: Kind, index: usize, upstreams: &[name::Zone], seed: u64) -> Entry {
         match kind {
             Kind::Baseline => Entry::Baseline(baseline::Entry::new(index, upstreams)),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub fn on_arrival(
         &mut self,
         now: clock::Instant,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// An agent replies.
+    /// Handles a reply of an agent.
     pub fn on_reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
         match self {
             Entry::Baseline(entry) => entry.on_reply(attempt, reply),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Handles a tick of the clock.
     pub fn on_tick(&mut self, now: clock::Instant) -> Vec<Effect> {
         match self {
             Entry::Baseline(_) => Vec::new(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A zone is taken out or brought back.
+    /// Sets whether a zone is evacuated.
     pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
         match self {
             Entry::Baseline(entry) => entry.set_zone_evacuated(zone, evacuated),
@@ -114,12 +114,12 @@
     }
 }
 
-/// Number of an attempt: unique over entries.
+/// Identifier of an attempt: unique over all entry processes.
 pub fn attempt_id(entry: usize, count: u64) -> u64 {
     (entry as u64) << 40 | count
 }
 
-/// The entry of an attempt.
+/// The entry process of an attempt.
 pub fn entry_of(attempt: u64) -> usize {
     (attempt >> 40) as usize
 }
--- a/crates/hyssopfork-policy/model/src/lib.rs
+++ b/crates/hyssopfork-policy/model/src/lib.rs
@@ -1,9 +1,10 @@
-//! A small model of upstreams and callers, for the benchmark and the tests of the policy package.
+//! Discrete-event model of upstreams and clients, for the benchmark and the tests of the policy
+//! package.
 //!
-//! A discrete-event run without network: seeded open-loop arrivals, upstreams that batch
-//! continuously, and entries that decide either by the policy package ([`ours`]) or as a plain
-//! proxy would ([`baseline`]). The same seed gives the same figures. Every figure of the model
-//! stands in [`figures`]. Never a dependency of a program.
+//! It runs without network: seeded open-loop arrivals, upstreams with continuous batching, and
+//! entry processes that decide either by the policy package ([`policy`]) or as a plain proxy would
+//! ([`baseline`]). The same seed gives the same results. All parameters are in [`parameters`].
+//! Programs must not depend on this package.
 
 pub mod baseline;
 pub mod engine;
--- a/crates/hyssopfork-policy/model/src/policy.rs
+++ b/crates/hyssopfork-policy/model/src/policy.rs
@@ -1,4 +1,4 @@
-//! An entry that decides by the policy package, wired as the entry's role wires it.
+//! An entry process that decides by the policy package, connected as the entry role connects it.
 
 use crate::entry::{self, Effect, Reply};
 use crate::{parameters, traffic};
@@ -11,14 +11,14 @@
     item: queue::Item,
     prefix: Option<u64>,
     repeatable: bool,
-    /// When it was first sent.
+    /// Time of the first attempt.
     first_sent_at: Option<clock::Instant>,
     is_responding: bool,
     attempts: Vec<u64>,
     tried: Vec<name::Instance>,
 }
 
-/// An entry.
+/// An entry process.
 #[derive(Clone, Debug)]
 pub struct Entry {
     index: usize,
@@ -48,7 +48,7 @@
 }
 
 impl Entry {
-    /// An entry that knows `zones`, the zone of each upstream.
+    /// An entry process that knows `zones`, the zone of each upstream.
     pub fn new(index: usize, zones: &[name::Zone], seed: u64) -> Entry {
         let mut chooser = choice::Chooser::default();
         for (upstream, zone) in zones.iter().enumerate() {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub fn on_arrival(
         &mut self,
         now: clock::Instant,
@@ -103,7 +103,7 @@
         self.dispatch(now)
     }
 
-    /// An agent replies.
+    /// Handles a reply of an agent.
     pub fn on_reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
         let Some((request, instance)) = self.attempts.get(&attempt).cloned() else {
             return Vec::new();
@@ -122,7 +122,7 @@
         effects
     }
 
-    /// Time has passed.
+    /// Handles a tick of the clock.
     pub fn on_tick(&mut self, now: clock::Instant) -> Vec<Effect> {
         let mut effects = self.time_out(now);
         effects.extend(self.send_hedges(now));
@@ -130,7 +130,7 @@
         effects
     }
 
-    /// A zone is taken out or brought back.
+    /// Sets whether a zone is evacuated.
     pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
         self.chooser.set_zone_evacuated(zone, evacuated);
     }
@@ -157,7 +157,7 @@
         effects
     }
 
-    /// Sends one more attempt of a request; `None` when no upstream has room.
+    /// Sends one more attempt of a request; `None` if no upstream has a free slot.
     fn send(&mut self, now: clock::Instant, request: usize) -> Option<Effect> {
         let random = self.random();
         let pending = self.pending.get_mut(&request)?;
@@ -234,7 +234,7 @@
         vec![Effect::Fail(request)]
     }
 
-    /// Cancels and answers what has not begun by its deadline.
+    /// Cancels and rejects the requests whose response has not started by the deadline.
     fn time_out(&mut self, now: clock::Instant) -> Vec<Effect> {
         let late = self.pending.iter().filter(|(_, pending)| {
             pending.first_sent_at.is_some()
@@ -300,7 +300,7 @@
         Some(Effect::Cancel { attempt, upstream })
     }
 
-    /// Ends an attempt in the books.
+    /// Records the outcome of an attempt.
     fn end_attempt(&mut self, now: clock::Instant, attempt: u64, outcome: choice::Outcome) {
         self.chooser.on_attempt_ended(now, identifier(attempt), outcome);
         if let Some((request, _)) = self.attempts.remove(&attempt)
--- a/crates/hyssopfork-policy/model/src/repair.rs
+++ b/crates/hyssopfork-policy/model/src/repair.rs
@@ -1,10 +1,10 @@
-//! Loss and repair of serving groups: how long groups are down, and what stands idle meanwhile.
+//! Loss and repair of serving groups: downtime of the groups, and accelerators idle meanwhile.
 //!
-//! A run in steps of a second: instances are lost, control notices, decides, members load weights
-//! from a store that all loads share, and the group serves again after a ramp. Downtime and
-//! stranded accelerators of the policy stand beside those of a plain repair (each broken group is
-//! rebuilt from nothing at the first place that has room, all loads at once) and beside a bound
-//! that no repair can beat which learns of a loss when it happens.
+//! A run advances in steps of a second: instances are lost, control detects the loss and decides,
+//! members load weights from a store that all loads share, and the group serves again after slow
+//! start. The policy is compared with a plain repair (each broken group is rebuilt from scratch in
+//! the first domain with enough free instances, all loads at once), and with a lower bound that no
+//! repair can beat and that assumes immediate detection.
 
 use crate::entry::Kind;
 use hyssopfork_policy::{placement, random, weight_loads};
@@ -28,49 +28,50 @@
 /// round of the log.
 pub const DETECTION_SECONDS: u32 = 2;
 
-/// Seconds of a weight load at the store's full speed: some hundred gigabytes at some gigabytes a
+/// Seconds of a weight load at the store's full speed: some hundred gigabytes at some gigabytes per
 /// second.
 pub const LOAD_SECONDS: u32 = 60;
 
 /// Loads that the store serves at full speed at once.
 pub const CONCURRENT_LOADS: u32 = 8;
 
-/// Seconds from the last load until the group carries its load again.
+/// Seconds from the last load until the group handles its full load again.
 pub const WARM_UP_SECONDS: u32 = 5;
 
-/// Seconds of a run.
+/// Duration of a run, in seconds.
 pub const RUN_SECONDS: u32 = 1_200;
 
-/// Instances that are lost at a second.
+/// A simultaneous loss of instances.
 #[derive(Clone, Debug)]
 pub struct Loss {
     /// Second of the run.
     pub at: u32,
-    /// Domain, and place within it, of each.
+    /// Domain, and index within it, of each.
     pub instances: Vec<(usize, usize)>,
 }
 
-/// A sequence of losses in a fleet with so many groups.
+/// A sequence of losses in a fleet.
 #[derive(Clone, Debug)]
 pub struct Case {
     /// Its name.
     pub name: &'static str,
-    /// Groups declared; the first third has priority over the rest.
+    /// Declared groups; the first third has priority over the rest.
     pub groups: usize,
     /// Loads that the store serves at full speed at once.
     pub concurrent_loads: u32,
-    /// What is lost when.
+    /// The losses.
     pub losses: Vec<Loss>,
 }
 
-/// What a run cost.
+/// Cost of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     /// Seconds in which a group did not serve, over all groups.
     pub downtime: u32,
-    /// The same over the groups with priority.
+    /// The downtime of the groups with priority.
     pub priority_downtime: u32,
-    /// Accelerator seconds on usable instances outside whole groups while a group was not whole.
+    /// Accelerator seconds on available instances outside complete groups while a group was not
+    /// serving.
     pub stranded: u64,
     /// Weight loads that were started.
     pub loads: u32,
@@ -148,10 +149,10 @@
     Case { name: "six members at random", groups: 12, concurrent_loads: CONCURRENT_LOADS, losses }
 }
 
-/// Least downtime and stranded accelerator seconds of any repair that learns of each loss when it
-/// happens: each group that is hit loads one instance at least, or all of its members where its
-/// domain is dark; the store's rate binds; a group without room stays down. For losses that don't
-/// overlap.
+/// Lower bound of the downtime and the stranded accelerator seconds of any repair that detects each
+/// loss immediately: each affected group loads at least one instance, or all of its members if its
+/// domain is dark; the store's rate is the limit; a group without enough free instances stays down.
+/// Valid for losses that don't overlap.
 pub fn lower_bound(case: &Case) -> Cost {
     let mut bound = Cost::default();
     let mut available = (DOMAINS * INSTANCES_PER_DOMAIN) as u32;
@@ -186,7 +187,7 @@
     placements.values().filter(|it| it.members.iter().any(is_lost)).count() as u32
 }
 
-/// Groups that fit into the other domains beside those that stand there.
+/// Groups that fit into the other domains beside those that are placed there.
 fn count_fitting_elsewhere(case: &Case, loss: &Loss) -> u32 {
     let dark = loss.instances.len() / INSTANCES_PER_DOMAIN;
     let capacity = (INSTANCES_PER_DOMAIN as u32 / GROUP_SIZE) * (DOMAINS - dark) as u32;
@@ -216,7 +217,7 @@
         run
     }
 
-    /// Forms all groups, as the policy does, before the run.
+    /// Places all groups before the run, by the policy.
     fn form_groups(&mut self) {
         let fleet = self.fleet(0, u32::MAX);
         for decision in placement::decide(&fleet) {
@@ -311,7 +312,8 @@
         index < self.case.groups / 3
     }
 
-    /// A plain repair: broken groups are given up and rebuilt at the first place with room.
+    /// A plain repair: broken groups are removed and rebuilt in the first domain with enough free
+    /// instances.
     fn plain_repair(&self, second: u32) -> Vec<placement::Decision> {
         let is_detected = |it: &name::Instance| {
             self.missing.get(it).is_some_and(|at| second >= at + DETECTION_SECONDS)
--- a/crates/hyssopfork-policy/model/src/report.rs
+++ b/crates/hyssopfork-policy/model/src/report.rs
@@ -1,25 +1,25 @@
-//! What callers received in a run, and what the upstreams spent on it.
+//! Report of a run: what clients received, and the upstreams' work for it.
 
 use crate::{parameters, scenario, traffic};
 use hyssopfork_wire::{clock, configuration, name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time within which a refusal counts as given at once.
+/// Time within which a rejection counts as immediate.
 pub const IMMEDIATE: Duration = Duration::from_millis(50);
 
-/// How a request ended for its caller.
+/// Outcome of a request for its client. The benchmark prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Whole, and begun before its deadline.
+    /// Complete, and started before its deadline.
     Good,
-    /// Whole, and begun after its deadline.
+    /// Complete, and started after its deadline.
     Late,
-    /// Refused.
+    /// Rejected.
     Refused,
-    /// Failed, or cut off after it began.
+    /// Failed, or cut off after it started.
     Failed,
-    /// Nothing came by the end of the run.
+    /// Without a response by the end of the run.
     Silent,
 }
 
@@ -48,18 +48,18 @@
     length: Duration,
     capacity: f64,
     attempts_by_upstream: Vec<u64>,
-    /// Attempts that agents refused before they ran.
+    /// Attempts that agents rejected before they ran.
     pub agent_rejections: u64,
     /// Crashes of upstreams.
     pub crashes: u32,
-    /// Prompts found cached, and all prompts with a prefix.
+    /// Prompts found in a cache, and all prompts with a prefix.
     pub cache_hits: (u64, u64),
 }
 
-/// Waits until the answer began, of the good answers of one kind of request.
+/// Times to the start of the response, of the good responses of one kind of request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waits {
-    /// Good answers.
+    /// Good responses.
     pub count: usize,
     /// Median.
     pub p50: Duration,
@@ -85,62 +85,62 @@
         }
     }
 
-    /// The answer of a request began.
+    /// Records the start of a response.
     pub fn on_started(&mut self, now: clock::Instant, request: usize) {
         self.records[request].started_at.get_or_insert(now);
     }
 
-    /// The answer of a request ended.
+    /// Records the end of a response.
     pub fn on_ended(&mut self, now: clock::Instant, request: usize) {
         self.records[request].ended_at.get_or_insert(now);
     }
 
-    /// A request was refused.
+    /// Records the rejection of a request.
     pub fn on_rejected(&mut self, now: clock::Instant, request: usize) {
         self.records[request].rejected_at.get_or_insert(now);
     }
 
-    /// A request failed.
+    /// Records the failure of a request.
     pub fn on_failed(&mut self, _now: clock::Instant, request: usize) {
         self.records[request].failed = true;
     }
 
-    /// An upstream began to work on a request.
+    /// Records that an upstream started an attempt.
     pub fn on_run(&mut self, request: usize, upstream: usize, repeatable: bool) {
         self.records[request].attempts_run += 1;
         self.records[request].repeatable = repeatable;
         self.attempts_by_upstream[upstream] += 1;
     }
 
-    /// Work that upstreams spent on a request.
+    /// Adds work that upstreams did for a request.
     pub fn add_tokens_spent(&mut self, request: usize, tokens: f64) {
         self.records[request].tokens_spent += tokens;
     }
 
-    /// The caller of a request sends it again.
+    /// Records that the client of a request sends it again.
     pub fn on_resent(&mut self, request: usize, resent: &traffic::Request) {
         let client = self.records[request].client;
         self.records.push(Record::new(client, resent));
     }
 
-    /// Whether a request has had no answer yet, nor its beginning.
+    /// Whether a request has neither a response, nor its start, nor a rejection.
     pub fn is_unanswered(&self, request: usize) -> bool {
         let record = &self.records[request];
         record.started_at.is_none() && record.rejected_at.is_none() && !record.failed
     }
 
-    /// Requests that ended in each way.
+    /// Number of requests for each outcome.
     pub fn outcomes(&self) -> BTreeMap<Outcome, usize> {
         self.count_outcomes(|_| true)
     }
 
-    /// The same for one class.
+    /// Number of requests of one class for each outcome.
     pub fn outcomes_of(&self, class: configuration::Class) -> BTreeMap<Outcome, usize> {
         self.count_outcomes(|record| record.class == class)
     }
 
-    /// Good answers' work between two seconds of the run, as a share of what the upstreams can
-    /// do in that time.
+    /// Work of the good responses that ended between two seconds of the run, as a share of the
+    /// upstreams' capacity in that time.
     pub fn goodput(&self, from: f64, to: f64) -> f64 {
         let inside = |record: &&Record| {
             let ended_at = record.ended_at.map_or(0.0, seconds);
@@ -150,12 +150,12 @@
         tokens / ((to - from) * self.capacity)
     }
 
-    /// Good answers as a share of the requests that arrived between two seconds of the run.
+    /// Good responses as a share of the requests that arrived between two seconds of the run.
     pub fn served_share(&self, from: f64, to: f64) -> f64 {
         self.share_of(from, to, |record| record.outcome() == Outcome::Good)
     }
 
-    /// Share of the refusals that came within [`AT_ONCE`]; 1 without refusals.
+    /// Share of the rejections that came within [`IMMEDIATE`]; 1 without rejections.
     pub fn rejected_immediately(&self) -> f64 {
         let waits = self
             .records
@@ -166,25 +166,25 @@
         if waits.is_empty() { 1.0 } else { fast as f64 / waits.len() as f64 }
     }
 
-    /// Share of the upstreams' work that went to requests without a good answer.
+    /// Share of the upstreams' work for requests without a good response.
     pub fn wasted_share(&self) -> f64 {
         let all: f64 = self.records.iter().map(|record| record.tokens_spent).sum();
         let good: f64 = self.records.iter().map(Record::useful_tokens).sum();
         if all > 0.0 { 1.0 - good / all } else { 0.0 }
     }
 
-    /// Requests that may not repeat and ran more than once.
+    /// Non-repeatable requests that ran more than once.
     pub fn ran_twice(&self) -> usize {
         self.records.iter().filter(|record| !record.repeatable && record.attempts_run > 1).count()
     }
 
-    /// Attempts that ran, for each request.
+    /// Attempts run per request.
     pub fn amplification(&self) -> f64 {
         let runs: u32 = self.records.iter().map(|record| record.attempts_run).sum();
         f64::from(runs) / self.records.len().max(1) as f64
     }
 
-    /// Callers that got a good answer in the end, as a share of all callers.
+    /// Share of the clients that received a good response in the end.
     pub fn clients_served(&self) -> f64 {
         let all: BTreeSet<usize> = self.records.iter().map(|record| record.client).collect();
         let good = self.records.iter().filter(|record| record.outcome() == Outcome::Good);
@@ -192,13 +192,13 @@
         good.len() as f64 / all.len().max(1) as f64
     }
 
-    /// Requests that arrived, resent ones too, for each caller.
+    /// Requests per client, those sent again included.
     pub fn requests_per_client(&self) -> f64 {
         let all: BTreeSet<usize> = self.records.iter().map(|record| record.client).collect();
         self.records.len() as f64 / all.len().max(1) as f64
     }
 
-    /// Waits of the good answers for each team and class.
+    /// Waits of the good responses for each team and class.
     pub fn waits(&self) -> BTreeMap<(name::Team, configuration::Class), Waits> {
         let mut waits: BTreeMap<_, Vec<Duration>> = BTreeMap::new();
         for record in &self.records {
@@ -209,7 +209,7 @@
         waits.into_iter().map(|(key, waits)| (key, percentiles(waits))).collect()
     }
 
-    /// Waits of the good answers of the teams for which `chosen` says so, in one class.
+    /// Waits of the good responses of one class, for the teams that `chosen` selects.
     pub fn waits_of(
         &self,
         class: configuration::Class,
@@ -220,8 +220,8 @@
         percentiles(records.filter_map(Record::wait).collect())
     }
 
-    /// Jain's index over teams of good work as a share of what the team could have had: what it
-    /// asked for, or its fair share of the capacity if that is less.
+    /// Jain's fairness index over teams of good work as a share of what the team could have had:
+    /// its demand, or its fair share of the capacity if that is less.
     pub fn jain_index(&self) -> f64 {
         let mut teams: BTreeMap<&name::Team, (f64, f64)> = BTreeMap::new();
         for record in &self.records {
@@ -238,21 +238,22 @@
         jain_index_of(&shares)
     }
 
-    /// Most attempts on one upstream, as a multiple of the mean.
+    /// Largest number of attempts on one upstream, as a multiple of the mean.
     pub fn max_load_ratio(&self) -> f64 {
         let max = self.attempts_by_upstream.iter().max().copied().unwrap_or_default() as f64;
         let all: u64 = self.attempts_by_upstream.iter().sum();
         max * self.attempts_by_upstream.len() as f64 / all.max(1) as f64
     }
 
-    /// Answers that took longer than `limit` from the caller's sending to their end.
+    /// Responses that took longer than `limit` from the client's request to their end.
     pub fn count_longer_than(&self, limit: Duration) -> usize {
         let took = |record: &Record| Some(record.ended_at?.since(record.arrived_at) > limit);
         self.records.iter().filter(|record| took(record) == Some(true)).count()
     }
 
-    /// First second of the run from `from` on after which every second's median wait is within
-    /// `limit` and nothing is refused or late; `None` when that never is.
+    /// First second of the run, at or after `from`, from which on the median wait of every second
+    /// is within `limit` and at least 99 in 100 of its requests get a good response; `None` if
+    /// there is none.
     pub fn recovered_at(&self, from: f64, limit: Duration) -> Option<f64> {
         let end = self.length.as_secs_f64();
         let mut normal_since = None;
@@ -333,7 +334,7 @@
         (self.outcome() == Outcome::Good).then(|| started_at.since(self.arrived_at))
     }
 
-    /// Work that the good answer needed; what duplicates spent is wasted.
+    /// Work that the good response needed; work of duplicates is wasted.
     fn useful_tokens(&self) -> f64 {
         if self.outcome() == Outcome::Good { self.tokens_spent.min(self.tokens) } else { 0.0 }
     }
@@ -352,7 +353,7 @@
     Waits { count: waits.len(), p50: at(0.5), p99: at(0.99) }
 }
 
-/// Share of `capacity` at which every team that asks for more is cut off (max-min fairness).
+/// Max-min fair share of `capacity`: teams that demand more are limited to it.
 fn max_min_share(mut demanded: Vec<f64>, capacity: f64) -> f64 {
     demanded.sort_unstable_by(f64::total_cmp);
     let mut left = capacity;
--- a/crates/hyssopfork-policy/model/src/scenario.rs
+++ b/crates/hyssopfork-policy/model/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios: who sends what, and what goes wrong.
+//! Scenarios: the load, and the faults during the run.
 
 use crate::engine::Fault;
 use crate::parameters;
@@ -6,33 +6,33 @@
 use hyssopfork_wire::{clock, configuration};
 use std::time::Duration;
 
-/// Times that a caller sends the same request again.
+/// Times that a client sends the same request again.
 pub const MAX_RESENDS: u32 = 5;
 
-/// Time after which a caller that isn't told otherwise, or doesn't listen, sends again.
+/// Time after which a client sends again without a retry-after time, or if it ignores it.
 pub const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Whether callers send again what was refused, or what got no answer in time.
+/// Whether clients send again what was rejected, or what got no response in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resend {
     /// Never.
     Never,
-    /// When the refusal says.
+    /// After the retry-after time of the rejection.
     RetryAfter,
-    /// After [`IMPATIENT`], whatever the refusal says.
+    /// After [`RESEND_DELAY`], whatever the rejection says.
     Immediate,
 }
 
-/// What happens in a run beside arrivals.
+/// A change of conditions during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Something goes wrong with an upstream, or is right again.
+    /// Sets or clears the fault of an upstream.
     Fault(usize, Fault),
-    /// An upstream's process is replaced without a word.
+    /// Replaces an upstream's process unannounced.
     Restart(usize),
-    /// A zone is taken out.
+    /// Evacuates a zone.
     ZoneEvacuated(usize),
-    /// A zone is brought back, with upstreams that were restarted meanwhile.
+    /// Brings a zone back, with upstreams that were restarted meanwhile.
     ZoneRestored(usize),
 }
 
@@ -43,23 +43,23 @@
     pub name: &'static str,
     /// Upstreams.
     pub upstreams: usize,
-    /// Time of arrivals.
+    /// Duration of the arrivals.
     pub length: Duration,
     /// Whether the upstreams are warm at the start.
     pub warm: bool,
-    /// Callers.
+    /// Sources of requests.
     pub sources: Vec<Source>,
-    /// What happens when.
+    /// Changes of conditions, with their times.
     pub changes: Vec<(clock::Instant, Change)>,
-    /// Whether callers send again.
+    /// Whether clients send again.
     pub resend: Resend,
-    /// Time after the last arrival in which answers may still end.
+    /// Time after the last arrival in which responses may still end.
     pub drain: Duration,
-    /// Second from which on the time until all is normal again is of interest.
+    /// Second from which on the time to recovery is measured.
     pub recovery_from: Option<f64>,
 }
 
-/// Seconds of a run.
+/// Default duration of a run, in seconds.
 const SECONDS: f64 = 60.0;
 
 fn scenario(name: &'static str, sources: Vec<Source>) -> Scenario {
@@ -92,7 +92,7 @@
     Scenario { recovery_from: Some(20.0), ..scenario("burst", sources) }
 }
 
-/// Ten teams that ask for a twentieth each, of which the first, if `hot`, sends twenty times that.
+/// Ten teams that demand 0.06 of the capacity each; if `hot`, the first sends twenty times as much.
 pub fn hot_team(hot: bool) -> Scenario {
     let share = capacity() * 0.06;
     let rate = |rank| if rank == 1 && hot { share * 20.0 } else { share };
@@ -101,20 +101,20 @@
     scenario(if hot { "hot team" } else { "hot team, when it is not" }, sources)
 }
 
-/// A load of 0.7 on a thousand prompt prefixes with Zipf's shares.
+/// A load of 0.7 on a thousand prompt prefixes with Zipf-distributed shares.
 pub fn hot_key() -> Scenario {
     let sources = traffic::teams(capacity() * 0.7, SECONDS);
     scenario("hot key", sources.into_iter().map(|source| source.with_prefixes(1_000)).collect())
 }
 
-/// A load of 0.6; one upstream goes wrong at second 10.
+/// A load of 0.6; one upstream becomes faulty at second 10.
 pub fn faulty_upstream(name: &'static str, fault: Fault) -> Scenario {
     let sources = traffic::teams(capacity() * 0.6, SECONDS);
     Scenario { changes: vec![at(10, Change::Fault(7, fault))], ..scenario(name, sources) }
 }
 
-/// Status checks and short requests at a load of 0.5, and long jobs at another 0.8, for long
-/// enough that long jobs end.
+/// Status checks and short requests at a load of 0.5, and long jobs at a further load of 0.8. The
+/// run is long enough for long jobs to end.
 pub fn long_jobs() -> Scenario {
     let seconds = 600.0;
     let mut sources = traffic::teams(capacity() * 0.5, seconds);
@@ -133,7 +133,8 @@
     scenario(name, traffic::teams(capacity() * factor, SECONDS))
 }
 
-/// A zone leaves at second 15 and is back at second 35, at a load of 0.7 beside status checks.
+/// A zone is evacuated at second 15 and returns at second 35, at a load of 0.7 beside status
+/// checks.
 pub fn zone_evacuation() -> Scenario {
     let mut sources = traffic::teams(capacity() * 0.7, SECONDS);
     let status = Source::short("exporters", 20.0, SECONDS);
@@ -148,7 +149,7 @@
     Scenario { warm: false, recovery_from: Some(0.0), ..scenario("thirty cold upstreams", sources) }
 }
 
-/// A third of the upstreams is replaced without a word at second 15, at a load of 0.8.
+/// A third of the upstreams is replaced unannounced at second 15, at a load of 0.8.
 pub fn silent_restart() -> Scenario {
     let sources = traffic::teams(capacity() * 0.8, SECONDS);
     let changes = (0..parameters::UPSTREAMS / 3).map(|index| at(15, Change::Restart(index)));
@@ -156,7 +157,7 @@
     Scenario { changes, recovery_from: Some(15.0), ..scenario("ten turn cold in silence", sources) }
 }
 
-/// Callers that send again, over a load of 0.7 with twice the capacity from second 10 to 20.
+/// Clients that send again, over a load of 0.7 with twice the capacity from second 10 to 20.
 pub fn retry_storm(name: &'static str, resend: Resend) -> Scenario {
     let mut sources = traffic::teams(capacity() * 0.7, SECONDS);
     let burst = traffic::teams(capacity() * 1.3, SECONDS);
--- a/crates/hyssopfork-policy/model/src/simulation.rs
+++ b/crates/hyssopfork-policy/model/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The discrete-event run: callers, entries, agents and upstreams.
+//! Discrete-event simulation of clients, entry processes, agents and upstreams.
 
 use crate::engine::{Engine, Fault, Job, Progress};
 use crate::entry::{self, Effect, Entry, Kind, Reply};
@@ -21,7 +21,7 @@
     Tick,
 }
 
-/// The agent in front of an upstream.
+/// The agent of an upstream.
 #[derive(Clone, Debug)]
 struct Agent {
     slow_start: slow_start::SlowStart,
@@ -47,7 +47,7 @@
     report: report::Report,
 }
 
-/// Name of the zone that an upstream stands in.
+/// Name of the zone of an upstream.
 pub fn zone_of(index: usize) -> name::Zone {
     name::Zone::new(format!("zone-{}", index % parameters::ZONES))
 }
@@ -213,7 +213,7 @@
         self.schedule_wake(upstream);
     }
 
-    /// The agent's gate.
+    /// Whether the agent rejects an attempt.
     fn rejects(&self, upstream: usize) -> bool {
         let agent = &self.agents[upstream];
         let is_full = agent.running.len() >= agent.slow_start.limit() as usize;
@@ -313,8 +313,8 @@
         self.schedule_wake(upstream);
     }
 
-    /// Takes a zone out, or brings it back with engines that were restarted meanwhile, as their
-    /// agents are told.
+    /// Evacuates a zone, or brings it back with restarted engines, of which the agents are
+    /// informed.
     fn set_zone_evacuated(&mut self, number: usize, evacuated: bool) {
         let zone = zone_of(number);
         for entry in &mut self.entries {
@@ -372,8 +372,8 @@
     slow_start
 }
 
-/// Time until an upstream that is cold at first has its full limit, when it always gets as much
-/// work as the ramp lets through: the bound that the ramp alone gives.
+/// Time until an upstream that is cold at first has its full limit, if it always gets as many
+/// requests as slow start allows: the bound that slow start alone sets.
 pub fn slow_start_duration() -> Duration {
     let mut engine = Engine::new(false);
     let mut slow_start =
--- a/crates/hyssopfork-policy/model/src/traffic.rs
+++ b/crates/hyssopfork-policy/model/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers: seeded open-loop arrivals, the same for whoever serves them.
+//! Traffic: seeded open-loop arrivals, the same for every kind of entry process.
 
 use crate::parameters;
 use hyssopfork_wire::{clock, configuration, name};
@@ -6,33 +6,33 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A request that arrives.
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When.
+    /// Time of arrival.
     pub arrives_at: clock::Instant,
-    /// Team of the caller.
+    /// Team of the client.
     pub team: name::Team,
     /// Class of its route.
     pub class: configuration::Class,
-    /// Work before its answer begins, in tokens.
+    /// Work before its response starts, in tokens.
     pub prefill: f64,
-    /// Work from there to the answer's end, in tokens.
+    /// Work from the start to the end of its response, in tokens.
     pub decode: f64,
-    /// Cost as an entry estimates it, in tokens.
+    /// Cost as an entry process estimates it, in tokens.
     pub cost: u32,
-    /// Time within which the answer must begin.
+    /// Time within which the response must start.
     pub start_timeout: Duration,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Prompt prefix.
     pub prefix: Option<u64>,
-    /// Times that its caller has sent it before.
+    /// Times that its client has sent it before.
     pub resend_count: u32,
 }
 
 impl Request {
-    /// When its answer must have begun.
+    /// Time by which its response must have started.
     pub fn deadline(&self) -> clock::Instant {
         self.arrives_at + self.start_timeout
     }
@@ -48,33 +48,33 @@
 pub enum Length {
     /// A short request.
     Short,
-    /// A job of [`figures::LONG`] times a short one.
+    /// A job of [`parameters::LONG_FACTOR`] times a short one.
     Long,
     /// A status check.
     Status,
 }
 
-/// Callers that send alike.
+/// Clients with the same kind of requests.
 #[derive(Clone, Debug)]
 pub struct Source {
     /// Their team.
     pub team: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Length of the requests.
     pub length: Length,
-    /// Class of the route that they call.
+    /// Class of the route that they use.
     pub class: configuration::Class,
-    /// First and last second of sending.
+    /// First and last second of the arrivals.
     pub seconds: (f64, f64),
-    /// Number of prompt prefixes, drawn with Zipf's shares; 0 for none.
+    /// Number of prompt prefixes, drawn with Zipf-distributed shares; 0 for none.
     pub prefixes: usize,
-    /// Share of the requests that may repeat.
+    /// Share of repeatable requests.
     pub repeatable_share: f64,
 }
 
 impl Source {
-    /// Short interactive requests of a team through the whole of `seconds`.
+    /// Short interactive requests of a team during the whole of `seconds`.
     pub fn short(team: &str, rate: f64, seconds: f64) -> Source {
         Source {
             team: team.to_owned(),
@@ -87,23 +87,23 @@
         }
     }
 
-    /// The same with another length and class.
+    /// The same source with another length and class.
     pub fn with_kind(self, length: Length, class: configuration::Class) -> Source {
         Source { length, class, ..self }
     }
 
-    /// The same only from one second to another.
+    /// The same source, only between two seconds of the run.
     pub fn between(self, from: f64, to: f64) -> Source {
         Source { seconds: (from, to), ..self }
     }
 
-    /// The same with so many prompt prefixes.
+    /// The same source with a number of prompt prefixes.
     pub fn with_prefixes(self, prefixes: usize) -> Source {
         Source { prefixes, ..self }
     }
 }
 
-/// Ten teams with Zipf's shares of `rate` short requests a second.
+/// Ten teams with Zipf-distributed shares of `rate` short requests per second.
 pub fn teams(rate: f64, seconds: f64) -> Vec<Source> {
     let total: f64 = (1..=parameters::TEAMS).map(|rank| 1.0 / rank as f64).sum();
     let share = |rank: usize| rate / rank as f64 / total;
@@ -143,7 +143,7 @@
         }
     };
     let prefill = prompt * parameters::PREFILL_COST;
-    // Between half and one and a half of the mean: answers vary, prompts of a route hardly do.
+    // Between half and one and a half of the mean: responses vary, prompts of a route hardly do.
     let decode = response * rng.random_range(0.5..1.5);
     let spread = parameters::ESTIMATE_SPREAD.ln();
     let error: f64 = rng.random_range(-spread..spread);
--- a/crates/hyssopfork-policy/tests/choice.rs
+++ b/crates/hyssopfork-policy/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream, and the budget for trying again.
+//! The choice of an upstream, and the retry budget.
 
 use hyssopfork_policy::{choice, ejection, hedge, retry, slow_start};
 use hyssopfork_wire::{attempt, clock, frame, name, number, refusal};
@@ -24,7 +24,7 @@
     attempt::Identifier { boot: 1, count }
 }
 
-/// Upstreams in two zones by turns, whose agents have reported.
+/// Upstreams alternating between two zones, whose agents have reported.
 fn chooser() -> choice::Chooser {
     let mut chooser = choice::Chooser::default();
     for index in 0..UPSTREAMS {
@@ -38,11 +38,11 @@
 
 fn pick(chooser: &mut choice::Chooser, now: u64, prefix: Option<u64>) -> Option<name::Instance> {
     let zone = "zone-0".into();
-    let want = choice::Criteria { zone: &zone, prefix, excluded: &[] };
-    chooser.pick(at(now), want, now.wrapping_mul(0x9e37_79b9))
+    let criteria = choice::Criteria { zone: &zone, prefix, excluded: &[] };
+    chooser.pick(at(now), criteria, now.wrapping_mul(0x9e37_79b9))
 }
 
-/// Sends `count` attempts with a prefix, none of which ends; returns where they went.
+/// Sends `count` attempts with a prefix, none of which ends; returns their upstreams.
 fn send(chooser: &mut choice::Chooser, count: u64, prefix: Option<u64>) -> Vec<name::Instance> {
     let mut sent = Vec::new();
     for number in 0..count {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn upstream_is_trusted_with_little_until_its_agent_reports() {
+fn upstream_has_the_cold_limit_until_its_agent_reports() {
     let mut chooser = choice::Chooser::default();
     let upstream =
         choice::Upstream { instance: instance(0), zone: "zone-0".into(), concurrency: LIMIT };
@@ -66,38 +66,39 @@
 }
 
 #[test]
-fn hot_prefix_spreads_before_it_overruns_its_upstream() {
-    // Half of all requests share one prompt prefix. Sent to where it is cached whatever the load,
-    // they fill one upstream while five stand idle.
+fn hot_prefix_spreads_before_it_overloads_its_upstream() {
+    // All requests share one prompt prefix. Sent to where it is cached whatever the load, they
+    // would fill one upstream while five are idle.
     let mut chooser = chooser();
 
     let sent = send(&mut chooser, 24, Some(7));
 
-    let most = (0..UPSTREAMS).map(|index| sent.iter().filter(|it| **it == instance(index)).count());
+    let counts =
+        (0..UPSTREAMS).map(|index| sent.iter().filter(|it| **it == instance(index)).count());
     let used: BTreeSet<_> = sent.iter().collect();
-    assert!(most.max().unwrap_or_default() <= 9, "{sent:?}");
+    assert!(counts.max().unwrap_or_default() <= 9, "{sent:?}");
     assert!(used.len() >= 3, "{used:?}");
 }
 
 #[test]
-fn prefix_stays_with_its_upstream_and_moves_with_cache_events() {
+fn prefix_keeps_its_upstream_and_follows_cache_events() {
     let mut chooser = chooser();
     let first = pick(&mut chooser, 1, Some(7)).expect("all upstreams are free");
     let other = (0..UPSTREAMS).map(instance).find(|it| *it != first).expect("there are six");
 
     let again = pick(&mut chooser, 2, Some(7));
     chooser.on_cache_event(at(2), &other, 7, true);
-    let told = pick(&mut chooser, 3, Some(7));
+    let after_event = pick(&mut chooser, 3, Some(7));
     chooser.forget_cache(&other);
-    let forgotten = pick(&mut chooser, 4, Some(7));
+    let after_forget = pick(&mut chooser, 4, Some(7));
 
     assert_eq!(again.as_ref(), Some(&first));
-    assert_eq!(told, Some(other));
-    assert_eq!(forgotten, Some(first));
+    assert_eq!(after_event, Some(other));
+    assert_eq!(after_forget, Some(first));
 }
 
 #[test]
-fn zone_that_is_out_gets_nothing() {
+fn evacuated_zone_gets_no_requests() {
     let mut chooser = chooser();
     chooser.set_zone_evacuated(&"zone-0".into(), true);
 
@@ -108,23 +109,23 @@
 }
 
 #[test]
-fn returning_zone_is_trusted_with_little_until_its_agents_report() {
-    // The zone's upstreams may have been restarted while it was out; what they bore before says
-    // nothing of what they bear now.
+fn returning_zone_has_the_cold_limit_until_its_agents_report() {
+    // The zone's upstreams may have been restarted while it was evacuated: their earlier limits say
+    // nothing about the present ones.
     let mut chooser = chooser();
     chooser.set_zone_evacuated(&"zone-0".into(), true);
     chooser.set_zone_evacuated(&"zone-0".into(), false);
 
-    let back = chooser.capacity(at(1)).free;
+    let before_report = chooser.capacity(at(1)).free;
     chooser.on_load_report(at(2), &instance(0), load(0, LIMIT));
-    let reported = chooser.capacity(at(2)).free;
+    let after_report = chooser.capacity(at(2)).free;
 
-    assert_eq!(back, 3 * LIMIT + 3 * slow_start::INITIAL_LIMIT);
-    assert_eq!(reported, 4 * LIMIT + 2 * slow_start::INITIAL_LIMIT);
+    assert_eq!(before_report, 3 * LIMIT + 3 * slow_start::INITIAL_LIMIT);
+    assert_eq!(after_report, 4 * LIMIT + 2 * slow_start::INITIAL_LIMIT);
 }
 
 #[test]
-fn own_zone_is_preferred_until_it_costs_more_than_it_saves() {
+fn own_zone_is_preferred_up_to_the_cross_zone_penalty() {
     let mut chooser = chooser();
 
     let sent = send(&mut chooser, 60, None);
@@ -143,17 +144,17 @@
     let mut chooser = chooser();
     let zone = "zone-0".into();
     let excluded: Vec<_> = (0..UPSTREAMS - 1).map(instance).collect();
-    let want = choice::Criteria { zone: &zone, prefix: None, excluded: &excluded };
+    let criteria = choice::Criteria { zone: &zone, prefix: None, excluded: &excluded };
 
-    let chosen = chooser.pick(at(1), want, 1);
+    let chosen = chooser.pick(at(1), criteria, 1);
 
     assert_eq!(chosen, Some(instance(UPSTREAMS - 1)));
 }
 
 #[test]
-fn failing_upstreams_are_ejected_within_the_bound_and_return_through_the_ramp() {
-    // Five of six upstreams fail everything: the fault is common, and taking them all out would
-    // leave one for all the work.
+fn failing_upstreams_are_ejected_up_to_the_largest_share_and_return_by_slow_start() {
+    // Five of six upstreams fail every request: the fault is common, and ejecting all of them would
+    // leave one for the whole load.
     let mut chooser = chooser();
     let mut number = 0;
     for index in 0..UPSTREAMS - 1 {
@@ -168,16 +169,17 @@
     let before = chooser.capacity(at(200)).free;
     let after = chooser.capacity(at(200) + ejection::BASE_EJECTION_TIME).free;
 
-    // One of six is out; the limits of four others were lowered by their failures.
+    // One of six is ejected; the limits of four others were decreased by their failures.
     assert!(before >= 3 * LIMIT, "{before}");
     assert!(before < UPSTREAMS as u32 * LIMIT, "{before}");
     assert_eq!(after, before + slow_start::INITIAL_LIMIT);
 }
 
 #[test]
-fn crash_that_fails_all_in_flight_is_one_failure() {
-    // An upstream's process is replaced and all that it ran fails at once. It is back already, and
-    // cold: the ramp lets it warm up, where an ejection would keep its part of the load from it.
+fn crash_that_fails_all_requests_in_flight_is_one_failure() {
+    // An upstream's process is replaced, and all its requests in flight fail at once. It is back
+    // already, and cold: slow start lets it warm up, whereas an ejection would withhold its share
+    // of the load.
     let mut chooser = chooser();
     for number in 0..10 {
         chooser.on_attempt_sent(at(number), &instance(0), identifier(number), 50);
@@ -187,9 +189,9 @@
     }
     pick(&mut chooser, 200, None);
 
-    let room = chooser.capacity(at(200)).free;
+    let free = chooser.capacity(at(200)).free;
 
-    assert!(room > (UPSTREAMS as u32 - 1) * LIMIT, "{room}");
+    assert!(free > (UPSTREAMS as u32 - 1) * LIMIT, "{free}");
 }
 
 #[test]
@@ -205,7 +207,7 @@
 }
 
 #[test]
-fn work_that_may_have_run_and_may_not_repeat_is_never_tried_again() {
+fn non_repeatable_request_that_may_have_run_is_never_retried() {
     let mut budget = retry::Budget::default();
 
     assert!(!budget.try_retry(false, refusal::Ran::MayHaveRun));
@@ -214,7 +216,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries() {
+fn retries_are_a_share_of_first_attempts() {
     let mut budget = retry::Budget::default();
     for _ in 0..1_000 {
         budget.try_spend();
@@ -231,37 +233,37 @@
 }
 
 #[test]
-fn hedge_waits_for_the_tail_and_spares_non_repeatable_requests() {
+fn hedge_waits_for_the_tail_and_never_copies_non_repeatable_requests() {
     let mut hedge = hedge::Hedge::default();
     let mut budget = retry::Budget::default();
     for millis in 1..=200 {
         hedge.record_start_latency(Duration::from_millis(millis));
     }
-    let delay = hedge.delay().expect("enough was seen");
+    let delay = hedge.delay().expect("enough samples were recorded");
 
     let early = hedge.try_hedge(true, delay / 2, &mut budget);
-    let twice = hedge.try_hedge(false, delay * 2, &mut budget);
+    let non_repeatable = hedge.try_hedge(false, delay * 2, &mut budget);
     let due = hedge.try_hedge(true, delay, &mut budget);
 
     assert!(delay >= Duration::from_millis(190), "{delay:?}");
-    assert!(!early && !twice && due);
+    assert!(!early && !non_repeatable && due);
 }
 
-/// An engine fails and its agent refuses work: it bears nothing now. A moment later the engine serves
-/// again, and only an answer to work could say so. Were the refusal believed for good, callers would
-/// wait out their deadlines before an upstream that is free.
+/// An engine fails, and its agent reports a limit of 0 with a rejection. A moment later the engine
+/// serves again, and only a response to a request could report it. If the limit never expired,
+/// clients would wait out their deadlines before an upstream that is free.
 #[test]
-fn an_upstream_that_bore_nothing_is_tried_again() {
+fn upstream_with_a_limit_of_zero_is_tried_again() {
     let mut chooser = choice::Chooser::default();
     let upstream =
         choice::Upstream { instance: instance(0), zone: "zone-0".into(), concurrency: LIMIT };
     chooser.insert(at(0), upstream);
     chooser.on_load_report(at(0), &instance(0), load(5, 0));
 
-    let at_once = pick(&mut chooser, 10, None);
+    let immediately = pick(&mut chooser, 10, None);
     let later = pick(&mut chooser, 260, None);
 
-    assert_eq!(at_once, None);
+    assert_eq!(immediately, None);
     assert_eq!(later, Some(instance(0)));
     assert_eq!(chooser.capacity(at(260)).free, 1);
 }
--- a/crates/hyssopfork-policy/tests/placement.rs
+++ b/crates/hyssopfork-policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement and repair: properties over random fleets, and the losses that it is meant for.
+//! Placement and repair: properties over random fleets, and the losses that repair handles.
 
 use hyssopfork_policy::{placement, weight_loads};
 use hyssopfork_wire::name;
@@ -17,13 +17,13 @@
     places.iter().map(|place| name_of(domain, *place)).collect()
 }
 
-fn instance(domain: usize, place: usize, standing: Availability) -> placement::Instance {
+fn instance(domain: usize, place: usize, availability: Availability) -> placement::Instance {
     placement::Instance {
         name: name_of(domain, place),
         zone: name::Zone::new(format!("zone-{}", domain % 2)),
         domain: name::Domain::new(format!("domain-{}", domain / 2)),
         pool: "engines".into(),
-        availability: standing,
+        availability,
         loaded_model: None,
     }
 }
@@ -33,25 +33,29 @@
     placement::Group { name, pool, model, size, priority }
 }
 
-/// Instances of all domains, usable, with nothing placed.
+/// All instances of all domains available, and no group placed.
 fn fleet(groups: Vec<placement::Group>) -> placement::Fleet {
     let places = (0..DOMAINS).flat_map(|domain| (0..INSTANCES).map(move |place| (domain, place)));
-    let usable = places.map(|(domain, place)| instance(domain, place, Availability::Available));
+    let available = places.map(|(domain, place)| instance(domain, place, Availability::Available));
     placement::Fleet {
-        instances: usable.collect(),
+        instances: available.collect(),
         groups,
         placements: BTreeMap::new(),
         budget: weight_loads::Budget { limit: 100, running: 0 },
     }
 }
 
-fn stand(fleet: &mut placement::Fleet, group: &str, members: Vec<name::Instance>) {
+fn place_group(fleet: &mut placement::Fleet, group: &str, members: Vec<name::Instance>) {
     fleet.placements.insert(group.into(), placement::Placement { members, running: 0 });
 }
 
-fn set(fleet: &mut placement::Fleet, name: &name::Instance, standing: Availability) {
+fn set_availability(
+    fleet: &mut placement::Fleet,
+    name: &name::Instance,
+    availability: Availability,
+) {
     let found = fleet.instances.iter_mut().find(|instance| instance.name == *name);
-    found.expect("the instance is in the fleet").availability = standing;
+    found.expect("the instance is in the fleet").availability = availability;
 }
 
 fn place(group: &str, members: Vec<name::Instance>) -> Decision {
@@ -72,8 +76,8 @@
     }
 }
 
-/// After each decision: no instance in two groups, and each placed group whole, usable and in one
-/// domain of its pool.
+/// Checks after each decision that no instance is in two groups, and that each placed group is
+/// complete, available and in one domain of its pool.
 fn check(fleet: &placement::Fleet, decisions: &[Decision]) {
     let mut fleet = fleet.clone();
     for decision in decisions {
@@ -102,7 +106,7 @@
     assert!(members.iter().all(|name| found(name).pool == declared.pool), "{members:?}");
 }
 
-fn standings() -> impl Strategy<Value = Vec<Availability>> {
+fn availabilities() -> impl Strategy<Value = Vec<Availability>> {
     let one = prop_oneof![
         6 => Just(Availability::Available),
         1 => Just(Availability::Cordoned),
@@ -112,15 +116,17 @@
 }
 
 fn groups() -> impl Strategy<Value = Vec<placement::Group>> {
-    prop::collection::vec((1u32..=4, 0u32..3), 0..8).prop_map(|shapes| {
-        let named = shapes.into_iter().enumerate();
-        named.map(|(index, (size, rank))| group(&format!("group-{index}"), size, rank)).collect()
+    prop::collection::vec((1u32..=4, 0u32..3), 0..8).prop_map(|sizes| {
+        let named = sizes.into_iter().enumerate();
+        named
+            .map(|(index, (size, priority))| group(&format!("group-{index}"), size, priority))
+            .collect()
     })
 }
 
-fn suffer(fleet: &mut placement::Fleet, standings: &[Availability]) {
-    for (instance, standing) in fleet.instances.iter_mut().zip(standings) {
-        instance.availability = *standing;
+fn set_availabilities(fleet: &mut placement::Fleet, availabilities: &[Availability]) {
+    for (instance, availability) in fleet.instances.iter_mut().zip(availabilities) {
+        instance.availability = *availability;
     }
 }
 
@@ -128,17 +134,17 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_instance_twice_one_domain_none_missing(
+    fn placements_use_distinct_available_instances_of_one_domain(
         groups in groups(),
-        rounds in prop::collection::vec(standings(), 1..5),
+        rounds in prop::collection::vec(availabilities(), 1..5),
         limit in 1u32..12,
     ) {
-        // Losses, drains and returns one after another, each decided as it comes: whatever was
-        // there before, nothing is ever placed that could not serve.
+        // Losses, drains and returns follow one another, each decided as it comes: whatever the
+        // state before, no placement may be made that could not serve.
         let mut fleet = fleet(groups);
         fleet.budget.limit = limit;
-        for standings in rounds {
-            suffer(&mut fleet, &standings);
+        for availabilities in rounds {
+            set_availabilities(&mut fleet, &availabilities);
 
             let decisions = placement::decide(&fleet);
 
@@ -148,10 +154,10 @@
     }
 
     #[test]
-    fn decisions_come_to_rest(groups in groups(), standings in standings()) {
-        // Decisions that undo each other would load weights for ever and serve nobody.
+    fn decisions_converge(groups in groups(), availabilities in availabilities()) {
+        // Decisions that undo each other would load weights forever and serve no request.
         let mut fleet = fleet(groups);
-        suffer(&mut fleet, &standings);
+        set_availabilities(&mut fleet, &availabilities);
         for _ in 0..24 {
             let decisions = placement::decide(&fleet);
             apply(&mut fleet, &decisions);
@@ -161,34 +167,34 @@
     }
 
     #[test]
-    fn whole_groups_of_no_lesser_priority_stay(groups in groups(), standings in standings()) {
-        // A loss moves nobody else than the groups that it hits, and those of lesser priority.
+    fn complete_groups_of_the_highest_priority_stay(groups in groups(), availabilities in availabilities()) {
+        // A loss moves only the groups that it affects, and groups of lower priority.
         let mut fleet = fleet(groups);
-        let formed = placement::decide(&fleet);
-        apply(&mut fleet, &formed);
-        suffer(&mut fleet, &standings);
-        let most = fleet.groups.iter().map(|it| it.priority).max().unwrap_or_default();
-        let usable = |name: &name::Instance| {
+        let initial = placement::decide(&fleet);
+        apply(&mut fleet, &initial);
+        set_availabilities(&mut fleet, &availabilities);
+        let highest = fleet.groups.iter().map(|it| it.priority).max().unwrap_or_default();
+        let is_available = |name: &name::Instance| {
             fleet.instances.iter().any(|it| it.name == *name && it.availability == Availability::Available)
         };
 
         let decisions = placement::decide(&fleet);
 
-        for group in fleet.groups.iter().filter(|it| it.priority == most) {
+        for group in fleet.groups.iter().filter(|it| it.priority == highest) {
             let Some(current) = fleet.placements.get(&group.name) else { continue };
             let moved = decisions.iter().any(|decision| match decision {
                 Decision::Place { group: moved, .. } | Decision::Unplace(moved) => *moved == group.name,
             });
-            prop_assert!(!moved || !current.members.iter().all(usable), "{:?}", decisions);
+            prop_assert!(!moved || !current.members.iter().all(is_available), "{:?}", decisions);
         }
     }
 }
 
 #[test]
-fn lost_member_is_replaced_in_its_place_by_a_spare_of_its_domain() {
+fn lost_member_is_replaced_at_its_rank_by_a_spare_of_its_domain() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
-    stand(&mut fleet, "a", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 1), Availability::Missing);
+    place_group(&mut fleet, "a", names(1, &[0, 1, 2]));
+    set_availability(&mut fleet, &name_of(1, 1), Availability::Missing);
 
     let decisions = placement::decide(&fleet);
 
@@ -196,13 +202,13 @@
 }
 
 #[test]
-fn second_loss_right_after_the_repair_is_mended_alike() {
+fn second_loss_right_after_the_repair_is_repaired_alike() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
-    stand(&mut fleet, "a", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 1), Availability::Missing);
+    place_group(&mut fleet, "a", names(1, &[0, 1, 2]));
+    set_availability(&mut fleet, &name_of(1, 1), Availability::Missing);
     let first = placement::decide(&fleet);
     apply(&mut fleet, &first);
-    set(&mut fleet, &name_of(1, 3), Availability::Missing);
+    set_availability(&mut fleet, &name_of(1, 3), Availability::Missing);
 
     let second = placement::decide(&fleet);
 
@@ -210,12 +216,12 @@
 }
 
 #[test]
-fn spare_that_holds_the_weights_goes_first() {
+fn spare_with_loaded_weights_is_used_first() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
-    stand(&mut fleet, "a", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 0), Availability::Missing);
-    let held = fleet.instances.iter_mut().find(|it| it.name == name_of(1, 4));
-    held.expect("in the fleet").loaded_model = Some("model".into());
+    place_group(&mut fleet, "a", names(1, &[0, 1, 2]));
+    set_availability(&mut fleet, &name_of(1, 0), Availability::Missing);
+    let spare = fleet.instances.iter_mut().find(|it| it.name == name_of(1, 4));
+    spare.expect("in the fleet").loaded_model = Some("model".into());
 
     let decisions = placement::decide(&fleet);
 
@@ -223,11 +229,11 @@
 }
 
 #[test]
-fn dark_domain_is_rebuilt_in_another() {
+fn group_of_a_dark_domain_is_rebuilt_in_another() {
     let mut fleet = fleet(vec![group("a", 3, 0)]);
-    stand(&mut fleet, "a", names(1, &[0, 1, 2]));
+    place_group(&mut fleet, "a", names(1, &[0, 1, 2]));
     for place in 0..INSTANCES {
-        set(&mut fleet, &name_of(1, place), Availability::Missing);
+        set_availability(&mut fleet, &name_of(1, place), Availability::Missing);
     }
 
     let decisions = placement::decide(&fleet);
@@ -237,17 +243,17 @@
 }
 
 #[test]
-fn greater_priority_takes_the_place_of_lesser() {
-    // Every domain is full. The group that counts most loses its domain: one that counts less
-    // makes room, and only one.
+fn group_of_higher_priority_preempts_one_of_lower() {
+    // Every domain is full. The group of the highest priority loses its domain: one group of lower
+    // priority is removed for it, and only one.
     let names_of = ["a", "b", "c", "d"];
     let groups = names_of.iter().map(|name| group(name, 4, u32::from(*name == "a"))).collect();
     let mut fleet = fleet(groups);
     for (domain, name) in names_of.iter().enumerate() {
-        stand(&mut fleet, name, names(domain, &[0, 1, 2, 3]));
+        place_group(&mut fleet, name, names(domain, &[0, 1, 2, 3]));
     }
     for place in 0..INSTANCES {
-        set(&mut fleet, &name_of(0, place), Availability::Missing);
+        set_availability(&mut fleet, &name_of(0, place), Availability::Missing);
     }
 
     let decisions = placement::decide(&fleet);
@@ -262,14 +268,14 @@
 }
 
 #[test]
-fn two_broken_groups_without_spares_make_one_whole() {
+fn two_broken_groups_without_spares_become_one_complete_group() {
     let mut fleet = fleet(vec![group("a", 2, 0), group("b", 2, 0)]);
     fleet.instances.retain(|it| it.name.as_str().starts_with("instance-0"));
     fleet.instances.truncate(4);
-    stand(&mut fleet, "a", names(0, &[0, 1]));
-    stand(&mut fleet, "b", names(0, &[2, 3]));
-    set(&mut fleet, &name_of(0, 1), Availability::Missing);
-    set(&mut fleet, &name_of(0, 2), Availability::Missing);
+    place_group(&mut fleet, "a", names(0, &[0, 1]));
+    place_group(&mut fleet, "b", names(0, &[2, 3]));
+    set_availability(&mut fleet, &name_of(0, 1), Availability::Missing);
+    set_availability(&mut fleet, &name_of(0, 2), Availability::Missing);
 
     let decisions = placement::decide(&fleet);
 
@@ -277,13 +283,13 @@
 }
 
 #[test]
-fn loads_are_paced_and_the_fewest_come_first() {
+fn concurrent_loads_are_limited_and_the_fewest_come_first() {
     // The store serves two loads at once. One group needs one load, another three: the first is
-    // whole after one load's time, and would not be for longer if all loaded at once.
+    // complete after the time of one load, and would take longer if all loaded at once.
     let mut fleet = fleet(vec![group("a", 3, 0), group("b", 3, 0)]);
     fleet.budget.limit = 2;
-    stand(&mut fleet, "b", names(1, &[0, 1, 2]));
-    set(&mut fleet, &name_of(1, 1), Availability::Missing);
+    place_group(&mut fleet, "b", names(1, &[0, 1, 2]));
+    set_availability(&mut fleet, &name_of(1, 1), Availability::Missing);
 
     let first = placement::decide(&fleet);
     apply(&mut fleet, &first);
@@ -298,16 +304,16 @@
 }
 
 #[test]
-fn group_on_closed_instances_moves_once_nothing_runs_on_it() {
-    // Operators take the zone out. What runs there is finished before the group moves.
+fn group_on_cordoned_instances_moves_once_no_request_runs_on_it() {
+    // Operators evacuate the zone. Requests that run there finish before the group moves.
     let mut fleet = fleet(vec![group("a", 3, 0)]);
-    stand(&mut fleet, "a", names(0, &[0, 1, 2]));
+    place_group(&mut fleet, "a", names(0, &[0, 1, 2]));
     for place in 0..INSTANCES {
-        set(&mut fleet, &name_of(0, place), Availability::Cordoned);
-        set(&mut fleet, &name_of(2, place), Availability::Cordoned);
+        set_availability(&mut fleet, &name_of(0, place), Availability::Cordoned);
+        set_availability(&mut fleet, &name_of(2, place), Availability::Cordoned);
     }
-    let busy = fleet.placements.get_mut(&name::Group::from("a"));
-    busy.expect("placed").running = 1;
+    let current = fleet.placements.get_mut(&name::Group::from("a"));
+    current.expect("placed").running = 1;
 
     let running = placement::decide(&fleet);
     fleet.placements.get_mut(&name::Group::from("a")).expect("placed").running = 0;
@@ -320,8 +326,8 @@
 
 #[test]
 fn group_is_formed_where_a_spare_is_left() {
-    // One domain fits the group exactly, another with a spare: the spare mends the next loss
-    // without moving everybody.
+    // One domain fits the group exactly, another with a spare: the spare repairs the next loss
+    // without moving the whole group.
     let mut fleet = fleet(vec![group("a", 4, 0)]);
     fleet.instances.retain(|it| {
         let name = it.name.as_str();
@@ -334,10 +340,10 @@
 }
 
 #[test]
-fn undeclared_and_reshaped_groups_leave_their_places() {
+fn undeclared_and_resized_groups_lose_their_placements() {
     let mut fleet = fleet(vec![group("b", 2, 0)]);
-    stand(&mut fleet, "a", names(0, &[0, 1, 2]));
-    stand(&mut fleet, "b", names(1, &[0, 1, 2]));
+    place_group(&mut fleet, "a", names(0, &[0, 1, 2]));
+    place_group(&mut fleet, "b", names(1, &[0, 1, 2]));
 
     let decisions = placement::decide(&fleet);
 
