--- a/crates/hyssopfork-policy/src/balance.rs
+++ b/crates/hyssopfork-policy/src/balance.rs
@@ -23,7 +23,7 @@
 /// Other processes' requests below which they no longer keep this process from sending a request to
 /// an upstream where it has none in flight. The decay alone never reaches zero: on an upstream with
 /// a limit of one request, the remainder of another process's request would exclude this process
-/// for good, since a new report only comes with a response to a request that was sent. With
+/// permanently, since a new report only comes with a response to a request that was sent. With
 /// requests in flight the rule isn't needed, and there it would let long jobs of other processes be
 /// forgotten while they run.
 const MIN_OTHERS_IN_FLIGHT: f64 = 0.5;
