--- a/crates/hyssopfork-policy/src/queue.rs
+++ b/crates/hyssopfork-policy/src/queue.rs
@@ -18,8 +18,8 @@
 ///
 /// The average can cause every request to be rejected, and only responses to admitted requests
 /// correct it: a few responses that started late, for example through a pause of the process, would
-/// reject a class permanently. So it is discarded when no response has started for this long, and the
-/// next requests are admitted. Long jobs start seconds apart in any case; an average over
+/// reject a class permanently. So it is discarded when no response has started for this long, and
+/// the next requests are admitted. Long jobs start seconds apart in any case; an average over
 /// [`MIN_START_LATENCY_SAMPLES`] of them or more is kept longer, by the average itself.
 const START_LATENCY_TTL: Duration = throughput::MIN_DECAY;
 
