--- a/crates/hyssopfork-policy/model/src/entry.rs
+++ b/crates/hyssopfork-policy/model/src/entry.rs
@@ -1,10 +1,10 @@
-//! What entries tell the model to do, and what they hear from agents.
+//! Interface between the model's entry processes and the simulation.
 
-use crate::{baseline, ours, traffic};
+use crate::{baseline, policy, traffic};
 use hyssopfork_wire::{clock, frame, name};
 use std::time::Duration;
 
-/// What an entry does.
+/// An action of an entry process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Sends an attempt to an upstream.
@@ -23,103 +23,103 @@
         /// The upstream that it is on.
         upstream: usize,
     },
-    /// Refuses a request.
-    Refuse {
+    /// Rejects a request.
+    Reject {
         /// The request.
         request: usize,
-        /// When to come back.
-        after: Option<Duration>,
+        /// When the client should retry.
+        retry_after: Option<Duration>,
     },
-    /// Tells the caller that its request failed.
+    /// Reports to the client that its request failed.
     Fail(usize),
 }
 
-/// What an entry hears of an attempt.
+/// A message to an entry process about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// The agent's load, ahead of an answer.
-    Loaded(frame::Load),
-    /// The agent refused it: it did not run.
-    Refused(frame::Load),
-    /// The answer began.
-    Begun,
-    /// The answer ended.
-    Ended,
+    /// The agent's load report, ahead of the response.
+    LoadReport(frame::Load),
+    /// The agent rejected the attempt: it did not run.
+    Rejected(frame::Load),
+    /// The response started.
+    Started,
+    /// The response ended.
+    Completed,
     /// The upstream failed it.
     Failed,
 }
 
-/// Who decides in an entry.
+/// Kind of an entry process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A plain proxy: round robin, no limits, first come first served, retries without a budget.
     Baseline,
-    /// The policy package.
-    Ours,
+    /// Decides by the policy package.
+    Policy,
 }
 
-/// An entry.
+/// An entry process.
 #[derive(Clone, Debug)]
 pub enum Entry {
     /// A plain proxy.
     Baseline(baseline::Entry),
-    /// The policy package.
-    Ours(Box<ours::Entry>),
+    /// Decides by the policy package.
+    Policy(Box<policy::Entry>),
 }
 
 impl Entry {
-    /// An entry that knows `upstreams`, each with its zone.
+    /// An entry process that knows `upstreams`, given by their zones.
     pub fn new(kind: Kind, index: usize, upstreams: &[name::Zone], seed: u64) -> Entry {
         match kind {
             Kind::Baseline => Entry::Baseline(baseline::Entry::new(index, upstreams)),
-            Kind::Ours => Entry::Ours(Box::new(ours::Entry::new(index, upstreams, seed))),
+            Kind::Policy => Entry::Policy(Box::new(policy::Entry::new(index, upstreams, seed))),
         }
     }
 
-    /// A request arrives.
-    pub fn arrive(
+    /// Handles the arrival of a request.
+    pub fn on_arrival(
         &mut self,
         now: clock::Instant,
         id: usize,
         request: &traffic::Request,
     ) -> Vec<Effect> {
         match self {
-            Entry::Baseline(entry) => entry.arrive(id),
-            Entry::Ours(entry) => entry.arrive(now, id, request),
+            Entry::Baseline(entry) => entry.on_arrival(id),
+            Entry::Policy(entry) => entry.on_arrival(now, id, request),
         }
     }
 
-    /// An agent replies.
-    pub fn reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
+    /// Handles a reply of an agent.
+    pub fn on_reply(&mut self, now: clock::Instant, attempt: u64, reply: Reply) -> Vec<Effect> {
         match self {
-            Entry::Baseline(entry) => entry.reply(attempt, reply),
-            Entry::Ours(entry) => entry.reply(now, attempt, reply),
+            Entry::Baseline(entry) => entry.on_reply(attempt, reply),
+            Entry::Policy(entry) => entry.on_reply(now, attempt, reply),
         }
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: clock::Instant) -> Vec<Effect> {
+    /// Handles a tick of the clock.
+    pub fn on_tick(&mut self, now: clock::Instant) -> Vec<Effect> {
         match self {
             Entry::Baseline(_) => Vec::new(),
-            Entry::Ours(entry) => entry.tick(now),
+            Entry::Policy(entry) => entry.on_tick(now),
         }
     }
 
-    /// A zone is taken out or brought back.
-    pub fn zone(&mut self, zone: &name::Zone, out: bool) {
+    /// Sets whether a zone is evacuated.
+    pub fn set_zone_evacuated(&mut self, zone: &name::Zone, evacuated: bool) {
         match self {
-            Entry::Baseline(entry) => entry.zone(zone, out),
-            Entry::Ours(entry) => entry.zone(zone, out),
+            Entry::Baseline(entry) => entry.set_zone_evacuated(zone, evacuated),
+            Entry::Policy(entry) => entry.set_zone_evacuated(zone, evacuated),
         }
     }
 }
 
-/// Number of an attempt: unique over entries.
-pub fn attempt(entry: usize, count: u64) -> u64 {
+/// Identifier of an attempt: unique over all entry processes.
+pub fn attempt_id(entry: usize, count: u64) -> u64 {
     (entry as u64) << 40 | count
 }
 
-/// The entry of an attempt.
-pub fn of(attempt: u64) -> usize {
+/// The entry process of an attempt.
+pub fn entry_of(attempt: u64) -> usize {
     (attempt >> 40) as usize
 }
--- a/crates/hyssopfork-policy/src/limit.rs
+++ b/crates/hyssopfork-policy/src/limit.rs
@@ -1,77 +1,76 @@
-//! Adaptive concurrency limit of one upstream, by what its answers say.
+//! Adaptive concurrency limit of one upstream (AIMD), driven by response times and failures.
 //!
-//! *Pattern.* The concurrency that an upstream bears isn't what was declared: long prompts fill
-//! its memory, a neighbour slows its fabric, another entry sends to it as well.
+//! An upstream's real concurrency differs from the declared one: long prompts fill its memory, a
+//! neighbour slows its fabric, another entry process sends to it as well. Requests beyond the knee
+//! only wait inside the upstream, where no deadline, class or team counts, until it crashes.
 //!
-//! *Without it.* Work beyond the knee only waits inside the upstream, where no deadline, class or
-//! team counts, until it falls over.
-//!
-//! *Rule.* Additive increase while answers come at the usual pace and the limit is used;
-//! multiplicative decrease, once for each round trip, when the pace falls off, the upstream
-//! refuses, or it fails.
+//! Additive increase while responses take the usual time and the limit is used; multiplicative
+//! decrease, once per round trip, when responses slow down, the upstream rejects, or it fails.
 
-use crate::average;
+use crate::ewma;
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Factor of a decrease: gentler than halving, since the pace of a full batch varies by itself.
-pub const DECREASE: f64 = 0.8;
+/// Factor of a decrease: gentler than halving, because the response times of a full batch vary by
+/// themselves.
+pub const DECREASE_FACTOR: f64 = 0.8;
 
-/// Pace, as a multiple of the long-run one, from which the upstream counts as overloaded.
+/// Time per token, as a multiple of the long-term average, from which the upstream counts as
+/// overloaded.
 pub const SLOW_FACTOR: f64 = 2.0;
 
-/// Least limit: one request keeps the measurement going.
-pub const LEAST: f64 = 1.0;
+/// Smallest limit: one request keeps the measurement going.
+pub const MIN_LIMIT: f64 = 1.0;
 
-/// Samples of the long-run pace.
-const LONG_SPAN: f64 = 512.0;
+/// Samples of the long-term latency average.
+const LONG_TERM_SPAN: f64 = 512.0;
 
-/// Samples of the present pace.
-const SHORT_SPAN: f64 = 8.0;
+/// Samples of the short-term latency average.
+const SHORT_TERM_SPAN: f64 = 8.0;
 
-/// Samples needed before the pace is judged.
-const JUDGED: f64 = 32.0;
+/// Samples needed before latencies are compared.
+const MIN_SAMPLES: f64 = 32.0;
 
-/// What an ended attempt says.
+/// What the outcome of an attempt says about the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feedback {
-    /// It was answered in full.
-    Answered,
-    /// It was refused for want of room, or the upstream failed it.
+    /// The response was complete.
+    Completed,
+    /// It was rejected for lack of capacity, or the upstream failed it.
     Overloaded,
-    /// It says nothing.
+    /// The outcome says nothing about the load.
     Neutral,
 }
 
-/// The limit.
+/// Adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub struct Limit {
     ceiling: f64,
     limit: f64,
-    long: average::Average,
-    short: average::Average,
-    lowered: clock::Instant,
+    long_term_latency: ewma::Ewma,
+    short_term_latency: ewma::Ewma,
+    last_decrease_at: clock::Instant,
 }
 
 impl Limit {
-    /// A limit that starts at and never exceeds `ceiling`.
+    /// A limit that starts at `ceiling` and never exceeds it.
     pub fn new(ceiling: u32) -> Limit {
         let ceiling = f64::from(ceiling.max(1));
         Limit {
             ceiling,
             limit: ceiling,
-            long: average::Average::new(LONG_SPAN),
-            short: average::Average::new(SHORT_SPAN),
-            lowered: clock::Instant::ORIGIN,
+            long_term_latency: ewma::Ewma::new(LONG_TERM_SPAN),
+            short_term_latency: ewma::Ewma::new(SHORT_TERM_SPAN),
+            last_decrease_at: clock::Instant::ORIGIN,
         }
     }
 
-    /// Pieces of work that may be in flight.
+    /// Requests that may be in flight.
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Takes another ceiling.
+    /// Changes the ceiling.
     pub fn set_ceiling(&mut self, ceiling: u32) {
         let ceiling = f64::from(ceiling.max(1));
         let was_full = self.limit >= self.ceiling;
@@ -79,36 +78,42 @@
         self.limit = if was_full { ceiling } else { self.limit.min(ceiling) };
     }
 
-    /// Time for each unit of cost lately; `None` before the first answer.
-    pub fn pace(&self) -> Option<f64> {
-        self.short.get()
+    /// Recent time per token of cost, in seconds; `None` before the first response.
+    pub fn token_latency(&self) -> Option<f64> {
+        self.short_term_latency.mean()
     }
 
-    /// Takes in the end of an attempt that cost `cost`, began at `begun` and shared the upstream
-    /// with `in_flight` others of this process.
-    pub fn end(
+    /// Records the end of an attempt of `cost` that was sent at `sent_at`, with `in_flight` others
+    /// of this process on the upstream.
+    pub fn on_attempt_ended(
         &mut self,
         now: clock::Instant,
-        begun: clock::Instant,
+        sent_at: clock::Instant,
         cost: u32,
         in_flight: u32,
         feedback: Feedback,
     ) {
         match feedback {
             Feedback::Neutral => {}
-            Feedback::Overloaded => self.lower(now, begun),
-            Feedback::Answered => self.answered(now, begun, cost, in_flight),
+            Feedback::Overloaded => self.decrease(now, sent_at),
+            Feedback::Completed => self.on_completion(now, sent_at, cost, in_flight),
         }
     }
 
-    fn answered(&mut self, now: clock::Instant, begun: clock::Instant, cost: u32, in_flight: u32) {
-        let elapsed: Duration = now.since(begun);
-        let pace = elapsed.as_secs_f64() / f64::from(cost.max(1));
-        self.short.add(pace);
-        let slow = self.is_slow();
-        self.long.add(pace);
-        if slow {
-            return self.lower(now, begun);
+    fn on_completion(
+        &mut self,
+        now: clock::Instant,
+        sent_at: clock::Instant,
+        cost: u32,
+        in_flight: u32,
+    ) {
+        let elapsed: Duration = now.since(sent_at);
+        let latency = elapsed.as_secs_f64() / f64::from(cost.max(1));
+        self.short_term_latency.add(latency);
+        let is_slow = self.is_slow();
+        self.long_term_latency.add(latency);
+        if is_slow {
+            return self.decrease(now, sent_at);
         }
         if f64::from(in_flight + 1) * 2.0 >= self.limit {
             self.limit = (self.limit + 1.0 / self.limit).min(self.ceiling);
@@ -116,18 +121,23 @@
     }
 
     fn is_slow(&self) -> bool {
-        let usual = self.long.get().filter(|_| self.long.weight() >= JUDGED);
-        let present = self.short.get();
-        usual.zip(present).is_some_and(|(usual, present)| present > usual * SLOW_FACTOR)
+        let long_term = self
+            .long_term_latency
+            .mean()
+            .filter(|_| self.long_term_latency.sample_count() >= MIN_SAMPLES);
+        let short_term = self.short_term_latency.mean();
+        long_term
+            .zip(short_term)
+            .is_some_and(|(long_term, short_term)| short_term > long_term * SLOW_FACTOR)
     }
 
-    /// Lowers the limit, unless the attempt began before the last decrease: what it says was
-    /// answered by that one.
-    fn lower(&mut self, now: clock::Instant, begun: clock::Instant) {
-        if begun <= self.lowered {
+    /// Decreases the limit, unless the attempt was sent before the last decrease, which has already
+    /// accounted for it.
+    fn decrease(&mut self, now: clock::Instant, sent_at: clock::Instant) {
+        if sent_at <= self.last_decrease_at {
             return;
         }
-        self.limit = (self.limit * DECREASE).max(LEAST);
-        self.lowered = now;
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
+        self.last_decrease_at = now;
     }
 }
