--- a/crates/hyssopfork-agent/src/attempts.rs
+++ b/crates/hyssopfork-agent/src/attempts.rs
@@ -133,7 +133,7 @@
 
     /// Drops answers that have been kept long enough.
     pub fn expire(&mut self, now: clock::Instant) {
-        let over = |attempt: &Attempt| matches!(attempt.state, State::Finished(at) if now.since(at) >= timing::ANSWER_LINGER);
+        let over = |attempt: &Attempt| matches!(attempt.state, State::Finished(at) if now.since(at) >= timing::RESPONSE_RETENTION);
         let old: Vec<_> =
             self.live.iter().filter(|(_, attempt)| over(attempt)).map(|(id, _)| *id).collect();
         old.into_iter().for_each(|attempt| self.bury(attempt, memory::End::Finished));
--- a/crates/hyssopfork-agent/src/engine.rs
+++ b/crates/hyssopfork-agent/src/engine.rs
@@ -21,7 +21,7 @@
 /// Time after this process's start in which work that isn't its own counts as left by the process
 /// before. A back end that goes on reporting such work for longer has callers of its own, or counts
 /// otherwise; heeded for good, that would keep all work from a cold one.
-pub const FOREIGN_LIMIT: Duration = timing::STOP_LIMIT;
+pub const FOREIGN_LIMIT: Duration = timing::STOP_TIMEOUT;
 
 /// What a probe changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -32,7 +32,7 @@
         let response = if self.may_grant(now, request) {
             self.grants.give(request.fence, now);
             let leaving = self.stopping.is_some();
-            member::Response::Granted { term: timing::GROUP_GRANT, version, leaving }
+            member::Response::Granted { duration: timing::GROUP_GRANT, version, leaving }
         } else {
             member::Response::Refused { version }
         };
@@ -42,7 +42,7 @@
     /// A member answered.
     pub(crate) fn stood(&mut self, call: u64, response: Option<member::Response>) {
         match response {
-            Some(member::Response::Granted { term, version, leaving }) => {
+            Some(member::Response::Granted { duration: term, version, leaving }) => {
                 self.watcher.hear(version);
                 self.standing.grant(call, term, leaving);
             }
--- a/crates/hyssopfork-agent/src/standing.rs
+++ b/crates/hyssopfork-agent/src/standing.rs
@@ -51,7 +51,7 @@
         if now < self.ask_at {
             return false;
         }
-        self.ask_at = now + timing::GROUP_RENEWAL;
+        self.ask_at = now + timing::GROUP_RENEWAL_INTERVAL;
         self.asked.retain(|_, asked| now.since(asked.sent) < ASK_TIMEOUT);
         true
     }
--- a/crates/hyssopfork-agent/tests/agent/attempts.rs
+++ b/crates/hyssopfork-agent/tests/agent/attempts.rs
@@ -61,7 +61,7 @@
     let mut agent = fixture::service(true);
     agent.run(fixture::plain_offer(1));
     agent.step(event::Event::Ended(fixture::identifier(1)));
-    agent.pass(timing::ANSWER_LINGER);
+    agent.pass(timing::RESPONSE_RETENTION);
     agent.hold(std::time::Duration::ZERO);
     agent.probe(Some(fixture::health("a", None)));
 
--- a/crates/hyssopfork-agent/tests/agent/fixture.rs
+++ b/crates/hyssopfork-agent/tests/agent/fixture.rs
@@ -143,7 +143,7 @@
         };
         self.now = self.now + delay;
         let update = change::Update::Whole(Box::new(self.view.clone()));
-        let grant = control::Grant { term: timing::HOLDER_LEASE, update, incarnation: None };
+        let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
         self.step(event::Event::Controlled { call, response })
     }
@@ -175,7 +175,7 @@
     /// The other member grants the newest request.
     pub fn grant(&mut self) -> Vec<action::Action> {
         self.answer_stand(member::Response::Granted {
-            term: timing::GROUP_GRANT,
+            duration: timing::GROUP_GRANT,
             version: self.view.version,
             leaving: false,
         })
@@ -183,7 +183,7 @@
 
     /// The other member answers the newest request.
     pub fn answer_stand(&mut self, response: member::Response) -> Vec<action::Action> {
-        let actions = self.pass(timing::GROUP_RENEWAL + action::TICK);
+        let actions = self.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
         let asked = actions.iter().rev().find_map(stand).expect("the members are asked");
         self.step(event::Event::Stood { call: asked.0, response: Some(response) })
     }
--- a/crates/hyssopfork-agent/tests/agent/gate.rs
+++ b/crates/hyssopfork-agent/tests/agent/gate.rs
@@ -164,7 +164,7 @@
     let health = Some(fixture::health("a", None));
     agent.step(event::Event::ProbedAt { sent, health: health.clone() });
     let still = agent.refusal(fixture::plain_offer(34));
-    agent.pass(timing::PROBE);
+    agent.pass(timing::PROBE_INTERVAL);
     agent.probe(health);
     let trusted = agent.refusal(fixture::plain_offer(35));
 
@@ -183,7 +183,7 @@
 
     agent.step(event::Event::Failed(fixture::identifier(1), event::Fault::Broken));
     let suspected = agent.refusal(fixture::offer(2));
-    agent.pass(timing::PROBE);
+    agent.pass(timing::PROBE_INTERVAL);
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
     let trusted = agent.refusal(fixture::offer(3));
 
--- a/crates/hyssopfork-agent/tests/agent/group.rs
+++ b/crates/hyssopfork-agent/tests/agent/group.rs
@@ -28,13 +28,13 @@
 fn grant_counts_from_when_it_was_asked_for() {
     let mut agent = fixture::first_member();
     agent.pass(timing::GROUP_GRANT);
-    let asked = agent.pass(timing::GROUP_RENEWAL + action::TICK);
+    let asked = agent.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
     let (call, _) = asked.iter().rev().find_map(fixture::stand).expect("the member is asked");
     let term = timing::GROUP_GRANT;
     let version = agent.view.version;
 
     agent.pause(timing::GROUP_GRANT);
-    let granted = member::Response::Granted { term, version, leaving: false };
+    let granted = member::Response::Granted { duration: term, version, leaving: false };
     agent.step(event::Event::Stood { call, response: Some(granted) });
 
     assert!(!agent.core.is_ready(agent.now));
@@ -44,7 +44,7 @@
 fn refusal_of_a_member_ends_its_grant_but_a_late_one_does_not() {
     let refused = member::Response::Refused { version: number::Version(1) };
     let mut agent = fixture::first_member();
-    let asked = agent.pass(timing::GROUP_RENEWAL + action::TICK);
+    let asked = agent.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
     let (old, _) = asked.iter().find_map(fixture::stand).expect("the member is asked");
     agent.grant();
 
@@ -211,7 +211,7 @@
     let mut agent = fixture::first_member();
     agent.run(fixture::offer(1));
 
-    let call = agent.pass(timing::RENEWAL);
+    let call = agent.pass(timing::RENEWAL_INTERVAL);
     assert!(!fixture::aborts(&call));
     agent.grant();
     agent.change(|view| fixture::place(view, NEXT, &["i2", "i0"]));
--- a/crates/hyssopfork-agent/tests/agent/stop.rs
+++ b/crates/hyssopfork-agent/tests/agent/stop.rs
@@ -53,7 +53,7 @@
 
     let running = agent.ask(request.clone());
     for _ in 0..40 {
-        let actions = agent.pass(timing::GROUP_RENEWAL);
+        let actions = agent.pass(timing::GROUP_RENEWAL_INTERVAL);
         agent.probe(Some(fixture::health("a", None)));
         assert!(!fixture::stops(&actions));
         assert!(fixture::is_granted(&agent.ask(request.clone())));
@@ -77,9 +77,10 @@
     let term = timing::GROUP_GRANT;
     let version = agent.view.version;
 
-    let answered = agent.answer_stand(member::Response::Granted { term, version, leaving: true });
+    let answered =
+        agent.answer_stand(member::Response::Granted { duration: term, version, leaving: true });
     let refusal = agent.refusal(fixture::offer(2));
-    let asked = agent.pass(timing::GROUP_RENEWAL + Duration::from_millis(25));
+    let asked = agent.pass(timing::GROUP_RENEWAL_INTERVAL + Duration::from_millis(25));
 
     assert!(!fixture::aborts(&answered));
     assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::Draining));
@@ -94,7 +95,7 @@
     let mut agent = fixture::first_member();
     let term = timing::GROUP_GRANT;
     let version = agent.view.version;
-    agent.answer_stand(member::Response::Granted { term, version, leaving: true });
+    agent.answer_stand(member::Response::Granted { duration: term, version, leaving: true });
 
     agent.grant();
     let refusal = agent.refusal(fixture::offer(1));
--- a/crates/hyssopfork-cli/src/client.rs
+++ b/crates/hyssopfork-cli/src/client.rs
@@ -127,7 +127,7 @@
     match response {
         control::Response::NotLeader(leader) => Ok(Step::Elsewhere(leader)),
         control::Response::Unavailable | control::Response::Unknown => Ok(Step::Again),
-        control::Response::Protocol { speaks } => Err(error::Error::Protocol(speaks)),
+        control::Response::Protocol { version: speaks } => Err(error::Error::Protocol(speaks)),
         response => Ok(Step::Done(Box::new(response))),
     }
 }
--- a/crates/hyssopfork-cli/src/error.rs
+++ b/crates/hyssopfork-cli/src/error.rs
@@ -63,7 +63,7 @@
                 "the control instance speaks protocol version {} and this program {}; use the \
                  hyssopfork of the control instances' release",
                 speaks,
-                hyssopfork_wire::envelope::PROTOCOL
+                hyssopfork_wire::envelope::PROTOCOL_VERSION
             )
         }
         /// A patch was sent and its outcome did not come back.
--- a/crates/hyssopfork-cli/tests/all/client.rs
+++ b/crates/hyssopfork-cli/tests/all/client.rs
@@ -100,7 +100,7 @@
 
 #[actix_rt::test]
 async fn other_protocol_version_is_named_at_once() {
-    let (leader, _) = Control::start(|_| control::Response::Protocol { speaks: 9 }).await;
+    let (leader, _) = Control::start(|_| control::Response::Protocol { version: 9 }).await;
 
     let error = run(&format!("status --control {leader}")).await.expect_err("it differs");
 
--- a/crates/hyssopfork-consensus/src/node.rs
+++ b/crates/hyssopfork-consensus/src/node.rs
@@ -101,9 +101,9 @@
         Settings {
             voters: Vec::new(),
             formation: Formation::default(),
-            heartbeat: timing::HEARTBEAT,
+            heartbeat: timing::HEARTBEAT_INTERVAL,
             election_timeout: timing::ELECTION_TIMEOUT,
-            election_spread: timing::ELECTION_SPREAD,
+            election_spread: timing::ELECTION_JITTER,
             quorum_lease: timing::QUORUM_LEASE,
             kept_entries: KEPT_ENTRIES,
         }
--- a/crates/hyssopfork-control/benches/control.rs
+++ b/crates/hyssopfork-control/benches/control.rs
@@ -94,7 +94,11 @@
             let report = fleet::Report { alive: true, joined, ..Default::default() };
             let holder = control::Holder::Agent(Box::new(announcement), report);
             let have = self.version();
-            self.call(control::Request::Renew(control::Renewal { holder, have, leaving: false }));
+            self.call(control::Request::Renew(control::Renewal {
+                holder,
+                version: have,
+                leaving: false,
+            }));
         }
     }
 }
@@ -116,7 +120,7 @@
     let mut planning = Duration::ZERO;
     for _ in 0..(agents / 16).min(ROUNDS) + 4 {
         leader.renew(0..agents);
-        planning = planning.max(leader.pass(timing::RENEWAL));
+        planning = planning.max(leader.pass(timing::RENEWAL_INTERVAL));
     }
     let placed = leader.core.machine().view().placements.len();
     println!("  groups placed                  {placed:>10}");
@@ -129,15 +133,15 @@
     let bytes = |response: &control::Response| bincode::serialized_size(response).unwrap_or(0);
     println!("  lease without news             {:>10} bytes", bytes(&leader.replies[0]));
     let holder = control::Holder::Agent(Box::new(announcement(1)), fleet::Report::default());
-    let renewal = control::Renewal { holder, have: leader.version(), leaving: false };
+    let renewal = control::Renewal { holder, version: leader.version(), leaving: false };
     let asked = bincode::serialized_size(&control::Request::Renew(renewal)).unwrap_or(0);
     println!("  renewal asked for              {asked:>10} bytes");
-    report("longest tick when nothing changes", leader.pass(timing::RENEWAL), 1);
+    report("longest tick when nothing changes", leader.pass(timing::RENEWAL_INTERVAL), 1);
 
     let mut mending = Duration::ZERO;
     for _ in 0..8 {
         leader.renew((0..agents).filter(|count| count / 16 % 15 != 0));
-        mending = mending.max(leader.pass(timing::RENEWAL));
+        mending = mending.max(leader.pass(timing::RENEWAL_INTERVAL));
     }
     report("longest tick with a zone dark", mending, 1);
 
@@ -150,7 +154,7 @@
     println!("  one watch's answer             {:>10} bytes", bytes(&leader.replies[1]));
 
     let holder = control::Holder::Entry("entry".into());
-    let renewal = control::Renewal { holder, have: number::Version(0), leaving: false };
+    let renewal = control::Renewal { holder, version: number::Version(0), leaving: false };
     let start = Instant::now();
     leader.call(control::Request::Renew(renewal));
     report("whole view for one holder", start.elapsed(), 1);
--- a/crates/hyssopfork-control/src/core/duties.rs
+++ b/crates/hyssopfork-control/src/core/duties.rs
@@ -12,7 +12,7 @@
 ///
 /// Planned on the first reports alone, a broken group would be rebuilt from nothing in whatever
 /// domain was heard first, while the spare beside its survivors had not spoken yet.
-const LISTENING: Duration = timing::RENEWAL.saturating_mul(2);
+const LISTENING: Duration = timing::RENEWAL_INTERVAL.saturating_mul(2);
 
 /// Time between two surveys of presence.
 const SURVEY: Duration = Duration::from_millis(100);
--- a/crates/hyssopfork-control/src/core/requests.rs
+++ b/crates/hyssopfork-control/src/core/requests.rs
@@ -53,10 +53,10 @@
             control::Holder::Entry(_) => None,
             control::Holder::Agent(announcement, _) => Some(&announcement.instance),
         };
-        let Some(update) = self.update(renewal.have, scope) else {
+        let Some(update) = self.update(renewal.version, scope) else {
             return self.reply(call, control::Response::Unavailable);
         };
-        let grant = control::Grant { term: timing::HOLDER_LEASE, update, incarnation };
+        let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation };
         self.reply(call, control::Response::Granted(grant));
     }
 
@@ -150,7 +150,7 @@
 
     fn watch(&mut self, call: u64, have: number::Version, scope: Option<name::Instance>) {
         let version = self.machine.view().version;
-        let until = self.now + timing::WATCH_HOLD;
+        let until = self.now + timing::LONG_POLL_TIMEOUT;
         let watch = watches::Watch { call, have, until, scope };
         if have > version || have < self.steps.floor() {
             return self.answer_watch(&watch);
--- a/crates/hyssopfork-control/src/groups.rs
+++ b/crates/hyssopfork-control/src/groups.rs
@@ -367,7 +367,7 @@
 /// wait minutes for weights in place of that half second.
 fn dead(now: clock::Instant, agent: &holders::Agent) -> placement::Availability {
     let confirmed = agent.was_alive && agent.dead >= DEAD_REPORTS;
-    if confirmed || !agent.was_alive && now.since(agent.since) >= timing::PRESENCE_LIMIT {
+    if confirmed || !agent.was_alive && now.since(agent.since) >= timing::PRESENCE_TIMEOUT {
         placement::Availability::Missing
     } else {
         placement::Availability::Cordoned
--- a/crates/hyssopfork-control/src/holders.rs
+++ b/crates/hyssopfork-control/src/holders.rs
@@ -45,7 +45,7 @@
     pub fn note(&mut self, now: clock::Instant, renewal: &control::Renewal) -> bool {
         match &renewal.holder {
             control::Holder::Entry(instance) => {
-                let holder = Holder { version: renewal.have, heard: now, agent: None };
+                let holder = Holder { version: renewal.version, heard: now, agent: None };
                 self.entries.insert(instance.clone(), holder);
                 false
             }
@@ -61,7 +61,7 @@
                     dead: if report.alive { 0 } else { same.map_or(0, |agent| agent.dead) + 1 },
                     report: report.clone(),
                 };
-                let holder = Holder { version: renewal.have, heard: now, agent: Some(agent) };
+                let holder = Holder { version: renewal.version, heard: now, agent: Some(agent) };
                 self.agents.insert(instance.clone(), holder);
                 changed
             }
--- a/crates/hyssopfork-control/src/presence.rs
+++ b/crates/hyssopfork-control/src/presence.rs
@@ -74,7 +74,7 @@
     // counted from the last renewal alone, the whole fleet would look missing at once.
     let heard = holders.heard(&announcement.instance, announcement.boot).unwrap_or(since);
     let silence = now.since(heard.max(since));
-    (silence > timing::PRESENCE_LIMIT).then(|| command::Command::Absent {
+    (silence > timing::PRESENCE_TIMEOUT).then(|| command::Command::Absent {
         instance: announcement.instance.clone(),
         boot: announcement.boot,
     })
--- a/crates/hyssopfork-control/tests/histories/holder.rs
+++ b/crates/hyssopfork-control/tests/histories/holder.rs
@@ -39,7 +39,7 @@
 
 impl Holder {
     pub fn wake(&mut self, now: u64) -> (Vec<control::Request>, u64) {
-        let renewal = timing::RENEWAL.as_micros() as u64;
+        let renewal = timing::RENEWAL_INTERVAL.as_micros() as u64;
         let mut requests = Vec::new();
         if now < self.down_until {
             return (requests, renewal);
@@ -76,7 +76,7 @@
         }
         match response {
             Some(control::Response::Granted(grant)) => {
-                let lease = self.clock.local(ask.sent) + grant.term;
+                let lease = self.clock.local(ask.sent) + grant.duration;
                 self.lead(now, grant.update, versions);
                 self.lease = self.lease.max(lease);
             }
@@ -139,7 +139,7 @@
         } else {
             control::Holder::Entry(self.instance.clone())
         };
-        control::Renewal { holder, have: self.view.version, leaving: false }
+        control::Renewal { holder, version: self.view.version, leaving: false }
     }
 
     fn announcement(&self) -> fleet::Announcement {
--- a/crates/hyssopfork-control/tests/solo/answering.rs
+++ b/crates/hyssopfork-control/tests/solo/answering.rs
@@ -18,7 +18,7 @@
 fn entry(have: u64) -> control::Request {
     let holder = control::Holder::Entry("entry".into());
     let have = number::Version(have);
-    control::Request::Renew(control::Renewal { holder, have, leaving: false })
+    control::Request::Renew(control::Renewal { holder, version: have, leaving: false })
 }
 
 fn claim(attempt: u64) -> control::Request {
@@ -157,7 +157,7 @@
     solo.submit("out", zone_out(true));
     let have = solo.view().version;
     let quiet = solo.call(control::Request::Watch(have));
-    solo.pass(timing::WATCH_HOLD);
+    solo.pass(timing::LONG_POLL_TIMEOUT);
 
     assert!(held);
     assert!(matches!(
--- a/crates/hyssopfork-control/tests/solo/fixture.rs
+++ b/crates/hyssopfork-control/tests/solo/fixture.rs
@@ -154,7 +154,7 @@
     ) -> Option<control::Response> {
         let holder = control::Holder::Agent(Box::new(announcement), report);
         let have = self.view().version;
-        self.ask(control::Request::Renew(control::Renewal { holder, have, leaving }))
+        self.ask(control::Request::Renew(control::Renewal { holder, version: have, leaving }))
     }
 
     pub fn submit(
--- a/crates/hyssopfork-control/tests/solo/groups.rs
+++ b/crates/hyssopfork-control/tests/solo/groups.rs
@@ -20,10 +20,10 @@
     let mut solo = placed();
 
     solo.agents.remove("e2");
-    solo.live(timing::PRESENCE_LIMIT + SECOND);
+    solo.live(timing::PRESENCE_TIMEOUT + SECOND);
     let mended = solo.placed("g1");
     solo.agents.remove("e3");
-    solo.live(timing::PRESENCE_LIMIT + SECOND);
+    solo.live(timing::PRESENCE_TIMEOUT + SECOND);
 
     assert_eq!(mended, Some((vec!["e1".into(), "e3".into()], number::Fence(2))));
     assert_eq!(solo.placed("g1"), Some((vec!["e1".into(), "e4".into()], number::Fence(3))));
@@ -34,7 +34,7 @@
     let mut solo = placed();
 
     ["e1", "e2", "e3", "e4"].into_iter().for_each(|name| drop(solo.agents.remove(name)));
-    solo.live(timing::PRESENCE_LIMIT + SECOND * 2);
+    solo.live(timing::PRESENCE_TIMEOUT + SECOND * 2);
 
     let (members, _) = solo.placed("g1").expect("stands");
     assert_eq!(members, ["e5", "e6"]);
@@ -156,7 +156,7 @@
     old.agents.retain(|name, _| ["e1", "e2"].contains(&name.as_str()));
     old.live(SECOND * 2);
     old.agents.remove("e2");
-    old.live(timing::PRESENCE_LIMIT + SECOND);
+    old.live(timing::PRESENCE_TIMEOUT + SECOND);
     let mut solo = fixture::Solo::start(old.durable);
     while !solo.notices.iter().any(|it| matches!(it, notice::Notice::Serving(_))) {
         solo.pass(Duration::from_millis(20));
--- a/crates/hyssopfork-control/tests/solo/leases.rs
+++ b/crates/hyssopfork-control/tests/solo/leases.rs
@@ -67,7 +67,7 @@
     solo.live(Duration::from_secs(1));
     let (e1, report) = solo.agents.remove("e1").expect("an agent");
 
-    solo.live(timing::PRESENCE_LIMIT + Duration::from_millis(500));
+    solo.live(timing::PRESENCE_TIMEOUT + Duration::from_millis(500));
     let absent = !solo.view().members[&"e1".into()].present;
     solo.renew(e1, report, false);
 
--- a/crates/hyssopfork-daemon/benches/capacity/watchers.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/watchers.rs
@@ -104,13 +104,13 @@
     let report = fleet::Report { alive: true, warm: true, ..fleet::Report::default() };
     loop {
         let holder = control::Holder::Agent(Box::new(announcement.clone()), report.clone());
-        let renewal = control::Renewal { holder, have: have.get(), leaving: false };
+        let renewal = control::Renewal { holder, version: have.get(), leaving: false };
         let response = call(&client, control::Request::Renew(renewal)).await;
         if let Some(control::Response::Granted(grant)) = response {
             tally.granted.fetch_add(1, Ordering::Relaxed);
             take(&have, &grant.update, &tally);
         }
-        actix_rt::time::sleep(timing::RENEWAL).await;
+        actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await;
     }
 }
 
@@ -124,7 +124,7 @@
         let instance = format!("probe-{number}").as_str().into();
         match call(&client, control::Request::Follow(have.get(), instance)).await {
             Some(control::Response::Updated(update)) => take(&have, &update, &tally),
-            _ => actix_rt::time::sleep(timing::RENEWAL).await,
+            _ => actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await,
         }
     }
 }
--- a/crates/hyssopfork-daemon/src/agent/answer.rs
+++ b/crates/hyssopfork-daemon/src/agent/answer.rs
@@ -129,7 +129,7 @@
             if !encoded.is_empty() {
                 return encoded;
             }
-            if tokio::time::timeout(timing::KEEP_ALIVE, changed).await.is_err() {
+            if tokio::time::timeout(timing::KEEP_ALIVE_INTERVAL, changed).await.is_err() {
                 let mut buffer = BytesMut::new();
                 frame::encode(&frame::Frame::KeepAlive, &mut buffer);
                 return buffer.freeze();
@@ -164,7 +164,7 @@
 
     fn take_data(&mut self, data: &[u8], buffer: &mut BytesMut) {
         let Some(fresh) = data.get(self.offset..) else { return };
-        for chunk in fresh.chunks(frame::PAYLOAD_LIMIT) {
+        for chunk in fresh.chunks(frame::MAX_PAYLOAD_BYTES) {
             frame::encode(&frame::Frame::Data(Bytes::copy_from_slice(chunk)), buffer);
         }
         self.offset = data.len();
--- a/crates/hyssopfork-daemon/src/agent/engine.rs
+++ b/crates/hyssopfork-daemon/src/agent/engine.rs
@@ -33,7 +33,7 @@
 
 /// Looks at the back end until the process ends.
 pub async fn probe(upstream: net::SocketAddr, mailbox: mailbox::Mailbox<role::Input>) {
-    let mut ticks = tokio::time::interval(timing::PROBE);
+    let mut ticks = tokio::time::interval(timing::PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/hyssopfork-daemon/src/agent/member.rs
+++ b/crates/hyssopfork-daemon/src/agent/member.rs
@@ -12,7 +12,7 @@
 pub struct Server(pub mailbox::Mailbox<role::Input>);
 
 impl member::Member for Server {
-    async fn stand(
+    async fn request_grant(
         self,
         _context: context::Context,
         request: envelope::Envelope<member::Request>,
--- a/crates/hyssopfork-daemon/src/agent/role.rs
+++ b/crates/hyssopfork-daemon/src/agent/role.rs
@@ -103,7 +103,7 @@
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready(clock::now()));
         crate::log::watched(&self.registry, self.core.watcher());
-        let oldest = clock::now() - timing::ANSWER_LINGER;
+        let oldest = clock::now() - timing::RESPONSE_RETENTION;
         self.slots.retain(|_, slot| {
             if slot.ended.is_none() && slot.answer.has_ended() {
                 slot.ended = Some(clock::now());
--- a/crates/hyssopfork-daemon/src/control/server.rs
+++ b/crates/hyssopfork-daemon/src/control/server.rs
@@ -29,7 +29,7 @@
         request: envelope::Envelope<control::Request>,
     ) -> control::Response {
         let Ok(request) = request.open() else {
-            return control::Response::Protocol { speaks: envelope::PROTOCOL };
+            return control::Response::Protocol { version: envelope::PROTOCOL_VERSION };
         };
         let (reply, answered) = oneshot::channel();
         self.0.post(role::Input::Call(request, reply));
--- a/crates/hyssopfork-daemon/src/entry/attempt.rs
+++ b/crates/hyssopfork-daemon/src/entry/attempt.rs
@@ -116,12 +116,12 @@
         let path = format!("http://{}/attempts/{}", self.to, self.offer.attempt);
         let sent = if progress.started {
             let url = format!("{path}?from={}", progress.received);
-            client.get(url).timeout(timing::SILENCE_LIMIT).send().await
+            client.get(url).timeout(timing::CONNECTION_IDLE_TIMEOUT).send().await
         } else {
             progress.offered = true;
             let offer = attempt::Offer { first, ..self.offer.clone() };
             let offer = serde_json::to_string(&offer).expect("an offer is plain data");
-            let request = client.post(path).timeout(timing::SILENCE_LIMIT);
+            let request = client.post(path).timeout(timing::CONNECTION_IDLE_TIMEOUT);
             let request = request.insert_header((crate::agent::gate::OFFER_HEADER, offer));
             request.send_body(self.body.clone()).await
         };
@@ -146,7 +146,7 @@
         let mut body = response.timeout(Duration::from_secs(3_600));
         let mut buffer = BytesMut::new();
         loop {
-            let read = tokio::time::timeout(timing::SILENCE_LIMIT, body.next()).await;
+            let read = tokio::time::timeout(timing::CONNECTION_IDLE_TIMEOUT, body.next()).await;
             let Ok(Some(Ok(bytes))) = read else { return Stop::Lost };
             buffer.extend_from_slice(&bytes);
             loop {
--- a/crates/hyssopfork-daemon/src/link.rs
+++ b/crates/hyssopfork-daemon/src/link.rs
@@ -104,7 +104,7 @@
         timeout: Duration,
     ) -> Option<member::Response> {
         let (number, client) = self.members.get(to, || member_client(to)).await?;
-        let called = client.stand(until(timeout), envelope::Envelope::new(request));
+        let called = client.request_grant(until(timeout), envelope::Envelope::new(request));
         self.members.settle(to, number, within(timeout, called).await)
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/groups.rs
+++ b/crates/hyssopfork-daemon/tests/processes/groups.rs
@@ -92,7 +92,7 @@
     let second = member(&mended, 1);
     upstream(&mut fleet, &second).agent.kill();
     operator.wait("no serving group", |status| !operator::serves(status, "group-1")).await;
-    actix_rt::time::sleep(hyssopfork_wire::timing::PRESENCE_LIMIT).await;
+    actix_rt::time::sleep(hyssopfork_wire::timing::PRESENCE_TIMEOUT).await;
     let refused =
         caller::post(fleet.entry_addresses[0], "/v1/completions", None, &caller::completion(4))
             .await;
--- a/crates/hyssopfork-daemon/tests/processes/paused.rs
+++ b/crates/hyssopfork-daemon/tests/processes/paused.rs
@@ -98,7 +98,7 @@
     take_out(&fleet, &operator, &["service-2"]).await;
     fleet.services[1].agent.resume();
     let got = waiting.await.unwrap();
-    actix_rt::time::sleep(timing::SILENCE_LIMIT).await;
+    actix_rt::time::sleep(timing::CONNECTION_IDLE_TIMEOUT).await;
 
     assert_eq!(ran(&fleet, 1), 0);
     assert!(got.iter().all(is_honest), "{got:?}");
@@ -113,14 +113,14 @@
 
     fleet.services[1].agent.pause();
     let sent = actix_rt::spawn(lodge(entry, "sent", WAITING));
-    actix_rt::time::sleep(timing::KEEP_ALIVE).await;
+    actix_rt::time::sleep(timing::KEEP_ALIVE_INTERVAL).await;
     fleet.entries[0].pause();
     let waiting = actix_rt::spawn(lodge(entry, "waiting", WAITING));
     take_out(&fleet, &operator, &["entry-1", "service-2"]).await;
     fleet.services[1].agent.resume();
     fleet.entries[0].resume();
     let (sent, waiting) = (sent.await.unwrap(), waiting.await.unwrap());
-    actix_rt::time::sleep(timing::SILENCE_LIMIT).await;
+    actix_rt::time::sleep(timing::CONNECTION_IDLE_TIMEOUT).await;
 
     assert_eq!(ran(&fleet, 1), 0);
     assert!(sent.iter().chain(&waiting).all(is_honest), "{sent:?} {waiting:?}");
--- a/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
+++ b/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
@@ -178,7 +178,7 @@
 
     actix_rt::time::sleep(Duration::from_millis(40)).await;
     fleet.wires.forget(wires::Link::Caller);
-    actix_rt::time::sleep(timing::SILENCE_LIMIT).await;
+    actix_rt::time::sleep(timing::CONNECTION_IDLE_TIMEOUT).await;
     let resent = send().await;
     lost.abort();
 
--- a/crates/hyssopfork-daemon/tests/processes/zones.rs
+++ b/crates/hyssopfork-daemon/tests/processes/zones.rs
@@ -89,7 +89,7 @@
     let refused = ask(&fleet, 0, 0).await;
     fleet.controls.iter().for_each(|control| control.resume());
     operator.wait("everybody present", |status| operator::all_hold(status, 4)).await;
-    actix_rt::time::sleep(timing::RENEWAL).await;
+    actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await;
     let answer = ask(&fleet, 0, 1).await;
 
     assert!(refused.says_not_run(), "{refused:?}");
--- a/crates/hyssopfork-entry/benches/entry.rs
+++ b/crates/hyssopfork-entry/benches/entry.rs
@@ -76,7 +76,7 @@
         zone: "zone-a".into(),
         control: vec![address(1)],
         boot: 1,
-        stop_limit: timing::STOP_LIMIT,
+        stop_limit: timing::STOP_TIMEOUT,
     };
     let mut core = core::Core::new(settings, 1, clock::Instant::from_millis(1_000));
     let actions = core.step(now(), event::Event::Tick);
@@ -85,7 +85,7 @@
         _ => None,
     });
     let update = change::Update::Whole(Box::new(view(upstreams)));
-    let grant = control::Grant { term: timing::HOLDER_LEASE, update, incarnation: None };
+    let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
     let response = Some(control::Response::Granted(grant));
     let call = call.expect("a renewal goes out");
     core.step(now(), event::Event::Controlled { call, response });
--- a/crates/hyssopfork-entry/src/claims.rs
+++ b/crates/hyssopfork-entry/src/claims.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Time after which an unanswered call is made again.
-const CALL_TIMEOUT: Duration = timing::RENEWAL;
+const CALL_TIMEOUT: Duration = timing::RENEWAL_INTERVAL;
 
 /// Time before a call that failed is made again.
 const RETRY: Duration = Duration::from_millis(50);
@@ -257,7 +257,7 @@
 /// What is recorded of an answer. One too long to keep is recorded as run without its body, and
 /// marked, so that nobody takes the empty body for the whole answer.
 fn outcome(head: &frame::Head, body: &Bytes) -> claim::Outcome {
-    if body.len() <= claim::BODY_LIMIT {
+    if body.len() <= claim::MAX_BODY_BYTES {
         return claim::Outcome::Answered { head: head.clone(), body: body.to_vec() };
     }
     let mut head = head.clone();
--- a/crates/hyssopfork-entry/tests/entry/claims.rs
+++ b/crates/hyssopfork-entry/tests/entry/claims.rs
@@ -179,7 +179,7 @@
     let mut entry = fixture::entry();
     let (_, start) = entry.claimed("k");
 
-    let actions = entry.collect(start.offer.attempt, &"x".repeat(claim::BODY_LIMIT + 1));
+    let actions = entry.collect(start.offer.attempt, &"x".repeat(claim::MAX_BODY_BYTES + 1));
 
     let claim::Outcome::Answered { head, body } = fixture::recorded(&actions) else {
         panic!("the answer is recorded");
--- a/crates/hyssopfork-entry/tests/entry/fixture.rs
+++ b/crates/hyssopfork-entry/tests/entry/fixture.rs
@@ -129,7 +129,7 @@
         let call = self.renewal.take().expect("a renewal is outstanding");
         let update = change::Update::Whole(Box::new(self.view.clone()));
         let term = timing::HOLDER_LEASE;
-        let grant = control::Grant { term, update, incarnation: None };
+        let grant = control::Grant { duration: term, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
         self.step(event::Event::Controlled { call, response })
     }
--- a/crates/hyssopfork-entry/tests/history/carry.rs
+++ b/crates/hyssopfork-entry/tests/history/carry.rs
@@ -133,7 +133,7 @@
         let sent = self.clock(node);
         let event = agent::event::Event::ProbedAt { sent, health };
         self.at_node(node, 500, Happening::Agent(index, event));
-        self.at_node(node, timing::PROBE.as_micros() as u64, Happening::Probe(index));
+        self.at_node(node, timing::PROBE_INTERVAL.as_micros() as u64, Happening::Probe(index));
     }
 
     /// The agent writes a request to its back end: here the promises are judged.
--- a/crates/hyssopfork-entry/tests/history/control.rs
+++ b/crates/hyssopfork-entry/tests/history/control.rs
@@ -94,7 +94,7 @@
     /// Counts silent agents as missing, and moves groups: where they must, and sometimes where
     /// they need not.
     pub fn manage(&mut self, now: u64, random: &mut impl rand::Rng, restless: bool) {
-        let limit = timing::PRESENCE_LIMIT.as_micros() as u64;
+        let limit = timing::PRESENCE_TIMEOUT.as_micros() as u64;
         for (instance, Heard { at, boot, .. }) in self.heard.clone() {
             let present = self.view().members.get(&instance).is_some_and(|member| member.present);
             if present && now - at > limit {
@@ -166,20 +166,20 @@
                 _ => return control::Response::Unavailable,
             }
             let running = report.running;
-            let heard = Heard { at: now, boot, have: renewal.have, running };
+            let heard = Heard { at: now, boot, have: renewal.version, running };
             self.heard.insert(instance.clone(), heard);
             if renewal.leaving {
                 self.apply(&command::Command::Leaving { instance, boot });
             }
         }
         let update = match &renewal.holder {
-            control::Holder::Entry(_) => self.update(renewal.have),
+            control::Holder::Entry(_) => self.update(renewal.version),
             control::Holder::Agent(announcement, _) => {
-                self.part(renewal.have, &announcement.instance)
+                self.part(renewal.version, &announcement.instance)
             }
         };
         control::Response::Granted(control::Grant {
-            term: timing::HOLDER_LEASE,
+            duration: timing::HOLDER_LEASE,
             update,
             incarnation,
         })
--- a/crates/hyssopfork-entry/tests/history/world.rs
+++ b/crates/hyssopfork-entry/tests/history/world.rs
@@ -248,7 +248,7 @@
     fn agent_settings(&self, index: usize) -> agent::core::Settings {
         let announcement = shell::announcement(index, self.boots, &self.upstreams[index]);
         let control = vec![shell::address(1)];
-        agent::core::Settings { announcement, control, stop_limit: timing::STOP_LIMIT }
+        agent::core::Settings { announcement, control, stop_limit: timing::STOP_TIMEOUT }
     }
 
     fn entry_settings(&self, index: usize) -> entry::core::Settings {
--- a/crates/hyssopfork-settings/src/section.rs
+++ b/crates/hyssopfork-settings/src/section.rs
@@ -71,7 +71,7 @@
             key,
             &format!(
                 "a name of 1 to {} lower-case letters, digits, '-', '_' or '.'",
-                name::LENGTH_LIMIT
+                name::MAX_BYTES
             ),
         )
     }
--- a/crates/hyssopfork-settings/src/settings.rs
+++ b/crates/hyssopfork-settings/src/settings.rs
@@ -134,7 +134,7 @@
     let metrics_listen = section.address("metrics_listen");
     let threads = section.number("threads", THREADS, 1..=THREAD_LIMIT) as u32;
     let log = section.section("log").map(log::read).unwrap_or_default();
-    let stop_limit = section.millis("stop_limit_ms", timing::STOP_LIMIT, 1..=3_600_000);
+    let stop_limit = section.millis("stop_limit_ms", timing::STOP_TIMEOUT, 1..=3_600_000);
     section.finish();
     Some(Settings {
         instance: name::Instance::from(instance?),
--- a/crates/hyssopfork-settings/tests/settings.rs
+++ b/crates/hyssopfork-settings/tests/settings.rs
@@ -43,7 +43,7 @@
     assert_eq!(entry.body_timeout, hyssopfork_settings::entry::BODY_TIMEOUT);
     assert_eq!(entry.keep_alive, hyssopfork_settings::entry::KEEP_ALIVE);
     assert_eq!(entry.connection_limit, hyssopfork_settings::entry::CONNECTION_LIMIT);
-    assert_eq!(parsed.stop_limit, hyssopfork_wire::timing::STOP_LIMIT);
+    assert_eq!(parsed.stop_limit, hyssopfork_wire::timing::STOP_TIMEOUT);
     assert_eq!(parsed.log, log::Log::default());
     assert_eq!(parsed.threads, 1);
 }
--- a/crates/hyssopfork-state/src/claims.rs
+++ b/crates/hyssopfork-state/src/claims.rs
@@ -104,7 +104,7 @@
         match outcome {
             claim::Outcome::NotRun => self.free(key, attempt),
             claim::Outcome::Answered { head, body } => {
-                let fits = body.len() <= claim::BODY_LIMIT;
+                let fits = body.len() <= claim::MAX_BODY_BYTES;
                 let body = if fits { body.clone() } else { Vec::new() };
                 self.finish(key, claim::Outcome::Answered { head: head.clone(), body });
             }
@@ -210,7 +210,7 @@
 fn weight(key: &claim::Key, entry: &Entry) -> usize {
     let texts = key.team.as_str().len() + key.route.as_str().len() + key.text.len();
     let answer = match &entry.outcome {
-        None => claim::BODY_LIMIT,
+        None => claim::MAX_BODY_BYTES,
         Some(claim::Outcome::Answered { head, body }) => {
             let headers = head.headers.iter().map(|(name, value)| name.len() + value.len());
             headers.sum::<usize>() + body.len()
--- a/crates/hyssopfork-state/src/rules.rs
+++ b/crates/hyssopfork-state/src/rules.rs
@@ -34,10 +34,10 @@
 /// What is wrong with a name, with the remedy; `None` when it is one.
 pub fn name_fault(kind: &str, text: &str) -> Option<String> {
     (!name::is_valid(text)).then(|| {
-        let shown: String = text.chars().take(name::LENGTH_LIMIT).collect();
+        let shown: String = text.chars().take(name::MAX_BYTES).collect();
         format!(
             "{kind} name {shown:?} is not valid; use 1 to {} of a-z, 0-9, '-', '_' and '.'",
-            name::LENGTH_LIMIT
+            name::MAX_BYTES
         )
     })
 }
--- a/crates/hyssopfork-state/tests/aggregates/claims.rs
+++ b/crates/hyssopfork-state/tests/aggregates/claims.rs
@@ -123,14 +123,14 @@
 
     for count in 0..granted {
         let key = fixture::key(&format!("k{count}"));
-        claims.record(&key, fixture::identifier(count), &answer(claim::BODY_LIMIT));
+        claims.record(&key, fixture::identifier(count), &answer(claim::MAX_BODY_BYTES));
     }
 
     assert!(granted > 400, "{granted} at once");
     assert!(claims.weight() <= claims::WEIGHT_LIMIT);
     for count in 0..granted {
         let reply = claims.claim(&fixture::claim(&format!("k{count}"), 1, 1_000_000));
-        assert_eq!(reply, claim::Reply::Done(answer(claim::BODY_LIMIT)));
+        assert_eq!(reply, claim::Reply::Done(answer(claim::MAX_BODY_BYTES)));
     }
 }
 
@@ -139,7 +139,7 @@
     let mut claims = claims::Claims::default();
     claims.claim(&fixture::claim("k", 1, 1));
 
-    claims.record(&fixture::key("k"), fixture::identifier(1), &answer(claim::BODY_LIMIT + 1));
+    claims.record(&fixture::key("k"), fixture::identifier(1), &answer(claim::MAX_BODY_BYTES + 1));
 
     assert_eq!(claims.claim(&fixture::claim("k", 1, 2)), claim::Reply::Done(answer(0)));
 }
--- a/crates/hyssopfork-watch/src/watcher.rs
+++ b/crates/hyssopfork-watch/src/watcher.rs
@@ -6,7 +6,7 @@
 use std::net;
 use std::time::Duration;
 
-/// Time beyond [`timing::WATCH_HOLD`] that an unanswered watch is given.
+/// Time beyond [`timing::LONG_POLL_TIMEOUT`] that an unanswered watch is given.
 const WATCH_MARGIN: Duration = Duration::from_millis(500);
 
 /// Least time between two watches, or between a failed renewal and the next.
@@ -176,13 +176,13 @@
     ) {
         let Some(to) = self.target.current() else { return };
         let have = self.view.version;
-        let renewal = control::Renewal { holder, have, leaving };
+        let renewal = control::Renewal { holder, version: have, leaving };
         let call = self.next_call();
         self.renewal = Some(Outstanding { call, to, sent: now, leaving });
         self.renewed_at = now;
-        self.renew_at = now + timing::RENEWAL;
+        self.renew_at = now + timing::RENEWAL_INTERVAL;
         let request = control::Request::Renew(renewal);
-        output.calls.push(Call { call, to, request, timeout: timing::RENEWAL });
+        output.calls.push(Call { call, to, request, timeout: timing::RENEWAL_INTERVAL });
     }
 
     /// Keeps one watch outstanding, at the instance that renewals go to: one left at an instance
@@ -202,18 +202,18 @@
             None => control::Request::Watch(self.view.version),
             Some(instance) => control::Request::Follow(self.view.version, instance.clone()),
         };
-        let timeout = timing::WATCH_HOLD + WATCH_MARGIN;
+        let timeout = timing::LONG_POLL_TIMEOUT + WATCH_MARGIN;
         output.calls.push(Call { call, to, request, timeout });
     }
 
     /// A shell that loses a call must not stop the renewals: an overdue one counts as failed.
     fn forget_overdue(&mut self, now: clock::Instant) {
         let overdue = |sent: clock::Instant, limit: Duration| now.since(sent) > limit;
-        let limit = timing::RENEWAL + WATCH_MARGIN;
+        let limit = timing::RENEWAL_INTERVAL + WATCH_MARGIN;
         if let Some(renewal) = self.renewal.take_if(|renewal| overdue(renewal.sent, limit)) {
             self.target.fail(renewal.to);
         }
-        let limit = timing::WATCH_HOLD + WATCH_MARGIN + WATCH_MARGIN;
+        let limit = timing::LONG_POLL_TIMEOUT + WATCH_MARGIN + WATCH_MARGIN;
         self.watch.take_if(|watch| overdue(watch.sent, limit));
     }
 
@@ -227,7 +227,7 @@
         match response {
             Some(control::Response::Granted(grant)) => {
                 if self.lead(&grant.update, output) {
-                    self.lease.extend(renewal.sent, grant.term.min(timing::HOLDER_LEASE));
+                    self.lease.extend(renewal.sent, grant.duration.min(timing::HOLDER_LEASE));
                     output.leave_heard = renewal.leaving;
                 }
             }
@@ -248,7 +248,7 @@
             Some(control::Response::Updated(update)) => {
                 self.lead(update, output);
             }
-            _ => self.watch_at = now + timing::RENEWAL,
+            _ => self.watch_at = now + timing::RENEWAL_INTERVAL,
         }
     }
 
@@ -261,7 +261,7 @@
     ) {
         match response {
             Some(control::Response::NotLeader(hint)) => self.target.redirect(from, *hint),
-            Some(control::Response::Protocol { speaks }) => {
+            Some(control::Response::Protocol { version: speaks }) => {
                 output.notices.push(notice::Notice::ProtocolDiffers(*speaks));
                 self.target.fail(from);
             }
--- a/crates/hyssopfork-watch/tests/watcher.rs
+++ b/crates/hyssopfork-watch/tests/watcher.rs
@@ -26,7 +26,7 @@
 
 fn granted(update: change::Update) -> control::Response {
     let term = timing::HOLDER_LEASE;
-    control::Response::Granted(control::Grant { term, update, incarnation: None })
+    control::Response::Granted(control::Grant { duration: term, update, incarnation: None })
 }
 
 /// Ticks, and gives the renewal that went out.
@@ -59,7 +59,7 @@
     let call = renewal(&mut watcher, START);
     watcher.answered(START, call.call, Some(&granted(whole(9))));
     let until = watcher.lease_until();
-    let later = START + timing::RENEWAL;
+    let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
 
     let output = watcher.answered(later, call.call, Some(&granted(whole(8))));
@@ -77,7 +77,7 @@
     let call = renewal(&mut watcher, START);
     watcher.answered(START, call.call, Some(&granted(whole(1))));
     let watch = watcher.tick(START, holder, false).calls.pop().expect("a watch goes out");
-    let later = START + timing::RENEWAL;
+    let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
     let step = |version| change::Step { version: number::Version(version), changes: Vec::new() };
 
@@ -121,7 +121,7 @@
     };
 
     assert_eq!((first.to, second.to), (address(1), address(2)));
-    assert!(now.since(START) <= timing::RENEWAL * 3);
+    assert!(now.since(START) <= timing::RENEWAL_INTERVAL * 3);
 }
 
 // The watch was left at an instance that no longer leads. It goes where renewals go.
@@ -135,13 +135,13 @@
         output.calls.iter().filter(watch).map(|call| call.to).collect::<Vec<_>>()
     };
     let first = watches(&watcher.tick(START, holder, false));
-    let later = START + timing::RENEWAL;
+    let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
     let hint = control::Response::NotLeader(Some(address(3)));
 
     watcher.answered(later, call.call, Some(&hint));
-    let moved = watches(&watcher.tick(later + timing::RENEWAL, holder, false));
-    let again = watches(&watcher.tick(later + timing::RENEWAL, holder, false));
+    let moved = watches(&watcher.tick(later + timing::RENEWAL_INTERVAL, holder, false));
+    let again = watches(&watcher.tick(later + timing::RENEWAL_INTERVAL, holder, false));
 
     assert_eq!(first, vec![address(1)]);
     assert_eq!(moved, vec![address(3)]);
--- a/crates/hyssopfork-wire/src/claim.rs
+++ b/crates/hyssopfork-wire/src/claim.rs
@@ -32,7 +32,7 @@
     Answered {
         /// Status and headers.
         head: frame::Head,
-        /// Body, at most [`BODY_LIMIT`] bytes.
+        /// Body, at most [`MAX_BODY_BYTES`] bytes.
         body: Vec<u8>,
     },
     /// It never ran and never will under the claiming attempt: the key is free again.
@@ -42,7 +42,7 @@
 }
 
 /// Longest recorded answer body, in bytes; a longer answer is recorded as run without its body.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Reply to a [`Claim`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/hyssopfork-wire/src/control.rs
+++ b/crates/hyssopfork-wire/src/control.rs
@@ -20,7 +20,7 @@
     /// Who asks.
     pub holder: Holder,
     /// Version of the holder's view.
-    pub have: number::Version,
+    pub version: number::Version,
     /// Whether the holder is leaving: no new work for it. An agent's leaving is recorded before this
     /// is granted, so the lease is on a view that says so.
     pub leaving: bool,
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Term, from when the renewal was sent, on the holder's own clock.
-    pub term: Duration,
+    pub duration: Duration,
     /// What brings the holder's view up to date. The lease is for the view after it.
     pub update: change::Update,
     /// Incarnation of the agent; `None` for an entry.
@@ -115,7 +115,7 @@
     /// The asker's release speaks another protocol version.
     Protocol {
         /// Version that this instance speaks.
-        speaks: u16,
+        version: u16,
     },
 }
 
--- a/crates/hyssopfork-wire/src/envelope.rs
+++ b/crates/hyssopfork-wire/src/envelope.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Version of the protocol that this build speaks.
-pub const PROTOCOL: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 
 /// A message with the protocol version of its sender.
 ///
@@ -20,11 +20,11 @@
 impl<T> Envelope<T> {
     /// Wraps `body` for this build's protocol version.
     pub fn new(body: T) -> Self {
-        Envelope { protocol: PROTOCOL, body }
+        Envelope { protocol: PROTOCOL_VERSION, body }
     }
 
     /// The message, when this build speaks the sender's version; the sender's version otherwise.
     pub fn open(self) -> Result<T, u16> {
-        if self.protocol == PROTOCOL { Ok(self.body) } else { Err(self.protocol) }
+        if self.protocol == PROTOCOL_VERSION { Ok(self.body) } else { Err(self.protocol) }
     }
 }
--- a/crates/hyssopfork-wire/src/frame.rs
+++ b/crates/hyssopfork-wire/src/frame.rs
@@ -10,9 +10,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest payload of one frame, in bytes; a longer one is an error of the peer.
-pub const PAYLOAD_LIMIT: usize = 1 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
-const HEADER: usize = 5;
+const HEADER_BYTES: usize = 5;
 
 /// Status and headers of an upstream's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,12 +68,12 @@
     /// Why bytes are not frames.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The payload is longer than [`PAYLOAD_LIMIT`].
+        /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
         TooLong(length: usize) {
             display(
                 "a frame of {} bytes is over the limit of {}; run compatible releases at both ends",
                 length,
-                PAYLOAD_LIMIT
+                MAX_PAYLOAD_BYTES
             )
         }
         /// The kind byte or the payload is unknown.
@@ -90,14 +90,14 @@
 pub fn encode(frame: &Frame, buffer: &mut BytesMut) {
     let (kind, payload) = match frame {
         Frame::Started => (1, Bytes::new()),
-        Frame::Refused(refusal) => (2, json(refusal)),
-        Frame::Head(head) => (3, json(head)),
+        Frame::Refused(refusal) => (2, encode_json(refusal)),
+        Frame::Head(head) => (3, encode_json(head)),
         Frame::Data(data) => (4, data.clone()),
         Frame::KeepAlive => (5, Bytes::new()),
-        Frame::End(end) => (6, json(end)),
-        Frame::Load(load) => (7, json(load)),
+        Frame::End(end) => (6, encode_json(end)),
+        Frame::Load(load) => (7, encode_json(load)),
     };
-    buffer.reserve(HEADER + payload.len());
+    buffer.reserve(HEADER_BYTES + payload.len());
     buffer.put_u8(kind);
     buffer.put_u32(payload.len() as u32);
     buffer.put(payload);
@@ -105,36 +105,36 @@
 
 /// Takes one frame from the front of `buffer`; `None` when it doesn't hold a whole one yet.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, Error> {
-    if buffer.len() < HEADER {
+    if buffer.len() < HEADER_BYTES {
         return Ok(None);
     }
     let kind = buffer[0];
     let length = u32::from_be_bytes([buffer[1], buffer[2], buffer[3], buffer[4]]) as usize;
-    if length > PAYLOAD_LIMIT {
+    if length > MAX_PAYLOAD_BYTES {
         return Err(Error::TooLong(length));
     }
-    if buffer.len() < HEADER + length {
+    if buffer.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(HEADER);
+    buffer.advance(HEADER_BYTES);
     let payload = buffer.split_to(length).freeze();
     let frame = match kind {
         1 => Frame::Started,
-        2 => Frame::Refused(parse(kind, &payload)?),
-        3 => Frame::Head(parse(kind, &payload)?),
+        2 => Frame::Refused(decode_json(kind, &payload)?),
+        3 => Frame::Head(decode_json(kind, &payload)?),
         4 => Frame::Data(payload),
         5 => Frame::KeepAlive,
-        6 => Frame::End(parse(kind, &payload)?),
-        7 => Frame::Load(parse(kind, &payload)?),
+        6 => Frame::End(decode_json(kind, &payload)?),
+        7 => Frame::Load(decode_json(kind, &payload)?),
         _ => return Err(Error::Unknown(kind)),
     };
     Ok(Some(frame))
 }
 
-fn json<T: Serialize>(value: &T) -> Bytes {
+fn encode_json<T: Serialize>(value: &T) -> Bytes {
     Bytes::from(serde_json::to_vec(value).expect("frame payloads are plain data"))
 }
 
-fn parse<'a, T: Deserialize<'a>>(kind: u8, payload: &'a [u8]) -> Result<T, Error> {
+fn decode_json<'a, T: Deserialize<'a>>(kind: u8, payload: &'a [u8]) -> Result<T, Error> {
     serde_json::from_slice(payload).map_err(|_| Error::Unknown(kind))
 }
--- a/crates/hyssopfork-wire/src/member.rs
+++ b/crates/hyssopfork-wire/src/member.rs
@@ -27,7 +27,7 @@
     /// The member stands by the group for the term, measured from when the request was sent.
     Granted {
         /// Term of the grant.
-        term: Duration,
+        duration: Duration,
         /// Version of the member's view.
         version: number::Version,
         /// Whether the member is leaving: it stands by what runs, but the group may take no new
@@ -46,5 +46,5 @@
 #[tarpc::service]
 pub trait Member {
     /// Takes a request of the group's first member.
-    async fn stand(request: envelope::Envelope<Request>) -> Response;
+    async fn request_grant(request: envelope::Envelope<Request>) -> Response;
 }
--- a/crates/hyssopfork-wire/src/name.rs
+++ b/crates/hyssopfork-wire/src/name.rs
@@ -59,13 +59,13 @@
 }
 
 /// Longest name that settings and patches accept, in bytes.
-pub const LENGTH_LIMIT: usize = 63;
+pub const MAX_BYTES: usize = 63;
 
 /// Whether `text` may be a name: lower-case letters, digits, `-`, `_`, `.`; one to
-/// [`LENGTH_LIMIT`] bytes.
+/// [`MAX_BYTES`] bytes.
 pub fn is_valid(text: &str) -> bool {
     let allowed = |byte: u8| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.')
     };
-    !text.is_empty() && text.len() <= LENGTH_LIMIT && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_BYTES && text.bytes().all(allowed)
 }
