--- a/crates/hyssopfork-wire/src/attempt.rs
+++ b/crates/hyssopfork-wire/src/attempt.rs
@@ -1,17 +1,17 @@
-//! Attempts: one try of one request at one upstream.
+//! Attempts: one attempt sends one request to one upstream once; a retry is a new attempt.
 
 use crate::{name, number};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use std::{fmt, str};
 
-/// Identifier of an attempt, unique over all processes and restarts: a random number chosen at the
-/// entry's start, and a counter.
+/// Identifier of an attempt, unique across processes and restarts: a random number chosen when the
+/// entry starts, and a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identifier {
     /// Chosen at random when the entry's process starts.
     pub boot: u64,
-    /// Counts the attempts of that process.
+    /// Number of the attempt within that process.
     pub count: u64,
 }
 
@@ -32,53 +32,51 @@
     }
 }
 
-/// What an agent says to a cancel.
+/// Agent's response to the cancellation of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cancelled {
-    /// The work never started and never will: the agent remembers the identifier and refuses it.
+    /// The work did not start and will not: the agent records the identifier and rejects it.
     NeverStarted,
-    /// The work had started; it was stopped where the back end can do so.
+    /// The work had started; it was cancelled if the back end supports that.
     Started,
-    /// The work had ended and its answer was complete.
+    /// The work had ended and its response was complete.
     Finished,
-    /// The agent cannot say: it was restarted after the attempt was offered.
+    /// The agent has no record: it was restarted after the attempt was offered.
     Unknown,
 }
 
-/// What an entry tells an agent of an attempt before the work's own bytes.
+/// Metadata that an entry sends to an agent ahead of the body of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: Identifier,
-    /// Boot of the agent's process that the entry means; another process at the same addresses
-    /// refuses, since it cannot know what the one before it ran.
+    /// Boot of the agent process that the offer is addressed to. Another process at the same
+    /// address rejects the offer, as it does not know what the previous process ran.
     pub boot: u64,
-    /// Whether this is the first time that the offer goes out, for certain: set by whoever sends
-    /// it, on the first connection only. Another process than the one meant can say "not run" of
-    /// a first offer alone; of one that was sent before, the process before it may have run the
-    /// work.
+    /// Whether this offer was certainly not sent before; the sender sets it on the first
+    /// connection only. A process with another boot may report "not run" only for a first offer:
+    /// an offer that was sent before may have been run by the previous process.
     #[serde(default)]
     pub first: bool,
     /// Version of the entry's view.
     pub version: number::Version,
-    /// Group that is asked, with the fencing number that the entry knows; `None` for a plain
-    /// service.
+    /// Target group and the fencing number in the entry's view; `None` for a plain service.
     pub group: Option<(name::Group, number::Fence)>,
-    /// Team of the caller.
+    /// Team of the client.
     pub team: name::Team,
     /// Class of the work.
     pub class: crate::configuration::Class,
     /// Estimated cost in tokens.
     pub cost: u32,
-    /// Time within which the answer must begin, from when the offer was sent.
+    /// Time within which the response must begin, from when the offer was sent.
     pub deadline: Duration,
-    /// Events of the stream that the caller already has; 0 for a fresh start.
+    /// Number of stream events that the client has received; 0 for a new stream.
     pub resume_from: u64,
     /// HTTP method for the upstream.
     pub method: String,
     /// Path and query for the upstream.
     pub path: String,
-    /// Headers that travel to the upstream.
+    /// Headers forwarded to the upstream.
     pub headers: Vec<(String, String)>,
 }
--- a/crates/hyssopfork-wire/src/claim.rs
+++ b/crates/hyssopfork-wire/src/claim.rs
@@ -1,60 +1,61 @@
-//! Claims on non-repeatable work: committed before the work is sent, so that it is sent once.
+//! Claims on non-repeatable work (idempotency keys): a claim is committed before the work is sent,
+//! so that the work is sent at most once.
 
 use crate::{attempt, frame, name};
 use serde::{Deserialize, Serialize};
 
-/// What names one piece of non-repeatable work.
+/// Key of one piece of non-repeatable work.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Team of the caller.
+    /// Team of the client.
     pub team: name::Team,
-    /// Route that was called.
+    /// Route of the request.
     pub route: name::Route,
-    /// The caller's Idempotency-Key.
+    /// The client's Idempotency-Key.
     pub text: String,
 }
 
-/// Asks to be the one that does the work.
+/// Request for the exclusive right to send the work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The work.
+    /// Key of the work.
     pub key: Key,
     /// SHA-256 of the request's method, path and body.
     pub digest: [u8; 32],
-    /// Attempt that will do the work if the claim is granted.
+    /// Attempt that sends the work if the claim is granted.
     pub attempt: attempt::Identifier,
 }
 
-/// How claimed work ended.
+/// Outcome of claimed work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran and this was the whole answer.
+    /// The work ran and ended with this response.
     Answered {
         /// Status and headers.
         head: frame::Head,
         /// Body, at most [`MAX_BODY_BYTES`] bytes.
         body: Vec<u8>,
     },
-    /// It never ran and never will under the claiming attempt: the key is free again.
+    /// The work did not run and will not run under the claiming attempt: the key is free again.
     NotRun,
-    /// It may have run; nobody can say.
+    /// The work may have run; no process can tell.
     Unknown,
 }
 
-/// Longest recorded answer body, in bytes; a longer answer is recorded as run without its body.
+/// Longest recorded response body; a longer response is recorded as run, without its body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Reply to a [`Claim`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The work is the asker's: nobody else will send it.
+    /// The claim is granted: no other attempt sends the work.
     Granted,
-    /// The work is done: its recorded answer.
+    /// The work has ended with the recorded outcome.
     Done(Outcome),
-    /// Another attempt holds the claim and has recorded no outcome yet.
+    /// Another attempt holds the claim and has not recorded an outcome yet.
     InProgress,
     /// The key was used with another digest.
     DigestDiffers,
-    /// No claim can be taken on now: the memory of claims is full of ones that may not be dropped.
+    /// The store of claims is full, and no stored claim may be evicted yet.
     Full,
 }
--- a/crates/hyssopfork-wire/src/clock.rs
+++ b/crates/hyssopfork-wire/src/clock.rs
@@ -1,12 +1,12 @@
-//! Monotonic time as the step functions see it: a number that the shell hands in.
+//! Monotonic time: the state machines read no clock; the process passes the current time in.
 
 use serde::{Deserialize, Serialize};
 use std::ops;
 use std::time::Duration;
 
-/// Microseconds on one process's monotonic clock, from an origin that only that process knows.
+/// Microseconds on one process's monotonic clock, from an origin of that process.
 ///
-/// Invariant: never sent to another process; only durations cross the network.
+/// Invariant: never sent to another process; messages carry durations only.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,12 +16,12 @@
     /// The origin of the clock.
     pub const ORIGIN: Instant = Instant(0);
 
-    /// The instant `micros` microseconds after the origin.
+    /// Instant `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Instant {
         Instant(micros)
     }
 
-    /// The instant `millis` milliseconds after the origin.
+    /// Instant `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Instant {
         Instant(millis * 1_000)
     }
--- a/crates/hyssopfork-wire/src/configuration.rs
+++ b/crates/hyssopfork-wire/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What operators declare: the versioned configuration of the fleet.
+//! The numbered configuration of the fleet, as operators declare it.
 
 use crate::{name, number};
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Configuration {
-    /// Number of this configuration; 0 before the first patch. Files that declare leave it out.
+    /// Number of this configuration; 0 before the first patch. Declaration files omit it.
     pub number: number::Configuration,
     /// Availability zones that may hold instances.
     pub zones: BTreeMap<name::Zone, Zone>,
@@ -16,11 +16,11 @@
     pub pools: BTreeMap<name::Pool, Pool>,
     /// Serving groups.
     pub groups: BTreeMap<name::Group, Group>,
-    /// Routes that callers use.
+    /// Routes of requests.
     pub routes: BTreeMap<name::Route, Route>,
-    /// Teams that may call.
+    /// Teams that may send requests.
     pub teams: BTreeMap<name::Team, Team>,
-    /// Instances that operators have drained: they finish what runs and get no new work.
+    /// Instances that operators have drained: they finish requests in flight and get no new work.
     pub drained: BTreeSet<name::Instance>,
 }
 
@@ -32,7 +32,7 @@
     pub out: bool,
 }
 
-/// What a pool's instances run.
+/// Kind of back end that a pool's instances run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
@@ -41,17 +41,17 @@
 pub enum Kind {
     /// Model engines, which serve only in groups.
     Engine,
-    /// Plain services; each instance serves alone.
+    /// Plain services, of which each instance serves on its own.
     Service,
 }
 
-/// A pool of like instances.
+/// A pool of interchangeable instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What its instances run.
+    /// Kind of back end of its instances.
     pub kind: Kind,
-    /// Zones whose instances may take the pool's work; empty means every declared zone.
+    /// Zones whose instances may serve the pool's requests; empty means every declared zone.
     #[serde(default)]
     pub zones: BTreeSet<name::Zone>,
 }
@@ -60,18 +60,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// Pool that its members come from; of kind [`Kind::Engine`].
+    /// Pool of its members; of kind [`Kind::Engine`].
     pub pool: name::Pool,
     /// Model that it serves.
     pub model: name::Model,
     /// Number of member instances, at least 1.
     pub size: u32,
-    /// Order of repair when not every group can be whole: higher first.
+    /// Priority when there are too few instances for all groups: higher ones are formed first.
     #[serde(default)]
     pub priority: u32,
 }
 
-/// Class of a route's work: what it is measured and limited with.
+/// Traffic class of a route; classes have separate metrics and limits.
 #[derive(
     Clone,
     Copy,
@@ -91,28 +91,28 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Class {
-    /// Short checks that must always get an answer (status, downloads).
+    /// Short requests that must always get a response (status, downloads).
     Status,
-    /// Short work that somebody waits for.
+    /// Short requests that a user waits for.
     Interactive,
-    /// Long work.
+    /// Long-running requests.
     Batch,
 }
 
-/// A route: where requests under a path prefix go and how they may be treated.
+/// A route: the pool that serves requests under a path prefix, and the rules for them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Path prefix, starting with `/`; the longest matching prefix wins.
     pub prefix: String,
-    /// Pool whose upstreams do the work.
+    /// Pool whose upstreams serve the requests.
     pub pool: name::Pool,
-    /// Class of the work.
+    /// Traffic class.
     pub class: Class,
-    /// Whether the work may run more than once. Absent means that it may not.
+    /// Whether a request may run more than once; `false` when absent.
     #[serde(default)]
     pub repeatable: bool,
-    /// Time from arrival within which the answer must begin, in milliseconds.
+    /// Time from arrival within which the response must begin, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -123,7 +123,7 @@
     /// SHA-256 of each bearer token of the team, in lower-case hexadecimal; the tokens themselves
     /// are never stored.
     pub token_sha256: BTreeSet<String>,
-    /// Share of service relative to other teams, at least 1.
+    /// Weight in fair sharing between teams, at least 1.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
--- a/crates/hyssopfork-wire/src/consensus.rs
+++ b/crates/hyssopfork-wire/src/consensus.rs
@@ -1,22 +1,22 @@
-//! Messages of the replicated log between voters.
+//! Messages between the voters of the replicated log (Raft, with pre-vote and leader leases).
 
 use crate::{name, number};
 use serde::{Deserialize, Serialize};
 
-/// Identity of a voter: its instance, and a random number written when its data folder was made.
+/// Identity of a voter: its instance, and a random number written when its data folder was created.
 ///
-/// A folder that was lost comes back under another number, so that a voter which may have voted
-/// or acknowledged before never speaks under its old identity again.
+/// A folder that replaces a lost one gets another number, so that a voter that has lost its votes
+/// and acknowledged entries never acts under its old identity again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// Instance of the control process.
     pub instance: name::Instance,
-    /// Random identity of its data folder; [`VACANT`] in a list of voters for a seat whose folder
-    /// was lost.
+    /// Random number of its data folder; [`VACANT`] in a list of voters if the folder was lost.
     pub folder: u64,
 }
 
-/// Folder number of a seat without a voter: it counts in the size of a quorum and never answers.
+/// Folder number of a voter whose data folder was lost: it counts towards the quorum size, and no
+/// process votes or acknowledges for it.
 pub const VACANT: u64 = 0;
 
 /// One entry of the log.
@@ -26,22 +26,22 @@
     pub index: number::Index,
     /// Term in which a leader appended it.
     pub term: number::Term,
-    /// What it carries.
+    /// Payload.
     pub payload: Payload,
 }
 
-/// What a log entry carries.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term.
+    /// No payload: the first entry of a leader's term.
     Empty,
-    /// A command of the state, encoded by its owner.
+    /// A command of the replicated state machine, in its own encoding.
     Command(Vec<u8>),
-    /// The voters from this entry on; in force as soon as it is appended.
+    /// The list of voters, in effect as soon as the entry is appended.
     Voters(Vec<Voter>),
 }
 
-/// A message and who sent it to whom.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
     /// Sender.
@@ -55,54 +55,54 @@
 /// A message of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a vote, or (`pre`) whether a vote would be given.
+    /// Vote request, or pre-vote request (`pre`).
     Vote {
-        /// Whether this only asks.
+        /// Whether this is a pre-vote, which grants nothing.
         pre: bool,
-        /// Term that the candidate stands for.
+        /// Term of the candidacy.
         term: number::Term,
         /// Index of the candidate's last entry.
         last_index: number::Index,
         /// Term of the candidate's last entry.
         last_term: number::Term,
     },
-    /// Answer to [`Message::Vote`].
+    /// Response to [`Message::Vote`].
     Voted {
-        /// As asked.
+        /// Whether the request was a pre-vote.
         pre: bool,
-        /// Term asked for when granted; the voter's own term otherwise.
+        /// Term of the candidacy if the vote is granted; the voter's own term otherwise.
         term: number::Term,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries after `previous`; empty ones are heartbeats.
+    /// Entries to append after `previous_index`; a heartbeat if there are none.
     Append {
         /// Leader's term.
         term: number::Term,
-        /// Counts the leader's messages, so that an answer tells which one it answers: the
-        /// quorum lease is measured from when that one was sent.
+        /// Number of the leader's message, returned in the response: the quorum lease is measured
+        /// from when that message was sent.
         round: u64,
-        /// Index before the entries.
+        /// Index of the entry before `entries`.
         previous_index: number::Index,
-        /// Term of that index.
+        /// Term of the entry at `previous_index`.
         previous_term: number::Term,
         /// Entries.
         entries: Vec<Entry>,
-        /// Leader's committed index.
+        /// Leader's commit index.
         committed: number::Index,
     },
-    /// Answer to [`Message::Append`] and [`Message::Snapshot`].
+    /// Response to [`Message::Append`] and [`Message::Snapshot`].
     Appended {
         /// Receiver's term.
         term: number::Term,
-        /// Round that is answered.
+        /// Round of the request.
         round: u64,
-        /// Whether the receiver's log matches up to `matched`, synced to its disk.
+        /// Whether the receiver's log matches the leader's up to `matched` and is synced to disk.
         accepted: bool,
-        /// Last index known to match; when not accepted, where the leader may try next.
+        /// Last index known to match; if not accepted, the index for the leader's next try.
         matched: number::Index,
     },
-    /// A part of a snapshot for a follower that is too far behind.
+    /// Part of a snapshot, for a follower whose next entries are no longer in the leader's log.
     Snapshot {
         /// Leader's term.
         term: number::Term,
@@ -110,45 +110,48 @@
         round: u64,
         /// Last index that the snapshot covers.
         index: number::Index,
-        /// Term of that index.
+        /// Term of the entry at `index`.
         index_term: number::Term,
-        /// Voters at that index.
+        /// Voters at `index`.
         voters: Vec<Voter>,
-        /// Offset of `data` in the whole snapshot.
+        /// Offset of `data` in the snapshot.
         offset: u64,
-        /// Part of the snapshot.
+        /// Bytes of this part.
         data: Vec<u8>,
         /// Whether this is the last part.
         last: bool,
     },
-    /// The leader gives up its quorum lease and every voter's duty to withhold votes that rests on
-    /// hearing from it; `successor` stands for election at once.
+    /// Leadership transfer: the leader gives up its quorum lease, voters no longer withhold votes
+    /// because they have heard from it, and `successor` starts an election at once.
     Release {
         /// Leader's term.
         term: number::Term,
-        /// Voter that is to lead next.
+        /// Voter that becomes a candidate.
         successor: Voter,
     },
-    /// The sender's folder is not a voter's: asks the leader to be caught up and admitted.
+    /// Request of a process whose folder is not a voter's: the leader replicates the log to it and
+    /// then adds it as a voter.
     Join {
-        /// Whether a follower passed it on to the leader; it is passed on once at most.
+        /// Whether a follower has forwarded the request to the leader; it is forwarded once at
+        /// most.
         relayed: bool,
     },
-    /// The first of the listed instances, whose folder is blank, asks whether the receiver's is
-    /// blank as well, so as to form the log.
+    /// Bootstrap of the log: the first of the listed instances, whose folder is blank, asks whether
+    /// the receiver's folder is blank too.
     Form {
-        /// Instances that are to be the first voters, in order of name.
+        /// Initial voters, ordered by name.
         instances: Vec<name::Instance>,
     },
-    /// Answer to [`Message::Form`] from a folder that has never written anything.
+    /// Response to [`Message::Form`] from a folder to which nothing was ever written.
     Blank {
-        /// Folder of the asker: an answer to a folder that has since been lost is void.
+        /// Folder number of the process that asked; a response to a folder that has since been lost
+        /// is ignored.
         folder: u64,
     },
 }
 
 impl Payload {
-    /// Bytes of its command; nothing else is large.
+    /// Size of the command in bytes; other payloads are small and count as 0.
     pub fn bytes(&self) -> usize {
         match self {
             Payload::Command(command) => command.len(),
@@ -158,7 +161,7 @@
 }
 
 impl Message {
-    /// Bytes of the log's content that it carries.
+    /// Size in bytes of the commands or snapshot data in the message.
     pub fn bytes(&self) -> usize {
         match self {
             Message::Append { entries, .. } => {
--- a/crates/hyssopfork-wire/src/control.rs
+++ b/crates/hyssopfork-wire/src/control.rs
@@ -1,120 +1,122 @@
-//! Calls of entries, agents and operators to a control instance.
+//! Requests of entries, agents and operators to a control instance.
 
 use crate::{attempt, change, claim, consensus, envelope, fleet, name, number, patch};
 use serde::{Deserialize, Serialize};
 use std::net;
 use std::time::Duration;
 
-/// Who asks for a lease.
+/// Holder of a lease on the view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Holder {
-    /// An entry, by its instance's name.
+    /// An entry, by its instance.
     Entry(name::Instance),
-    /// An agent: its announcement and what it reports of its back end.
+    /// An agent: its announcement and the report of its back end.
     Agent(Box<fleet::Announcement>, fleet::Report),
 }
 
-/// Asks for a lease on the view. The term is measured from when the holder sent this.
+/// Request for a lease on the view, or for its renewal. The lease runs from when the holder sent
+/// the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// Who asks.
+    /// Holder that sends it.
     pub holder: Holder,
     /// Version of the holder's view.
     pub version: number::Version,
-    /// Whether the holder is leaving: no new work for it. An agent's leaving is recorded before this
-    /// is granted, so the lease is on a view that says so.
+    /// Whether the holder is leaving and takes no new work. For an agent this is recorded before
+    /// the lease is granted, so that the leased view contains it.
     pub leaving: bool,
 }
 
 /// A request to a control instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Asks for a lease and what changed.
+    /// Requests a lease and the changes of the view.
     Renew(Renewal),
-    /// Asks for what changed after a version; held until something has, or a while has passed.
+    /// Requests the changes after a version (long poll: the response is held until there is a
+    /// change or [`LONG_POLL_TIMEOUT`](crate::timing::LONG_POLL_TIMEOUT) has passed).
     Watch(number::Version),
     /// Submits a patch.
     Submit(patch::Patch),
     /// Claims non-repeatable work.
     Claim(claim::Claim),
-    /// Records how the claimed work of an attempt ended.
+    /// Records the outcome of the claimed work of an attempt.
     Record(claim::Key, attempt::Identifier, claim::Outcome),
-    /// Accepted patches after a number, oldest first.
+    /// Requests the accepted patches after a number, oldest first.
     History(number::Configuration),
-    /// The whole view and who holds leases, for operators.
+    /// Requests the full view and the holders of leases, for operators.
     Status,
-    /// Asks for what changed after a version as far as it concerns one instance: its own record,
-    /// its group and the declaration. Held as [`Request::Watch`] is.
+    /// Requests the changes after a version that concern one instance: its own record, its group
+    /// and the configuration. A long poll like [`Request::Watch`].
     Follow(number::Version, name::Instance),
 }
 
 /// A lease on the view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Term, from when the renewal was sent, on the holder's own clock.
+    /// Duration, from when the renewal was sent, on the holder's own clock.
     pub duration: Duration,
-    /// What brings the holder's view up to date. The lease is for the view after it.
+    /// Update of the holder's view. The lease is on the view after the update.
     pub update: change::Update,
     /// Incarnation of the agent; `None` for an entry.
     pub incarnation: Option<number::Incarnation>,
 }
 
-/// One holder as the leader sees it.
+/// State of one holder at the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The holder's instance.
     pub instance: name::Instance,
     /// Whether it is an agent (or else an entry).
     pub agent: bool,
-    /// Version that it reported last.
+    /// Version of the holder's view in its last renewal.
     pub version: number::Version,
     /// Time since its last renewal, on the leader's clock.
     pub age: Duration,
-    /// What it reported, for an agent.
+    /// Last report, for an agent.
     pub report: Option<fleet::Report>,
 }
 
-/// What operators see.
+/// Status of the fleet and of the replicated log, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The view.
     pub view: change::View,
     /// Holders of leases.
     pub holdings: Vec<Holding>,
-    /// Voter that leads.
+    /// Instance of the leader.
     pub leader: name::Instance,
-    /// Term of the log.
+    /// Current term.
     pub term: number::Term,
-    /// Committed index of the log.
+    /// Commit index.
     pub committed: number::Index,
 }
 
-/// Reply of a control instance.
+/// Response of a control instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The lease asked for.
+    /// The requested lease.
     Granted(Grant),
-    /// What changed.
+    /// Changes of the view.
     Updated(change::Update),
-    /// What became of the patch.
+    /// Outcome of the patch.
     Submitted(patch::Outcome),
-    /// What became of the claim.
+    /// Reply to the claim.
     Claimed(claim::Reply),
-    /// The outcome is recorded (or was before).
+    /// The outcome is recorded, by this request or an earlier one.
     Recorded,
     /// Accepted patches.
     History(Vec<patch::Record>),
-    /// The state that operators asked for.
+    /// Status for operators.
     Status(Box<Status>),
-    /// This instance doesn't lead; ask the named address, or any other when none is known.
+    /// This instance is not the leader; carries the leader's address if it is known.
     NotLeader(Option<net::SocketAddr>),
-    /// The request was taken up but its end isn't known: ask again with the same identifier.
+    /// The request was started, but its outcome is not known: retry with the same identifier.
     Unknown,
-    /// The request cannot be taken on now.
+    /// The instance cannot process the request now.
     Unavailable,
-    /// The asker's release speaks another protocol version.
+    /// The request has another protocol version.
     Protocol {
-        /// Version that this instance speaks.
+        /// Protocol version of this instance.
         version: u16,
     },
 }
@@ -122,8 +124,8 @@
 /// Service of a control instance.
 #[tarpc::service]
 pub trait Control {
-    /// Delivers a message of the replicated log; the answer only says that it arrived.
+    /// Delivers a message of the replicated log; the response only confirms its receipt.
     async fn deliver(message: envelope::Envelope<consensus::Packet>);
-    /// Takes a request of an entry, an agent or an operator.
+    /// Handles a request of an entry, an agent or an operator.
     async fn call(request: envelope::Envelope<Request>) -> Response;
 }
--- a/crates/hyssopfork-wire/src/envelope.rs
+++ b/crates/hyssopfork-wire/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The outermost layer of every message between processes.
+//! Envelope of every message between processes: the protocol version and the message.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,8 +7,8 @@
 
 /// A message with the protocol version of its sender.
 ///
-/// A receiver that doesn't know the version refuses the message with an error that names both
-/// versions, so that a mixed fleet fails loudly in place of misreading bytes.
+/// A receiver with another version rejects the message with an error that names both versions, so
+/// that a fleet of incompatible releases reports the fault instead of misreading bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope<T> {
     /// Protocol version of the sender.
@@ -18,12 +18,12 @@
 }
 
 impl<T> Envelope<T> {
-    /// Wraps `body` for this build's protocol version.
+    /// Wraps `body` with this build's protocol version.
     pub fn new(body: T) -> Self {
         Envelope { protocol: PROTOCOL_VERSION, body }
     }
 
-    /// The message, when this build speaks the sender's version; the sender's version otherwise.
+    /// Returns the message if the sender's version is this build's, or else the sender's version.
     pub fn open(self) -> Result<T, u16> {
         if self.protocol == PROTOCOL_VERSION { Ok(self.body) } else { Err(self.protocol) }
     }
--- a/crates/hyssopfork-wire/src/frame.rs
+++ b/crates/hyssopfork-wire/src/frame.rs
@@ -1,85 +1,86 @@
-//! Frames of an attempt's answer, from an agent to an entry over HTTP.
+//! Framing of an attempt's response, from an agent to an entry over HTTP.
 //!
-//! The body of the agent's response is a run of frames: one byte of kind, four bytes of length
-//! (big-endian), the payload. An answer is whole only when [`Frame::End`] has come and its length
-//! and checksum match the data frames before it; a connection that closes earlier cut the answer.
+//! The body of the agent's HTTP response is a sequence of frames: one byte of kind, four bytes of
+//! length (big-endian), the payload. A response is complete only when [`Frame::End`] was received
+//! and its length and checksum match the data frames before it; a connection that closes earlier
+//! has truncated the response.
 
 use crate::{number, refusal};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Longest payload of one frame, in bytes; a longer one is an error of the peer.
+/// Longest payload of one frame; a longer one is a fault of the sender.
 pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
 const HEADER_BYTES: usize = 5;
 
-/// Status and headers of an upstream's answer.
+/// Status and headers of an upstream's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// HTTP status code.
     pub status: u16,
-    /// Header names and values that travel to the caller.
+    /// Names and values of the headers forwarded to the client.
     pub headers: Vec<(String, String)>,
 }
 
-/// End mark of an answer.
+/// End marker of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Bytes of all data frames together, from the answer's beginning.
+    /// Total length of the body in bytes, from the beginning of the response.
     pub length: u64,
-    /// CRC-32 of those bytes.
+    /// CRC-32 of the body.
     pub checksum: u32,
 }
 
-/// Load of an agent's back end, sent ahead of each answer.
+/// Load of an agent's back end, sent ahead of each response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Version of the agent's view.
     pub version: number::Version,
-    /// Attempts running.
+    /// Attempts in flight.
     pub running: u32,
-    /// Attempts that the agent lets run at once now.
+    /// Current concurrency limit of the agent, in attempts.
     pub limit: u32,
-    /// Whether the back end counts as warm.
+    /// Whether the back end is warm.
     pub warm: bool,
 }
 
 /// One frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// The agent accepted the attempt and hands it to the upstream: from here on it may have run.
+    /// The agent accepted the attempt and forwards it to the upstream: from now on it may have run.
     Started,
-    /// The agent or upstream refused.
+    /// The agent or the upstream rejected the attempt.
     Refused(refusal::Refusal),
-    /// The answer's head.
+    /// Status and headers of the response.
     Head(Head),
-    /// A part of the answer's body.
+    /// Part of the response body.
     Data(Bytes),
-    /// The attempt is alive but has nothing to say.
+    /// The attempt is still running; sent when there is no other frame to send.
     KeepAlive,
-    /// The answer is whole.
+    /// The response is complete.
     End(End),
     /// Load of the back end.
     Load(Load),
 }
 
 quick_error! {
-    /// Why bytes are not frames.
+    /// Error in decoding a frame.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
         /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
         TooLong(length: usize) {
             display(
-                "a frame of {} bytes is over the limit of {}; run compatible releases at both ends",
+                "frame of {} bytes exceeds the limit of {}; run compatible releases at both ends",
                 length,
                 MAX_PAYLOAD_BYTES
             )
         }
-        /// The kind byte or the payload is unknown.
+        /// The kind byte is unknown, or the payload cannot be parsed.
         Unknown(kind: u8) {
             display(
-                "frame kind {} or its payload is unknown; run compatible releases at both ends",
+                "unknown frame kind {} or payload; run compatible releases at both ends",
                 kind
             )
         }
@@ -103,7 +104,7 @@
     buffer.put(payload);
 }
 
-/// Takes one frame from the front of `buffer`; `None` when it doesn't hold a whole one yet.
+/// Removes one frame from the front of `buffer`; `None` while it does not hold a complete frame.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, Error> {
     if buffer.len() < HEADER_BYTES {
         return Ok(None);
@@ -132,7 +133,7 @@
 }
 
 fn encode_json<T: Serialize>(value: &T) -> Bytes {
-    Bytes::from(serde_json::to_vec(value).expect("frame payloads are plain data"))
+    Bytes::from(serde_json::to_vec(value).expect("frame payloads always serialize to JSON"))
 }
 
 fn decode_json<'a, T: Deserialize<'a>>(kind: u8, payload: &'a [u8]) -> Result<T, Error> {
--- a/crates/hyssopfork-wire/src/lib.rs
+++ b/crates/hyssopfork-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Plain types and services that every other package shares.
+//! Types and service definitions that all other packages share.
 //!
-//! Nothing here decides: the types carry what processes of the system say to each other and what
-//! operators declare. Every message between processes travels in an [`envelope::Envelope`] that
-//! names the protocol's version.
+//! They describe the messages between processes and the configuration that operators declare, and
+//! hold no logic of their own. Every message between processes is wrapped in an
+//! [`envelope::Envelope`] with the protocol version.
 
 pub mod attempt;
 pub mod change;
--- a/crates/hyssopfork-wire/src/member.rs
+++ b/crates/hyssopfork-wire/src/member.rs
@@ -1,50 +1,52 @@
-//! Calls between the agents of one serving group.
+//! Grants between the agents of one serving group: the group serves only while its first member
+//! holds a lease (a grant) from every other member.
 
 use crate::{envelope, name, number};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The first member asks another member to stand by the group for a term.
+/// Request of the first member to another member for a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// The group.
+    /// Group to serve.
     pub group: name::Group,
     /// Fencing number of the placement.
     pub fence: number::Fence,
-    /// The first member, which asks.
+    /// First member of the group, which sends the request.
     pub first: name::Instance,
-    /// Version of the asker's view: a member that knows an older one asks control at once.
+    /// Version of the first member's view; a member with an older one fetches an update at once.
     pub version: number::Version,
-    /// Attempts that run at the asker: a member that is leaving stands by them until they ended.
+    /// Attempts in flight at the first member: a member that is leaving renews its grant until they
+    /// have ended.
     pub running: u32,
-    /// Whether the asker takes no new work under this fencing number any more.
+    /// Whether the first member no longer accepts new work under this fencing number.
     pub draining: bool,
 }
 
-/// Reply of a member.
+/// Response of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The member stands by the group for the term, measured from when the request was sent.
+    /// The member grants its part in the group, from when the request was sent.
     Granted {
-        /// Term of the grant.
+        /// Duration of the grant.
         duration: Duration,
         /// Version of the member's view.
         version: number::Version,
-        /// Whether the member is leaving: it stands by what runs, but the group may take no new
-        /// work.
+        /// Whether the member is leaving: its grant covers the attempts in flight, but the group
+        /// may accept no new work.
         leaving: bool,
     },
-    /// The member doesn't stand by it: it knows another placement, its back end is gone, it is
-    /// leaving, or it has no recent view.
+    /// The member rejects the request: it knows another placement, its back end is down, it is
+    /// leaving, or its view is stale.
     Refused {
         /// Version of the member's view.
         version: number::Version,
     },
 }
 
-/// Service of an agent towards other agents.
+/// Service of an agent for other agents.
 #[tarpc::service]
 pub trait Member {
-    /// Takes a request of the group's first member.
+    /// Handles a request of the group's first member.
     async fn request_grant(request: envelope::Envelope<Request>) -> Response;
 }
--- a/crates/hyssopfork-wire/src/name.rs
+++ b/crates/hyssopfork-wire/src/name.rs
@@ -1,5 +1,5 @@
-//! Names that operators give to things. Each is a type of its own, so that one cannot be passed
-//! where another is meant.
+//! Names that operators choose. Each kind of name has its own type, so that the compiler rejects
+//! one in place of another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -12,7 +12,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name as written; settings and patches check its form.
+            /// Wraps `text` unchecked; settings and patches validate it with [`is_valid`].
             pub fn new(text: impl Into<String>) -> Self {
                 Self(text.into())
             }
@@ -40,29 +40,29 @@
 names! {
     /// An availability zone.
     Zone,
-    /// A set of instances that share a fast fabric.
+    /// A fabric domain: instances connected by a fast interconnect.
     Domain,
-    /// A machine, by the name in its process's settings.
+    /// An instance (a machine), as named in the settings of its process.
     Instance,
-    /// A set of like instances from which groups are formed, or of like plain services.
+    /// A pool: interchangeable instances that form groups, or that run the same plain service.
     Pool,
     /// A serving group: one replica of a model over several instances.
     Group,
     /// A team: a customer with its own tokens, weight and histograms.
     Team,
-    /// A route: a path prefix with its pool, class and rules of repetition.
+    /// A route: a path prefix with its pool, traffic class and retry rule.
     Route,
-    /// A model as the engines name it.
+    /// A model, as named by the engines.
     Model,
-    /// Whoever submitted a patch.
+    /// An operator who submits patches.
     Operator,
 }
 
-/// Longest name that settings and patches accept, in bytes.
+/// Longest name that settings and patches accept.
 pub const MAX_BYTES: usize = 63;
 
-/// Whether `text` may be a name: lower-case letters, digits, `-`, `_`, `.`; one to
-/// [`MAX_BYTES`] bytes.
+/// Whether `text` is a valid name: 1 to [`MAX_BYTES`] bytes, of lower-case letters, digits, `-`,
+/// `_` and `.`.
 pub fn is_valid(text: &str) -> bool {
     let allowed = |byte: u8| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.')
--- a/crates/hyssopfork-wire/src/number.rs
+++ b/crates/hyssopfork-wire/src/number.rs
@@ -1,4 +1,4 @@
-//! Numbers that only go up.
+//! Monotonically increasing numbers: versions, terms, log indices, fencing numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -28,16 +28,16 @@
 }
 
 numbers! {
-    /// Number of the declared configuration: one more for each accepted patch.
+    /// Number of the declared configuration; each accepted patch increments it.
     Configuration,
-    /// Version of all that watchers follow (configuration, fleet, groups): the index of the log
-    /// entry that last changed it.
+    /// Version of the view (configuration, fleet, groups): the index of the log entry that last
+    /// changed it.
     ///
-    /// Invariant: never goes down in any process's view.
+    /// Invariant: never decreases in any process's view.
     Version,
-    /// Fencing number of a group's placement, unique over all groups and times.
+    /// Fencing number of a group's placement, unique across all groups and never reused.
     Fence,
-    /// Incarnation of an agent, given by control at its first announcement after a start.
+    /// Incarnation of an agent, assigned by control at the first announcement after a start.
     Incarnation,
     /// Term of the replicated log.
     Term,
--- a/crates/hyssopfork-wire/src/patch.rs
+++ b/crates/hyssopfork-wire/src/patch.rs
@@ -1,9 +1,9 @@
-//! Patches against a numbered configuration, and what became of them.
+//! Patches of the numbered configuration, with optimistic concurrency control, and their outcomes.
 
 use crate::{configuration, name, number};
 use serde::{Deserialize, Serialize};
 
-/// Identifier of a patch, chosen by whoever submits it; a resend carries the same one.
+/// Identifier of a patch, chosen by the submitter; every resend of the patch carries it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Identifier(pub String);
@@ -13,13 +13,13 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Operation {
-    /// Replaces the whole declaration; its number is ignored.
+    /// Replaces the whole configuration; the number in it is ignored.
     Declare(Box<configuration::Configuration>),
     /// Takes a zone out of service (`true`) or brings it back (`false`).
     SetZoneOut(name::Zone, bool),
     /// Creates or replaces a pool.
     PutPool(name::Pool, configuration::Pool),
-    /// Removes a pool that nothing uses.
+    /// Removes a pool that no group or route refers to.
     RemovePool(name::Pool),
     /// Creates or replaces a group.
     PutGroup(name::Group, configuration::Group),
@@ -33,50 +33,50 @@
     PutTeam(name::Team, configuration::Team),
     /// Removes a team.
     RemoveTeam(name::Team),
-    /// Drains an instance (`true`) or lets it take work again (`false`).
+    /// Drains an instance (`true`) or returns it to service (`false`).
     SetDrained(name::Instance, bool),
 }
 
-/// A patch: applied whole or not at all.
+/// A patch, which is applied atomically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
     /// Identifier, the same in every resend.
     pub identifier: Identifier,
-    /// Number of the configuration that it was written against.
+    /// Number of the configuration that the patch is based on.
     pub base: number::Configuration,
-    /// Who submits it.
+    /// Operator who submits it.
     pub author: name::Operator,
-    /// Changes, in order.
+    /// Operations, in order.
     pub operations: Vec<Operation>,
 }
 
-/// What became of a patch.
+/// Outcome of a patch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// Accepted as this configuration number.
     Accepted(number::Configuration),
-    /// Refused: the base is not the number in force.
+    /// Rejected: the base is not the current number.
     Stale {
-        /// Number in force when the patch was decided.
+        /// Current number when the patch was applied.
         current: number::Configuration,
         /// Accepted patches after the base, oldest first; empty when they are no longer kept.
         since: Vec<Record>,
     },
-    /// Refused: the result would break rules, each named with its remedy.
+    /// Rejected: the result would be invalid; one message for each fault, with its remedy.
     Invalid(Vec<String>),
-    /// Refused: the identifier was used before with other content.
+    /// Rejected: the identifier was used before with other content.
     Reused,
 }
 
-/// An accepted patch as history keeps it.
+/// Record of an accepted patch in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Configuration number that it made.
+    /// Number of the configuration after the patch.
     pub number: number::Configuration,
     /// The patch's identifier.
     pub identifier: Identifier,
-    /// Who submitted it.
+    /// Operator who submitted it.
     pub author: name::Operator,
     /// One line for each operation.
     pub summary: Vec<String>,
--- a/crates/hyssopfork-wire/src/refusal.rs
+++ b/crates/hyssopfork-wire/src/refusal.rs
@@ -1,9 +1,9 @@
-//! Refusals: why a request was not served and whether any of its work ran.
+//! Refusals: why a request was rejected or failed, and whether any of its work ran.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Why a request was refused: a closed set.
+/// Reason for a refusal.
 #[derive(
     Clone,
     Copy,
@@ -23,43 +23,43 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// The token names no team.
+    /// The token belongs to no team.
     Unauthorized,
     /// No route matches the path.
     NoRoute,
     /// The request itself is malformed or too large.
     Malformed,
-    /// The team is over its share while the system is full.
+    /// The team exceeds its share while there is no free capacity.
     TeamLimit,
-    /// The queue cannot be served before the deadline.
+    /// The request would not leave the queue before its deadline.
     Overloaded,
     /// The deadline passed.
     Deadline,
-    /// No upstream can take the work now.
+    /// No upstream is available.
     NoUpstream,
-    /// The process cannot show that its configuration is recent.
+    /// The process holds no lease on its view, which may be stale.
     Stale,
-    /// The process or upstream is leaving.
+    /// The process or the upstream is draining.
     Draining,
-    /// The availability zone has been taken out.
+    /// The availability zone is out of service.
     ZoneOut,
-    /// The serving group is not whole.
+    /// The serving group lacks a member.
     GroupIncomplete,
-    /// The upstream is cold and at its limit.
+    /// The upstream is cold and at its concurrency limit.
     Cold,
     /// The attempt was cancelled before it started.
     Cancelled,
-    /// The same key is being worked on.
+    /// A request with the same idempotency key is in flight.
     InProgress,
-    /// The same key came with another body.
+    /// The idempotency key was used with another request.
     KeyReused,
-    /// The work began and its outcome is not known.
+    /// The work started, and its outcome is not known.
     OutcomeUnknown,
     /// The upstream failed.
     UpstreamFailed,
 }
 
-/// Whether any work of a refused request ran.
+/// Whether any work of a request ran that was rejected or failed.
 #[derive(
     Clone,
     Copy,
@@ -75,7 +75,7 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Ran {
-    /// No work ran and none will.
+    /// No work ran and none will run.
     NotRun,
     /// Work may have run.
     MayHaveRun,
@@ -84,21 +84,21 @@
 /// A refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub reason: Reason,
     /// Whether work ran.
     pub ran: Ran,
-    /// When to come back; `None` when coming back with the same request cannot help.
+    /// Time after which to retry; `None` if a retry of the same request cannot succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal whose work did not run.
+    /// Refusal of a request whose work did not run.
     pub const fn not_run(reason: Reason, retry_after: Option<Duration>) -> Refusal {
         Refusal { reason, ran: Ran::NotRun, retry_after }
     }
 
-    /// A refusal whose work may have run.
+    /// Refusal of a request whose work may have run.
     pub const fn may_have_run(reason: Reason, retry_after: Option<Duration>) -> Refusal {
         Refusal { reason, ran: Ran::MayHaveRun, retry_after }
     }
--- a/crates/hyssopfork-wire/tests/frame.rs
+++ b/crates/hyssopfork-wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: what one end writes the other reads, whatever way the bytes are cut on their way.
+//! Framing: encoded frames decode to the same frames, however the bytes are split in transit.
 
 use bytes::{Bytes, BytesMut};
 use hyssopfork_wire::{frame, number, refusal};
@@ -31,17 +31,17 @@
 
 proptest! {
     #[test]
-    fn frames_come_back_as_sent(
+    fn decoded_frames_equal_the_encoded_ones(
         frames in collection::vec(any_frame(), 0..12),
-        cut in 1usize..64,
+        chunk_size in 1usize..64,
     ) {
         let mut sent = BytesMut::new();
         frames.iter().for_each(|frame| frame::encode(frame, &mut sent));
 
         let mut buffer = BytesMut::new();
         let mut read = Vec::new();
-        for part in sent.chunks(cut) {
-            buffer.extend_from_slice(part);
+        for chunk in sent.chunks(chunk_size) {
+            buffer.extend_from_slice(chunk);
             while let Some(frame) = frame::decode(&mut buffer).unwrap() {
                 read.push(frame);
             }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_frame_over_the_limit_is_refused_before_it_is_read() {
+fn a_frame_over_the_limit_is_rejected_before_its_payload_arrives() {
     let mut buffer = BytesMut::from(&[4u8, 0xff, 0xff, 0xff, 0xff][..]);
 
     let error = frame::decode(&mut buffer).unwrap_err();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_unknown_kind_names_the_remedy() {
+fn the_error_for_an_unknown_kind_names_the_remedy() {
     let mut buffer = BytesMut::from(&[99u8, 0, 0, 0, 0][..]);
 
     let error = frame::decode(&mut buffer).unwrap_err();
