--- a/crates/hyssopfork-consensus/benches/log.rs
+++ b/crates/hyssopfork-consensus/benches/log.rs
@@ -89,7 +89,7 @@
         match action {
             action::Action::Send(packet) => self.send(packet),
             action::Action::Persist(write) => {
-                self.queue.push_back((slot, event::Event::Persisted(write.mark)));
+                self.queue.push_back((slot, event::Event::Persisted(write.number)));
             }
             action::Action::Apply(_) if self.nodes[slot].is_leader() => self.applied += 1,
             _ => {}
--- a/crates/hyssopfork-consensus/examples/stand_alone.rs
+++ b/crates/hyssopfork-consensus/examples/stand_alone.rs
@@ -16,7 +16,7 @@
         return process::ExitCode::from(2);
     };
     let instance = name::Instance::from(instance.as_str());
-    match recovery::stand_alone(path::Path::new(folder), &instance) {
+    match recovery::make_sole_voter(path::Path::new(folder), &instance) {
         Ok(recovery) => report(&recovery),
         Err(error) => {
             eprintln!("{error}");
@@ -26,8 +26,8 @@
 }
 
 fn report(recovery: &recovery::Recovery) -> process::ExitCode {
-    println!("kept the log up to index {}", recovery.kept);
-    for voter in &recovery.removed {
+    println!("kept the log up to index {}", recovery.last_index);
+    for voter in &recovery.removed_voters {
         println!("{}: wipe its data folder before it starts again", voter.instance);
     }
     process::ExitCode::SUCCESS
--- a/crates/hyssopfork-consensus/src/error.rs
+++ b/crates/hyssopfork-consensus/src/error.rs
@@ -34,7 +34,7 @@
             )
         }
         /// The folder isn't a voter's.
-        NoVoter(folder: path::PathBuf, instance: name::Instance) {
+        NotVoter(folder: path::PathBuf, instance: name::Instance) {
             display(
                 "{} holds no log in which {} is a voter; name the surviving voter's own folder and instance",
                 folder.display(),
@@ -42,7 +42,7 @@
             )
         }
         /// A write failed before: what is on the disk is not known.
-        Failed {
+        EarlierWriteFailed {
             display("a write to the journal failed before; mend the disk and restart the process")
         }
     }
--- a/crates/hyssopfork-consensus/src/event.rs
+++ b/crates/hyssopfork-consensus/src/event.rs
@@ -1,6 +1,6 @@
 //! What happens to a node.
 
-use crate::change;
+use crate::voters;
 use hyssopfork_wire::{consensus, name, number};
 
 /// An event.
@@ -27,7 +27,7 @@
         /// Owner's number for the answer.
         ticket: u64,
         /// The change.
-        change: change::Change,
+        change: voters::Change,
     },
     /// The owner took a snapshot of its state after applying `index`.
     Snapshotted {
@@ -38,7 +38,7 @@
     },
     /// Instances that may hold a voter's folder, in place of those of the settings: this node asks
     /// them to be let in, and a leader lets them in by themselves.
-    List(Vec<name::Instance>),
+    SetListedVoters(Vec<name::Instance>),
     /// This folder alone is to form the log; nothing happens unless it is blank. The owner names
     /// one folder in the life of the system: two would make two logs.
     Form,
--- a/crates/hyssopfork-consensus/src/journal/folder.rs
+++ b/crates/hyssopfork-consensus/src/journal/folder.rs
@@ -6,7 +6,7 @@
 use std::path;
 
 /// File that holds the lock.
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 /// A data folder that this process alone has open.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     pub fn open(path: &path::Path) -> Result<Folder, error::Error> {
         let failed = |source| error::Error::Disk(path.to_path_buf(), source);
         fs::create_dir_all(path).map_err(failed)?;
-        let lock = fs::File::create(path.join(LOCK)).map_err(failed)?;
+        let lock = fs::File::create(path.join(LOCK_FILE)).map_err(failed)?;
         match lock.try_lock() {
             Ok(()) => Ok(Folder { path: path.to_path_buf(), _lock: lock }),
             Err(fs::TryLockError::WouldBlock) => Err(error::Error::Locked(path.to_path_buf())),
@@ -30,38 +30,38 @@
     }
 
     /// Path of a file.
-    pub fn file(&self, name: &str) -> path::PathBuf {
+    pub fn file_path(&self, name: &str) -> path::PathBuf {
         self.path.join(name)
     }
 
     /// Bytes of a file; `None` when it is not there.
     pub fn read(&self, name: &str) -> Result<Option<Vec<u8>>, error::Error> {
-        match fs::read(self.file(name)) {
+        match fs::read(self.file_path(name)) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(source) if source.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(source) => Err(self.failed(name, source)),
+            Err(source) => Err(self.disk_error(name, source)),
         }
     }
 
     /// Puts `bytes` in place of a file's, so that a crash leaves either the old ones or the new.
     pub fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), error::Error> {
-        self.try_replace(name, bytes).map_err(|source| self.failed(name, source))
+        self.try_replace(name, bytes).map_err(|source| self.disk_error(name, source))
     }
 
     fn try_replace(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let next = self.file(&format!("{name}.next"));
+        let next = self.file_path(&format!("{name}.next"));
         let mut file = fs::File::create(&next)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&next, self.file(name))?;
+        fs::rename(&next, self.file_path(name))?;
         // The rename itself is lost in a crash unless the folder is synced.
         fs::File::open(&self.path)?.sync_all()
     }
 
     /// Opens a file to append to it, cut off at `length`.
-    pub fn append_to(&self, name: &str, length: u64) -> Result<fs::File, error::Error> {
+    pub fn open_for_append(&self, name: &str, length: u64) -> Result<fs::File, error::Error> {
         let open = || {
-            let file = fs::OpenOptions::new().append(true).open(self.file(name))?;
+            let file = fs::OpenOptions::new().append(true).open(self.file_path(name))?;
             if file.metadata()?.len() != length {
                 file.set_len(length)?;
             }
@@ -69,11 +69,11 @@
             file.sync_all()?;
             Ok(file)
         };
-        open().map_err(|source| self.failed(name, source))
+        open().map_err(|source| self.disk_error(name, source))
     }
 
     /// The error of a file.
-    pub fn failed(&self, name: &str, source: io::Error) -> error::Error {
-        error::Error::Disk(self.file(name), source)
+    pub fn disk_error(&self, name: &str, source: io::Error) -> error::Error {
+        error::Error::Disk(self.file_path(name), source)
     }
 }
--- a/crates/hyssopfork-consensus/src/journal/record.rs
+++ b/crates/hyssopfork-consensus/src/journal/record.rs
@@ -7,7 +7,7 @@
 
 const MARKER: [u8; 4] = *b"hfj1";
 
-const HEADER: usize = 20;
+const HEADER_BYTES: usize = 20;
 
 /// A record in a file.
 #[derive(Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 }
 
 fn decode(bytes: &[u8], offset: usize) -> Option<Record> {
-    let header = bytes.get(offset..offset + HEADER)?;
+    let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let (marker, rest) = header.split_first_chunk::<4>()?;
     let (sequence, rest) = rest.split_first_chunk::<8>()?;
     let (length, rest) = rest.split_first_chunk::<4>()?;
@@ -65,7 +65,7 @@
         return None;
     }
     let sequence = u64::from_le_bytes(*sequence);
-    let start = offset + HEADER;
+    let start = offset + HEADER_BYTES;
     let end = start.checked_add(u32::from_le_bytes(*length) as usize)?;
     let body = bytes.get(start..end)?;
     let whole = checksum(sequence, body) == u32::from_le_bytes(*expected);
--- a/crates/hyssopfork-consensus/src/lib.rs
+++ b/crates/hyssopfork-consensus/src/lib.rs
@@ -9,7 +9,6 @@
 //! 3. carry out the actions in order. Messages may be lost; a write that fails ends the process.
 
 pub mod action;
-pub mod change;
 pub mod error;
 pub mod event;
 pub mod journal;
@@ -18,4 +17,5 @@
 pub mod notice;
 pub mod proposals;
 pub mod recovery;
+pub mod voters;
 pub mod write;
--- a/crates/hyssopfork-consensus/src/log.rs
+++ b/crates/hyssopfork-consensus/src/log.rs
@@ -6,10 +6,10 @@
 use std::sync;
 
 /// Bytes of entries kept in memory before a snapshot.
-const KEPT_BYTES: usize = 4 << 20;
+const MAX_RETAINED_BYTES: usize = 4 << 20;
 
 /// What an entry takes besides its command, roughly.
-const ENTRY_BYTES: usize = 32;
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// An index and the term of its entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,8 +22,8 @@
 
 /// Voters from an index on.
 #[derive(Clone, Debug)]
-struct Seats {
-    from: number::Index,
+struct Membership {
+    since: number::Index,
     voters: Vec<consensus::Voter>,
 }
 
@@ -36,13 +36,13 @@
     entries: collections::VecDeque<consensus::Entry>,
     snapshot: Option<sync::Arc<write::Snapshot>>,
     /// Invariant: never empty, in order of index.
-    seats: Vec<Seats>,
+    memberships: Vec<Membership>,
 }
 
 impl Log {
     /// The log that a journal recovered.
     pub fn new(snapshot: Option<write::Snapshot>, entries: Vec<consensus::Entry>) -> Log {
-        let mut log = Log::after(snapshot.map(sync::Arc::new));
+        let mut log = Log::from_snapshot(snapshot.map(sync::Arc::new));
         for entry in entries {
             log.append(entry);
         }
@@ -50,11 +50,11 @@
     }
 
     /// A log that holds nothing but a snapshot.
-    fn after(snapshot: Option<sync::Arc<write::Snapshot>>) -> Log {
-        let base = snapshot.as_deref().map(position).unwrap_or_default();
+    fn from_snapshot(snapshot: Option<sync::Arc<write::Snapshot>>) -> Log {
+        let base = snapshot.as_deref().map(snapshot_position).unwrap_or_default();
         let voters = snapshot.as_deref().map(|snapshot| snapshot.voters.clone());
-        let seats = Seats { from: base.index, voters: voters.unwrap_or_default() };
-        Log { base, entries: collections::VecDeque::new(), snapshot, seats: vec![seats] }
+        let membership = Membership { since: base.index, voters: voters.unwrap_or_default() };
+        Log { base, entries: collections::VecDeque::new(), snapshot, memberships: vec![membership] }
     }
 
     /// Position of the last entry.
@@ -68,11 +68,11 @@
         if index == self.base.index {
             return Some(self.base.term);
         }
-        self.get(index).map(|entry| entry.term)
+        self.entry(index).map(|entry| entry.term)
     }
 
     /// Entry at `index`, when it is in memory.
-    pub fn get(&self, index: number::Index) -> Option<&consensus::Entry> {
+    pub fn entry(&self, index: number::Index) -> Option<&consensus::Entry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(offset as usize)
     }
@@ -89,17 +89,17 @@
 
     /// Voters after the last entry.
     pub fn voters(&self) -> &[consensus::Voter] {
-        &self.newest().voters
+        &self.membership().voters
     }
 
     /// Voters before they last changed; none when that is not known here.
-    pub fn former_voters(&self) -> &[consensus::Voter] {
-        self.seats.iter().rev().nth(1).map_or(&[], |seats| &seats.voters)
+    pub fn previous_voters(&self) -> &[consensus::Voter] {
+        self.memberships.iter().rev().nth(1).map_or(&[], |membership| &membership.voters)
     }
 
     /// Index since which the voters are as they are.
-    pub fn voters_since(&self) -> number::Index {
-        self.newest().from
+    pub fn voters_changed_at(&self) -> number::Index {
+        self.membership().since
     }
 
     /// Appends the entry after the last one.
@@ -108,7 +108,7 @@
         assert_eq!(entry.index, last.index.next(), "the log has no gaps");
         assert!(entry.term >= last.term, "terms never go down along the log");
         if let consensus::Payload::Voters(voters) = &entry.payload {
-            self.seats.push(Seats { from: entry.index, voters: voters.clone() });
+            self.memberships.push(Membership { since: entry.index, voters: voters.clone() });
         }
         self.entries.push_back(entry);
     }
@@ -118,11 +118,11 @@
         assert!(index > self.base.index, "the base is committed");
         let kept = index.0 - self.base.index.0 - 1;
         self.entries.truncate(kept as usize);
-        self.seats.retain(|seats| seats.from < index);
+        self.memberships.retain(|membership| membership.since < index);
     }
 
     /// First index of the run of entries that have the term of `index`.
-    pub fn run_start(&self, index: number::Index) -> number::Index {
+    pub fn term_start(&self, index: number::Index) -> number::Index {
         let term = self.term_at(index);
         let mut start = index;
         while start > self.base.index && self.term_at(number::Index(start.0 - 1)) == term {
@@ -148,7 +148,7 @@
         let voters = self.voters_at(index).to_vec();
         let snapshot = sync::Arc::new(write::Snapshot { index, term, voters, data });
         self.snapshot = Some(sync::Arc::clone(&snapshot));
-        self.drop_before(self.kept_from(index, kept));
+        self.discard_through(self.compaction_index(index, kept));
         Some(snapshot)
     }
 
@@ -159,27 +159,27 @@
             self.snapshot = Some(snapshot);
             return;
         }
-        *self = Log::after(Some(snapshot));
+        *self = Log::from_snapshot(Some(snapshot));
     }
 
-    fn newest(&self) -> &Seats {
-        self.seats.last().expect("the voters at the base are always there")
+    fn membership(&self) -> &Membership {
+        self.memberships.last().expect("the voters at the base are always there")
     }
 
     fn voters_at(&self, index: number::Index) -> &[consensus::Voter] {
-        let seats = self.seats.iter().rev().find(|seats| seats.from <= index);
-        seats.map_or(&[], |seats| &seats.voters)
+        let membership = self.memberships.iter().rev().find(|membership| membership.since <= index);
+        membership.map_or(&[], |membership| &membership.voters)
     }
 
     /// Index after which entries stay when a snapshot covers `index`.
-    fn kept_from(&self, index: number::Index, kept: u64) -> number::Index {
+    fn compaction_index(&self, index: number::Index, kept: u64) -> number::Index {
         let mut from = index;
         let mut bytes = 0;
-        while let Some(entry) = self.get(from)
+        while let Some(entry) = self.entry(from)
             && index.0 - from.0 < kept
         {
-            bytes += size(entry);
-            if bytes > KEPT_BYTES {
+            bytes += entry_bytes(entry);
+            if bytes > MAX_RETAINED_BYTES {
                 break;
             }
             from = number::Index(from.0 - 1);
@@ -187,7 +187,7 @@
         from
     }
 
-    fn drop_before(&mut self, index: number::Index) {
+    fn discard_through(&mut self, index: number::Index) {
         let Some(term) = self.term_at(index) else {
             return;
         };
@@ -195,24 +195,24 @@
         let dropped = index.0 - self.base.index.0;
         self.entries.drain(..dropped as usize);
         self.base = Position { index, term };
-        let from = self.seats.iter().rev().find(|seats| seats.from <= index);
-        let from = from.map_or(index, |seats| seats.from);
-        self.seats.retain(|seats| seats.from > index);
-        self.seats.insert(0, Seats { from, voters });
+        let from = self.memberships.iter().rev().find(|membership| membership.since <= index);
+        let from = from.map_or(index, |membership| membership.since);
+        self.memberships.retain(|membership| membership.since > index);
+        self.memberships.insert(0, Membership { since: from, voters });
     }
 }
 
 /// Bytes that an entry takes, roughly.
-pub fn size(entry: &consensus::Entry) -> usize {
+pub fn entry_bytes(entry: &consensus::Entry) -> usize {
     let payload = match &entry.payload {
         consensus::Payload::Empty => 0,
         consensus::Payload::Command(command) => command.len(),
-        consensus::Payload::Voters(voters) => voters.len() * ENTRY_BYTES,
+        consensus::Payload::Voters(voters) => voters.len() * ENTRY_OVERHEAD_BYTES,
     };
-    ENTRY_BYTES + payload
+    ENTRY_OVERHEAD_BYTES + payload
 }
 
 /// Position that a snapshot covers.
-pub fn position(snapshot: &write::Snapshot) -> Position {
+pub fn snapshot_position(snapshot: &write::Snapshot) -> Position {
     Position { index: snapshot.index, term: snapshot.term }
 }
--- a/crates/hyssopfork-consensus/src/node.rs
+++ b/crates/hyssopfork-consensus/src/node.rs
@@ -4,13 +4,13 @@
 //! acknowledgement) leaves only after the write that it rests on was reported as synced.
 
 mod election;
-mod follow;
+mod follower;
 mod formation;
-mod lead;
-mod leadership;
-mod ledger;
+mod leader;
+mod leader_state;
 mod membership;
 mod progress;
+mod write_tracker;
 
 use crate::{action, event, log, notice, write};
 use hyssopfork_wire::{clock, consensus, name, number, timing};
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// Longest command, in bytes.
-pub const COMMAND_LIMIT: usize = 1 << 20;
+pub const MAX_COMMAND_BYTES: usize = 1 << 20;
 
 /// What the journal holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,7 +42,7 @@
             self.ballot = ballot.clone();
         }
         if let Some(snapshot) = &write.snapshot {
-            self.cover(snapshot);
+            self.install_snapshot(snapshot);
         }
         if let Some(index) = write.truncate {
             self.entries.retain(|entry| entry.index < index);
@@ -50,7 +50,7 @@
         self.entries.extend(write.entries.iter().cloned());
     }
 
-    fn cover(&mut self, snapshot: &write::Snapshot) {
+    fn install_snapshot(&mut self, snapshot: &write::Snapshot) {
         let follows = self
             .entries
             .iter()
@@ -90,11 +90,11 @@
     pub quorum_lease: Duration,
     /// Entries kept in memory before a snapshot, so that a follower that is a little behind needs
     /// no snapshot.
-    pub kept_entries: u64,
+    pub retained_entries: u64,
 }
 
 /// Default of [`Settings::kept_entries`].
-const KEPT_ENTRIES: u64 = 2_000;
+const DEFAULT_RETAINED_ENTRIES: u64 = 2_000;
 
 impl Default for Settings {
     fn default() -> Settings {
@@ -105,7 +105,7 @@
             election_timeout: timing::ELECTION_TIMEOUT,
             election_spread: timing::ELECTION_SPREAD,
             quorum_lease: timing::QUORUM_LEASE,
-            kept_entries: KEPT_ENTRIES,
+            retained_entries: DEFAULT_RETAINED_ENTRIES,
         }
     }
 }
@@ -118,7 +118,7 @@
     /// Stands for election.
     Candidate(election::Candidacy),
     /// Leads.
-    Leader(Box<lead::Lead>),
+    Leader(Box<leader_state::State>),
 }
 
 /// One voter or learner.
@@ -126,17 +126,17 @@
 pub struct Node {
     identity: consensus::Voter,
     settings: Settings,
-    random: rand_chacha::ChaCha8Rng,
+    rng: rand_chacha::ChaCha8Rng,
     /// Newest time seen.
     now: clock::Instant,
     /// When the process started: what it promised before that is forgotten.
-    started: clock::Instant,
+    started_at: clock::Instant,
     /// Invariant: the term never goes down.
     ballot: write::Ballot,
     log: log::Log,
-    ledger: ledger::Ledger,
+    writes: write_tracker::Tracker,
     /// Mark of the write that holds the ballot.
-    ballot_mark: u64,
+    ballot_write: u64,
     /// Last committed index; everything up to it was handed out to be applied.
     ///
     /// Invariant: never goes down, and nothing up to it is ever dropped for another entry.
@@ -145,21 +145,21 @@
     /// Leader of the term; at most one is ever seen.
     leader: Option<consensus::Voter>,
     /// When the term's leader was last heard from.
-    heard: Option<clock::Instant>,
+    leader_heard_at: Option<clock::Instant>,
     /// When to stand for election.
-    deadline: clock::Instant,
+    election_at: clock::Instant,
     /// When to ask to join, or to form the log, next.
-    ask_at: clock::Instant,
+    next_request_at: clock::Instant,
     /// Folders that answered to be blank.
-    blank: collections::BTreeMap<name::Instance, consensus::Voter>,
+    blank_folders: collections::BTreeMap<name::Instance, consensus::Voter>,
     /// Last asker whose list of first voters differs.
-    differing: Option<consensus::Voter>,
+    mismatched_voter: Option<consensus::Voter>,
     /// Snapshot that is arriving.
-    incoming: Option<follow::Incoming>,
+    incoming_snapshot: Option<follower::Incoming>,
     /// Whether the process is to stop.
     resigned: bool,
     /// The write of this step; its mark is set once it holds anything.
-    write: write::Write,
+    pending_write: write::Write,
     actions: Vec<action::Action>,
 }
 
@@ -178,24 +178,24 @@
         let mut node = Node {
             identity,
             settings,
-            random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
+            rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             now,
-            started: now,
+            started_at: now,
             ballot: durable.ballot,
-            ledger: ledger::Ledger::new(log.last().index),
+            writes: write_tracker::Tracker::new(log.last().index),
             log,
-            ballot_mark: 0,
+            ballot_write: 0,
             committed,
             role: Role::Follower,
             leader: None,
-            heard: None,
-            deadline: now,
-            ask_at: now,
-            blank: collections::BTreeMap::new(),
-            differing: None,
-            incoming: None,
+            leader_heard_at: None,
+            election_at: now,
+            next_request_at: now,
+            blank_folders: collections::BTreeMap::new(),
+            mismatched_voter: None,
+            incoming_snapshot: None,
             resigned: false,
-            write: write::Write::default(),
+            pending_write: write::Write::default(),
             actions: restored.into_iter().map(action::Action::Restore).collect(),
         };
         node.postpone_election();
@@ -207,17 +207,17 @@
         self.now = self.now.max(now);
         self.check_quorum();
         match event {
-            event::Event::Tick => self.tick(),
-            event::Event::Received(packet) => self.received(packet),
-            event::Event::Persisted(mark) => self.persisted(mark),
-            event::Event::Propose { ticket, command } => self.propose(ticket, command),
-            event::Event::ChangeVoters { ticket, change } => self.change_voters(ticket, change),
-            event::Event::Snapshotted { index, data } => self.snapshotted(index, data),
-            event::Event::List(instances) => self.settings.voters = instances,
-            event::Event::Form => self.form_alone(),
-            event::Event::Resign => self.resign(),
+            event::Event::Tick => self.on_tick(),
+            event::Event::Received(packet) => self.on_message(packet),
+            event::Event::Persisted(number) => self.on_persisted(number),
+            event::Event::Propose { ticket, command } => self.on_propose(ticket, command),
+            event::Event::ChangeVoters { ticket, change } => self.on_change_voters(ticket, change),
+            event::Event::Snapshotted { index, data } => self.on_snapshotted(index, data),
+            event::Event::SetListedVoters(instances) => self.settings.voters = instances,
+            event::Event::Form => self.on_form(),
+            event::Event::Resign => self.on_resign(),
         }
-        self.finish()
+        self.take_actions()
     }
 
     /// Whether this node leads, as far as it knows.
@@ -247,43 +247,43 @@
 
     /// Time since each other voter, without vacant seats, last answered a message sent to it; empty
     /// unless this node leads.
-    pub fn silences(&self, now: clock::Instant) -> Vec<(name::Instance, Duration)> {
-        let Role::Leader(lead) = &self.role else { return Vec::new() };
+    pub fn contact_ages(&self, now: clock::Instant) -> Vec<(name::Instance, Duration)> {
+        let Role::Leader(state) = &self.role else { return Vec::new() };
         let silence = |voter: consensus::Voter| {
-            let contact = lead.progress.get(&voter)?.contact;
+            let contact = state.progress.get(&voter)?.last_contact;
             Some((voter.instance, now.since(contact)))
         };
-        self.others().into_iter().filter_map(silence).collect()
+        self.other_voters().into_iter().filter_map(silence).collect()
     }
 
     /// Until when no other node can lead, measured from when the round that a quorum answered was
     /// sent; `None` unless this node leads, has committed an entry of its own term and isn't
     /// handing over.
     pub fn quorum_lease(&self, now: clock::Instant) -> Option<clock::Instant> {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(state) = &self.role else {
             return None;
         };
-        if lead.resigning.is_some() || !self.has_committed_in_term() {
+        if state.handover_since.is_some() || !self.has_committed_in_term() {
             return None;
         }
-        let upheld = lead.upheld(self.context(), now)?;
+        let upheld = state.quorum_lease_start(self.context(), now)?;
         let until = upheld + self.settings.quorum_lease;
         (until > now).then_some(until)
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         if self.is_leader() {
-            self.tick_leader();
+            self.on_leader_tick();
             return;
         }
-        if self.may_stand() {
-            self.tick_voter();
+        if self.is_eligible() {
+            self.on_voter_tick();
         } else {
-            self.tick_outsider();
+            self.on_nonvoter_tick();
         }
     }
 
-    fn received(&mut self, packet: consensus::Packet) {
+    fn on_message(&mut self, packet: consensus::Packet) {
         if packet.to != self.identity.instance || packet.from == self.identity {
             return;
         }
@@ -291,10 +291,10 @@
         match packet.message {
             consensus::Message::Vote { pre, term, last_index, last_term } => {
                 let last = log::Position { index: last_index, term: last_term };
-                self.asked_to_vote(from, pre, term, last);
+                self.on_vote_request(from, pre, term, last);
             }
             consensus::Message::Voted { pre, term, granted } => {
-                self.voted(from, pre, term, granted);
+                self.on_vote_response(from, pre, term, granted);
             }
             consensus::Message::Append {
                 term,
@@ -305,11 +305,15 @@
                 committed,
             } => {
                 let previous = log::Position { index: previous_index, term: previous_term };
-                let append = follow::Append { term, round, previous, entries, committed };
-                self.asked_to_append(from, append);
+                let append = follower::Append { term, round, previous, entries, committed };
+                self.on_append(from, append);
             }
             consensus::Message::Appended { term, round, accepted, matched } => {
-                self.appended(from, term, lead::Answer { round, accepted, matched });
+                self.on_append_response(
+                    from,
+                    term,
+                    leader_state::Response { round, accepted, matched },
+                );
             }
             consensus::Message::Snapshot {
                 term,
@@ -322,87 +326,87 @@
                 last,
             } => {
                 let position = log::Position { index, term: index_term };
-                let part = follow::Part { term, round, position, voters, offset, data, last };
-                self.asked_to_install(from, part);
+                let part = follower::Part { term, round, position, voters, offset, data, last };
+                self.on_snapshot_part(from, part);
             }
             consensus::Message::Release { term, successor } => {
-                self.released(from, term, successor);
+                self.on_release(from, term, successor);
             }
-            consensus::Message::Join { relayed } => self.asked_to_join(from, relayed),
-            consensus::Message::Form { instances } => self.asked_to_form(from, instances),
-            consensus::Message::Blank { folder } => self.found_blank(from, folder),
+            consensus::Message::Join { relayed } => self.on_join_request(from, relayed),
+            consensus::Message::Form { instances } => self.on_form_request(from, instances),
+            consensus::Message::Blank { folder } => self.on_blank_response(from, folder),
         }
     }
 
-    fn persisted(&mut self, mark: u64) {
-        self.ledger.persisted(mark);
-        while let Some(packet) = self.ledger.release() {
+    fn on_persisted(&mut self, number: u64) {
+        self.writes.on_persisted(number);
+        while let Some(packet) = self.writes.take_released() {
             self.actions.push(action::Action::Send(packet));
         }
         self.count_own_vote();
         self.advance_commit();
     }
 
-    fn snapshotted(&mut self, index: number::Index, data: Vec<u8>) {
+    fn on_snapshotted(&mut self, index: number::Index, data: Vec<u8>) {
         assert!(index <= self.committed, "only applied entries are in a snapshot");
-        if let Some(snapshot) = self.log.compact(index, data, self.settings.kept_entries) {
-            self.writing().snapshot = Some((*snapshot).clone());
+        if let Some(snapshot) = self.log.compact(index, data, self.settings.retained_entries) {
+            self.pending_write_mut().snapshot = Some((*snapshot).clone());
         }
     }
 
     /// Emits the step's write and gives the step's actions.
-    fn finish(&mut self) -> Vec<action::Action> {
-        if self.write.mark != 0 {
-            let mark = self.ledger.write(self.log.last().index);
-            let write = std::mem::take(&mut self.write);
-            assert_eq!(mark, write.mark, "marks count the writes");
+    fn take_actions(&mut self) -> Vec<action::Action> {
+        if self.pending_write.number != 0 {
+            let number = self.writes.issue(self.log.last().index);
+            let write = std::mem::take(&mut self.pending_write);
+            assert_eq!(number, write.number, "marks count the writes");
             self.actions.push(action::Action::Persist(write));
         }
         std::mem::take(&mut self.actions)
     }
 
     /// The write of this step.
-    fn writing(&mut self) -> &mut write::Write {
-        self.write.mark = self.ledger.written() + 1;
-        &mut self.write
+    fn pending_write_mut(&mut self) -> &mut write::Write {
+        self.pending_write.number = self.writes.issued() + 1;
+        &mut self.pending_write
     }
 
     /// Mark up to which must be synced before anything that rests on the state may be told.
-    fn newest_mark(&self) -> u64 {
-        self.write.mark.max(self.ledger.written())
+    fn newest_write(&self) -> u64 {
+        self.pending_write.number.max(self.writes.issued())
     }
 
     fn send(&mut self, to: &name::Instance, message: consensus::Message) {
-        let packet = self.packet(to, message);
+        let packet = self.make_packet(to, message);
         self.actions.push(action::Action::Send(packet));
     }
 
     /// Sends once everything written so far is synced: a vote or an acknowledgement that a crash
     /// could undo would let two leaders or two entries stand in one place.
-    fn send_synced(&mut self, to: &name::Instance, message: consensus::Message) {
-        let mark = self.newest_mark();
-        if mark <= self.ledger.synced() {
+    fn send_after_sync(&mut self, to: &name::Instance, message: consensus::Message) {
+        let number = self.newest_write();
+        if number <= self.writes.synced() {
             self.send(to, message);
             return;
         }
-        let packet = self.packet(to, message);
-        self.ledger.hold(mark, packet);
+        let packet = self.make_packet(to, message);
+        self.writes.hold(number, packet);
     }
 
-    fn packet(&self, to: &name::Instance, message: consensus::Message) -> consensus::Packet {
+    fn make_packet(&self, to: &name::Instance, message: consensus::Message) -> consensus::Packet {
         consensus::Packet { from: self.identity.clone(), to: to.clone(), message }
     }
 
-    fn notice(&mut self, notice: notice::Notice) {
+    fn push_notice(&mut self, notice: notice::Notice) {
         self.actions.push(action::Action::Notice(notice));
     }
 
     /// Moves to a newer term without a vote.
-    fn adopt(&mut self, term: number::Term) {
+    fn adopt_term(&mut self, term: number::Term) {
         assert!(term > self.ballot.term, "the term never goes down");
         self.set_ballot(write::Ballot { term, vote: None });
         self.leader = None;
-        self.heard = None;
+        self.leader_heard_at = None;
         self.become_follower();
     }
 
@@ -412,26 +416,26 @@
             return;
         }
         self.ballot = ballot.clone();
-        self.writing().ballot = Some(ballot);
-        self.ballot_mark = self.newest_mark();
+        self.pending_write_mut().ballot = Some(ballot);
+        self.ballot_write = self.newest_write();
     }
 
     fn become_follower(&mut self) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         self.postpone_election();
-        let Role::Leader(lead) = role else {
+        let Role::Leader(state) = role else {
             return;
         };
         if self.leader.as_ref() == Some(&self.identity) {
             self.leader = None;
         }
-        self.notice(notice::Notice::SteppedDown(self.ballot.term));
-        if let Some(addition) = lead.addition {
-            self.reject(addition.ticket);
+        self.push_notice(notice::Notice::SteppedDown(self.ballot.term));
+        if let Some(addition) = state.addition {
+            self.reject_proposal(addition.ticket);
         }
     }
 
-    fn reject(&mut self, ticket: u64) {
+    fn reject_proposal(&mut self, ticket: u64) {
         let leader = self.leader.clone();
         self.actions.push(action::Action::Rejected { ticket, leader });
     }
@@ -440,28 +444,28 @@
         self.log.voters().contains(&self.identity)
     }
 
-    fn note_committed(&mut self, entry: &consensus::Entry) {
-        let Role::Leader(lead) = &mut self.role else {
+    fn release_uncommitted_bytes(&mut self, entry: &consensus::Entry) {
+        let Role::Leader(state) = &mut self.role else {
             return;
         };
         if let consensus::Payload::Command(command) = &entry.payload
             && entry.term == self.ballot.term
         {
-            lead.waiting = lead.waiting.saturating_sub(command.len());
+            state.uncommitted_bytes = state.uncommitted_bytes.saturating_sub(command.len());
         }
     }
 
     /// Marks entries up to `index` as committed and hands them out.
-    fn commit(&mut self, index: number::Index) {
+    fn commit_through(&mut self, index: number::Index) {
         assert!(index >= self.committed, "the committed index never goes down");
         while self.committed < index {
             let next = self.committed.next();
-            let entry = self.log.get(next).expect("committed entries are here").clone();
+            let entry = self.log.entry(next).expect("committed entries are here").clone();
             assert_eq!(entry.index, next, "entries are applied in order");
             self.committed = next;
-            self.note_committed(&entry);
+            self.release_uncommitted_bytes(&entry);
             if let consensus::Payload::Voters(voters) = &entry.payload {
-                self.notice(notice::Notice::Voters(next, voters.clone()));
+                self.push_notice(notice::Notice::Voters(next, voters.clone()));
             }
             self.actions.push(action::Action::Apply(entry));
         }
--- a/crates/hyssopfork-consensus/src/node/election.rs
+++ b/crates/hyssopfork-consensus/src/node/election.rs
@@ -1,6 +1,6 @@
 //! Elections: who votes for whom, and when.
 
-use crate::node::{self, Node, lead};
+use crate::node::{self, Node, leader_state};
 use crate::{log, notice, write};
 use hyssopfork_wire::{clock, consensus, number};
 use rand::RngExt;
@@ -18,34 +18,34 @@
     /// Voters that granted; the candidate's own once its ballot is synced.
     votes: collections::BTreeSet<consensus::Voter>,
     /// Mark of the candidate's own ballot.
-    mark: u64,
+    ballot_write: u64,
 }
 
 impl Node {
     /// Picks the next time to stand for election.
     pub(super) fn postpone_election(&mut self) {
         let spread = self.settings.election_spread.as_micros() as u64;
-        let extra = Duration::from_micros(self.random.random_range(0..=spread));
-        self.deadline = self.now + self.settings.election_timeout + extra;
+        let extra = Duration::from_micros(self.rng.random_range(0..=spread));
+        self.election_at = self.now + self.settings.election_timeout + extra;
     }
 
     /// Whether this node may stand: it is a voter, or its own removal is not committed yet.
     ///
     /// The others may need its vote, which they can't get, as its log is longer by that removal. It
     /// then leads without counting itself, until the removal is committed.
-    pub(super) fn may_stand(&self) -> bool {
-        let uncommitted = self.log.voters_since() > self.committed;
-        self.is_voter() || uncommitted && self.log.former_voters().contains(&self.identity)
+    pub(super) fn is_eligible(&self) -> bool {
+        let uncommitted = self.log.voters_changed_at() > self.committed;
+        self.is_voter() || uncommitted && self.log.previous_voters().contains(&self.identity)
     }
 
-    pub(super) fn tick_voter(&mut self) {
-        if self.now < self.deadline || self.resigned {
+    pub(super) fn on_voter_tick(&mut self) {
+        if self.now < self.election_at || self.resigned {
             return;
         }
-        self.stand(true);
+        self.start_candidacy(true);
         // Its own list may be one that lost: a folder whose admission was never committed believes
         // to have a seat, nobody sends to it, and the seat would stay vacant.
-        self.ask_to_join();
+        self.request_join();
     }
 
     /// Whether votes are withheld.
@@ -53,15 +53,15 @@
     /// A leader's quorum lease rests on a quorum whose members vote for nobody else until
     /// [`node::Settings::election_timeout`] after they last heard from it. A process that has just
     /// started doesn't know whom it heard before, so it withholds its vote as long.
-    fn withholds(&self) -> bool {
+    fn is_vote_withheld(&self) -> bool {
         let since = |instant: clock::Instant| self.now.since(instant);
         let timeout = self.settings.election_timeout;
-        let hears = self.heard.is_some_and(|heard| since(heard) < timeout);
-        self.is_leader() || hears || since(self.started) < timeout
+        let hears = self.leader_heard_at.is_some_and(|heard| since(heard) < timeout);
+        self.is_leader() || hears || since(self.started_at) < timeout
     }
 
     /// Stands for election, or (`pre`) asks whether it would be elected.
-    fn stand(&mut self, pre: bool) {
+    fn start_candidacy(&mut self, pre: bool) {
         self.become_follower();
         let mut term = self.ballot.term.next();
         let votes = if pre { [self.identity.clone()].into() } else { collections::BTreeSet::new() };
@@ -69,51 +69,51 @@
             let vote = Some(self.identity.clone());
             self.set_ballot(write::Ballot { term, vote });
             self.leader = None;
-            self.heard = None;
+            self.leader_heard_at = None;
             term = self.ballot.term;
         }
-        let mark = self.newest_mark();
-        self.role = node::Role::Candidate(Candidacy { pre, votes, mark });
-        self.ask_for_votes(pre, term);
+        let number = self.newest_write();
+        self.role = node::Role::Candidate(Candidacy { pre, votes, ballot_write: number });
+        self.request_votes(pre, term);
         self.count_votes();
     }
 
-    fn ask_for_votes(&mut self, pre: bool, term: number::Term) {
+    fn request_votes(&mut self, pre: bool, term: number::Term) {
         let last = self.log.last();
-        for voter in self.others() {
+        for voter in self.other_voters() {
             let message = consensus::Message::Vote {
                 pre,
                 term,
                 last_index: last.index,
                 last_term: last.term,
             };
-            self.send_synced(&voter.instance, message);
+            self.send_after_sync(&voter.instance, message);
         }
     }
 
     /// Every voter but this one, without vacant seats.
-    pub(super) fn others(&self) -> Vec<consensus::Voter> {
+    pub(super) fn other_voters(&self) -> Vec<consensus::Voter> {
         let other = |voter: &&consensus::Voter| {
             **voter != self.identity && voter.folder != consensus::VACANT
         };
         self.log.voters().iter().filter(other).cloned().collect()
     }
 
-    pub(super) fn asked_to_vote(
+    pub(super) fn on_vote_request(
         &mut self,
         from: consensus::Voter,
         pre: bool,
         term: number::Term,
         last: log::Position,
     ) {
-        let granted = !self.withholds() && self.would_vote(&from, pre, term, last);
+        let granted = !self.is_vote_withheld() && self.try_grant_vote(&from, pre, term, last);
         let answer = if granted { term } else { self.ballot.term };
         let message = consensus::Message::Voted { pre, term: answer, granted };
-        self.send_synced(&from.instance, message);
+        self.send_after_sync(&from.instance, message);
     }
 
     /// Whether the vote is given; a real vote is written down.
-    fn would_vote(
+    fn try_grant_vote(
         &mut self,
         from: &consensus::Voter,
         pre: bool,
@@ -126,7 +126,7 @@
             return has_all && term > self.ballot.term;
         }
         if term > self.ballot.term {
-            self.adopt(term);
+            self.adopt_term(term);
         }
         let free = self.ballot.vote.as_ref().is_none_or(|vote| vote == from);
         if term < self.ballot.term || !has_all || !free {
@@ -137,7 +137,7 @@
         true
     }
 
-    pub(super) fn voted(
+    pub(super) fn on_vote_response(
         &mut self,
         from: consensus::Voter,
         pre: bool,
@@ -146,7 +146,7 @@
     ) {
         if !granted {
             if term > self.ballot.term {
-                self.adopt(term);
+                self.adopt_term(term);
             }
             return;
         }
@@ -162,11 +162,11 @@
 
     /// Counts the candidate's own vote once its ballot is synced.
     pub(super) fn count_own_vote(&mut self) {
-        let synced = self.ledger.synced();
+        let synced = self.writes.synced();
         let node::Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
-        if candidacy.pre || candidacy.mark > synced {
+        if candidacy.pre || candidacy.ballot_write > synced {
             return;
         }
         candidacy.votes.insert(self.identity.clone());
@@ -185,7 +185,7 @@
             return;
         }
         if candidacy.pre {
-            self.stand(false);
+            self.start_candidacy(false);
         } else {
             self.become_leader();
         }
@@ -194,9 +194,9 @@
     fn become_leader(&mut self) {
         assert!(self.leader.is_none(), "one leader a term");
         self.leader = Some(self.identity.clone());
-        let lead = lead::Lead::new(self.context());
-        self.role = node::Role::Leader(Box::new(lead));
-        self.notice(notice::Notice::Leads(self.ballot.term));
+        let state = leader_state::State::new(self.context());
+        self.role = node::Role::Leader(Box::new(state));
+        self.push_notice(notice::Notice::Leads(self.ballot.term));
         let first = self.log.last().index.0 == 0;
         let payload = if first {
             // Only the node that formed the log knows its voters: the others learn them here.
@@ -208,7 +208,7 @@
     }
 
     /// A leader that stops gave up its lease: the duty to withhold votes ends with it.
-    pub(super) fn released(
+    pub(super) fn on_release(
         &mut self,
         from: consensus::Voter,
         term: number::Term,
@@ -217,9 +217,9 @@
         if term != self.ballot.term || self.leader.as_ref() != Some(&from) {
             return;
         }
-        self.heard = None;
+        self.leader_heard_at = None;
         if successor == self.identity && self.is_voter() && !self.resigned {
-            self.stand(false);
+            self.start_candidacy(false);
         }
     }
 }
--- a/crates/hyssopfork-consensus/src/node/follow.rs
+++ b/crates/hyssopfork-consensus/src/node/follower.rs
@@ -49,46 +49,46 @@
 }
 
 impl Node {
-    pub(super) fn asked_to_append(&mut self, from: consensus::Voter, append: Append) {
-        if !self.follow(&from, append.term, append.round) {
+    pub(super) fn on_append(&mut self, from: consensus::Voter, append: Append) {
+        if !self.follow_leader(&from, append.term, append.round) {
             return;
         }
         let (round, committed) = (append.round, append.committed);
-        let Some(matched) = self.take_entries(append.previous, append.entries) else {
-            let hint = self.hint(append.previous.index);
-            self.answer(&from.instance, round, false, hint);
+        let Some(matched) = self.accept_entries(append.previous, append.entries) else {
+            let hint = self.conflict_hint(append.previous.index);
+            self.respond(&from.instance, round, false, hint);
             return;
         };
         let committed = committed.min(matched);
         if committed > self.committed {
-            self.commit(committed);
+            self.commit_through(committed);
         }
-        self.answer(&from.instance, round, true, matched);
+        self.respond(&from.instance, round, true, matched);
     }
 
     /// Follows `from` as leader of `term`; false when that term is over.
-    fn follow(&mut self, from: &consensus::Voter, term: number::Term, round: u64) -> bool {
+    fn follow_leader(&mut self, from: &consensus::Voter, term: number::Term, round: u64) -> bool {
         if term < self.ballot.term {
-            self.answer(&from.instance, round, false, number::Index(0));
+            self.respond(&from.instance, round, false, number::Index(0));
             return false;
         }
         if term > self.ballot.term {
-            self.adopt(term);
+            self.adopt_term(term);
         }
         if self.leader.as_ref() != Some(from) {
             assert!(self.leader.is_none(), "one leader a term");
             self.become_follower();
             self.leader = Some(from.clone());
-            self.notice(notice::Notice::Follows(term, from.clone()));
+            self.push_notice(notice::Notice::Follows(term, from.clone()));
         }
-        self.heard = Some(self.now);
+        self.leader_heard_at = Some(self.now);
         self.postpone_election();
         true
     }
 
     /// Takes entries that follow `previous`; gives the last index that now matches the leader's
     /// log, or `None` when `previous` isn't here.
-    fn take_entries(
+    fn accept_entries(
         &mut self,
         previous: log::Position,
         entries: Vec<consensus::Entry>,
@@ -103,14 +103,14 @@
         for entry in entries {
             assert_eq!(entry.index, matched.next(), "a message's entries have no gaps");
             matched = entry.index;
-            self.take_entry(entry);
+            self.accept_entry(entry);
         }
         Some(matched)
     }
 
     /// Takes one entry. Only an entry of another term is replaced: a late message with fewer
     /// entries must not cut off what was acknowledged since.
-    fn take_entry(&mut self, entry: consensus::Entry) {
+    fn accept_entry(&mut self, entry: consensus::Entry) {
         if entry.index <= self.committed {
             let term = self.log.term_at(entry.index);
             assert!(term.is_none_or(|term| term == entry.term), "committed entries stand");
@@ -122,72 +122,72 @@
             None => {}
         }
         self.log.append(entry.clone());
-        self.writing().entries.push(entry);
+        self.pending_write_mut().entries.push(entry);
     }
 
     fn truncate(&mut self, index: number::Index) {
         assert!(index > self.committed, "committed entries are never dropped");
-        assert!(self.write.entries.is_empty(), "a write drops entries before it adds any");
+        assert!(self.pending_write.entries.is_empty(), "a write drops entries before it adds any");
         self.log.truncate(index);
-        self.ledger.truncate(index);
-        self.writing().truncate = Some(index);
+        self.writes.truncate(index);
+        self.pending_write_mut().truncate = Some(index);
     }
 
     /// Where the logs may match, when they don't at `previous`.
-    fn hint(&self, previous: number::Index) -> number::Index {
+    fn conflict_hint(&self, previous: number::Index) -> number::Index {
         let last = self.log.last().index;
         if previous > last {
             return last;
         }
-        let before = number::Index(self.log.run_start(previous).0.saturating_sub(1));
+        let before = number::Index(self.log.term_start(previous).0.saturating_sub(1));
         before.max(self.committed)
     }
 
     /// Answers a leader. What was just written is acknowledged once it is synced; an answer that
     /// wrote nothing leaves at once, for what is synced already, so that a slow disk doesn't end
     /// the leader's lease.
-    fn answer(&mut self, to: &name::Instance, round: u64, accepted: bool, matched: number::Index) {
-        let wrote = self.write.mark != 0 || self.ledger.synced() < self.ballot_mark;
-        let synced = if accepted { matched.min(self.ledger.durable()) } else { matched };
+    fn respond(&mut self, to: &name::Instance, round: u64, accepted: bool, matched: number::Index) {
+        let wrote = self.pending_write.number != 0 || self.writes.synced() < self.ballot_write;
+        let synced = if accepted { matched.min(self.writes.synced_index()) } else { matched };
         let matched = if wrote { matched } else { synced };
         let term = self.ballot.term;
         let message = consensus::Message::Appended { term, round, accepted, matched };
         if wrote {
-            self.send_synced(to, message);
+            self.send_after_sync(to, message);
         } else {
             self.send(to, message);
         }
     }
 
-    pub(super) fn asked_to_install(&mut self, from: consensus::Voter, part: Part) {
-        if !self.follow(&from, part.term, part.round) {
+    pub(super) fn on_snapshot_part(&mut self, from: consensus::Voter, part: Part) {
+        if !self.follow_leader(&from, part.term, part.round) {
             return;
         }
         let round = part.round;
         let index = part.position.index;
         if index <= self.committed {
             let matched = self.committed;
-            self.answer(&from.instance, round, true, matched);
+            self.respond(&from.instance, round, true, matched);
             return;
         }
         let (voters, last) = (part.voters.clone(), part.last);
-        let taken = self.take_part(part);
+        let taken = self.accept_part(part);
         if taken && last {
-            self.install(voters);
+            self.install_snapshot(voters);
         }
         let matched = self.committed;
-        self.answer(&from.instance, round, taken, matched);
+        self.respond(&from.instance, round, taken, matched);
     }
 
     /// Takes a part; false when an earlier one is missing.
-    fn take_part(&mut self, part: Part) -> bool {
+    fn accept_part(&mut self, part: Part) -> bool {
         let arriving =
             |incoming: &Incoming| incoming.term == part.term && incoming.position == part.position;
-        if !self.incoming.as_ref().is_some_and(arriving) {
+        if !self.incoming_snapshot.as_ref().is_some_and(arriving) {
             let (term, position) = (part.term, part.position);
-            self.incoming = Some(Incoming { term, position, data: Vec::new() });
+            self.incoming_snapshot = Some(Incoming { term, position, data: Vec::new() });
         }
-        let Some(incoming) = &mut self.incoming else {
+        let Some(incoming) = &mut self.incoming_snapshot else {
             return false;
         };
         let have = incoming.data.len() as u64;
@@ -200,19 +200,19 @@
         true
     }
 
-    fn install(&mut self, voters: Vec<consensus::Voter>) {
-        let Some(incoming) = self.incoming.take() else {
+    fn install_snapshot(&mut self, voters: Vec<consensus::Voter>) {
+        let Some(incoming) = self.incoming_snapshot.take() else {
             return;
         };
         let log::Position { index, term } = incoming.position;
         let snapshot = write::Snapshot { index, term, voters, data: incoming.data };
         if self.log.term_at(index) != Some(term) {
-            self.ledger.truncate(self.committed.next());
+            self.writes.truncate(self.committed.next());
         }
         self.log.install(sync::Arc::new(snapshot.clone()));
         self.committed = index;
-        self.writing().snapshot = Some(snapshot.clone());
-        self.notice(notice::Notice::Installed(index));
+        self.pending_write_mut().snapshot = Some(snapshot.clone());
+        self.push_notice(notice::Notice::Installed(index));
         self.actions.push(action::Action::Restore(snapshot));
     }
 }
--- a/crates/hyssopfork-consensus/src/node/formation.rs
+++ b/crates/hyssopfork-consensus/src/node/formation.rs
@@ -13,30 +13,30 @@
 use std::time::Duration;
 
 /// Time between requests to join or to form.
-const ASK: Duration = Duration::from_millis(250);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Node {
     /// A node that isn't a voter asks to form the log or to be let in.
-    pub(super) fn tick_outsider(&mut self) {
-        if self.now < self.ask_at {
+    pub(super) fn on_nonvoter_tick(&mut self) {
+        if self.now < self.next_request_at {
             return;
         }
-        self.ask_at = self.now + ASK;
+        self.next_request_at = self.now + REQUEST_INTERVAL;
         if self.resigned {
             return;
         }
-        if self.may_form() {
-            self.ask_to_form();
+        if self.is_forming_instance() {
+            self.request_formation();
         }
         if !self.is_voter() {
-            self.ask_to_join();
+            self.request_join();
         }
     }
 
-    fn may_form(&self) -> bool {
+    fn is_forming_instance(&self) -> bool {
         self.settings.formation == node::Formation::Listed
             && self.is_blank()
-            && self.first_instances().first() == Some(&self.identity.instance)
+            && self.listed_instances().first() == Some(&self.identity.instance)
     }
 
     /// Whether the folder has never written anything.
@@ -47,25 +47,25 @@
     }
 
     /// The listed instances in order of name, each once.
-    fn first_instances(&self) -> Vec<name::Instance> {
+    fn listed_instances(&self) -> Vec<name::Instance> {
         let mut instances = self.settings.voters.clone();
         instances.sort();
         instances.dedup();
         instances
     }
 
-    fn ask_to_form(&mut self) {
-        let instances = self.first_instances();
+    fn request_formation(&mut self) {
+        let instances = self.listed_instances();
         for instance in &instances {
             if *instance != self.identity.instance {
                 let message = consensus::Message::Form { instances: instances.clone() };
                 self.send(instance, message);
             }
         }
-        self.form(&instances);
+        self.try_form_log(&instances);
     }
 
-    pub(super) fn ask_to_join(&mut self) {
+    pub(super) fn request_join(&mut self) {
         let seats = self.log.voters().iter().map(|voter| voter.instance.clone());
         let mut instances: collections::BTreeSet<_> = seats.collect();
         instances.extend(self.settings.voters.iter().cloned());
@@ -75,60 +75,65 @@
         }
     }
 
-    pub(super) fn asked_to_form(&mut self, from: consensus::Voter, instances: Vec<name::Instance>) {
+    pub(super) fn on_form_request(
+        &mut self,
+        from: consensus::Voter,
+        instances: Vec<name::Instance>,
+    ) {
         if !self.is_blank() {
             return;
         }
-        if instances != self.first_instances() {
-            self.list_differs(from);
+        if instances != self.listed_instances() {
+            self.report_list_mismatch(from);
             return;
         }
         self.send(&from.instance, consensus::Message::Blank { folder: from.folder });
     }
 
     /// Tells it once of each asker, which asks several times a second.
-    fn list_differs(&mut self, asker: consensus::Voter) {
-        if self.differing.as_ref() == Some(&asker) {
+    fn report_list_mismatch(&mut self, asker: consensus::Voter) {
+        if self.mismatched_voter.as_ref() == Some(&asker) {
             return;
         }
-        self.differing = Some(asker.clone());
-        self.notice(notice::Notice::ListDiffers(asker.instance));
+        self.mismatched_voter = Some(asker.clone());
+        self.push_notice(notice::Notice::ListDiffers(asker.instance));
     }
 
-    pub(super) fn found_blank(&mut self, from: consensus::Voter, folder: u64) {
-        if folder != self.identity.folder || !self.may_form() {
+    pub(super) fn on_blank_response(&mut self, from: consensus::Voter, folder: u64) {
+        if folder != self.identity.folder || !self.is_forming_instance() {
             return;
         }
-        self.blank.insert(from.instance.clone(), from);
-        self.form(&self.first_instances());
+        self.blank_folders.insert(from.instance.clone(), from);
+        self.try_form_log(&self.listed_instances());
     }
 
     /// Forms the log if every instance is known to be blank.
-    fn form(&mut self, instances: &[name::Instance]) {
-        self.blank.insert(self.identity.instance.clone(), self.identity.clone());
-        let voters = instances.iter().filter_map(|instance| self.blank.get(instance).cloned());
+    fn try_form_log(&mut self, instances: &[name::Instance]) {
+        self.blank_folders.insert(self.identity.instance.clone(), self.identity.clone());
+        let voters =
+            instances.iter().filter_map(|instance| self.blank_folders.get(instance).cloned());
         let voters: Vec<consensus::Voter> = voters.collect();
         if voters.len() < instances.len() {
             return;
         }
-        self.form_with(voters);
+        self.form_log(voters);
         self.postpone_election();
     }
 
     /// Forms the log with this folder as its only voter. Nobody else can vote, so it stands for
     /// election at once.
-    pub(super) fn form_alone(&mut self) {
+    pub(super) fn on_form(&mut self) {
         if self.is_blank() {
-            self.form_with(vec![self.identity.clone()]);
-            self.deadline = self.now;
+            self.form_log(vec![self.identity.clone()]);
+            self.election_at = self.now;
         }
     }
 
-    fn form_with(&mut self, voters: Vec<consensus::Voter>) {
+    fn form_log(&mut self, voters: Vec<consensus::Voter>) {
         let (index, term) = (number::Index(0), number::Term(0));
         let snapshot = write::Snapshot { index, term, voters: voters.clone(), data: Vec::new() };
         self.log = log::Log::new(Some(snapshot.clone()), Vec::new());
-        self.writing().snapshot = Some(snapshot);
-        self.notice(notice::Notice::Formed(voters));
+        self.pending_write_mut().snapshot = Some(snapshot);
+        self.push_notice(notice::Notice::Formed(voters));
     }
 }
--- a/crates/hyssopfork-consensus/src/node/leadership.rs
+++ b/crates/hyssopfork-consensus/src/node/leader.rs
@@ -1,19 +1,19 @@
 //! Leading: proposals, commitment, heartbeats and handing over.
 
-use crate::node::{self, Node, lead};
+use crate::node::{self, Node, leader_state};
 use crate::{action, notice};
 use hyssopfork_wire::{clock, consensus, number};
 
 /// Entries that may wait to be committed; proposals over it are rejected, since a leader cut off
 /// from its quorum would otherwise gather them without bound.
-const UNCOMMITTED_LIMIT: u64 = 4_096;
+const MAX_UNCOMMITTED_ENTRIES: u64 = 4_096;
 
 /// Bytes of commands that may wait to be committed.
-const UNCOMMITTED_BYTES: usize = 16 << 20;
+const MAX_UNCOMMITTED_BYTES: usize = 16 << 20;
 
 impl Node {
-    pub(super) fn context(&self) -> lead::Context<'_> {
-        lead::Context {
+    pub(super) fn context(&self) -> leader_state::Context<'_> {
+        leader_state::Context {
             identity: &self.identity,
             log: &self.log,
             term: self.ballot.term,
@@ -23,8 +23,10 @@
     }
 
     /// The leader's state beside what it reads of its node; `None` unless this node leads.
-    pub(super) fn leading(&mut self) -> Option<(&mut lead::Lead, lead::Context<'_>)> {
-        let context = lead::Context {
+    pub(super) fn leader_state(
+        &mut self,
+    ) -> Option<(&mut leader_state::State, leader_state::Context<'_>)> {
+        let context = leader_state::Context {
             identity: &self.identity,
             log: &self.log,
             term: self.ballot.term,
@@ -32,82 +34,85 @@
             now: self.now,
         };
         match &mut self.role {
-            node::Role::Leader(lead) => Some((lead, context)),
+            node::Role::Leader(state) => Some((state, context)),
             node::Role::Candidate(_) | node::Role::Follower => None,
         }
     }
 
     /// Runs `work` on the leader's state and sends what it gives.
-    fn with_lead(
+    fn send_as_leader(
         &mut self,
-        work: impl FnOnce(&mut lead::Lead, lead::Context<'_>) -> Vec<lead::Parcel>,
+        work: impl FnOnce(
+            &mut leader_state::State,
+            leader_state::Context<'_>,
+        ) -> Vec<leader_state::Outgoing>,
     ) {
-        let Some((lead, context)) = self.leading() else {
+        let Some((state, context)) = self.leader_state() else {
             return;
         };
-        for parcel in work(lead, context) {
-            self.send(&parcel.to, parcel.message);
+        for outgoing in work(state, context) {
+            self.send(&outgoing.to, outgoing.message);
         }
     }
 
     pub(super) fn replicate(&mut self) {
-        self.with_lead(|lead, context| lead.replicate(context));
+        self.send_as_leader(|state, context| state.replicate(context));
     }
 
     /// Steps down when no quorum answers: before each event, since after a pause the first one may
     /// be a proposal.
     pub(super) fn check_quorum(&mut self) {
-        if self.is_leader() && !self.hears_quorum() {
-            self.notice(notice::Notice::QuorumLost(self.ballot.term));
+        if self.is_leader() && !self.has_quorum_contact() {
+            self.push_notice(notice::Notice::QuorumLost(self.ballot.term));
             self.become_follower();
         }
     }
 
-    pub(super) fn tick_leader(&mut self) {
+    pub(super) fn on_leader_tick(&mut self) {
         let interval = self.settings.heartbeat;
-        self.with_lead(|lead, context| {
-            if context.now < lead.heartbeat_at {
+        self.send_as_leader(|state, context| {
+            if context.now < state.next_heartbeat_at {
                 return Vec::new();
             }
-            lead.heartbeat_at = context.now + interval;
-            lead.heartbeat(context)
+            state.next_heartbeat_at = context.now + interval;
+            state.heartbeats(context)
         });
         self.replicate();
-        self.admit();
-        self.hand_over();
+        self.admit_ready_learner();
+        self.try_hand_over();
     }
 
     /// Whether a quorum answered within an election timeout.
     ///
     /// A leader that is cut off from its quorum would otherwise go on taking proposals that can't
     /// be committed, and its callers would wait in place of asking the next leader.
-    fn hears_quorum(&self) -> bool {
-        let node::Role::Leader(lead) = &self.role else {
+    fn has_quorum_contact(&self) -> bool {
+        let node::Role::Leader(state) = &self.role else {
             return false;
         };
-        let contact = lead.contact(self.context());
+        let contact = state.quorum_contact(self.context());
         let timeout = self.settings.election_timeout;
         contact.is_some_and(|contact| self.now.since(contact) < timeout)
     }
 
-    pub(super) fn propose(&mut self, ticket: u64, command: Vec<u8>) {
+    pub(super) fn on_propose(&mut self, ticket: u64, command: Vec<u8>) {
         let entries = self.log.last().index.0 - self.committed.0;
-        let node::Role::Leader(lead) = &mut self.role else {
-            self.reject(ticket);
+        let node::Role::Leader(state) = &mut self.role else {
+            self.reject_proposal(ticket);
             return;
         };
-        let bytes = lead.waiting + command.len();
-        let full = entries >= UNCOMMITTED_LIMIT || bytes > UNCOMMITTED_BYTES;
-        if self.resigned || full || command.len() > node::COMMAND_LIMIT {
-            self.reject(ticket);
+        let bytes = state.uncommitted_bytes + command.len();
+        let full = entries >= MAX_UNCOMMITTED_ENTRIES || bytes > MAX_UNCOMMITTED_BYTES;
+        if self.resigned || full || command.len() > node::MAX_COMMAND_BYTES {
+            self.reject_proposal(ticket);
             return;
         }
-        lead.waiting = bytes;
-        self.append_for(ticket, consensus::Payload::Command(command));
+        state.uncommitted_bytes = bytes;
+        self.append_proposal(ticket, consensus::Payload::Command(command));
     }
 
     /// Appends for an owner's ticket.
-    pub(super) fn append_for(&mut self, ticket: u64, payload: consensus::Payload) {
+    pub(super) fn append_proposal(&mut self, ticket: u64, payload: consensus::Payload) {
         let index = self.append(payload);
         let term = self.ballot.term;
         self.actions.push(action::Action::Proposed { ticket, index, term });
@@ -118,31 +123,31 @@
         let index = self.log.last().index.next();
         let entry = consensus::Entry { index, term: self.ballot.term, payload };
         self.log.append(entry.clone());
-        self.writing().entries.push(entry);
+        self.pending_write_mut().entries.push(entry);
         self.replicate();
         index
     }
 
-    pub(super) fn appended(
+    pub(super) fn on_append_response(
         &mut self,
         from: consensus::Voter,
         term: number::Term,
-        answer: lead::Answer,
+        response: leader_state::Response,
     ) {
         if term > self.ballot.term {
-            self.adopt(term);
+            self.adopt_term(term);
             return;
         }
         if term < self.ballot.term {
             return;
         }
-        if let node::Role::Leader(lead) = &mut self.role {
-            lead.answered(&from, answer);
+        if let node::Role::Leader(state) = &mut self.role {
+            state.on_response(&from, response);
         }
         self.advance_commit();
         self.replicate();
-        self.admit();
-        self.hand_over();
+        self.admit_ready_learner();
+        self.try_hand_over();
     }
 
     /// Commits what a quorum has, if it ends with an entry of this term.
@@ -150,15 +155,15 @@
     /// An entry of an earlier term that a quorum has may still be replaced by a leader that lacks
     /// it; one of this term after it rules that out.
     pub(super) fn advance_commit(&mut self) {
-        let node::Role::Leader(lead) = &self.role else {
+        let node::Role::Leader(state) = &self.role else {
             return;
         };
-        let agreed = lead.agreed(self.context(), self.ledger.durable());
+        let agreed = state.quorum_index(self.context(), self.writes.synced_index());
         if agreed <= self.committed || self.log.term_at(agreed) != Some(self.ballot.term) {
             return;
         }
-        self.commit(agreed);
-        if !self.is_voter() && self.log.voters_since() <= self.committed {
+        self.commit_through(agreed);
+        if !self.is_voter() && self.log.voters_changed_at() <= self.committed {
             self.become_follower();
         }
     }
@@ -167,53 +172,53 @@
         self.log.term_at(self.committed) == Some(self.ballot.term)
     }
 
-    pub(super) fn resign(&mut self) {
+    pub(super) fn on_resign(&mut self) {
         self.resigned = true;
-        if let node::Role::Leader(lead) = &mut self.role {
-            lead.resigning = Some(self.now);
+        if let node::Role::Leader(state) = &mut self.role {
+            state.handover_since = Some(self.now);
         }
-        self.hand_over();
+        self.try_hand_over();
     }
 
     /// Hands leadership to a voter that has the whole log, or to the best one after an election
     /// timeout.
-    fn hand_over(&mut self) {
-        let node::Role::Leader(lead) = &self.role else {
+    fn try_hand_over(&mut self) {
+        let node::Role::Leader(state) = &self.role else {
             return;
         };
-        let Some(since) = lead.resigning else {
+        let Some(since) = state.handover_since else {
             return;
         };
-        let Some(successor) = self.successor(lead) else {
+        let Some(successor) = self.choose_successor(state) else {
             self.become_follower();
             return;
         };
-        let matched = lead.progress[&successor].matched;
+        let matched = state.progress[&successor].matched;
         let late = self.now.since(since) >= self.settings.election_timeout;
         if matched < self.log.last().index && !late {
             return;
         }
-        self.release(successor);
+        self.hand_over_to(successor);
     }
 
     /// Voter with the longest log, the one heard from last among equals.
-    fn successor(&self, lead: &lead::Lead) -> Option<consensus::Voter> {
+    fn choose_successor(&self, state: &leader_state::State) -> Option<consensus::Voter> {
         let rank = |voter: &consensus::Voter| -> (number::Index, clock::Instant) {
-            let progress = &lead.progress[voter];
-            (progress.matched, progress.contact)
+            let progress = &state.progress[voter];
+            (progress.matched, progress.last_contact)
         };
-        self.others().into_iter().max_by_key(rank)
+        self.other_voters().into_iter().max_by_key(rank)
     }
 
     /// Gives up the lease for good, tells everyone, and leads no more: a heartbeat after this would
     /// bind the voters again.
-    fn release(&mut self, successor: consensus::Voter) {
+    fn hand_over_to(&mut self, successor: consensus::Voter) {
         let term = self.ballot.term;
-        for voter in self.others() {
+        for voter in self.other_voters() {
             let successor = successor.clone();
             self.send(&voter.instance, consensus::Message::Release { term, successor });
         }
-        self.notice(notice::Notice::HandedOver(term, successor));
+        self.push_notice(notice::Notice::HandedOver(term, successor));
         self.become_follower();
     }
 }
--- a/crates/hyssopfork-consensus/src/node/lead.rs
+++ b/crates/hyssopfork-consensus/src/node/leader_state.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 /// Bytes of entries after which a message is full; one longer entry travels alone.
-const BATCH_BYTES: usize = 64 << 10;
+const MAX_BATCH_BYTES: usize = 64 << 10;
 
 /// Bytes of one part of a snapshot.
-pub const PART_BYTES: usize = 64 << 10;
+pub const MAX_PART_BYTES: usize = 64 << 10;
 
 /// Time after which an unanswered part of a snapshot is sent again.
-const PART_RETRY: Duration = Duration::from_millis(300);
+const PART_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Silence after which a follower gets no parts until it answers a heartbeat.
-const PART_SILENCE: Duration = Duration::from_secs(2);
+const PART_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a leader reads of its node.
 #[derive(Clone, Copy)]
@@ -36,7 +36,7 @@
 
 /// A message to an instance.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct Outgoing {
     /// Receiver.
     pub to: name::Instance,
     /// Message.
@@ -45,7 +45,7 @@
 
 /// An answer of a follower.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Answered round.
     pub round: u64,
     /// Whether the logs match up to `matched`.
@@ -65,117 +65,121 @@
 
 /// A leader.
 #[derive(Debug)]
-pub struct Lead {
+pub struct State {
     /// Every voter but the leader, and every learner.
     pub progress: collections::BTreeMap<consensus::Voter, progress::Progress>,
     /// Folders that ask to join, newest of each instance.
-    pub joiners: collections::BTreeMap<name::Instance, consensus::Voter>,
+    pub join_requests: collections::BTreeMap<name::Instance, consensus::Voter>,
     /// Voter that an operator adds, until it has caught up.
     pub addition: Option<Addition>,
     /// When the next heartbeats are due.
-    pub heartbeat_at: clock::Instant,
+    pub next_heartbeat_at: clock::Instant,
     /// Bytes of this leader's commands that wait to be committed.
-    pub waiting: usize,
+    pub uncommitted_bytes: usize,
     /// Since when leadership is being handed over.
-    pub resigning: Option<clock::Instant>,
+    pub handover_since: Option<clock::Instant>,
     round: u64,
 }
 
-impl Lead {
+impl State {
     /// A new leader among `voters`.
-    pub fn new(context: Context<'_>) -> Lead {
-        let mut lead = Lead {
+    pub fn new(context: Context<'_>) -> State {
+        let mut state = State {
             progress: collections::BTreeMap::new(),
-            joiners: collections::BTreeMap::new(),
+            join_requests: collections::BTreeMap::new(),
             addition: None,
-            heartbeat_at: context.now,
-            waiting: 0,
-            resigning: None,
+            next_heartbeat_at: context.now,
+            uncommitted_bytes: 0,
+            handover_since: None,
             round: 0,
         };
-        lead.follow_voters(context);
-        lead
+        state.track_voters(context);
+        state
     }
 
     /// Keeps the progress of exactly the voters and the learners that ask to join.
-    pub fn follow_voters(&mut self, context: Context<'_>) {
+    pub fn track_voters(&mut self, context: Context<'_>) {
         let voters = context.log.voters();
-        let joiners = &self.joiners;
+        let joiners = &self.join_requests;
         self.progress.retain(|voter, _| {
             voters.contains(voter) || joiners.get(&voter.instance) == Some(voter)
         });
         for voter in voters {
             if voter != context.identity && voter.folder != consensus::VACANT {
-                self.watch(voter, context);
+                self.track(voter, context);
             }
         }
     }
 
     /// Starts to send the log to `voter`.
-    pub fn watch(&mut self, voter: &consensus::Voter, context: Context<'_>) {
+    pub fn track(&mut self, voter: &consensus::Voter, context: Context<'_>) {
         let last = context.log.last().index;
         let fresh = || progress::Progress::new(last, context.now);
         self.progress.entry(voter.clone()).or_insert_with(fresh);
     }
 
     /// Messages to all, whether or not there is anything to say.
-    pub fn heartbeat(&mut self, context: Context<'_>) -> Vec<Parcel> {
-        let mut parcels = Vec::new();
+    pub fn heartbeats(&mut self, context: Context<'_>) -> Vec<Outgoing> {
+        let mut messages_out = Vec::new();
         for (voter, progress) in &mut self.progress {
             self.round += 1;
-            progress.sent(self.round, context.now);
-            let message = empty(context, self.round, progress);
-            parcels.push(Parcel { to: voter.instance.clone(), message });
+            progress.record_round(self.round, context.now);
+            let message = heartbeat_message(context, self.round, progress);
+            messages_out.push(Outgoing { to: voter.instance.clone(), message });
         }
-        parcels
+        messages_out
     }
 
     /// What each follower lacks, as far as it may be on its way.
-    pub fn replicate(&mut self, context: Context<'_>) -> Vec<Parcel> {
-        let mut parcels = Vec::new();
+    pub fn replicate(&mut self, context: Context<'_>) -> Vec<Outgoing> {
+        let mut messages_out = Vec::new();
         for (voter, progress) in &mut self.progress {
-            let messages = catch_up(context, &mut self.round, progress);
-            let parcel = |message| Parcel { to: voter.instance.clone(), message };
-            parcels.extend(messages.into_iter().map(parcel));
+            let messages = replication_messages(context, &mut self.round, progress);
+            let outgoing = |message| Outgoing { to: voter.instance.clone(), message };
+            messages_out.extend(messages.into_iter().map(outgoing));
         }
-        parcels
+        messages_out
     }
 
     /// Takes an answer.
-    pub fn answered(&mut self, from: &consensus::Voter, answer: Answer) {
+    pub fn on_response(&mut self, from: &consensus::Voter, response: Response) {
         let Some(progress) = self.progress.get_mut(from) else {
             return;
         };
-        progress.answered(answer.round);
-        if progress.transfer.as_ref().is_some_and(|transfer| transfer.round == answer.round) {
-            take_part(progress, answer);
+        progress.on_response(response.round);
+        if progress.transfer.as_ref().is_some_and(|transfer| transfer.round == response.round) {
+            advance_transfer(progress, response);
             return;
         }
-        if answer.accepted {
-            progress.accepted(answer.matched);
+        if response.accepted {
+            progress.on_accepted(response.matched);
         } else {
-            progress.refused(answer.round, answer.matched);
+            progress.on_rejected(response.round, response.matched);
         }
     }
 
     /// Newest index that a quorum has on disk; the leader's own disk has it up to `durable`.
-    pub fn agreed(&self, context: Context<'_>, durable: number::Index) -> number::Index {
+    pub fn quorum_index(&self, context: Context<'_>, durable: number::Index) -> number::Index {
         let matched = |progress: &progress::Progress| progress.matched;
-        self.at_quorum(context, durable, matched).unwrap_or_default()
+        self.quorum_value(context, durable, matched).unwrap_or_default()
     }
 
     /// When the newest round that a quorum answered was sent, for the oldest of its answers.
-    pub fn upheld(&self, context: Context<'_>, now: clock::Instant) -> Option<clock::Instant> {
-        self.at_quorum(context, Some(now), |progress| progress.upheld)?
+    pub fn quorum_lease_start(
+        &self,
+        context: Context<'_>,
+        now: clock::Instant,
+    ) -> Option<clock::Instant> {
+        self.quorum_value(context, Some(now), |progress| progress.lease_start)?
     }
 
     /// When a quorum was last heard from.
-    pub fn contact(&self, context: Context<'_>) -> Option<clock::Instant> {
-        self.at_quorum(context, Some(context.now), |progress| Some(progress.contact))?
+    pub fn quorum_contact(&self, context: Context<'_>) -> Option<clock::Instant> {
+        self.quorum_value(context, Some(context.now), |progress| Some(progress.last_contact))?
     }
 
     /// Greatest value that a quorum reaches. A vacant seat reaches nothing.
-    fn at_quorum<T: Copy + Default + Ord>(
+    fn quorum_value<T: Copy + Default + Ord>(
         &self,
         context: Context<'_>,
         own: T,
@@ -195,15 +199,19 @@
 }
 
 /// A message without entries. One to a follower that gets a snapshot builds on nothing.
-fn empty(context: Context<'_>, round: u64, progress: &progress::Progress) -> consensus::Message {
+fn heartbeat_message(
+    context: Context<'_>,
+    round: u64,
+    progress: &progress::Progress,
+) -> consensus::Message {
     let previous = number::Index(progress.next.0 - 1);
     let known = context.log.term_at(previous).filter(|_| progress.transfer.is_none());
     let previous =
         known.map_or(log::Position::default(), |term| log::Position { index: previous, term });
-    append(context, round, previous, Vec::new())
+    append_message(context, round, previous, Vec::new())
 }
 
-fn append(
+fn append_message(
     context: Context<'_>,
     round: u64,
     previous: log::Position,
@@ -220,7 +228,7 @@
 }
 
 /// Messages that a follower has room for.
-fn catch_up(
+fn replication_messages(
     context: Context<'_>,
     round: &mut u64,
     progress: &mut progress::Progress,
@@ -231,16 +239,16 @@
     if progress.transfer.is_none() && progress.next <= context.log.base().index {
         start_transfer(context, progress);
     }
-    while progress.has_room() && progress.next <= context.log.last().index {
+    while progress.has_capacity() && progress.next <= context.log.last().index {
         *round += 1;
-        messages.push(batch(context, *round, progress));
+        messages.push(next_batch(context, *round, progress));
     }
-    messages.extend(part(context, round, progress));
+    messages.extend(next_part(context, round, progress));
     messages
 }
 
 /// The next entries, as many as fit.
-fn batch(
+fn next_batch(
     context: Context<'_>,
     round: u64,
     progress: &mut progress::Progress,
@@ -250,23 +258,23 @@
     let mut entries = Vec::new();
     let mut bytes = 0;
     let mut last = index;
-    while let Some(entry) = context.log.get(last.next()) {
-        let size = log::size(entry);
-        if bytes + size > BATCH_BYTES && !entries.is_empty() {
+    while let Some(entry) = context.log.entry(last.next()) {
+        let size = log::entry_bytes(entry);
+        if bytes + size > MAX_BATCH_BYTES && !entries.is_empty() {
             break;
         }
         bytes += size;
         last = entry.index;
         entries.push(entry.clone());
     }
-    progress.sent(round, context.now);
-    progress.sent_entries(last, bytes);
-    append(context, round, log::Position { index, term }, entries)
+    progress.record_round(round, context.now);
+    progress.record_entries(last, bytes);
+    append_message(context, round, log::Position { index, term }, entries)
 }
 
 fn start_transfer(context: Context<'_>, progress: &mut progress::Progress) {
     let snapshot = context.log.snapshot().expect("entries are dropped only for a snapshot");
-    progress.forget_flight();
+    progress.clear_in_flight();
     progress.transfer = Some(progress::Transfer {
         snapshot: sync::Arc::clone(snapshot),
         offset: 0,
@@ -276,27 +284,27 @@
 }
 
 /// The part of a snapshot that is due, if any.
-fn part(
+fn next_part(
     context: Context<'_>,
     round: &mut u64,
     progress: &mut progress::Progress,
 ) -> Option<consensus::Message> {
-    let silent = context.now.since(progress.contact) >= PART_SILENCE;
+    let silent = context.now.since(progress.last_contact) >= PART_SILENCE_TIMEOUT;
     let transfer = progress.transfer.as_mut().filter(|_| !silent)?;
-    if transfer.round != 0 && context.now.since(transfer.sent) < PART_RETRY {
+    if transfer.round != 0 && context.now.since(transfer.sent) < PART_RETRY_INTERVAL {
         return None;
     }
     *round += 1;
     transfer.round = *round;
     transfer.sent = context.now;
     let message = part_message(context, transfer);
-    progress.sent(*round, context.now);
+    progress.record_round(*round, context.now);
     Some(message)
 }
 
 fn part_message(context: Context<'_>, transfer: &progress::Transfer) -> consensus::Message {
     let snapshot = &transfer.snapshot;
-    let end = snapshot.data.len().min(transfer.offset + PART_BYTES);
+    let end = snapshot.data.len().min(transfer.offset + MAX_PART_BYTES);
     consensus::Message::Snapshot {
         term: context.term,
         round: transfer.round,
@@ -310,17 +318,17 @@
 }
 
 /// Moves a transfer on; a follower that lost the earlier parts refuses and gets the first again.
-fn take_part(progress: &mut progress::Progress, answer: Answer) {
+fn advance_transfer(progress: &mut progress::Progress, response: Response) {
     let Some(mut transfer) = progress.transfer.take() else {
         return;
     };
     transfer.round = 0;
-    transfer.offset = if answer.accepted { transfer.offset + PART_BYTES } else { 0 };
-    if transfer.offset < transfer.snapshot.data.len() || !answer.accepted {
+    transfer.offset = if response.accepted { transfer.offset + MAX_PART_BYTES } else { 0 };
+    if transfer.offset < transfer.snapshot.data.len() || !response.accepted {
         progress.transfer = Some(transfer);
         return;
     }
-    progress.accepted(answer.matched);
+    progress.on_accepted(response.matched);
     progress.next = progress.next.max(transfer.snapshot.index.next());
     progress.probing = true;
 }
--- a/crates/hyssopfork-consensus/src/node/progress.rs
+++ b/crates/hyssopfork-consensus/src/node/progress.rs
@@ -6,14 +6,14 @@
 use std::sync;
 
 /// Messages with entries that may be on their way to one follower at once.
-const FLIGHT_LIMIT: usize = 16;
+const MAX_IN_FLIGHT_MESSAGES: usize = 16;
 
 /// Bytes of entries that may be on their way to one follower at once. They queue at the leader's link
 /// before its heartbeats, and the heartbeat to each follower waits for those to all.
-const FLIGHT_BYTES: usize = 128 << 10;
+const MAX_IN_FLIGHT_BYTES: usize = 128 << 10;
 
 /// Unanswered rounds that are remembered; older ones can't extend a lease any more.
-const ROUND_LIMIT: usize = 256;
+const MAX_UNANSWERED_ROUNDS: usize = 256;
 
 /// A message that was sent and may be answered.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 
 /// A message with entries that is on its way.
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct Batch {
     last: number::Index,
     bytes: usize,
 }
@@ -56,21 +56,21 @@
     /// When the newest answered round was sent, or else since when the follower is watched. Not
     /// when the answer was read: after a pause old answers are read late, and would make a leader
     /// believe in voters that are gone.
-    pub contact: clock::Instant,
+    pub last_contact: clock::Instant,
     /// When the newest answered round was sent.
-    pub upheld: Option<clock::Instant>,
+    pub lease_start: Option<clock::Instant>,
     /// Snapshot that is being sent.
     pub transfer: Option<Transfer>,
     /// Messages with entries that are on their way.
-    flight: collections::VecDeque<Flight>,
+    in_flight: collections::VecDeque<Batch>,
     rounds: collections::VecDeque<Round>,
     /// Newest round sent.
-    newest: u64,
+    newest_round: u64,
     /// Refusals of rounds up to this one are settled.
     ///
     /// Each refusal is answered by sending again; refusals that the network doubled would double
     /// the messages each time, without end.
-    settled: u64,
+    handled_rejections: u64,
 }
 
 impl Progress {
@@ -80,75 +80,75 @@
             next: last.next(),
             matched: number::Index(0),
             probing: true,
-            contact: now,
-            upheld: None,
+            last_contact: now,
+            lease_start: None,
             transfer: None,
-            flight: collections::VecDeque::new(),
+            in_flight: collections::VecDeque::new(),
             rounds: collections::VecDeque::new(),
-            newest: 0,
-            settled: 0,
+            newest_round: 0,
+            handled_rejections: 0,
         }
     }
 
     /// Whether another message with entries may be sent.
-    pub fn has_room(&self) -> bool {
-        let limit = if self.probing { 1 } else { FLIGHT_LIMIT };
-        let bytes: usize = self.flight.iter().map(|flight| flight.bytes).sum();
-        self.transfer.is_none() && self.flight.len() < limit && bytes < FLIGHT_BYTES
+    pub fn has_capacity(&self) -> bool {
+        let limit = if self.probing { 1 } else { MAX_IN_FLIGHT_MESSAGES };
+        let bytes: usize = self.in_flight.iter().map(|flight| flight.bytes).sum();
+        self.transfer.is_none() && self.in_flight.len() < limit && bytes < MAX_IN_FLIGHT_BYTES
     }
 
     /// Notes a sent message.
-    pub fn sent(&mut self, number: u64, now: clock::Instant) {
-        self.newest = number;
-        if self.rounds.len() == ROUND_LIMIT {
+    pub fn record_round(&mut self, number: u64, now: clock::Instant) {
+        self.newest_round = number;
+        if self.rounds.len() == MAX_UNANSWERED_ROUNDS {
             self.rounds.pop_front();
         }
         self.rounds.push_back(Round { number, sent: now });
     }
 
     /// Notes sent entries up to `last`, of `bytes` in all.
-    pub fn sent_entries(&mut self, last: number::Index, bytes: usize) {
-        self.flight.push_back(Flight { last, bytes });
+    pub fn record_entries(&mut self, last: number::Index, bytes: usize) {
+        self.in_flight.push_back(Batch { last, bytes });
         self.next = last.next();
     }
 
     /// Notes an answer: the quorum lease is measured from when the answered round was sent.
-    pub fn answered(&mut self, number: u64) {
+    pub fn on_response(&mut self, number: u64) {
         while let Some(round) = self.rounds.front()
             && round.number <= number
         {
             if round.number == number {
-                self.upheld = self.upheld.max(Some(round.sent));
-                self.contact = self.contact.max(round.sent);
+                self.lease_start = self.lease_start.max(Some(round.sent));
+                self.last_contact = self.last_contact.max(round.sent);
             }
             self.rounds.pop_front();
         }
     }
 
     /// The follower has everything up to `matched` on its disk.
-    pub fn accepted(&mut self, matched: number::Index) {
+    pub fn on_accepted(&mut self, matched: number::Index) {
         self.probing = false;
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched.next());
-        while self.flight.front().is_some_and(|flight| flight.last <= self.matched) {
-            self.flight.pop_front();
+        while self.in_flight.front().is_some_and(|flight| flight.last <= self.matched) {
+            self.in_flight.pop_front();
         }
     }
 
     /// Counts nothing as on its way any more.
-    pub fn forget_flight(&mut self) {
-        self.flight.clear();
+    pub fn clear_in_flight(&mut self) {
+        self.in_flight.clear();
     }
 
     /// The follower lacks what round `number` built on; its log may match up to `hint`. A late
     /// refusal, from before what is known to match, tells nothing.
-    pub fn refused(&mut self, number: u64, hint: number::Index) {
-        if number <= self.settled || hint < self.matched {
+    pub fn on_rejected(&mut self, number: u64, hint: number::Index) {
+        if number <= self.handled_rejections || hint < self.matched {
             return;
         }
-        self.settled = self.newest;
+        self.handled_rejections = self.newest_round;
         self.probing = true;
-        self.forget_flight();
+        self.clear_in_flight();
         let before = number::Index(self.next.0 - 1);
         self.next = hint.min(before).max(self.matched).next();
     }
--- a/crates/hyssopfork-consensus/src/node/ledger.rs
+++ b/crates/hyssopfork-consensus/src/node/write_tracker.rs
@@ -6,33 +6,33 @@
 /// A write that is not known to be synced.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    mark: u64,
+    number: u64,
     /// Last index of the log after the write.
-    last: number::Index,
+    last_index: number::Index,
 }
 
 /// Writes and what waits for them.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Tracker {
     /// Mark of the newest write asked for.
-    written: u64,
+    issued: u64,
     /// Mark up to which all is synced.
     synced: u64,
     /// Last index of the log that is synced.
-    durable: number::Index,
+    synced_index: number::Index,
     pending: collections::VecDeque<Pending>,
-    waiting: collections::VecDeque<(u64, consensus::Packet)>,
+    held_packets: collections::VecDeque<(u64, consensus::Packet)>,
 }
 
-impl Ledger {
+impl Tracker {
     /// A ledger for a log that is synced up to `durable`.
-    pub fn new(durable: number::Index) -> Ledger {
-        Ledger { durable, ..Ledger::default() }
+    pub fn new(durable: number::Index) -> Tracker {
+        Tracker { synced_index: durable, ..Tracker::default() }
     }
 
     /// Mark of the newest write.
-    pub fn written(&self) -> u64 {
-        self.written
+    pub fn issued(&self) -> u64 {
+        self.issued
     }
 
     /// Mark up to which all is synced.
@@ -41,47 +41,47 @@
     }
 
     /// Last index of the log that is synced.
-    pub fn durable(&self) -> number::Index {
-        self.durable
+    pub fn synced_index(&self) -> number::Index {
+        self.synced_index
     }
 
     /// Mark for the next write, after which the log ends at `last`.
-    pub fn write(&mut self, last: number::Index) -> u64 {
-        self.written += 1;
-        self.pending.push_back(Pending { mark: self.written, last });
-        self.written
+    pub fn issue(&mut self, last: number::Index) -> u64 {
+        self.issued += 1;
+        self.pending.push_back(Pending { number: self.issued, last_index: last });
+        self.issued
     }
 
     /// The log lost `index` and all after it: a write of them that is synced later tells nothing.
     pub fn truncate(&mut self, index: number::Index) {
         let last = number::Index(index.0 - 1);
-        self.durable = self.durable.min(last);
+        self.synced_index = self.synced_index.min(last);
         for pending in &mut self.pending {
-            pending.last = pending.last.min(last);
+            pending.last_index = pending.last_index.min(last);
         }
     }
 
     /// Everything up to `mark` is synced.
-    pub fn persisted(&mut self, mark: u64) {
-        assert!(mark <= self.written, "only what was asked for can be synced");
-        self.synced = self.synced.max(mark);
+    pub fn on_persisted(&mut self, number: u64) {
+        assert!(number <= self.issued, "only what was asked for can be synced");
+        self.synced = self.synced.max(number);
         while let Some(pending) = self.pending.front()
-            && pending.mark <= mark
+            && pending.number <= number
         {
-            self.durable = pending.last;
+            self.synced_index = pending.last_index;
             self.pending.pop_front();
         }
     }
 
     /// Keeps `packet` until the write with `mark` is synced.
-    pub fn hold(&mut self, mark: u64, packet: consensus::Packet) {
-        self.waiting.push_back((mark, packet));
+    pub fn hold(&mut self, number: u64, packet: consensus::Packet) {
+        self.held_packets.push_back((number, packet));
     }
 
     /// Next held message whose write is synced.
-    pub fn release(&mut self) -> Option<consensus::Packet> {
+    pub fn take_released(&mut self) -> Option<consensus::Packet> {
         let synced = self.synced;
-        let (_, packet) = self.waiting.pop_front_if(|(mark, _)| *mark <= synced)?;
+        let (_, packet) = self.held_packets.pop_front_if(|(number, _)| *number <= synced)?;
         Some(packet)
     }
 }
--- a/crates/hyssopfork-consensus/src/notice.rs
+++ b/crates/hyssopfork-consensus/src/notice.rs
@@ -72,9 +72,11 @@
                 formatter,
                 "led in term {term} but a majority of voters is silent; check their processes and the network"
             ),
-            Notice::Formed(voters) => write!(formatter, "formed the log with {}", names(voters)),
+            Notice::Formed(voters) => {
+                write!(formatter, "formed the log with {}", format_voters(voters))
+            }
             Notice::Voters(index, voters) => {
-                write!(formatter, "voters from index {index} on: {}", names(voters))
+                write!(formatter, "voters from index {index} on: {}", format_voters(voters))
             }
             Notice::CatchingUp(voter) => {
                 write!(formatter, "catching up {} with a new folder", voter.instance)
@@ -96,7 +98,7 @@
 }
 
 /// Voters as a list of instances.
-fn names(voters: &[consensus::Voter]) -> String {
+fn format_voters(voters: &[consensus::Voter]) -> String {
     let seat = |voter: &consensus::Voter| match voter.folder {
         consensus::VACANT => format!("{} (vacant)", voter.instance),
         _ => voter.instance.to_string(),
--- a/crates/hyssopfork-consensus/src/recovery.rs
+++ b/crates/hyssopfork-consensus/src/recovery.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovery {
     /// Last index of the log that is kept. What the lost disks alone had after it is gone.
-    pub kept: number::Index,
+    pub last_index: number::Index,
     /// Voters that no longer count; their folders must be wiped before they start again.
-    pub removed: Vec<consensus::Voter>,
+    pub removed_voters: Vec<consensus::Voter>,
 }
 
 /// Makes the voter of the folder at `path` the only one, so that it can lead and commit alone.
@@ -18,13 +18,16 @@
 /// Every other control process must be stopped, and its folder wiped before it starts again: a
 /// majority of the old voters that came back would go on with the old log beside this one. Run it
 /// on the surviving folder with the longest log of the newest term.
-pub fn stand_alone(path: &path::Path, instance: &name::Instance) -> Result<Recovery, error::Error> {
+pub fn make_sole_voter(
+    path: &path::Path,
+    instance: &name::Instance,
+) -> Result<Recovery, error::Error> {
     let (mut journal, durable, folder) = journal::Journal::open(path)?;
     let identity = consensus::Voter { instance: instance.clone(), folder };
     let term = durable.ballot.term.next();
     let log = log::Log::new(durable.snapshot, durable.entries);
     if !log.voters().contains(&identity) {
-        return Err(error::Error::NoVoter(path.to_path_buf(), instance.clone()));
+        return Err(error::Error::NotVoter(path.to_path_buf(), instance.clone()));
     }
     let kept = log.last().index;
     let removed = log.voters().iter().filter(|voter| **voter != identity).cloned().collect();
@@ -37,5 +40,5 @@
         entries: vec![entry],
         ..write::Write::default()
     })?;
-    Ok(Recovery { kept, removed })
+    Ok(Recovery { last_index: kept, removed_voters: removed })
 }
--- a/crates/hyssopfork-consensus/src/write.rs
+++ b/crates/hyssopfork-consensus/src/write.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Write {
     /// Counts the writes of this process, from 1.
-    pub mark: u64,
+    pub number: u64,
     /// New ballot.
     pub ballot: Option<Ballot>,
     /// New snapshot; entries that it covers may be dropped.
--- a/crates/hyssopfork-consensus/tests/histories/random.rs
+++ b/crates/hyssopfork-consensus/tests/histories/random.rs
@@ -1,7 +1,7 @@
 //! Random histories: what must hold in each, and that it goes on once the faults have stopped.
 
 use crate::world;
-use hyssopfork_consensus::{change, event};
+use hyssopfork_consensus::{event, voters};
 use hyssopfork_wire::consensus;
 use rand::RngExt;
 use std::time::Duration;
@@ -119,7 +119,7 @@
         return;
     }
     let change =
-        if seated { change::Change::Remove(instance) } else { change::Change::Add(instance) };
+        if seated { voters::Change::Remove(instance) } else { voters::Change::Add(instance) };
     world.step(leader, event::Event::ChangeVoters { ticket, change });
 }
 
--- a/crates/hyssopfork-consensus/tests/histories/scenarios.rs
+++ b/crates/hyssopfork-consensus/tests/histories/scenarios.rs
@@ -1,7 +1,7 @@
 //! Chosen failures of several nodes.
 
 use crate::world;
-use hyssopfork_consensus::{change, event};
+use hyssopfork_consensus::{event, voters};
 use hyssopfork_wire::{name, number};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     (leader + 1) % 3
 }
 
-fn change(world: &mut world::World, ticket: u64, change: change::Change) {
+fn change_voters(world: &mut world::World, ticket: u64, change: voters::Change) {
     let leader = world.leader().expect("someone leads");
     world.step(leader, event::Event::ChangeVoters { ticket, change });
     world.run(Duration::from_secs(2));
@@ -193,12 +193,12 @@
     (10..60).for_each(|ticket| propose(&mut world, 0, ticket));
     (0..3).for_each(|slot| world.snapshot(slot));
 
-    change(&mut world, 1, change::Change::Add(name::Instance::from("c3")));
+    change_voters(&mut world, 1, voters::Change::Add(name::Instance::from("c3")));
     let added = world.is_seated(3);
     let gone = follower(&world);
     let instance = world.slots[gone].name.clone();
     world.crash(gone);
-    change(&mut world, 2, change::Change::Remove(instance));
+    change_voters(&mut world, 2, voters::Change::Remove(instance));
 
     assert!(added && !world.is_seated(gone));
     assert!([1, 2].iter().all(|ticket| world.acknowledged.contains(ticket)));
@@ -238,7 +238,7 @@
     world.run(Duration::from_secs(1));
 
     let instance = world.slots[others[2]].name.clone();
-    change(&mut world, 1, change::Change::Remove(instance));
+    change_voters(&mut world, 1, voters::Change::Remove(instance));
 
     assert_eq!(world.rejected, [1]);
     assert!(goes_on(&mut world, 2));
--- a/crates/hyssopfork-consensus/tests/histories/world.rs
+++ b/crates/hyssopfork-consensus/tests/histories/world.rs
@@ -72,7 +72,7 @@
         let names: Vec<name::Instance> =
             (0..listed + others).map(|slot| name::Instance::new(format!("c{slot}"))).collect();
         let voters = names[..listed].to_vec();
-        let settings = node::Settings { voters, kept_entries: 8, ..node::Settings::default() };
+        let settings = node::Settings { voters, retained_entries: 8, ..node::Settings::default() };
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let slots = names.into_iter().map(|name| slot(name, &mut random)).collect();
         World {
@@ -258,7 +258,7 @@
             return;
         };
         state.durable.apply(&write);
-        self.step(slot, event::Event::Persisted(write.mark));
+        self.step(slot, event::Event::Persisted(write.number));
     }
 
     fn carry_out(&mut self, slot: usize, action: action::Action) {
--- a/crates/hyssopfork-consensus/tests/journal.rs
+++ b/crates/hyssopfork-consensus/tests/journal.rs
@@ -208,7 +208,7 @@
     let after = journal.write(&entries(&[1], 1));
 
     assert!(matches!(failed, Err(error::Error::Damaged(..) | error::Error::Disk(..))));
-    assert!(matches!(after, Err(error::Error::Failed)));
+    assert!(matches!(after, Err(error::Error::EarlierWriteFailed)));
 }
 
 /// Two of three disks are lost for good. The operator makes the survivor the only voter: it leads
@@ -228,7 +228,7 @@
     let ballot = Some(write::Ballot { term: number::Term(1), vote: None });
     written(&path, &[write::Write { ballot, entries: vec![first], ..entries(&[], 1) }]);
 
-    let recovery = recovery::stand_alone(&path, &instance).expect("recovers");
+    let recovery = recovery::make_sole_voter(&path, &instance).expect("recovers");
     let settings = node::Settings::default();
     let (_, durable, _) = journal::Journal::open(&path).expect("opens");
     let start = clock::Instant::ORIGIN;
@@ -237,10 +237,16 @@
     node.step(clock::Instant::from_millis(1_301), event::Event::Persisted(1));
     node.step(clock::Instant::from_millis(1_302), event::Event::Persisted(2));
 
-    assert_eq!((recovery.kept, recovery.removed), (number::Index(1), voters[1..].to_vec()));
+    assert_eq!(
+        (recovery.last_index, recovery.removed_voters),
+        (number::Index(1), voters[1..].to_vec())
+    );
     assert!(node.is_leader());
     assert_eq!((node.voters(), node.committed()), ([own].as_slice(), number::Index(3)));
-    assert!(recovery::stand_alone(&path, &name::Instance::from("b")).is_err(), "not b's folder");
+    assert!(
+        recovery::make_sole_voter(&path, &name::Instance::from("b")).is_err(),
+        "not b's folder"
+    );
 }
 
 /// Random writes as a node makes them: entries without gaps, some after a cut, some snapshots.
--- a/crates/hyssopfork-consensus/tests/proposals.rs
+++ b/crates/hyssopfork-consensus/tests/proposals.rs
@@ -14,17 +14,17 @@
 #[test]
 fn a_strangers_entry_is_nobodys_success() {
     let mut proposals = Proposals::default();
-    let ticket = proposals.wait(at(0), 7);
-    proposals.append(ticket, Index(4), Term(2));
+    let ticket = proposals.register(at(0), 7);
+    proposals.record_position(ticket, Index(4), Term(2));
 
-    assert_eq!(proposals.apply(Index(4), Term(3)), None);
+    assert_eq!(proposals.take_applied(Index(4), Term(3)), None);
 }
 
 #[test]
 fn a_call_that_waits_too_long_is_told_once() {
     let mut proposals = Proposals::default();
-    proposals.wait(at(0), 7);
+    proposals.register(at(0), 7);
 
-    assert_eq!(proposals.overdue(at(1_600), PATIENCE), [7]);
-    assert_eq!(proposals.overdue(at(1_700), PATIENCE), Vec::<u64>::new());
+    assert_eq!(proposals.take_expired(at(1_600), PATIENCE), [7]);
+    assert_eq!(proposals.take_expired(at(1_700), PATIENCE), Vec::<u64>::new());
 }
--- a/crates/hyssopfork-consensus/tests/rules/entries.rs
+++ b/crates/hyssopfork-consensus/tests/rules/entries.rs
@@ -134,7 +134,7 @@
 #[test]
 fn what_waits_to_be_committed_is_bounded() {
     let mut fixture = fixture::Fixture::settled();
-    let propose = || event::Event::Propose { ticket: 1, command: vec![1; node::COMMAND_LIMIT] };
+    let propose = || event::Event::Propose { ticket: 1, command: vec![1; node::MAX_COMMAND_BYTES] };
 
     let taken = (0..16).all(|_| !fixture::rejects(&fixture.step(propose())));
     let full = fixture.step(propose());
@@ -153,7 +153,7 @@
 fn what_is_kept_before_a_snapshot_is_bounded() {
     let mut fixture = fixture::Fixture::settled();
     for _ in 0..8 {
-        let command = vec![1; node::COMMAND_LIMIT];
+        let command = vec![1; node::MAX_COMMAND_BYTES];
         fixture.step(event::Event::Propose { ticket: 1, command });
     }
     fixture.persist();
--- a/crates/hyssopfork-consensus/tests/rules/fixture.rs
+++ b/crates/hyssopfork-consensus/tests/rules/fixture.rs
@@ -1,6 +1,6 @@
 //! A single node, driven by hand-made messages.
 
-use hyssopfork_consensus::{action, change, event, node, write};
+use hyssopfork_consensus::{action, event, node, voters, write};
 use hyssopfork_wire::{clock, consensus, name, number, timing};
 
 /// Milliseconds after which a node that heard nothing gives votes and stands for election.
@@ -80,7 +80,7 @@
         let actions = self.node.step(clock::Instant::from_millis(self.now), event);
         for action in &actions {
             if let action::Action::Persist(write) = action {
-                self.mark = write.mark;
+                self.mark = write.number;
             }
         }
         actions
@@ -103,7 +103,7 @@
         self.step(event::Event::Persisted(self.mark))
     }
 
-    pub fn change(&mut self, change: change::Change) -> Vec<action::Action> {
+    pub fn change(&mut self, change: voters::Change) -> Vec<action::Action> {
         self.step(event::Event::ChangeVoters { ticket: 1, change })
     }
 }
--- a/crates/hyssopfork-consensus/tests/rules/founding.rs
+++ b/crates/hyssopfork-consensus/tests/rules/founding.rs
@@ -38,7 +38,7 @@
         let marks: Vec<u64> = actions
             .iter()
             .filter_map(|action| match action {
-                action::Action::Persist(write) => Some(write.mark),
+                action::Action::Persist(write) => Some(write.number),
                 _ => None,
             })
             .collect();
--- a/crates/hyssopfork-consensus/tests/rules/members.rs
+++ b/crates/hyssopfork-consensus/tests/rules/members.rs
@@ -1,7 +1,7 @@
 //! First start, lost folders and changes of the voters.
 
 use crate::fixture;
-use hyssopfork_consensus::{action, change, event, notice};
+use hyssopfork_consensus::{action, event, notice, voters};
 use hyssopfork_wire::{consensus, name, number};
 
 /// A leader that an operator removed goes once its removal is committed: it would else go on as a
@@ -10,7 +10,7 @@
 fn a_removed_leader_steps_down() {
     let mut fixture = fixture::Fixture::settled();
 
-    fixture.change(change::Change::Remove(name::Instance::from("a")));
+    fixture.change(voters::Change::Remove(name::Instance::from("a")));
     fixture.persist();
     fixture.receive("b", fixture::appended(2, 2));
     let before = fixture.node.is_leader();
@@ -128,7 +128,7 @@
 #[test]
 fn no_second_change_is_made_while_one_is_uncommitted() {
     let mut fixture = fixture::Fixture::settled();
-    let remove = |name| change::Change::Remove(name::Instance::from(name));
+    let remove = |name| voters::Change::Remove(name::Instance::from(name));
 
     let first = fixture.change(remove("c"));
     let second = fixture.change(remove("b"));
@@ -143,7 +143,7 @@
 fn no_change_is_made_before_an_entry_of_the_term_is_committed() {
     let mut fixture = fixture::Fixture::leading(&[1]);
 
-    let actions = fixture.change(change::Change::Remove(name::Instance::from("c")));
+    let actions = fixture.change(voters::Change::Remove(name::Instance::from("c")));
 
     assert!(fixture::rejects(&actions));
 }
--- a/crates/hyssopfork-control/benches/control.rs
+++ b/crates/hyssopfork-control/benches/control.rs
@@ -46,7 +46,7 @@
     fn step(&mut self, event: event::Event) {
         for action in self.core.step(self.now, event) {
             match action {
-                action::Action::Persist(write) => self.step(event::Event::Persisted(write.mark)),
+                action::Action::Persist(write) => self.step(event::Event::Persisted(write.number)),
                 action::Action::Reply { response, .. } => self.replies.push(response),
                 _ => {}
             }
--- a/crates/hyssopfork-control/src/calls.rs
+++ b/crates/hyssopfork-control/src/calls.rs
@@ -48,35 +48,35 @@
 impl Calls {
     /// Whether another proposal may wait.
     pub fn has_room(&self) -> bool {
-        self.proposals.purposes().count() < LIMIT
+        self.proposals.contexts().count() < LIMIT
     }
 
     /// Keeps a proposal's purpose and gives its ticket.
     pub fn wait(&mut self, now: clock::Instant, purpose: Purpose) -> u64 {
-        self.proposals.wait(now, purpose)
+        self.proposals.register(now, purpose)
     }
 
     /// Notes where the proposal was appended.
     pub fn append(&mut self, ticket: u64, index: number::Index, term: number::Term) {
-        self.proposals.append(ticket, index, term);
+        self.proposals.record_position(ticket, index, term);
     }
 
     /// Takes the purpose of a proposal that was never appended.
     pub fn reject(&mut self, ticket: u64) -> Option<Purpose> {
-        let purpose = self.proposals.reject(ticket)?;
+        let purpose = self.proposals.take_rejected(ticket)?;
         self.heard(purpose)
     }
 
     /// Takes the purpose of the proposal that was applied at `index`; `None` when another entry
     /// than the one proposed here stands there.
     pub fn apply(&mut self, index: number::Index, term: number::Term) -> Option<Purpose> {
-        let purpose = self.proposals.apply(index, term)?;
+        let purpose = self.proposals.take_applied(index, term)?;
         self.heard(purpose)
     }
 
     /// Whether a proposal of the leader's own waits that `matches`.
     pub fn any(&self, matches: impl Fn(&Purpose) -> bool) -> bool {
-        self.proposals.purposes().any(matches)
+        self.proposals.contexts().any(matches)
     }
 
     /// Instances whose presence is proposed and not yet applied.
@@ -85,7 +85,7 @@
             Purpose::Presence(instance) => Some(instance.clone()),
             _ => None,
         };
-        self.proposals.purposes().filter_map(presence).collect()
+        self.proposals.contexts().filter_map(presence).collect()
     }
 
     /// The call's connection closed: nobody waits for its answer.
@@ -97,13 +97,13 @@
 
     /// Takes the calls that have waited too long.
     pub fn due(&mut self, now: clock::Instant) -> Vec<u64> {
-        let due = self.proposals.overdue(now, PATIENCE);
+        let due = self.proposals.take_expired(now, PATIENCE);
         due.into_iter().filter_map(|purpose| self.heard(purpose)?.call()).collect()
     }
 
     /// Takes all calls; whatever waits will not be answered by this leader.
     pub fn drain(&mut self) -> Vec<u64> {
-        let waiting = self.proposals.drain();
+        let waiting = self.proposals.take_all();
         waiting.into_iter().filter_map(|purpose| self.heard(purpose)?.call()).collect()
     }
 
--- a/crates/hyssopfork-control/src/core.rs
+++ b/crates/hyssopfork-control/src/core.rs
@@ -228,7 +228,7 @@
     /// Hands a command to the log; returns whether there was room.
     fn propose(&mut self, purpose: calls::Purpose, command: &command::Command) -> bool {
         let command = command::encode(command);
-        if !self.calls.has_room() || command.len() > node::COMMAND_LIMIT {
+        if !self.calls.has_room() || command.len() > node::MAX_COMMAND_BYTES {
             return false;
         }
         let ticket = self.calls.wait(self.now, purpose);
--- a/crates/hyssopfork-control/src/core/requests.rs
+++ b/crates/hyssopfork-control/src/core/requests.rs
@@ -166,10 +166,10 @@
     fn submit(&mut self, call: u64, patch: patch::Patch) {
         let command = command::Command::Submit(patch);
         let length = command::encode(&command).len();
-        if length > node::COMMAND_LIMIT {
+        if length > node::MAX_COMMAND_BYTES {
             let fault = format!(
                 "the patch takes {length} bytes; split it into patches of at most {} bytes",
-                node::COMMAND_LIMIT
+                node::MAX_COMMAND_BYTES
             );
             let outcome = patch::Outcome::Invalid(vec![fault]);
             return self.reply(call, control::Response::Submitted(outcome));
--- a/crates/hyssopfork-control/tests/histories/slot.rs
+++ b/crates/hyssopfork-control/tests/histories/slot.rs
@@ -53,7 +53,8 @@
 
     pub fn start(&mut self, now: u64, seed: u64) {
         let identity = consensus::Voter { instance: self.name.clone(), folder: self.folder };
-        let settings = node::Settings { voters: names(), kept_entries: 20, ..Default::default() };
+        let settings =
+            node::Settings { voters: names(), retained_entries: 20, ..Default::default() };
         let local = self.clock.local(now);
         let node = node::Node::new(identity, self.durable.clone(), settings, seed, local);
         let mut settings = core::Settings::new(self.name.clone(), BTreeMap::new());
@@ -83,7 +84,7 @@
 
     /// Syncs the writes up to a mark.
     pub fn sync(&mut self, mark: u64) {
-        while self.unsynced.front().is_some_and(|write| write.mark <= mark) {
+        while self.unsynced.front().is_some_and(|write| write.number <= mark) {
             let write = self.unsynced.pop_front().expect("looked at");
             self.durable.apply(&write);
         }
--- a/crates/hyssopfork-control/tests/histories/world.rs
+++ b/crates/hyssopfork-control/tests/histories/world.rs
@@ -155,7 +155,7 @@
                 }
             }
             action::Action::Persist(write) => {
-                let (boot, mark) = (self.slots[slot].boot, write.mark);
+                let (boot, mark) = (self.slots[slot].boot, write.number);
                 self.slots[slot].write(write);
                 let slow = self.now < HEALED && self.random.random_range(0..100) < 4;
                 let delay = self.random.random_range(if slow { 0..900_000 } else { 100..3_000 });
--- a/crates/hyssopfork-control/tests/solo/answering.rs
+++ b/crates/hyssopfork-control/tests/solo/answering.rs
@@ -38,11 +38,11 @@
     solo.syncs = false;
     solo.pass(Duration::from_secs(2));
     let ballot = solo.held.pop().expect("stands for election");
-    solo.step(event::Event::Persisted(ballot.mark));
+    solo.step(event::Event::Persisted(ballot.number));
     solo.pass(Duration::from_millis(200));
 
     let early = solo.ask(entry(0));
-    let mark = solo.held.last().expect("appends an entry of its term").mark;
+    let mark = solo.held.last().expect("appends an entry of its term").number;
     solo.step(event::Event::Persisted(mark));
     let later = solo.ask(entry(0));
 
--- a/crates/hyssopfork-control/tests/solo/fixture.rs
+++ b/crates/hyssopfork-control/tests/solo/fixture.rs
@@ -94,7 +94,7 @@
             return self.held.push(write);
         }
         self.durable.apply(&write);
-        self.step(event::Event::Persisted(write.mark));
+        self.step(event::Event::Persisted(write.number));
     }
 
     /// Lets time pass with ticks alone.
--- a/crates/hyssopfork-control/tests/solo/leases.rs
+++ b/crates/hyssopfork-control/tests/solo/leases.rs
@@ -18,7 +18,7 @@
     solo.syncs = false;
 
     let pending = solo.renew(fixture::announcement("e1", "d1", 1), Default::default(), false);
-    let mark = solo.held.last().expect("a proposal").mark;
+    let mark = solo.held.last().expect("a proposal").number;
     solo.step(event::Event::Persisted(mark));
 
     assert_eq!(pending, None);
--- a/crates/hyssopfork-daemon/src/control/journal.rs
+++ b/crates/hyssopfork-daemon/src/control/journal.rs
@@ -54,7 +54,7 @@
             crate::log::notice(&crate::notice::Notice::JournalFailed(error.to_string()));
             process::exit(JOURNAL_FAILED);
         }
-        let newest = waiting.last().map_or(0, |write| write.mark);
+        let newest = waiting.last().map_or(0, |write| write.number);
         mailbox.post(role::Input::Event(event::Event::Persisted(newest)));
     }
 }
--- a/crates/hyssopfork-daemon/src/edge/folder.rs
+++ b/crates/hyssopfork-daemon/src/edge/folder.rs
@@ -124,7 +124,7 @@
                 log::notice(&notice::Notice::SyncSlow(writes.len(), millis));
             }
             if let Some(newest) = writes.last() {
-                self.post(event::Event::Persisted(newest.mark));
+                self.post(event::Event::Persisted(newest.number));
             }
         }
         None
--- a/crates/hyssopfork-fleet/src/core.rs
+++ b/crates/hyssopfork-fleet/src/core.rs
@@ -212,7 +212,7 @@
 
     fn tick(&mut self) {
         self.tell(log_event::Event::Tick);
-        for call in self.proposals.overdue(self.now, PATIENCE) {
+        for call in self.proposals.take_expired(self.now, PATIENCE) {
             self.reply(call, action::Reply::Unknown);
         }
         let own = self.hello();
@@ -239,7 +239,7 @@
         let options = node::Settings {
             voters: self.listed(),
             formation: node::Formation::Named,
-            kept_entries: KEPT_ENTRIES,
+            retained_entries: KEPT_ENTRIES,
             election_timeout: ELECTION_TIMEOUT,
             election_spread: ELECTION_SPREAD,
             quorum_lease: QUORUM_LEASE,
@@ -317,10 +317,10 @@
                 Err(error) => self.unreadable(&error),
             },
             log_action::Action::Proposed { ticket, index, term } => {
-                self.proposals.append(ticket, index, term);
+                self.proposals.record_position(ticket, index, term);
             }
             log_action::Action::Rejected { ticket, .. } => {
-                if let Some(call) = self.proposals.reject(ticket) {
+                if let Some(call) = self.proposals.take_rejected(ticket) {
                     let leader = self.elsewhere();
                     self.reply(call, action::Reply::Elsewhere(leader));
                 }
@@ -342,7 +342,7 @@
             }
             self.bytes_since_snapshot += bytes.len();
         }
-        if let Some(call) = self.proposals.apply(entry.index, entry.term) {
+        if let Some(call) = self.proposals.take_applied(entry.index, entry.term) {
             let reply = match applied {
                 durable::Applied::Changed | durable::Applied::Unchanged => action::Reply::Done,
                 durable::Applied::Incomplete => action::Reply::Unknown,
--- a/crates/hyssopfork-fleet/src/core/calls.rs
+++ b/crates/hyssopfork-fleet/src/core/calls.rs
@@ -86,7 +86,7 @@
         if !self.has_enough_voters() {
             return self.reply(call, action::Reply::Unknown);
         }
-        let ticket = self.proposals.wait(self.now, call);
+        let ticket = self.proposals.register(self.now, call);
         let last = commands.len().saturating_sub(1);
         for (place, command) in commands.into_iter().enumerate() {
             let ticket = if place == last { ticket } else { UNTRACKED };
--- a/crates/hyssopfork-fleet/src/core/follow.rs
+++ b/crates/hyssopfork-fleet/src/core/follow.rs
@@ -64,7 +64,7 @@
     pub(super) fn learn(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) {
         if self.seeking.learn(controls) {
             let listed = self.listed();
-            self.tell(log_event::Event::List(listed));
+            self.tell(log_event::Event::SetListedVoters(listed));
         }
     }
 
--- a/crates/hyssopfork-fleet/src/core/lead.rs
+++ b/crates/hyssopfork-fleet/src/core/lead.rs
@@ -2,7 +2,7 @@
 
 use super::{Copy, Core, Leadership, watches};
 use crate::{action, board, groups, notice, peer, quarantine, registry, view};
-use hyssopfork_consensus::{change, event as log_event};
+use hyssopfork_consensus::{event as log_event, voters};
 use hyssopfork_wire::{clock, consensus, name, number};
 use std::collections::BTreeMap;
 use std::net;
@@ -264,7 +264,7 @@
         for instance in empty {
             seats.vacant.entry(instance).or_insert(now);
         }
-        let mut silences = node.silences(now);
+        let mut silences = node.contact_ages(now);
         let answer = |(_, silence): &&(name::Instance, Duration)| *silence < MAX_ANSWER_AGE;
         let answering = silences.iter().filter(answer).count() + 1;
         if answering < self.settings.enough_voters() {
@@ -273,7 +273,7 @@
         silences.extend(seats.vacant.iter().map(|(it, since)| (it.clone(), now.since(*since))));
         let gone = silences.into_iter().find(|(_, silence)| *silence >= SEAT_TIMEOUT);
         if let Some((instance, _)) = gone {
-            let change = change::Change::Remove(instance.clone());
+            let change = voters::Change::Remove(instance.clone());
             self.notice(notice::Notice::SeatRemoved(instance));
             self.tell(log_event::Event::ChangeVoters { ticket: 0, change });
         }
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -371,7 +371,7 @@
             action::Action::Persist(write) => {
                 let process = self.processes.get_mut(&from).expect("it acts");
                 process.durable.apply(&write);
-                self.send(from, SYNC, event::Event::Persisted(write.mark));
+                self.send(from, SYNC, event::Event::Persisted(write.number));
             }
             action::Action::Reply(call, reply) => self.reply(from, call, reply),
             action::Action::Greet(to, hello) => {
