--- a/crates/hyssopfork-consensus/src/action.rs
+++ b/crates/hyssopfork-consensus/src/action.rs
@@ -1,26 +1,27 @@
-//! What a node asks of its owner.
+//! Actions that a node requests from its owner.
 
 use crate::{notice, write};
 use hyssopfork_wire::{consensus, number};
 
-/// An action. A node's actions are carried out in the order given.
+/// An action. The owner carries out a node's actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message; it may be lost.
+    /// Send a message. Delivery is not guaranteed.
     Send(consensus::Packet),
-    /// Write to the journal and sync, then report
-    /// [`Persisted`](crate::event::Event::Persisted). Writes are made in order.
+    /// Write to the journal and sync it, then report
+    /// [`Persisted`](crate::event::Event::Persisted). Writes must be made in order.
     Persist(write::Write),
-    /// Apply a committed entry to the state. Entries come in order of index, each once in the
-    /// life of the process, from the one after the last restored snapshot.
+    /// Apply a committed entry to the state. Entries are issued in order of index, each once per
+    /// process run, starting after the last restored snapshot.
     Apply(consensus::Entry),
-    /// Replace the state by the snapshot's. Also the first action of a process whose folder holds
-    /// a snapshot.
+    /// Replace the state with that of the snapshot. Also the first action of a process whose data
+    /// folder holds a snapshot.
     Restore(write::Snapshot),
-    /// The proposal was appended here; it is committed when an entry of this index **and** term is
-    /// applied, and lost when one of this index and another term is.
+    /// The proposal was appended to the log at this position. It is committed once an entry with
+    /// this index **and** term is applied, and lost once an entry with this index and another term
+    /// is applied.
     Proposed {
-        /// Owner's number.
+        /// Ticket that the owner gave the proposal.
         ticket: u64,
         /// Index of the entry.
         index: number::Index,
@@ -29,10 +30,10 @@
     },
     /// The proposal was not appended and never will be.
     Rejected {
-        /// Owner's number.
+        /// Ticket that the owner gave the proposal.
         ticket: u64,
-        /// Voter that leads, as far as is known. This node itself when it leads and the proposal
-        /// cannot be taken on now.
+        /// Current leader, if known. This node itself when it leads but cannot accept the proposal
+        /// now.
         leader: Option<consensus::Voter>,
     },
     /// Log a numbered event.
--- a/crates/hyssopfork-consensus/src/error.rs
+++ b/crates/hyssopfork-consensus/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a journal refuses.
+//! Errors of the journal.
 
 use hyssopfork_wire::name;
 use quick_error::quick_error;
@@ -6,19 +6,19 @@
 use std::path;
 
 quick_error! {
-    /// Why a journal cannot be opened or written.
+    /// Reason why a journal cannot be opened or written.
     #[derive(Debug)]
     pub enum Error {
-        /// The disk or the system refused.
+        /// The operating system reported an I/O error.
         Disk(file: path::PathBuf, source: io::Error) {
             source(source)
             display(
-                "{}: {}; mend the disk, its space or the file's permissions and restart the process",
+                "{}: {}; check the disk, its free space and the file's permissions, then restart the process",
                 file.display(),
                 source
             )
         }
-        /// What was synced is damaged or missing.
+        /// Synced data is damaged or missing.
         Damaged(file: path::PathBuf, offset: u64) {
             display(
                 "{} is damaged at byte {}; stop the process, wipe its data folder and start it again: the instance rejoins under a new identity",
@@ -29,21 +29,21 @@
         /// Another process has the folder open.
         Locked(folder: path::PathBuf) {
             display(
-                "{} is in use by another process; stop that one first, or give this one its own data folder",
+                "{} is in use by another process; stop that process or configure another data folder for this one",
                 folder.display()
             )
         }
-        /// The folder isn't a voter's.
+        /// The folder does not belong to a voter.
         NotVoter(folder: path::PathBuf, instance: name::Instance) {
             display(
-                "{} holds no log in which {} is a voter; name the surviving voter's own folder and instance",
+                "{} holds no log in which {} is a voter; specify the data folder and the instance of the surviving voter",
                 folder.display(),
                 instance
             )
         }
-        /// A write failed before: what is on the disk is not known.
+        /// An earlier write failed, so the content of the disk is unknown.
         EarlierWriteFailed {
-            display("a write to the journal failed before; mend the disk and restart the process")
+            display("an earlier write to the journal failed; check the disk and restart the process")
         }
     }
 }
--- a/crates/hyssopfork-consensus/src/event.rs
+++ b/crates/hyssopfork-consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node.
+//! Events that a node is stepped with.
 
 use crate::voters;
 use hyssopfork_wire::{consensus, name, number};
@@ -6,42 +6,42 @@
 /// An event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed; comes at least every 20 ms.
+    /// Time has passed. The owner sends a tick at least every 20 ms.
     Tick,
     /// A message arrived.
     Received(consensus::Packet),
-    /// Every write up to and including the one with this mark is synced to disk.
+    /// All writes up to and including the one with this number are synced to disk.
     Persisted(u64),
-    /// The owner wants a command in the log; answered by one
+    /// The owner proposes a command. The node responds with exactly one
     /// [`Proposed`](crate::action::Action::Proposed) or
     /// [`Rejected`](crate::action::Action::Rejected).
     Propose {
-        /// Owner's number for the answer.
+        /// Ticket that identifies the response.
         ticket: u64,
-        /// The command, at most [`crate::node::COMMAND_LIMIT`] bytes.
+        /// Encoded command, at most [`crate::node::COMMAND_LIMIT`] bytes.
         command: Vec<u8>,
     },
-    /// The owner wants other voters; answered as a proposal is, for an addition once the new
-    /// voter has caught up.
+    /// The owner requests a change of the voters. The response is that of a proposal; for an
+    /// addition it comes once the new voter has caught up.
     ChangeVoters {
-        /// Owner's number for the answer.
+        /// Ticket that identifies the response.
         ticket: u64,
-        /// The change.
+        /// Requested change.
         change: voters::Change,
     },
-    /// The owner took a snapshot of its state after applying `index`.
+    /// The owner took a snapshot of its state after applying the entry at `index`.
     Snapshotted {
-        /// Last index that was applied to the state.
+        /// Last index applied to the state.
         index: number::Index,
-        /// The state as its owner encodes it.
+        /// State, encoded by the owner.
         data: Vec<u8>,
     },
-    /// Instances that may hold a voter's folder, in place of those of the settings: this node asks
-    /// them to be let in, and a leader lets them in by themselves.
+    /// Replaces the instances of [`Settings::voters`](crate::node::Settings::voters): this node
+    /// sends them its requests to join, and as leader admits them without an operator.
     SetListedVoters(Vec<name::Instance>),
-    /// This folder alone is to form the log; nothing happens unless it is blank. The owner names
-    /// one folder in the life of the system: two would make two logs.
+    /// Form the log with this node as its only voter. Ignored unless the data folder is blank. The
+    /// owner designates one folder in the lifetime of the system; two would form two logs.
     Form,
-    /// The process is to stop: hand over leadership, and propose nothing more.
+    /// The process is stopping: hand over leadership and reject further proposals.
     Resign,
 }
--- a/crates/hyssopfork-consensus/src/journal.rs
+++ b/crates/hyssopfork-consensus/src/journal.rs
@@ -1,9 +1,9 @@
-//! Journal on disk: what a node must still know after a crash.
+//! Write-ahead journal: the persistent state of a node.
 //!
-//! A data folder holds `identity` (the folder's random number), `snapshot`, `log` and `lock`. The
-//! log starts with the position it follows and the ballot; every write after that is one record,
-//! synced before the next. A write with a snapshot replaces the snapshot's file, then the log by a
-//! shorter one.
+//! A data folder holds `identity` (the random number of the folder), `snapshot`, `log` and `lock`.
+//! The first record of the log holds its base position and the ballot; each later record holds
+//! writes and is synced before the next. A write with a snapshot replaces the snapshot file, then
+//! replaces the log with a shorter one.
 
 mod folder;
 mod record;
@@ -20,21 +20,21 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const LOG_FILE: &str = "log";
 
-/// Entries in one record of a rewritten log.
+/// Entries per record of a rewritten log.
 const MAX_RECORD_ENTRIES: usize = 256;
 
-/// First record of a log.
+/// First record of a log file.
 #[derive(Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Base {
     /// Index before the first entry.
     index: number::Index,
     /// Term of that index.
     term: number::Term,
-    /// Ballot when the log was made.
+    /// Ballot when the file was written.
     ballot: write::Ballot,
 }
 
-/// One write in a log; every record after the first holds some.
+/// One write in a log file. Every record after the first holds a list of them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Update {
     ballot: Option<write::Ballot>,
@@ -49,17 +49,17 @@
     file: fs::File,
     /// Sequence number of the next record.
     sequence: u64,
-    /// Whether a write failed. What reached the disk is unknown then, and a second sync may report
-    /// success for pages that the first one dropped: nothing is ever acknowledged again.
+    /// Whether a write failed. Afterwards the content of the disk is unknown, and a second sync may
+    /// report success for pages that the first one dropped, so all later writes fail.
     failed: bool,
 }
 
 impl Journal {
-    /// Opens the journal of `path`, making it when the folder is empty or not there; also gives
-    /// what it holds and the folder's random number.
+    /// Opens the journal in the folder `path`, or creates it if the folder is empty or missing.
+    /// Also returns the recovered state and the folder's random number.
     ///
-    /// The last record may be torn: it was never reported as synced and is dropped. Any other
-    /// damage is an error, since what was acknowledged would be forgotten.
+    /// A torn last record was never reported as synced and is dropped. Any other damage is an
+    /// error, since dropping it would lose acknowledged writes.
     pub fn open(path: &path::Path) -> Result<(Journal, node::Durable, u64), error::Error> {
         let folder = folder::Folder::open(path)?;
         let number = load_identity(&folder)?;
@@ -71,14 +71,13 @@
         Ok((journal, durable, number))
     }
 
-    /// Applies `write` and syncs it. After an error the journal refuses everything: the process
-    /// must end.
+    /// Writes and syncs `write`. After an error all later writes fail, and the process must end.
     pub fn write(&mut self, write: &write::Write) -> Result<(), error::Error> {
         self.write_all(slice::from_ref(write))
     }
 
-    /// Applies writes in order. Those without a snapshot share one sync: on a disk that takes
-    /// 10 ms, a hundred proposals would otherwise take a second one after another.
+    /// Makes writes in order. Consecutive writes without a snapshot share one sync: with 10 ms per
+    /// sync, a hundred proposals would otherwise take a second.
     pub fn write_all(&mut self, writes: &[write::Write]) -> Result<(), error::Error> {
         if self.failed {
             return Err(error::Error::EarlierWriteFailed);
@@ -89,11 +88,11 @@
     }
 
     fn try_write_all(&mut self, writes: &[write::Write]) -> Result<(), error::Error> {
-        let alike = |left: &write::Write, right: &write::Write| {
+        let same_kind = |left: &write::Write, right: &write::Write| {
             left.snapshot.is_none() && right.snapshot.is_none()
         };
-        for run in writes.chunk_by(alike) {
-            match run {
+        for batch in writes.chunk_by(same_kind) {
+            match batch {
                 [write @ write::Write { snapshot: Some(snapshot), .. }] => {
                     self.install_snapshot(snapshot, write)?;
                 }
@@ -103,24 +102,24 @@
         Ok(())
     }
 
-    /// Writes one record for all `writes`: a torn one is dropped whole, so that nothing can look
-    /// whole behind a torn part.
+    /// Appends one record for all `writes`. A torn record is dropped as a whole; with one record
+    /// per write, an intact record could follow a torn one.
     fn append_record(&mut self, writes: &[write::Write]) -> Result<(), error::Error> {
-        let change = |write: &write::Write| Update {
+        let update = |write: &write::Write| Update {
             ballot: write.ballot.clone(),
             truncate: write.truncate,
             entries: write.entries.clone(),
         };
-        let changes: Vec<Update> = writes.iter().map(change).collect();
+        let updates: Vec<Update> = writes.iter().map(update).collect();
         let mut bytes = Vec::new();
-        record::encode(self.sequence, &serialize(&changes), &mut bytes);
+        record::encode(self.sequence, &serialize(&updates), &mut bytes);
         let written = self.file.write_all(&bytes).and_then(|()| self.file.sync_data());
         written.map_err(|source| self.folder.disk_error(LOG_FILE, source))?;
         self.sequence += 1;
         Ok(())
     }
 
-    /// Writes a snapshot and a log without what it covers.
+    /// Replaces the snapshot, and the log with one that lacks the entries covered by it.
     fn install_snapshot(
         &mut self,
         snapshot: &write::Snapshot,
@@ -145,8 +144,8 @@
         record::encode(0, &serialize(&base), &mut bytes);
         self.sequence = 1;
         for entries in durable.entries.chunks(MAX_RECORD_ENTRIES) {
-            let change = Update { entries: entries.to_vec(), ..Update::default() };
-            record::encode(self.sequence, &serialize(&[change].as_slice()), &mut bytes);
+            let update = Update { entries: entries.to_vec(), ..Update::default() };
+            record::encode(self.sequence, &serialize(&[update].as_slice()), &mut bytes);
             self.sequence += 1;
         }
         self.folder.replace(LOG_FILE, &bytes)?;
@@ -155,12 +154,12 @@
     }
 }
 
-/// A log's file as read.
+/// Content of a log file.
 #[derive(Debug)]
 struct Log {
     base: Base,
-    changes: Vec<Update>,
-    /// Length without a torn last record.
+    updates: Vec<Update>,
+    /// Length of the file without a torn last record.
     end: u64,
     /// Sequence number of the next record.
     sequence: u64,
@@ -176,37 +175,37 @@
             return Err(damaged(scan.end));
         }
         let base = deserialize(&bytes, first).ok_or_else(|| damaged(0))?;
-        let mut changes: Vec<Update> = Vec::new();
+        let mut updates: Vec<Update> = Vec::new();
         for record in rest {
-            let some: Option<Vec<Update>> = deserialize(&bytes, record);
-            changes.extend(some.ok_or_else(|| damaged(record.body.start))?);
+            let parsed: Option<Vec<Update>> = deserialize(&bytes, record);
+            updates.extend(parsed.ok_or_else(|| damaged(record.body.start))?);
         }
-        Ok(Log { base, changes, end: scan.end as u64, sequence: scan.records.len() as u64 })
+        Ok(Log { base, updates, end: scan.end as u64, sequence: scan.records.len() as u64 })
     }
 
-    /// What the log says, without a snapshot.
+    /// State that results from the log alone, without the snapshot.
     fn replay(self) -> node::Durable {
         let mut durable = node::Durable { ballot: self.base.ballot, ..node::Durable::default() };
-        for Update { ballot, truncate, entries } in self.changes {
+        for Update { ballot, truncate, entries } in self.updates {
             durable.apply(&write::Write { ballot, truncate, entries, ..write::Write::default() });
         }
         durable
     }
 }
 
-/// What a log and the snapshot say together.
+/// Combines the log with the snapshot file.
 fn recover(folder: &folder::Folder, log: Log) -> Result<node::Durable, error::Error> {
     let snapshot = read_snapshot(folder)?;
-    let follows = log::Position { index: log.base.index, term: log.base.term };
+    let base = log::Position { index: log.base.index, term: log.base.term };
     let mut durable = log.replay();
     let covered = snapshot.as_ref().map(log::snapshot_position).unwrap_or_default();
-    if covered.index < follows.index || covered.index == follows.index && covered != follows {
+    if covered.index < base.index || covered.index == base.index && covered != base {
         return Err(error::Error::Damaged(folder.file_path(SNAPSHOT_FILE), 0));
     }
-    if covered == follows {
+    if covered == base {
         durable.snapshot = snapshot;
     } else {
-        // A crash came between the two replacements.
+        // The process crashed after replacing the snapshot and before replacing the log.
         durable.apply(&write::Write { snapshot, ..write::Write::default() });
     }
     Ok(durable)
@@ -220,8 +219,8 @@
     snapshot.map(Some).ok_or_else(|| error::Error::Damaged(folder.file_path(SNAPSHOT_FILE), 0))
 }
 
-/// The folder's number; a new folder gets one, last of all, so that a folder with a number has a
-/// log.
+/// Reads the random number of the folder, or initializes an unused folder. The identity file is
+/// written last, so that a folder with an identity always has a log.
 fn load_identity(folder: &folder::Folder) -> Result<u64, error::Error> {
     if let Some(bytes) = folder.read(IDENTITY_FILE)? {
         let number = single_record(&bytes).and_then(|record| deserialize(&bytes, &record));
@@ -240,7 +239,8 @@
     Ok(number)
 }
 
-/// Whether a folder without a number was never used: empty, or left by a crash while it was made.
+/// Whether a folder without an identity was never used: it is empty, or its initialization was
+/// interrupted by a crash.
 fn is_unused(folder: &folder::Folder) -> Result<bool, error::Error> {
     if folder.read(SNAPSHOT_FILE)?.is_some() {
         return Ok(false);
@@ -252,15 +252,15 @@
     Ok(base == Some(Base::default()))
 }
 
-/// The record of a file that holds exactly one.
+/// Record of a file that must hold exactly one.
 fn single_record(bytes: &[u8]) -> Option<record::Record> {
     let scan = record::scan(bytes);
-    let whole = scan.records.len() == 1 && scan.end == bytes.len();
-    scan.records.into_iter().next().filter(|_| whole)
+    let complete = scan.records.len() == 1 && scan.end == bytes.len();
+    scan.records.into_iter().next().filter(|_| complete)
 }
 
 fn serialize<T: Serialize>(value: &T) -> Vec<u8> {
-    bincode::serialize(value).expect("records are plain data")
+    bincode::serialize(value).expect("records serialize without errors")
 }
 
 fn deserialize<T: serde::de::DeserializeOwned>(bytes: &[u8], record: &record::Record) -> Option<T> {
--- a/crates/hyssopfork-consensus/src/journal/folder.rs
+++ b/crates/hyssopfork-consensus/src/journal/folder.rs
@@ -1,23 +1,23 @@
-//! Files of a data folder: reading, replacing at once, and keeping other processes out.
+//! Files of a data folder: reads, atomic replacement, and a lock against other processes.
 
 use crate::error;
 use std::fs;
 use std::io::{self, Write};
 use std::path;
 
-/// File that holds the lock.
+/// Name of the lock file.
 const LOCK_FILE: &str = "lock";
 
-/// A data folder that this process alone has open.
+/// Data folder that is locked by this process.
 #[derive(Debug)]
 pub struct Folder {
     path: path::PathBuf,
-    /// Locked as long as it is open.
+    /// Held open, since closing the file releases the lock.
     _lock: fs::File,
 }
 
 impl Folder {
-    /// Opens `path`, making it if it is not there.
+    /// Opens and locks the folder at `path`, creating it if it does not exist.
     pub fn open(path: &path::Path) -> Result<Folder, error::Error> {
         let failed = |source| error::Error::Disk(path.to_path_buf(), source);
         fs::create_dir_all(path).map_err(failed)?;
@@ -34,7 +34,7 @@
         self.path.join(name)
     }
 
-    /// Bytes of a file; `None` when it is not there.
+    /// Content of a file; `None` if it does not exist.
     pub fn read(&self, name: &str) -> Result<Option<Vec<u8>>, error::Error> {
         match fs::read(self.file_path(name)) {
             Ok(bytes) => Ok(Some(bytes)),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Puts `bytes` in place of a file's, so that a crash leaves either the old ones or the new.
+    /// Replaces the content of a file atomically: after a crash it is either the old or the new.
     pub fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), error::Error> {
         self.try_replace(name, bytes).map_err(|source| self.disk_error(name, source))
     }
@@ -54,25 +54,25 @@
         file.write_all(bytes)?;
         file.sync_all()?;
         fs::rename(&next, self.file_path(name))?;
-        // The rename itself is lost in a crash unless the folder is synced.
+        // A crash could undo the rename unless the folder is synced.
         fs::File::open(&self.path)?.sync_all()
     }
 
-    /// Opens a file to append to it, cut off at `length`.
+    /// Opens a file for appending, truncated to `length`.
     pub fn open_for_append(&self, name: &str, length: u64) -> Result<fs::File, error::Error> {
         let open = || {
             let file = fs::OpenOptions::new().append(true).open(self.file_path(name))?;
             if file.metadata()?.len() != length {
                 file.set_len(length)?;
             }
-            // What was read may be in memory alone, where the last write before was not synced.
+            // The bytes read may only be in the page cache if the last write was not synced.
             file.sync_all()?;
             Ok(file)
         };
         open().map_err(|source| self.disk_error(name, source))
     }
 
-    /// The error of a file.
+    /// I/O error of a file.
     pub fn disk_error(&self, name: &str, source: io::Error) -> error::Error {
         error::Error::Disk(self.file_path(name), source)
     }
--- a/crates/hyssopfork-consensus/src/journal/record.rs
+++ b/crates/hyssopfork-consensus/src/journal/record.rs
@@ -1,7 +1,7 @@
-//! Records: bytes with a sequence number, a length and a checksum.
+//! Record framing: each record has a sequence number, a length and a checksum.
 //!
-//! A record is the marker, the sequence number (8 bytes), the length of the body (4) and the CRC-32
-//! of these two and the body (4), little-endian, then the body.
+//! A record consists of the marker, the sequence number (8 bytes), the length of the body (4 bytes)
+//! and the CRC-32 of these two and the body (4 bytes), all little-endian, then the body.
 
 use std::ops;
 
@@ -9,30 +9,30 @@
 
 const HEADER_BYTES: usize = 20;
 
-/// A record in a file.
+/// Record in a file.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Counts the records of the file, from 0.
+    /// Sequence number in the file, from 0.
     pub sequence: u64,
-    /// Where its body is.
+    /// Byte range of the body in the file.
     pub body: ops::Range<usize>,
 }
 
-/// What a file's bytes hold.
+/// Result of scanning a file.
 #[derive(Debug)]
 pub struct Scan {
-    /// Whole records, in order.
+    /// Intact records, in order.
     pub records: Vec<Record>,
-    /// Where the last whole record ends.
+    /// End offset of the last intact record.
     pub end: usize,
-    /// Whether a whole record lies behind bytes that aren't one. Each record is synced before the
-    /// next is written, so the bytes before a whole one were synced and have changed since.
+    /// Whether an intact record follows bytes that are not one. Each record is synced before the
+    /// next is written, so the bytes before an intact record were synced and have changed since.
     pub damaged: bool,
 }
 
-/// Appends a record to `bytes`.
+/// Encodes a record and appends it to `bytes`.
 pub fn encode(sequence: u64, body: &[u8], bytes: &mut Vec<u8>) {
-    assert!(u32::try_from(body.len()).is_ok(), "a record's length takes four bytes");
+    assert!(u32::try_from(body.len()).is_ok(), "the length of a record fits into four bytes");
     bytes.extend(MARKER);
     bytes.extend(sequence.to_le_bytes());
     bytes.extend((body.len() as u32).to_le_bytes());
@@ -40,7 +40,7 @@
     bytes.extend(body);
 }
 
-/// Finds the records of a file.
+/// Decodes the records of a file up to the first that is torn or damaged.
 pub fn scan(bytes: &[u8]) -> Scan {
     let mut records = Vec::new();
     let mut end = 0;
@@ -68,8 +68,8 @@
     let start = offset + HEADER_BYTES;
     let end = start.checked_add(u32::from_le_bytes(*length) as usize)?;
     let body = bytes.get(start..end)?;
-    let whole = checksum(sequence, body) == u32::from_le_bytes(*expected);
-    whole.then_some(Record { sequence, body: start..end })
+    let intact = checksum(sequence, body) == u32::from_le_bytes(*expected);
+    intact.then_some(Record { sequence, body: start..end })
 }
 
 fn checksum(sequence: u64, body: &[u8]) -> u32 {
--- a/crates/hyssopfork-consensus/src/lib.rs
+++ b/crates/hyssopfork-consensus/src/lib.rs
@@ -1,12 +1,13 @@
-//! Replicated log as a step function, and its journal on disk.
+//! Raft consensus: a replicated log as a step function, and its journal on disk.
 //!
-//! [`node::Node`] decides and touches neither network, clock nor disk; [`journal::Journal`] keeps
-//! what it asks to be written. The owner of both carries events in and actions out:
+//! [`node::Node`] is a deterministic state machine without access to network, clock or disk;
+//! [`journal::Journal`] stores the writes that it requests. The owner of both passes events in and
+//! carries out the resulting actions:
 //!
-//! 1. open the journal, hand its identity and what it recovered to [`node::Node::new`];
-//! 2. step the node with each message, with each finished write, and with a tick at least every
+//! 1. open the journal and pass its identity and the recovered state to [`node::Node::new`];
+//! 2. step the node with each received message, each completed write, and a tick at least every
 //!    20 ms;
-//! 3. carry out the actions in order. Messages may be lost; a write that fails ends the process.
+//! 3. carry out the actions in order. Messages may be lost; a failed write must end the process.
 
 pub mod action;
 pub mod error;
--- a/crates/hyssopfork-consensus/src/log.rs
+++ b/crates/hyssopfork-consensus/src/log.rs
@@ -1,14 +1,14 @@
-//! Log in memory: entries after a base, the newest snapshot, and the voters at each index.
+//! In-memory log: the retained entries, the newest snapshot, and the voters at each index.
 
 use crate::write;
 use hyssopfork_wire::{consensus, number};
 use std::collections;
 use std::sync;
 
-/// Bytes of entries kept in memory before a snapshot.
+/// Bytes of the entries that compaction retains before a snapshot.
 const MAX_RETAINED_BYTES: usize = 4 << 20;
 
-/// What an entry takes besides its command, roughly.
+/// Approximate memory of an entry besides its command, and of a voter in an entry.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// An index and the term of its entry.
@@ -20,27 +20,27 @@
     pub term: number::Term,
 }
 
-/// Voters from an index on.
+/// Voters that are in force from an index on.
 #[derive(Clone, Debug)]
 struct Membership {
     since: number::Index,
     voters: Vec<consensus::Voter>,
 }
 
-/// The log.
+/// In-memory log.
 #[derive(Debug)]
 pub struct Log {
-    /// Position before the first entry in memory; at or below the snapshot's.
+    /// Position before the first entry in memory; at or below that of the snapshot.
     base: Position,
-    /// Invariant: indexes follow the base without gaps, terms never go down.
+    /// Invariant: indexes are contiguous from the base, and terms never decrease.
     entries: collections::VecDeque<consensus::Entry>,
     snapshot: Option<sync::Arc<write::Snapshot>>,
-    /// Invariant: never empty, in order of index.
+    /// Invariant: never empty, sorted by index.
     memberships: Vec<Membership>,
 }
 
 impl Log {
-    /// The log that a journal recovered.
+    /// Creates the log from what a journal recovered.
     pub fn new(snapshot: Option<write::Snapshot>, entries: Vec<consensus::Entry>) -> Log {
         let mut log = Log::from_snapshot(snapshot.map(sync::Arc::new));
         for entry in entries {
@@ -49,7 +49,7 @@
         log
     }
 
-    /// A log that holds nothing but a snapshot.
+    /// Creates a log that holds only a snapshot.
     fn from_snapshot(snapshot: Option<sync::Arc<write::Snapshot>>) -> Log {
         let base = snapshot.as_deref().map(snapshot_position).unwrap_or_default();
         let voters = snapshot.as_deref().map(|snapshot| snapshot.voters.clone());
@@ -63,7 +63,7 @@
         last.map_or(self.base, |entry| Position { index: entry.index, term: entry.term })
     }
 
-    /// Term of `index`, when it is known here.
+    /// Term of the entry at `index`, if known.
     pub fn term_at(&self, index: number::Index) -> Option<number::Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -71,7 +71,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entry at `index`, when it is in memory.
+    /// Entry at `index`, if it is in memory.
     pub fn entry(&self, index: number::Index) -> Option<&consensus::Entry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(offset as usize)
@@ -92,17 +92,17 @@
         &self.membership().voters
     }
 
-    /// Voters before they last changed; none when that is not known here.
+    /// Voters before the last change; empty if not known.
     pub fn previous_voters(&self) -> &[consensus::Voter] {
         self.memberships.iter().rev().nth(1).map_or(&[], |membership| &membership.voters)
     }
 
-    /// Index since which the voters are as they are.
+    /// Index of the last change of the voters.
     pub fn voters_changed_at(&self) -> number::Index {
         self.membership().since
     }
 
-    /// Appends the entry after the last one.
+    /// Appends an entry, which must follow the last one.
     pub fn append(&mut self, entry: consensus::Entry) {
         let last = self.last();
         assert_eq!(entry.index, last.index.next(), "the log has no gaps");
@@ -113,7 +113,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops `index` and all after it.
+    /// Drops the entry at `index` and all after it.
     pub fn truncate(&mut self, index: number::Index) {
         assert!(index > self.base.index, "the base is committed");
         let kept = index.0 - self.base.index.0 - 1;
@@ -121,7 +121,7 @@
         self.memberships.retain(|membership| membership.since < index);
     }
 
-    /// First index of the run of entries that have the term of `index`.
+    /// First index of the contiguous entries with the term of the one at `index`.
     pub fn term_start(&self, index: number::Index) -> number::Index {
         let term = self.term_at(index);
         let mut start = index;
@@ -131,14 +131,14 @@
         start
     }
 
-    /// Takes a snapshot of the state after `index` and drops all but the last `kept` entries (and
-    /// [`KEPT_BYTES`]) before it; gives the snapshot, or `None` when there is a newer one or `index`
-    /// is not known.
+    /// Stores a snapshot of the state after `index` and drops the entries before it, except the
+    /// last `retained` ones within [`MAX_RETAINED_BYTES`]. Returns the snapshot, or `None` if the
+    /// stored one is at least as new or the term of `index` is not known.
     pub fn compact(
         &mut self,
         index: number::Index,
         data: Vec<u8>,
-        kept: u64,
+        retained: u64,
     ) -> Option<sync::Arc<write::Snapshot>> {
         let newest = self.snapshot.as_ref().map_or(number::Index(0), |snapshot| snapshot.index);
         if index <= newest {
@@ -148,12 +148,13 @@
         let voters = self.voters_at(index).to_vec();
         let snapshot = sync::Arc::new(write::Snapshot { index, term, voters, data });
         self.snapshot = Some(sync::Arc::clone(&snapshot));
-        self.discard_through(self.compaction_index(index, kept));
+        self.discard_through(self.compaction_index(index, retained));
         Some(snapshot)
     }
 
-    /// Replaces what a snapshot covers; entries after it stay only where the log held the
-    /// snapshot's last entry, since others may follow a history that lost.
+    /// Installs a snapshot of the leader. Entries after it are retained only if the log holds the
+    /// last entry that the snapshot covers; otherwise they may belong to a log that was
+    /// overwritten.
     pub fn install(&mut self, snapshot: sync::Arc<write::Snapshot>) {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             self.snapshot = Some(snapshot);
@@ -171,12 +172,12 @@
         membership.map_or(&[], |membership| &membership.voters)
     }
 
-    /// Index after which entries stay when a snapshot covers `index`.
-    fn compaction_index(&self, index: number::Index, kept: u64) -> number::Index {
+    /// Index after which entries are retained beside a snapshot up to `index`.
+    fn compaction_index(&self, index: number::Index, retained: u64) -> number::Index {
         let mut from = index;
         let mut bytes = 0;
         while let Some(entry) = self.entry(from)
-            && index.0 - from.0 < kept
+            && index.0 - from.0 < retained
         {
             bytes += entry_bytes(entry);
             if bytes > MAX_RETAINED_BYTES {
@@ -202,7 +203,7 @@
     }
 }
 
-/// Bytes that an entry takes, roughly.
+/// Approximate memory of an entry.
 pub fn entry_bytes(entry: &consensus::Entry) -> usize {
     let payload = match &entry.payload {
         consensus::Payload::Empty => 0,
@@ -212,7 +213,7 @@
     ENTRY_OVERHEAD_BYTES + payload
 }
 
-/// Position that a snapshot covers.
+/// Position of the last entry that a snapshot covers.
 pub fn snapshot_position(snapshot: &write::Snapshot) -> Position {
     Position { index: snapshot.index, term: snapshot.term }
 }
--- a/crates/hyssopfork-consensus/src/node.rs
+++ b/crates/hyssopfork-consensus/src/node.rs
@@ -1,7 +1,7 @@
-//! The step function of one voter or learner.
+//! Raft node: the step function of one voter or learner.
 //!
-//! The node decides; its owner sends, writes and applies. What other nodes may rely on (a vote, an
-//! acknowledgement) leaves only after the write that it rests on was reported as synced.
+//! The node decides; its owner sends, writes and applies. A message that other nodes rely on (a
+//! vote, an acknowledgement) is sent only after the write that it depends on is synced.
 
 mod election;
 mod follower;
@@ -18,25 +18,25 @@
 use std::collections;
 use std::time::Duration;
 
-/// Longest command, in bytes.
+/// Largest command in bytes.
 pub const MAX_COMMAND_BYTES: usize = 1 << 20;
 
-/// What the journal holds.
+/// Persistent state, as held by the journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Durable {
     /// Term and vote.
     pub ballot: write::Ballot,
     /// Newest snapshot.
     pub snapshot: Option<write::Snapshot>,
-    /// Entries after the snapshot, without gaps.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<consensus::Entry>,
 }
 
 impl Durable {
-    /// Applies a write in the order of its fields.
+    /// Applies the parts of a write in the order of its fields.
     ///
-    /// Entries after a new snapshot stay only when they follow the very entry that it ends with;
-    /// others belong to a history that lost.
+    /// Entries after a new snapshot are retained only if the last entry that it covers is in the
+    /// log; otherwise they belong to a log that was overwritten.
     pub fn apply(&mut self, write: &write::Write) {
         if let Some(ballot) = &write.ballot {
             self.ballot = ballot.clone();
@@ -51,49 +51,52 @@
     }
 
     fn install_snapshot(&mut self, snapshot: &write::Snapshot) {
-        let follows = self
+        let matches = self
             .entries
             .iter()
             .any(|entry| entry.index == snapshot.index && entry.term == snapshot.term);
-        self.entries.retain(|entry| follows && entry.index > snapshot.index);
+        self.entries.retain(|entry| matches && entry.index > snapshot.index);
         self.snapshot = Some(snapshot.clone());
     }
 }
 
-/// How the log comes into being.
+/// How the log is formed at the first start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Formation {
-    /// The first of the listed instances forms it once every listed folder is known to be blank.
+    /// The first of the listed instances forms the log once all listed instances have reported a
+    /// blank data folder.
     #[default]
     Listed,
-    /// The owner names one blank folder that forms it alone ([`event::Event::Form`]); the others
-    /// join. For fleets whose instances are not known beforehand.
+    /// The owner designates one blank folder, which forms the log alone
+    /// ([`event::Event::Form`]); the other instances join. For fleets whose instances are not
+    /// known in advance.
     Named,
 }
 
 /// Settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Instances of the first voters, the same list at each of them. An instance that is listed
-    /// later joins by itself; a process that isn't listed asks these, and an operator lets it in.
-    /// [`event::Event::List`] replaces it.
+    /// Instances of the initial voters; the list must be the same on each of them. An instance
+    /// listed later joins automatically. One that is not listed sends its requests to join to these
+    /// and is added by an operator. [`event::Event::SetListedVoters`] replaces the list.
     pub voters: Vec<name::Instance>,
-    /// How the log comes into being.
+    /// How the log is formed.
     pub formation: Formation,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Least silence before an election.
+    /// Minimum time without contact with the leader before an election.
     pub election_timeout: Duration,
-    /// Span of the random addition to it.
+    /// Upper bound of the random addition to `election_timeout`.
     pub election_spread: Duration,
-    /// Term of the quorum lease; shorter than `election_timeout` by more than the clock-rate error.
+    /// Duration of the quorum lease; shorter than `election_timeout` by more than the clock-rate
+    /// error.
     pub quorum_lease: Duration,
-    /// Entries kept in memory before a snapshot, so that a follower that is a little behind needs
-    /// no snapshot.
+    /// Number of entries retained in memory before a snapshot, so that a follower that lags
+    /// slightly needs no snapshot.
     pub retained_entries: u64,
 }
 
-/// Default of [`Settings::kept_entries`].
+/// Default of [`Settings::retained_entries`].
 const DEFAULT_RETAINED_ENTRIES: u64 = 2_000;
 
 impl Default for Settings {
@@ -110,61 +113,62 @@
     }
 }
 
-/// What a node is in its term.
+/// Role of a node in its term.
 #[derive(Debug)]
 enum Role {
-    /// Follows, or waits.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Stands for election.
+    /// Candidate in an election or a pre-vote.
     Candidate(election::Candidacy),
-    /// Leads.
+    /// Leader.
     Leader(Box<leader_state::State>),
 }
 
-/// One voter or learner.
+/// Raft node: one voter or learner.
 #[derive(Debug)]
 pub struct Node {
     identity: consensus::Voter,
     settings: Settings,
     rng: rand_chacha::ChaCha8Rng,
-    /// Newest time seen.
+    /// Latest time seen.
     now: clock::Instant,
-    /// When the process started: what it promised before that is forgotten.
+    /// When the process started; it does not remember contact with a leader before that.
     started_at: clock::Instant,
-    /// Invariant: the term never goes down.
+    /// Invariant: the term never decreases.
     ballot: write::Ballot,
     log: log::Log,
     writes: write_tracker::Tracker,
-    /// Mark of the write that holds the ballot.
+    /// Number of the write that contains the ballot.
     ballot_write: u64,
-    /// Last committed index; everything up to it was handed out to be applied.
+    /// Last committed index; all entries up to it have been issued for application.
     ///
-    /// Invariant: never goes down, and nothing up to it is ever dropped for another entry.
+    /// Invariant: never decreases, and no entry up to it is ever replaced by another.
     committed: number::Index,
     role: Role,
-    /// Leader of the term; at most one is ever seen.
+    /// Leader of the term; a term has at most one.
     leader: Option<consensus::Voter>,
-    /// When the term's leader was last heard from.
+    /// When the leader of the term was last heard from.
     leader_heard_at: Option<clock::Instant>,
-    /// When to stand for election.
+    /// When to start the next candidacy.
     election_at: clock::Instant,
-    /// When to ask to join, or to form the log, next.
+    /// When to send the next requests to join or to form the log.
     next_request_at: clock::Instant,
-    /// Folders that answered to be blank.
+    /// Voters that reported a blank data folder.
     blank_folders: collections::BTreeMap<name::Instance, consensus::Voter>,
-    /// Last asker whose list of first voters differs.
+    /// Last sender of a request to form the log whose list of initial voters differs.
     mismatched_voter: Option<consensus::Voter>,
-    /// Snapshot that is arriving.
+    /// Partially received snapshot.
     incoming_snapshot: Option<follower::Incoming>,
-    /// Whether the process is to stop.
+    /// Whether the process is stopping.
     resigned: bool,
-    /// The write of this step; its mark is set once it holds anything.
+    /// Write collected in this step; its number is set once it contains anything.
     pending_write: write::Write,
     actions: Vec<action::Action>,
 }
 
 impl Node {
-    /// A node with what its journal recovered; `seed` gives its random numbers.
+    /// Creates a node from the state that its journal recovered. `seed` seeds the random number
+    /// generator.
     pub fn new(
         identity: consensus::Voter,
         durable: Durable,
@@ -202,7 +206,7 @@
         node
     }
 
-    /// Takes an event and gives the actions that answer it.
+    /// Handles an event and returns the resulting actions.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         self.now = self.now.max(now);
         self.check_quorum();
@@ -220,17 +224,17 @@
         self.take_actions()
     }
 
-    /// Whether this node leads, as far as it knows.
+    /// Whether this node considers itself leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Newest term seen.
+    /// Highest term seen.
     pub fn term(&self) -> number::Term {
         self.ballot.term
     }
 
-    /// Voter that leads, as far as is known.
+    /// Current leader, if known.
     pub fn leader(&self) -> Option<&consensus::Voter> {
         self.leader.as_ref()
     }
@@ -240,25 +244,25 @@
         self.committed
     }
 
-    /// Voters, with vacant seats.
+    /// Voters, including vacant seats.
     pub fn voters(&self) -> &[consensus::Voter] {
         self.log.voters()
     }
 
-    /// Time since each other voter, without vacant seats, last answered a message sent to it; empty
-    /// unless this node leads.
+    /// Age of the newest answered message for each other voter except vacant seats; empty unless
+    /// this node leads.
     pub fn contact_ages(&self, now: clock::Instant) -> Vec<(name::Instance, Duration)> {
         let Role::Leader(state) = &self.role else { return Vec::new() };
-        let silence = |voter: consensus::Voter| {
+        let contact_age = |voter: consensus::Voter| {
             let contact = state.progress.get(&voter)?.last_contact;
             Some((voter.instance, now.since(contact)))
         };
-        self.other_voters().into_iter().filter_map(silence).collect()
+        self.other_voters().into_iter().filter_map(contact_age).collect()
     }
 
-    /// Until when no other node can lead, measured from when the round that a quorum answered was
-    /// sent; `None` unless this node leads, has committed an entry of its own term and isn't
-    /// handing over.
+    /// End of the quorum lease, until which no other node can lead. It runs from the time at which
+    /// the newest round answered by a quorum was sent. `None` unless this node leads, has committed
+    /// an entry of its own term and is not handing over.
     pub fn quorum_lease(&self, now: clock::Instant) -> Option<clock::Instant> {
         let Role::Leader(state) = &self.role else {
             return None;
@@ -266,8 +270,8 @@
         if state.handover_since.is_some() || !self.has_committed_in_term() {
             return None;
         }
-        let upheld = state.quorum_lease_start(self.context(), now)?;
-        let until = upheld + self.settings.quorum_lease;
+        let start = state.quorum_lease_start(self.context(), now)?;
+        let until = start + self.settings.quorum_lease;
         (until > now).then_some(until)
     }
 
@@ -348,30 +352,30 @@
     }
 
     fn on_snapshotted(&mut self, index: number::Index, data: Vec<u8>) {
-        assert!(index <= self.committed, "only applied entries are in a snapshot");
+        assert!(index <= self.committed, "a snapshot covers only committed entries");
         if let Some(snapshot) = self.log.compact(index, data, self.settings.retained_entries) {
             self.pending_write_mut().snapshot = Some((*snapshot).clone());
         }
     }
 
-    /// Emits the step's write and gives the step's actions.
+    /// Issues the write of this step, if any, and returns the actions of this step.
     fn take_actions(&mut self) -> Vec<action::Action> {
         if self.pending_write.number != 0 {
             let number = self.writes.issue(self.log.last().index);
             let write = std::mem::take(&mut self.pending_write);
-            assert_eq!(number, write.number, "marks count the writes");
+            assert_eq!(number, write.number, "writes are numbered consecutively");
             self.actions.push(action::Action::Persist(write));
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// The write of this step.
+    /// Write of this step, with its number assigned.
     fn pending_write_mut(&mut self) -> &mut write::Write {
         self.pending_write.number = self.writes.issued() + 1;
         &mut self.pending_write
     }
 
-    /// Mark up to which must be synced before anything that rests on the state may be told.
+    /// Number of the write that must be synced before other nodes may learn the current state.
     fn newest_write(&self) -> u64 {
         self.pending_write.number.max(self.writes.issued())
     }
@@ -381,8 +385,8 @@
         self.actions.push(action::Action::Send(packet));
     }
 
-    /// Sends once everything written so far is synced: a vote or an acknowledgement that a crash
-    /// could undo would let two leaders or two entries stand in one place.
+    /// Sends once all writes so far are synced. If a crash could undo a vote or an acknowledgement
+    /// after it was sent, one term could get two leaders, or one index two entries.
     fn send_after_sync(&mut self, to: &name::Instance, message: consensus::Message) {
         let number = self.newest_write();
         if number <= self.writes.synced() {
@@ -401,9 +405,9 @@
         self.actions.push(action::Action::Notice(notice));
     }
 
-    /// Moves to a newer term without a vote.
+    /// Moves to a higher term without a vote.
     fn adopt_term(&mut self, term: number::Term) {
-        assert!(term > self.ballot.term, "the term never goes down");
+        assert!(term > self.ballot.term, "the term never decreases");
         self.set_ballot(write::Ballot { term, vote: None });
         self.leader = None;
         self.leader_heard_at = None;
@@ -411,7 +415,7 @@
     }
 
     fn set_ballot(&mut self, ballot: write::Ballot) {
-        assert!(ballot.term >= self.ballot.term, "the term never goes down");
+        assert!(ballot.term >= self.ballot.term, "the term never decreases");
         if ballot == self.ballot {
             return;
         }
@@ -455,12 +459,12 @@
         }
     }
 
-    /// Marks entries up to `index` as committed and hands them out.
+    /// Marks entries up to `index` as committed and issues them for application.
     fn commit_through(&mut self, index: number::Index) {
-        assert!(index >= self.committed, "the committed index never goes down");
+        assert!(index >= self.committed, "the committed index never decreases");
         while self.committed < index {
             let next = self.committed.next();
-            let entry = self.log.entry(next).expect("committed entries are here").clone();
+            let entry = self.log.entry(next).expect("committed entries are in memory").clone();
             assert_eq!(entry.index, next, "entries are applied in order");
             self.committed = next;
             self.release_uncommitted_bytes(&entry);
--- a/crates/hyssopfork-consensus/src/node/election.rs
+++ b/crates/hyssopfork-consensus/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who votes for whom, and when.
+//! Leader election with pre-vote, and the rules for granting votes.
 
 use crate::node::{self, Node, leader_state};
 use crate::{log, notice, write};
@@ -7,32 +7,33 @@
 use std::collections;
 use std::time::Duration;
 
-/// A stand for election.
+/// Candidacy in an election or a pre-vote.
 #[derive(Debug)]
 pub struct Candidacy {
-    /// Whether it only asks who would vote for it.
+    /// Whether this is a pre-vote, which asks for votes without a new term.
     ///
-    /// A node that was cut off would otherwise come back with a newer term and depose a leader
-    /// that a quorum still hears: callers would see an interruption for each flap of a link.
+    /// Without it, a node that was partitioned would return with a higher term and depose a leader
+    /// that still has a quorum; each flap of a link would interrupt service.
     pre: bool,
-    /// Voters that granted; the candidate's own once its ballot is synced.
+    /// Voters that granted their vote. The candidate's own vote counts at once in a pre-vote, and in
+    /// an election once its ballot is synced.
     votes: collections::BTreeSet<consensus::Voter>,
-    /// Mark of the candidate's own ballot.
+    /// Number of the write that contains the candidate's ballot.
     ballot_write: u64,
 }
 
 impl Node {
-    /// Picks the next time to stand for election.
+    /// Restarts the randomized election timeout.
     pub(super) fn postpone_election(&mut self) {
         let spread = self.settings.election_spread.as_micros() as u64;
         let extra = Duration::from_micros(self.rng.random_range(0..=spread));
         self.election_at = self.now + self.settings.election_timeout + extra;
     }
 
-    /// Whether this node may stand: it is a voter, or its own removal is not committed yet.
+    /// Whether this node may become leader: it is a voter, or its removal is not committed yet.
     ///
-    /// The others may need its vote, which they can't get, as its log is longer by that removal. It
-    /// then leads without counting itself, until the removal is committed.
+    /// The others may need its vote, which it denies them because its log is longer by the entry
+    /// of the removal. It then leads without counting itself until the removal is committed.
     pub(super) fn is_eligible(&self) -> bool {
         let uncommitted = self.log.voters_changed_at() > self.committed;
         self.is_voter() || uncommitted && self.log.previous_voters().contains(&self.identity)
@@ -43,24 +44,25 @@
             return;
         }
         self.start_candidacy(true);
-        // Its own list may be one that lost: a folder whose admission was never committed believes
-        // to have a seat, nobody sends to it, and the seat would stay vacant.
+        // The local list of voters may never have been committed: a folder whose admission was lost
+        // considers itself a voter, but no leader sends to it. Without a request to join, its seat
+        // would stay vacant.
         self.request_join();
     }
 
-    /// Whether votes are withheld.
+    /// Whether this node currently grants no votes.
     ///
-    /// A leader's quorum lease rests on a quorum whose members vote for nobody else until
-    /// [`node::Settings::election_timeout`] after they last heard from it. A process that has just
-    /// started doesn't know whom it heard before, so it withholds its vote as long.
+    /// The quorum lease of a leader relies on a quorum whose members vote for no other node until
+    /// [`node::Settings::election_timeout`] after they last heard from it. A restarted process does
+    /// not know when it last heard from a leader, so it withholds its vote for the same time.
     fn is_vote_withheld(&self) -> bool {
         let since = |instant: clock::Instant| self.now.since(instant);
         let timeout = self.settings.election_timeout;
-        let hears = self.leader_heard_at.is_some_and(|heard| since(heard) < timeout);
-        self.is_leader() || hears || since(self.started_at) < timeout
+        let has_leader_contact = self.leader_heard_at.is_some_and(|heard| since(heard) < timeout);
+        self.is_leader() || has_leader_contact || since(self.started_at) < timeout
     }
 
-    /// Stands for election, or (`pre`) asks whether it would be elected.
+    /// Starts an election, or a pre-vote if `pre` is set.
     fn start_candidacy(&mut self, pre: bool) {
         self.become_follower();
         let mut term = self.ballot.term.next();
@@ -72,8 +74,8 @@
             self.leader_heard_at = None;
             term = self.ballot.term;
         }
-        let number = self.newest_write();
-        self.role = node::Role::Candidate(Candidacy { pre, votes, ballot_write: number });
+        let ballot_write = self.newest_write();
+        self.role = node::Role::Candidate(Candidacy { pre, votes, ballot_write });
         self.request_votes(pre, term);
         self.count_votes();
     }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Every voter but this one, without vacant seats.
+    /// All voters except this node and vacant seats.
     pub(super) fn other_voters(&self) -> Vec<consensus::Voter> {
         let other = |voter: &&consensus::Voter| {
             **voter != self.identity && voter.folder != consensus::VACANT
@@ -107,12 +109,12 @@
         last: log::Position,
     ) {
         let granted = !self.is_vote_withheld() && self.try_grant_vote(&from, pre, term, last);
-        let answer = if granted { term } else { self.ballot.term };
-        let message = consensus::Message::Voted { pre, term: answer, granted };
+        let response_term = if granted { term } else { self.ballot.term };
+        let message = consensus::Message::Voted { pre, term: response_term, granted };
         self.send_after_sync(&from.instance, message);
     }
 
-    /// Whether the vote is given; a real vote is written down.
+    /// Decides whether to grant a vote, and writes the ballot unless it is a pre-vote.
     fn try_grant_vote(
         &mut self,
         from: &consensus::Voter,
@@ -121,15 +123,15 @@
         last: log::Position,
     ) -> bool {
         let own = self.log.last();
-        let has_all = (last.term, last.index) >= (own.term, own.index);
+        let is_up_to_date = (last.term, last.index) >= (own.term, own.index);
         if pre {
-            return has_all && term > self.ballot.term;
+            return is_up_to_date && term > self.ballot.term;
         }
         if term > self.ballot.term {
             self.adopt_term(term);
         }
-        let free = self.ballot.vote.as_ref().is_none_or(|vote| vote == from);
-        if term < self.ballot.term || !has_all || !free {
+        let is_vote_free = self.ballot.vote.as_ref().is_none_or(|vote| vote == from);
+        if term < self.ballot.term || !is_up_to_date || !is_vote_free {
             return false;
         }
         self.set_ballot(write::Ballot { term, vote: Some(from.clone()) });
@@ -150,17 +152,17 @@
             }
             return;
         }
-        let stood_for = if pre { self.ballot.term.next() } else { self.ballot.term };
+        let candidacy_term = if pre { self.ballot.term.next() } else { self.ballot.term };
         let node::Role::Candidate(candidacy) = &mut self.role else {
             return;
         };
-        if candidacy.pre == pre && term == stood_for {
+        if candidacy.pre == pre && term == candidacy_term {
             candidacy.votes.insert(from);
             self.count_votes();
         }
     }
 
-    /// Counts the candidate's own vote once its ballot is synced.
+    /// Counts the candidate's vote for itself once its ballot is synced.
     pub(super) fn count_own_vote(&mut self) {
         let synced = self.writes.synced();
         let node::Role::Candidate(candidacy) = &mut self.role else {
@@ -178,8 +180,8 @@
             return;
         };
         let voters = self.log.voters();
-        // Only identities in the list count: a folder that replaced a lost one may answer, and has
-        // forgotten what the lost one voted.
+        // Only listed identities count: a folder that replaced a lost one may respond, but does not
+        // know how the lost one voted.
         let votes = voters.iter().filter(|voter| candidacy.votes.contains(voter)).count();
         if votes <= voters.len() / 2 {
             return;
@@ -192,14 +194,15 @@
     }
 
     fn become_leader(&mut self) {
-        assert!(self.leader.is_none(), "one leader a term");
+        assert!(self.leader.is_none(), "a term has at most one leader");
         self.leader = Some(self.identity.clone());
         let state = leader_state::State::new(self.context());
         self.role = node::Role::Leader(Box::new(state));
         self.push_notice(notice::Notice::Leads(self.ballot.term));
         let first = self.log.last().index.0 == 0;
         let payload = if first {
-            // Only the node that formed the log knows its voters: the others learn them here.
+            // Only the node that formed the log knows the voters; the others learn them from this
+            // entry.
             consensus::Payload::Voters(self.log.voters().to_vec())
         } else {
             consensus::Payload::Empty
@@ -207,7 +210,7 @@
         self.append(payload);
     }
 
-    /// A leader that stops gave up its lease: the duty to withhold votes ends with it.
+    /// The leader has given up its quorum lease, so votes need not be withheld any longer.
     pub(super) fn on_release(
         &mut self,
         from: consensus::Voter,
--- a/crates/hyssopfork-consensus/src/node/follower.rs
+++ b/crates/hyssopfork-consensus/src/node/follower.rs
@@ -1,18 +1,18 @@
-//! Followers: taking entries and snapshots from the leader.
+//! Follower: accepts entries and snapshots from the leader.
 
 use crate::node::Node;
 use crate::{action, log, notice, write};
 use hyssopfork_wire::{consensus, name, number};
 use std::sync;
 
-/// Entries from a leader.
+/// Append request of a leader.
 #[derive(Debug)]
 pub struct Append {
     /// Leader's term.
     pub term: number::Term,
     /// Leader's round.
     pub round: u64,
-    /// What the entries follow.
+    /// Position before the entries.
     pub previous: log::Position,
     /// Entries.
     pub entries: Vec<consensus::Entry>,
@@ -20,29 +20,29 @@
     pub committed: number::Index,
 }
 
-/// A part of a snapshot from a leader.
+/// Part of a snapshot from a leader.
 #[derive(Debug)]
 pub struct Part {
     /// Leader's term.
     pub term: number::Term,
     /// Leader's round.
     pub round: u64,
-    /// What the snapshot covers.
+    /// Last position that the snapshot covers.
     pub position: log::Position,
     /// Voters at that position.
     pub voters: Vec<consensus::Voter>,
-    /// Offset of the part.
+    /// Offset of the part in bytes.
     pub offset: u64,
     /// Bytes of the part.
     pub data: Vec<u8>,
-    /// Whether it is the last.
+    /// Whether this is the last part.
     pub last: bool,
 }
 
-/// A snapshot that is arriving.
+/// Partially received snapshot.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Term of the leader that sends it: another leader may encode the same state otherwise.
+    /// Term of the sender: another leader may encode the same state differently.
     term: number::Term,
     position: log::Position,
     data: Vec<u8>,
@@ -66,7 +66,7 @@
         self.respond(&from.instance, round, true, matched);
     }
 
-    /// Follows `from` as leader of `term`; false when that term is over.
+    /// Accepts `from` as leader of `term`; false if `term` is outdated.
     fn follow_leader(&mut self, from: &consensus::Voter, term: number::Term, round: u64) -> bool {
         if term < self.ballot.term {
             self.respond(&from.instance, round, false, number::Index(0));
@@ -76,7 +76,7 @@
             self.adopt_term(term);
         }
         if self.leader.as_ref() != Some(from) {
-            assert!(self.leader.is_none(), "one leader a term");
+            assert!(self.leader.is_none(), "a term has at most one leader");
             self.become_follower();
             self.leader = Some(from.clone());
             self.push_notice(notice::Notice::Follows(term, from.clone()));
@@ -86,14 +86,14 @@
         true
     }
 
-    /// Takes entries that follow `previous`; gives the last index that now matches the leader's
-    /// log, or `None` when `previous` isn't here.
+    /// Accepts the entries that follow `previous`. Returns the last index that now matches the
+    /// leader's log, or `None` if the log does not contain `previous`.
     fn accept_entries(
         &mut self,
         previous: log::Position,
         entries: Vec<consensus::Entry>,
     ) -> Option<number::Index> {
-        // What is committed is the same everywhere, also where the entry itself was dropped.
+        // Committed entries are equal on all nodes, also if this one has compacted them.
         let matches = previous.index <= self.committed
             || self.log.term_at(previous.index) == Some(previous.term);
         if !matches {
@@ -101,19 +101,22 @@
         }
         let mut matched = previous.index;
         for entry in entries {
-            assert_eq!(entry.index, matched.next(), "a message's entries have no gaps");
+            assert_eq!(entry.index, matched.next(), "the entries of a message are contiguous");
             matched = entry.index;
             self.accept_entry(entry);
         }
         Some(matched)
     }
 
-    /// Takes one entry. Only an entry of another term is replaced: a late message with fewer
-    /// entries must not cut off what was acknowledged since.
+    /// Accepts one entry. The log is truncated only at an entry of another term: a delayed message
+    /// with fewer entries must not remove entries acknowledged since.
     fn accept_entry(&mut self, entry: consensus::Entry) {
         if entry.index <= self.committed {
             let term = self.log.term_at(entry.index);
-            assert!(term.is_none_or(|term| term == entry.term), "committed entries stand");
+            assert!(
+                term.is_none_or(|term| term == entry.term),
+                "committed entries are never replaced"
+            );
             return;
         }
         match self.log.term_at(entry.index) {
@@ -127,13 +130,16 @@
 
     fn truncate(&mut self, index: number::Index) {
         assert!(index > self.committed, "committed entries are never dropped");
-        assert!(self.pending_write.entries.is_empty(), "a write drops entries before it adds any");
+        assert!(
+            self.pending_write.entries.is_empty(),
+            "a write truncates the log before it appends entries"
+        );
         self.log.truncate(index);
         self.writes.truncate(index);
         self.pending_write_mut().truncate = Some(index);
     }
 
-    /// Where the logs may match, when they don't at `previous`.
+    /// Highest index at which the logs may match, given that they do not match at `previous`.
     fn conflict_hint(&self, previous: number::Index) -> number::Index {
         let last = self.log.last().index;
         if previous > last {
@@ -143,16 +149,16 @@
         before.max(self.committed)
     }
 
-    /// Answers a leader. What was just written is acknowledged once it is synced; an answer that
-    /// wrote nothing leaves at once, for what is synced already, so that a slow disk doesn't end
-    /// the leader's lease.
+    /// Responds to a leader. If the message caused a write, or the ballot is not synced yet, the
+    /// response is sent after the sync. Any other is sent at once and acknowledges only synced
+    /// entries, so that a slow disk does not end the leader's quorum lease.
     fn respond(&mut self, to: &name::Instance, round: u64, accepted: bool, matched: number::Index) {
-        let wrote = self.pending_write.number != 0 || self.writes.synced() < self.ballot_write;
+        let needs_sync = self.pending_write.number != 0 || self.writes.synced() < self.ballot_write;
         let synced = if accepted { matched.min(self.writes.synced_index()) } else { matched };
-        let matched = if wrote { matched } else { synced };
+        let matched = if needs_sync { matched } else { synced };
         let term = self.ballot.term;
         let message = consensus::Message::Appended { term, round, accepted, matched };
-        if wrote {
+        if needs_sync {
             self.send_after_sync(to, message);
         } else {
             self.send(to, message);
@@ -171,30 +177,30 @@
             return;
         }
         let (voters, last) = (part.voters.clone(), part.last);
-        let taken = self.accept_part(part);
-        if taken && last {
+        let accepted = self.accept_part(part);
+        if accepted && last {
             self.install_snapshot(voters);
         }
         let matched = self.committed;
-        self.respond(&from.instance, round, taken, matched);
+        self.respond(&from.instance, round, accepted, matched);
     }
 
-    /// Takes a part; false when an earlier one is missing.
+    /// Accepts a part of a snapshot; false if an earlier part is missing.
     fn accept_part(&mut self, part: Part) -> bool {
-        let arriving =
+        let is_current =
             |incoming: &Incoming| incoming.term == part.term && incoming.position == part.position;
-        if !self.incoming_snapshot.as_ref().is_some_and(arriving) {
+        if !self.incoming_snapshot.as_ref().is_some_and(is_current) {
             let (term, position) = (part.term, part.position);
             self.incoming_snapshot = Some(Incoming { term, position, data: Vec::new() });
         }
         let Some(incoming) = &mut self.incoming_snapshot else {
             return false;
         };
-        let have = incoming.data.len() as u64;
-        if part.offset > have {
+        let received = incoming.data.len() as u64;
+        if part.offset > received {
             return false;
         }
-        if part.offset == have {
+        if part.offset == received {
             incoming.data.extend(part.data);
         }
         true
--- a/crates/hyssopfork-consensus/src/node/formation.rs
+++ b/crates/hyssopfork-consensus/src/node/formation.rs
@@ -1,10 +1,12 @@
-//! The first start: from blank folders to a list of voters.
+//! Cluster bootstrap: formation of the log from blank data folders.
 //!
-//! Where the owner names the folder that forms the log ([`node::Formation::Named`]), it forms one
-//! of which it is the only voter, and lets the others in one by one. Otherwise settings name instances; votes and acknowledgements belong to folders. The first of the listed
-//! instances alone forms the log, once every listed instance has answered that its folder has
-//! never written anything. A folder that was lost while another remembers anything therefore never
-//! forms a log: it asks to join.
+//! If the owner designates the folder that forms the log ([`node::Formation::Named`]), that node
+//! forms a log with itself as the only voter and admits the others one by one.
+//!
+//! Otherwise the settings list instances, while votes and acknowledgements belong to folders. Only
+//! the first of the listed instances forms the log, once every listed instance has responded that
+//! its folder has never been written to. A node that lost its folder therefore never forms a log
+//! while any other folder holds state; it requests to join.
 
 use crate::node::{self, Node};
 use crate::{log, notice, write};
@@ -12,11 +14,11 @@
 use std::collections;
 use std::time::Duration;
 
-/// Time between requests to join or to form.
+/// Interval between requests to join or to form the log.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Node {
-    /// A node that isn't a voter asks to form the log or to be let in.
+    /// Requests to form the log or to join it, while this node is not a voter.
     pub(super) fn on_nonvoter_tick(&mut self) {
         if self.now < self.next_request_at {
             return;
@@ -39,14 +41,14 @@
             && self.listed_instances().first() == Some(&self.identity.instance)
     }
 
-    /// Whether the folder has never written anything.
+    /// Whether the data folder has never been written to.
     pub fn is_blank(&self) -> bool {
         self.ballot == write::Ballot::default()
             && self.log.snapshot().is_none()
             && self.log.last().index.0 == 0
     }
 
-    /// The listed instances in order of name, each once.
+    /// Listed instances, sorted by name and without duplicates.
     fn listed_instances(&self) -> Vec<name::Instance> {
         let mut instances = self.settings.voters.clone();
         instances.sort();
@@ -90,13 +92,13 @@
         self.send(&from.instance, consensus::Message::Blank { folder: from.folder });
     }
 
-    /// Tells it once of each asker, which asks several times a second.
-    fn report_list_mismatch(&mut self, asker: consensus::Voter) {
-        if self.mismatched_voter.as_ref() == Some(&asker) {
+    /// Logs a list mismatch once per sender, which repeats its request several times a second.
+    fn report_list_mismatch(&mut self, sender: consensus::Voter) {
+        if self.mismatched_voter.as_ref() == Some(&sender) {
             return;
         }
-        self.mismatched_voter = Some(asker.clone());
-        self.push_notice(notice::Notice::ListDiffers(asker.instance));
+        self.mismatched_voter = Some(sender.clone());
+        self.push_notice(notice::Notice::ListDiffers(sender.instance));
     }
 
     pub(super) fn on_blank_response(&mut self, from: consensus::Voter, folder: u64) {
@@ -107,7 +109,7 @@
         self.try_form_log(&self.listed_instances());
     }
 
-    /// Forms the log if every instance is known to be blank.
+    /// Forms the log if all instances are known to be blank.
     fn try_form_log(&mut self, instances: &[name::Instance]) {
         self.blank_folders.insert(self.identity.instance.clone(), self.identity.clone());
         let voters =
@@ -120,8 +122,8 @@
         self.postpone_election();
     }
 
-    /// Forms the log with this folder as its only voter. Nobody else can vote, so it stands for
-    /// election at once.
+    /// Forms the log with this node as its only voter. No other node can vote, so the election is
+    /// due at once.
     pub(super) fn on_form(&mut self) {
         if self.is_blank() {
             self.form_log(vec![self.identity.clone()]);
--- a/crates/hyssopfork-consensus/src/node/leader.rs
+++ b/crates/hyssopfork-consensus/src/node/leader.rs
@@ -1,14 +1,14 @@
-//! Leading: proposals, commitment, heartbeats and handing over.
+//! Leader: proposals, commitment, heartbeats and leadership handover.
 
 use crate::node::{self, Node, leader_state};
 use crate::{action, notice};
 use hyssopfork_wire::{clock, consensus, number};
 
-/// Entries that may wait to be committed; proposals over it are rejected, since a leader cut off
-/// from its quorum would otherwise gather them without bound.
+/// Uncommitted entries above which proposals are rejected. A leader partitioned from its quorum
+/// would otherwise accumulate them without bound.
 const MAX_UNCOMMITTED_ENTRIES: u64 = 4_096;
 
-/// Bytes of commands that may wait to be committed.
+/// Bytes of uncommitted commands above which proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: usize = 16 << 20;
 
 impl Node {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The leader's state beside what it reads of its node; `None` unless this node leads.
+    /// Leader state and the context that it works with; `None` unless this node leads.
     pub(super) fn leader_state(
         &mut self,
     ) -> Option<(&mut leader_state::State, leader_state::Context<'_>)> {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Runs `work` on the leader's state and sends what it gives.
+    /// Runs `work` on the leader state and sends the resulting messages.
     fn send_as_leader(
         &mut self,
         work: impl FnOnce(
@@ -59,8 +59,8 @@
         self.send_as_leader(|state, context| state.replicate(context));
     }
 
-    /// Steps down when no quorum answers: before each event, since after a pause the first one may
-    /// be a proposal.
+    /// Steps down if no quorum responds. Runs before each event, since the first event after a
+    /// pause of the process may be a proposal.
     pub(super) fn check_quorum(&mut self) {
         if self.is_leader() && !self.has_quorum_contact() {
             self.push_notice(notice::Notice::QuorumLost(self.ballot.term));
@@ -82,10 +82,10 @@
         self.try_hand_over();
     }
 
-    /// Whether a quorum answered within an election timeout.
+    /// Whether a quorum responded within the election timeout.
     ///
-    /// A leader that is cut off from its quorum would otherwise go on taking proposals that can't
-    /// be committed, and its callers would wait in place of asking the next leader.
+    /// A leader partitioned from its quorum would otherwise continue to accept proposals that
+    /// cannot be committed, and its clients would wait instead of asking the next leader.
     fn has_quorum_contact(&self) -> bool {
         let node::Role::Leader(state) = &self.role else {
             return false;
@@ -102,8 +102,8 @@
             return;
         };
         let bytes = state.uncommitted_bytes + command.len();
-        let full = entries >= MAX_UNCOMMITTED_ENTRIES || bytes > MAX_UNCOMMITTED_BYTES;
-        if self.resigned || full || command.len() > node::MAX_COMMAND_BYTES {
+        let is_full = entries >= MAX_UNCOMMITTED_ENTRIES || bytes > MAX_UNCOMMITTED_BYTES;
+        if self.resigned || is_full || command.len() > node::MAX_COMMAND_BYTES {
             self.reject_proposal(ticket);
             return;
         }
@@ -111,14 +111,14 @@
         self.append_proposal(ticket, consensus::Payload::Command(command));
     }
 
-    /// Appends for an owner's ticket.
+    /// Appends an entry for a proposal and reports its position.
     pub(super) fn append_proposal(&mut self, ticket: u64, payload: consensus::Payload) {
         let index = self.append(payload);
         let term = self.ballot.term;
         self.actions.push(action::Action::Proposed { ticket, index, term });
     }
 
-    /// Appends an entry of this term and sends it.
+    /// Appends an entry of this term and replicates it.
     pub(super) fn append(&mut self, payload: consensus::Payload) -> number::Index {
         let index = self.log.last().index.next();
         let entry = consensus::Entry { index, term: self.ballot.term, payload };
@@ -150,19 +150,21 @@
         self.try_hand_over();
     }
 
-    /// Commits what a quorum has, if it ends with an entry of this term.
+    /// Commits the entries stored by a quorum, if the last of them is of this term.
     ///
-    /// An entry of an earlier term that a quorum has may still be replaced by a leader that lacks
-    /// it; one of this term after it rules that out.
+    /// An entry of an earlier term that a quorum stores may still be overwritten by a leader that
+    /// lacks it; a later entry of this term stored by a quorum rules that out.
     pub(super) fn advance_commit(&mut self) {
         let node::Role::Leader(state) = &self.role else {
             return;
         };
-        let agreed = state.quorum_index(self.context(), self.writes.synced_index());
-        if agreed <= self.committed || self.log.term_at(agreed) != Some(self.ballot.term) {
+        let quorum_index = state.quorum_index(self.context(), self.writes.synced_index());
+        if quorum_index <= self.committed
+            || self.log.term_at(quorum_index) != Some(self.ballot.term)
+        {
             return;
         }
-        self.commit_through(agreed);
+        self.commit_through(quorum_index);
         if !self.is_voter() && self.log.voters_changed_at() <= self.committed {
             self.become_follower();
         }
@@ -180,8 +182,8 @@
         self.try_hand_over();
     }
 
-    /// Hands leadership to a voter that has the whole log, or to the best one after an election
-    /// timeout.
+    /// Hands leadership over to a voter that has the whole log or, after an election timeout, to
+    /// the one with the longest log.
     fn try_hand_over(&mut self) {
         let node::Role::Leader(state) = &self.role else {
             return;
@@ -194,14 +196,14 @@
             return;
         };
         let matched = state.progress[&successor].matched;
-        let late = self.now.since(since) >= self.settings.election_timeout;
-        if matched < self.log.last().index && !late {
+        let expired = self.now.since(since) >= self.settings.election_timeout;
+        if matched < self.log.last().index && !expired {
             return;
         }
         self.hand_over_to(successor);
     }
 
-    /// Voter with the longest log, the one heard from last among equals.
+    /// Voter with the longest log; among equals, the one with the latest contact.
     fn choose_successor(&self, state: &leader_state::State) -> Option<consensus::Voter> {
         let rank = |voter: &consensus::Voter| -> (number::Index, clock::Instant) {
             let progress = &state.progress[voter];
@@ -210,8 +212,8 @@
         self.other_voters().into_iter().max_by_key(rank)
     }
 
-    /// Gives up the lease for good, tells everyone, and leads no more: a heartbeat after this would
-    /// bind the voters again.
+    /// Gives up the quorum lease, notifies all voters and steps down. A heartbeat after this would
+    /// make the voters withhold their votes again.
     fn hand_over_to(&mut self, successor: consensus::Voter) {
         let term = self.ballot.term;
         for voter in self.other_voters() {
--- a/crates/hyssopfork-consensus/src/node/leader_state.rs
+++ b/crates/hyssopfork-consensus/src/node/leader_state.rs
@@ -1,4 +1,4 @@
-//! A leader's view of the others: what to send to whom, and what a quorum has.
+//! Leader state: replication to each follower, and the index and lease that a quorum supports.
 
 use crate::log;
 use crate::node::progress;
@@ -7,22 +7,22 @@
 use std::sync;
 use std::time::Duration;
 
-/// Bytes of entries after which a message is full; one longer entry travels alone.
+/// Bytes of entries in one message. A larger entry is sent in a message of its own.
 const MAX_BATCH_BYTES: usize = 64 << 10;
 
-/// Bytes of one part of a snapshot.
+/// Bytes of snapshot data in one message.
 pub const MAX_PART_BYTES: usize = 64 << 10;
 
-/// Time after which an unanswered part of a snapshot is sent again.
+/// Time after which an unanswered part of a snapshot is retried.
 const PART_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Silence after which a follower gets no parts until it answers a heartbeat.
+/// Time without contact after which a follower is sent no parts until it answers a heartbeat.
 const PART_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a leader reads of its node.
+/// View of the node that the leader state works with.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
-    /// The leader.
+    /// Identity of the leader.
     pub identity: &'a consensus::Voter,
     /// The log.
     pub log: &'a log::Log,
@@ -30,11 +30,11 @@
     pub term: number::Term,
     /// Committed index.
     pub committed: number::Index,
-    /// Now.
+    /// Current time.
     pub now: clock::Instant,
 }
 
-/// A message to an instance.
+/// Message to be sent to an instance.
 #[derive(Debug)]
 pub struct Outgoing {
     /// Receiver.
@@ -43,46 +43,46 @@
     pub message: consensus::Message,
 }
 
-/// An answer of a follower.
+/// Response of a follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Response {
-    /// Answered round.
+    /// Round that is answered.
     pub round: u64,
     /// Whether the logs match up to `matched`.
     pub accepted: bool,
-    /// Matching index, or where to try next.
+    /// Last matching index; if not accepted, the index to try next.
     pub matched: number::Index,
 }
 
-/// An operator's wish for another voter.
+/// Pending addition of a voter by an operator.
 #[derive(Clone, Debug)]
 pub struct Addition {
-    /// The owner's number.
+    /// Ticket of the operator's request.
     pub ticket: u64,
-    /// The voter to be.
+    /// Voter to be added.
     pub voter: consensus::Voter,
 }
 
-/// A leader.
+/// State of a leader.
 #[derive(Debug)]
 pub struct State {
-    /// Every voter but the leader, and every learner.
+    /// Progress of all other voters and of the learners.
     pub progress: collections::BTreeMap<consensus::Voter, progress::Progress>,
-    /// Folders that ask to join, newest of each instance.
+    /// Identities that requested to join, the latest of each instance.
     pub join_requests: collections::BTreeMap<name::Instance, consensus::Voter>,
-    /// Voter that an operator adds, until it has caught up.
+    /// Addition by an operator, until the new voter has caught up.
     pub addition: Option<Addition>,
     /// When the next heartbeats are due.
     pub next_heartbeat_at: clock::Instant,
-    /// Bytes of this leader's commands that wait to be committed.
+    /// Bytes of this leader's uncommitted commands.
     pub uncommitted_bytes: usize,
-    /// Since when leadership is being handed over.
+    /// When the handover of leadership started.
     pub handover_since: Option<clock::Instant>,
     round: u64,
 }
 
 impl State {
-    /// A new leader among `voters`.
+    /// Creates the state of a new leader.
     pub fn new(context: Context<'_>) -> State {
         let mut state = State {
             progress: collections::BTreeMap::new(),
@@ -97,12 +97,13 @@
         state
     }
 
-    /// Keeps the progress of exactly the voters and the learners that ask to join.
+    /// Tracks the current voters, and drops the progress of nodes that are neither voters nor
+    /// requested to join.
     pub fn track_voters(&mut self, context: Context<'_>) {
         let voters = context.log.voters();
-        let joiners = &self.join_requests;
+        let join_requests = &self.join_requests;
         self.progress.retain(|voter, _| {
-            voters.contains(voter) || joiners.get(&voter.instance) == Some(voter)
+            voters.contains(voter) || join_requests.get(&voter.instance) == Some(voter)
         });
         for voter in voters {
             if voter != context.identity && voter.folder != consensus::VACANT {
@@ -111,37 +112,37 @@
         }
     }
 
-    /// Starts to send the log to `voter`.
+    /// Starts to replicate the log to `voter`.
     pub fn track(&mut self, voter: &consensus::Voter, context: Context<'_>) {
         let last = context.log.last().index;
-        let fresh = || progress::Progress::new(last, context.now);
-        self.progress.entry(voter.clone()).or_insert_with(fresh);
+        let new_progress = || progress::Progress::new(last, context.now);
+        self.progress.entry(voter.clone()).or_insert_with(new_progress);
     }
 
-    /// Messages to all, whether or not there is anything to say.
+    /// Heartbeats to all tracked nodes.
     pub fn heartbeats(&mut self, context: Context<'_>) -> Vec<Outgoing> {
-        let mut messages_out = Vec::new();
+        let mut outbox = Vec::new();
         for (voter, progress) in &mut self.progress {
             self.round += 1;
             progress.record_round(self.round, context.now);
             let message = heartbeat_message(context, self.round, progress);
-            messages_out.push(Outgoing { to: voter.instance.clone(), message });
+            outbox.push(Outgoing { to: voter.instance.clone(), message });
         }
-        messages_out
+        outbox
     }
 
-    /// What each follower lacks, as far as it may be on its way.
+    /// Messages with what each follower lacks, within the limits on data in flight.
     pub fn replicate(&mut self, context: Context<'_>) -> Vec<Outgoing> {
-        let mut messages_out = Vec::new();
+        let mut outbox = Vec::new();
         for (voter, progress) in &mut self.progress {
             let messages = replication_messages(context, &mut self.round, progress);
             let outgoing = |message| Outgoing { to: voter.instance.clone(), message };
-            messages_out.extend(messages.into_iter().map(outgoing));
+            outbox.extend(messages.into_iter().map(outgoing));
         }
-        messages_out
+        outbox
     }
 
-    /// Takes an answer.
+    /// Handles the response of a follower.
     pub fn on_response(&mut self, from: &consensus::Voter, response: Response) {
         let Some(progress) = self.progress.get_mut(from) else {
             return;
@@ -158,13 +159,14 @@
         }
     }
 
-    /// Newest index that a quorum has on disk; the leader's own disk has it up to `durable`.
+    /// Highest index that a quorum has synced; the leader itself has synced up to `durable`.
     pub fn quorum_index(&self, context: Context<'_>, durable: number::Index) -> number::Index {
         let matched = |progress: &progress::Progress| progress.matched;
         self.quorum_value(context, durable, matched).unwrap_or_default()
     }
 
-    /// When the newest round that a quorum answered was sent, for the oldest of its answers.
+    /// Start of the quorum lease: latest time such that a quorum answered a round sent at that time
+    /// or later.
     pub fn quorum_lease_start(
         &self,
         context: Context<'_>,
@@ -173,12 +175,12 @@
         self.quorum_value(context, Some(now), |progress| progress.lease_start)?
     }
 
-    /// When a quorum was last heard from.
+    /// Latest time such that the last contact with a quorum is not older.
     pub fn quorum_contact(&self, context: Context<'_>) -> Option<clock::Instant> {
         self.quorum_value(context, Some(context.now), |progress| Some(progress.last_contact))?
     }
 
-    /// Greatest value that a quorum reaches. A vacant seat reaches nothing.
+    /// Greatest value that a quorum reaches; a vacant seat counts with the default.
     fn quorum_value<T: Copy + Default + Ord>(
         &self,
         context: Context<'_>,
@@ -198,7 +200,8 @@
     }
 }
 
-/// A message without entries. One to a follower that gets a snapshot builds on nothing.
+/// Append message without entries. To a follower that is being sent a snapshot, its previous
+/// position is zero, which always matches.
 fn heartbeat_message(
     context: Context<'_>,
     round: u64,
@@ -227,15 +230,15 @@
     }
 }
 
-/// Messages that a follower has room for.
+/// Messages that a follower has capacity for.
 fn replication_messages(
     context: Context<'_>,
     round: &mut u64,
     progress: &mut progress::Progress,
 ) -> Vec<consensus::Message> {
     let mut messages = Vec::new();
-    // Also when there is no room for entries: where what comes next was dropped, no heartbeat can
-    // find out that the messages on their way were lost.
+    // Not subject to the capacity: once the next entries are compacted, a heartbeat cannot detect
+    // that the messages in flight were lost.
     if progress.transfer.is_none() && progress.next <= context.log.base().index {
         start_transfer(context, progress);
     }
@@ -247,7 +250,7 @@
     messages
 }
 
-/// The next entries, as many as fit.
+/// Message with as many of the next entries as fit.
 fn next_batch(
     context: Context<'_>,
     round: u64,
@@ -273,17 +276,17 @@
 }
 
 fn start_transfer(context: Context<'_>, progress: &mut progress::Progress) {
-    let snapshot = context.log.snapshot().expect("entries are dropped only for a snapshot");
+    let snapshot = context.log.snapshot().expect("entries are compacted only up to a snapshot");
     progress.clear_in_flight();
     progress.transfer = Some(progress::Transfer {
         snapshot: sync::Arc::clone(snapshot),
         offset: 0,
         round: 0,
-        sent: clock::Instant::ORIGIN,
+        sent_at: clock::Instant::ORIGIN,
     });
 }
 
-/// The part of a snapshot that is due, if any.
+/// Next part of a snapshot, if one is due.
 fn next_part(
     context: Context<'_>,
     round: &mut u64,
@@ -291,12 +294,12 @@
 ) -> Option<consensus::Message> {
     let silent = context.now.since(progress.last_contact) >= PART_SILENCE_TIMEOUT;
     let transfer = progress.transfer.as_mut().filter(|_| !silent)?;
-    if transfer.round != 0 && context.now.since(transfer.sent) < PART_RETRY_INTERVAL {
+    if transfer.round != 0 && context.now.since(transfer.sent_at) < PART_RETRY_INTERVAL {
         return None;
     }
     *round += 1;
     transfer.round = *round;
-    transfer.sent = context.now;
+    transfer.sent_at = context.now;
     let message = part_message(context, transfer);
     progress.record_round(*round, context.now);
     Some(message)
@@ -317,7 +320,8 @@
     }
 }
 
-/// Moves a transfer on; a follower that lost the earlier parts refuses and gets the first again.
+/// Advances a transfer. A follower that lost the earlier parts rejects the part, and the transfer
+/// restarts with the first.
 fn advance_transfer(progress: &mut progress::Progress, response: Response) {
     let Some(mut transfer) = progress.transfer.take() else {
         return;
--- a/crates/hyssopfork-consensus/src/node/membership.rs
+++ b/crates/hyssopfork-consensus/src/node/membership.rs
@@ -1,51 +1,52 @@
-//! Changes of the voters.
+//! Membership changes, one voter at a time.
 //!
-//! One seat changes at a time, and a leader changes none before it has committed an entry of its
-//! own term and the last change: any quorum of the old voters then shares a member with any quorum
-//! of the new ones. A folder that was lost is replaced in two such changes, by way of a vacant
-//! seat; one that swaps it at once would let {A, old B} and {C, new B} be quorums at the same time.
+//! One seat changes at a time, and a leader starts no change before it has committed the previous
+//! change and an entry of its own term. Any quorum of the old voters then shares a voter with any
+//! quorum of the new ones. A lost folder is replaced in two changes, with a vacant seat in between;
+//! replacing it in one would allow {A, old B} and {C, new B} to be quorums at the same time.
 
 use crate::node::{self, Node, leader_state, progress};
 use crate::notice;
 use crate::{action, voters};
 use hyssopfork_wire::{consensus, name};
 
-/// Folders of other instances that a leader remembers to have asked to join.
+/// Requests to join that a leader stores, one per instance.
 const MAX_JOIN_REQUESTS: usize = 32;
 
-/// Entries that a learner may lack when it is admitted.
+/// Entries by which a learner may lag when it is admitted.
 const MAX_ADMISSION_LAG_ENTRIES: u64 = 64;
 
 impl Node {
-    /// A folder that is not a voter's asks to be let in.
+    /// Handles the request of a non-voter to join.
     pub(super) fn on_join_request(&mut self, from: consensus::Voter, relayed: bool) {
         if !self.is_leader() {
             self.relay_join_request(from, relayed);
             return;
         }
-        let wanted = self.find_seat(&from.instance).is_some() || self.is_listed(&from.instance);
-        let known = self.log.voters().contains(&from);
-        let own = from.instance == self.identity.instance;
+        let is_admissible =
+            self.find_seat(&from.instance).is_some() || self.is_listed(&from.instance);
+        let is_voter = self.log.voters().contains(&from);
+        let is_own = from.instance == self.identity.instance;
         let Some((state, context)) = self.leader_state() else {
             return;
         };
-        let full = state.join_requests.len() >= MAX_JOIN_REQUESTS;
-        if known || own || full && !state.join_requests.contains_key(&from.instance) {
+        let is_full = state.join_requests.len() >= MAX_JOIN_REQUESTS;
+        if is_voter || is_own || is_full && !state.join_requests.contains_key(&from.instance) {
             return;
         }
-        let news = state.join_requests.get(&from.instance) != Some(&from);
+        let is_new = state.join_requests.get(&from.instance) != Some(&from);
         state.join_requests.insert(from.instance.clone(), from.clone());
         state.track_voters(context);
-        if wanted {
+        if is_admissible {
             state.track(&from, context);
         }
-        if wanted && news {
+        if is_admissible && is_new {
             self.push_notice(notice::Notice::CatchingUp(from));
         }
     }
 
-    /// Passes a request to join on: the asker knows the first voters, and the leader may be one
-    /// that was added since.
+    /// Relays a request to join to the leader: the sender knows the initial voters, and the leader
+    /// may have been added since.
     fn relay_join_request(&mut self, from: consensus::Voter, relayed: bool) {
         let leader = self.leader.as_ref().filter(|_| !relayed);
         let Some(leader) = leader.filter(|leader| **leader != self.identity) else {
@@ -59,9 +60,9 @@
     pub(super) fn on_change_voters(&mut self, ticket: u64, change: voters::Change) {
         let (voters::Change::Add(instance) | voters::Change::Remove(instance)) = &change;
         let instance = instance.clone();
-        let done =
+        let accepted =
             self.is_change_allowed() && !self.resigned && self.try_change_voters(ticket, change);
-        if !done {
+        if !accepted {
             self.push_notice(notice::Notice::ChangeRejected(instance));
             self.reject_proposal(ticket);
         }
@@ -75,14 +76,14 @@
     }
 
     fn start_addition(&mut self, ticket: u64, instance: &name::Instance) -> bool {
-        let seated = self.find_seat(instance).is_some();
+        let has_seat = self.find_seat(instance).is_some();
         let Some((state, context)) = self.leader_state() else {
             return false;
         };
         let Some(voter) = state.join_requests.get(instance).cloned() else {
             return false;
         };
-        if seated || state.addition.is_some() {
+        if has_seat || state.addition.is_some() {
             return false;
         }
         state.track(&voter, context);
@@ -101,31 +102,31 @@
         true
     }
 
-    /// Whether a quorum of `voters` has answered lately. Removing a live voter beside dead ones
-    /// would otherwise leave a list that can never commit anything, not even its own repair.
+    /// Whether a quorum of `voters` responded recently. Removing a live voter while others are dead
+    /// could otherwise leave voters that cannot commit anything, not even a further change.
     fn has_responsive_quorum(&self, voters: &[consensus::Voter]) -> bool {
         let node::Role::Leader(state) = &self.role else {
             return false;
         };
-        let answers = |voter: &&consensus::Voter| {
+        let is_responsive = |voter: &&consensus::Voter| {
             let progress = state.progress.get(voter);
             **voter == self.identity || progress.is_some_and(|progress| !self.is_silent(progress))
         };
-        voters.iter().filter(answers).count() > voters.len() / 2
+        voters.iter().filter(is_responsive).count() > voters.len() / 2
     }
 
     fn is_silent(&self, progress: &progress::Progress) -> bool {
         self.now.since(progress.last_contact) >= self.settings.election_timeout
     }
 
-    /// Whether the voters may change now.
+    /// Whether a change of the voters may start now.
     fn is_change_allowed(&self) -> bool {
         self.is_leader()
             && self.has_committed_in_term()
             && self.log.voters_changed_at() <= self.committed
     }
 
-    /// Takes the next step of letting in a learner that has caught up.
+    /// Starts the next step of admitting a learner that has caught up.
     pub(super) fn admit_ready_learner(&mut self) {
         if !self.is_change_allowed() || self.resigned {
             return;
@@ -150,7 +151,7 @@
         lag <= MAX_ADMISSION_LAG_ENTRIES && progress.matched.0 > 0 && !self.is_silent(progress)
     }
 
-    /// Vacates the seat of the learner's instance, fills a vacant one, or adds a seat.
+    /// Vacates the seat of the learner's instance, fills it if vacant, or adds a seat.
     fn update_seat(&mut self, learner: consensus::Voter) {
         let mut voters = self.log.voters().to_vec();
         let seat = voters.iter_mut().find(|voter| voter.instance == learner.instance);
@@ -165,14 +166,14 @@
         self.append_voters(None, voters);
     }
 
-    /// Adds a seat for an instance that an operator adds, or that the settings list.
+    /// Adds a seat for an instance that an operator adds or that is a listed voter.
     fn add_seat(&mut self, learner: consensus::Voter, mut voters: Vec<consensus::Voter>) {
-        let listed = self.is_listed(&learner.instance);
+        let is_listed = self.is_listed(&learner.instance);
         let node::Role::Leader(state) = &mut self.role else {
             return;
         };
         let addition = state.addition.take_if(|addition| addition.voter == learner);
-        if addition.is_none() && !listed {
+        if addition.is_none() && !is_listed {
             state.progress.remove(&learner);
             return;
         }
--- a/crates/hyssopfork-consensus/src/node/progress.rs
+++ b/crates/hyssopfork-consensus/src/node/progress.rs
@@ -1,80 +1,81 @@
-//! What a leader knows of one other voter or learner.
+//! Replication progress of one follower (voter or learner), as tracked by the leader.
 
 use crate::write;
 use hyssopfork_wire::{clock, number};
 use std::collections;
 use std::sync;
 
-/// Messages with entries that may be on their way to one follower at once.
+/// Messages with entries in flight to one follower.
 const MAX_IN_FLIGHT_MESSAGES: usize = 16;
 
-/// Bytes of entries that may be on their way to one follower at once. They queue at the leader's link
-/// before its heartbeats, and the heartbeat to each follower waits for those to all.
+/// Bytes of entries in flight to one follower. They queue on the leader's link ahead of its
+/// heartbeats, so the heartbeat to each follower is delayed by the entries in flight to all.
 const MAX_IN_FLIGHT_BYTES: usize = 128 << 10;
 
-/// Unanswered rounds that are remembered; older ones can't extend a lease any more.
+/// Unanswered rounds tracked per follower. Older ones cannot extend the quorum lease any more.
 const MAX_UNANSWERED_ROUNDS: usize = 256;
 
-/// A message that was sent and may be answered.
+/// Sent message that may still be answered.
 #[derive(Clone, Copy, Debug)]
 struct Round {
     number: u64,
-    sent: clock::Instant,
+    sent_at: clock::Instant,
 }
 
-/// A message with entries that is on its way.
+/// Message with entries in flight.
 #[derive(Clone, Copy, Debug)]
 struct Batch {
     last: number::Index,
     bytes: usize,
 }
 
-/// A snapshot on its way to a follower, one part at a time.
+/// Transfer of a snapshot to a follower, one part at a time.
 #[derive(Clone, Debug)]
 pub struct Transfer {
-    /// The snapshot.
+    /// Snapshot that is transferred.
     pub snapshot: sync::Arc<write::Snapshot>,
-    /// Offset of the part that is on its way.
+    /// Offset of the part in flight, in bytes.
     pub offset: usize,
-    /// Round of that part.
+    /// Round of that part; 0 if none is in flight.
     pub round: u64,
-    /// When it was sent.
-    pub sent: clock::Instant,
+    /// When that part was sent.
+    pub sent_at: clock::Instant,
 }
 
-/// Progress of one follower.
+/// Replication progress of one follower.
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// Next index to send.
     ///
     /// Invariant: above `matched`.
     pub next: number::Index,
-    /// Last index known to be on the follower's disk and equal to the leader's.
+    /// Last index up to which the follower's synced log is known to match the leader's.
     pub matched: number::Index,
-    /// Whether one message at a time looks for the place where the logs match.
+    /// Whether the leader is still searching for the last matching index, with one message in
+    /// flight at a time.
     pub probing: bool,
-    /// When the newest answered round was sent, or else since when the follower is watched. Not
-    /// when the answer was read: after a pause old answers are read late, and would make a leader
-    /// believe in voters that are gone.
+    /// When the newest answered round was sent or, before the first response, when tracking
+    /// started. The time of the response is not used: after a pause of the process, old responses
+    /// are read late and would make voters that are gone look alive.
     pub last_contact: clock::Instant,
-    /// When the newest answered round was sent.
+    /// When the newest answered round was sent; the quorum lease is measured from here.
     pub lease_start: Option<clock::Instant>,
-    /// Snapshot that is being sent.
+    /// Snapshot transfer in progress.
     pub transfer: Option<Transfer>,
-    /// Messages with entries that are on their way.
+    /// Messages with entries in flight.
     in_flight: collections::VecDeque<Batch>,
     rounds: collections::VecDeque<Round>,
-    /// Newest round sent.
+    /// Last round sent.
     newest_round: u64,
-    /// Refusals of rounds up to this one are settled.
+    /// Round up to which rejections have been handled.
     ///
-    /// Each refusal is answered by sending again; refusals that the network doubled would double
-    /// the messages each time, without end.
+    /// Each rejection causes a retry. If the network duplicates a rejection, and both copies caused
+    /// retries, the number of messages would double each time, without end.
     handled_rejections: u64,
 }
 
 impl Progress {
-    /// Progress of a follower of which nothing is known; the leader's log ends at `last`.
+    /// Creates the progress of a follower whose log is unknown; the leader's log ends at `last`.
     pub fn new(last: number::Index, now: clock::Instant) -> Progress {
         Progress {
             next: last.next(),
@@ -93,55 +94,57 @@
     /// Whether another message with entries may be sent.
     pub fn has_capacity(&self) -> bool {
         let limit = if self.probing { 1 } else { MAX_IN_FLIGHT_MESSAGES };
-        let bytes: usize = self.in_flight.iter().map(|flight| flight.bytes).sum();
+        let bytes: usize = self.in_flight.iter().map(|batch| batch.bytes).sum();
         self.transfer.is_none() && self.in_flight.len() < limit && bytes < MAX_IN_FLIGHT_BYTES
     }
 
-    /// Notes a sent message.
+    /// Records a sent message.
     pub fn record_round(&mut self, number: u64, now: clock::Instant) {
         self.newest_round = number;
         if self.rounds.len() == MAX_UNANSWERED_ROUNDS {
             self.rounds.pop_front();
         }
-        self.rounds.push_back(Round { number, sent: now });
+        self.rounds.push_back(Round { number, sent_at: now });
     }
 
-    /// Notes sent entries up to `last`, of `bytes` in all.
+    /// Records sent entries up to `last`, with a total of `bytes`.
     pub fn record_entries(&mut self, last: number::Index, bytes: usize) {
         self.in_flight.push_back(Batch { last, bytes });
         self.next = last.next();
     }
 
-    /// Notes an answer: the quorum lease is measured from when the answered round was sent.
+    /// Records the response to a round. The quorum lease is measured from the send time of the
+    /// round.
     pub fn on_response(&mut self, number: u64) {
         while let Some(round) = self.rounds.front()
             && round.number <= number
         {
             if round.number == number {
-                self.lease_start = self.lease_start.max(Some(round.sent));
-                self.last_contact = self.last_contact.max(round.sent);
+                self.lease_start = self.lease_start.max(Some(round.sent_at));
+                self.last_contact = self.last_contact.max(round.sent_at);
             }
             self.rounds.pop_front();
         }
     }
 
-    /// The follower has everything up to `matched` on its disk.
+    /// Handles an acknowledgement: the follower has synced everything up to `matched`.
     pub fn on_accepted(&mut self, matched: number::Index) {
         self.probing = false;
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched.next());
-        while self.in_flight.front().is_some_and(|flight| flight.last <= self.matched) {
+        while self.in_flight.front().is_some_and(|batch| batch.last <= self.matched) {
             self.in_flight.pop_front();
         }
     }
 
-    /// Counts nothing as on its way any more.
+    /// Treats all messages with entries as lost.
     pub fn clear_in_flight(&mut self) {
         self.in_flight.clear();
     }
 
-    /// The follower lacks what round `number` built on; its log may match up to `hint`. A late
-    /// refusal, from before what is known to match, tells nothing.
+    /// Handles a rejection: the follower lacks the entry before those of round `number`, and its
+    /// log may match up to `hint`. Rejections already handled, and delayed ones with a hint below
+    /// the last index known to match, are ignored.
     pub fn on_rejected(&mut self, number: u64, hint: number::Index) {
         if number <= self.handled_rejections || hint < self.matched {
             return;
--- a/crates/hyssopfork-consensus/src/node/write_tracker.rs
+++ b/crates/hyssopfork-consensus/src/node/write_tracker.rs
@@ -1,9 +1,9 @@
-//! Which writes are synced, and messages that wait for them.
+//! Tracker of unsynced writes, and of the messages held until a write is synced.
 
 use hyssopfork_wire::{consensus, number};
 use std::collections;
 
-/// A write that is not known to be synced.
+/// Write that is not known to be synced.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     number: u64,
@@ -11,48 +11,49 @@
     last_index: number::Index,
 }
 
-/// Writes and what waits for them.
+/// Issued writes and the messages held for them.
 #[derive(Debug, Default)]
 pub struct Tracker {
-    /// Mark of the newest write asked for.
+    /// Number of the last issued write.
     issued: u64,
-    /// Mark up to which all is synced.
+    /// Number of the last synced write.
     synced: u64,
-    /// Last index of the log that is synced.
+    /// Last synced index of the log.
     synced_index: number::Index,
     pending: collections::VecDeque<Pending>,
     held_packets: collections::VecDeque<(u64, consensus::Packet)>,
 }
 
 impl Tracker {
-    /// A ledger for a log that is synced up to `durable`.
-    pub fn new(durable: number::Index) -> Tracker {
-        Tracker { synced_index: durable, ..Tracker::default() }
+    /// Creates a tracker for a log that is synced up to `synced_index`.
+    pub fn new(synced_index: number::Index) -> Tracker {
+        Tracker { synced_index, ..Tracker::default() }
     }
 
-    /// Mark of the newest write.
+    /// Number of the last issued write.
     pub fn issued(&self) -> u64 {
         self.issued
     }
 
-    /// Mark up to which all is synced.
+    /// Number of the last synced write.
     pub fn synced(&self) -> u64 {
         self.synced
     }
 
-    /// Last index of the log that is synced.
+    /// Last synced index of the log.
     pub fn synced_index(&self) -> number::Index {
         self.synced_index
     }
 
-    /// Mark for the next write, after which the log ends at `last`.
+    /// Issues the next write, after which the log ends at `last`, and returns its number.
     pub fn issue(&mut self, last: number::Index) -> u64 {
         self.issued += 1;
         self.pending.push_back(Pending { number: self.issued, last_index: last });
         self.issued
     }
 
-    /// The log lost `index` and all after it: a write of them that is synced later tells nothing.
+    /// Handles the truncation of the log from `index` on: the later sync of a write does not make
+    /// the entries that were removed from it count as synced.
     pub fn truncate(&mut self, index: number::Index) {
         let last = number::Index(index.0 - 1);
         self.synced_index = self.synced_index.min(last);
@@ -61,9 +62,9 @@
         }
     }
 
-    /// Everything up to `mark` is synced.
+    /// Handles the sync of all writes up to `number`.
     pub fn on_persisted(&mut self, number: u64) {
-        assert!(number <= self.issued, "only what was asked for can be synced");
+        assert!(number <= self.issued, "only issued writes can be synced");
         self.synced = self.synced.max(number);
         while let Some(pending) = self.pending.front()
             && pending.number <= number
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Keeps `packet` until the write with `mark` is synced.
+    /// Holds `packet` until the write with `number` is synced.
     pub fn hold(&mut self, number: u64, packet: consensus::Packet) {
         self.held_packets.push_back((number, packet));
     }
 
-    /// Next held message whose write is synced.
+    /// Removes and returns the next held message whose write is synced.
     pub fn take_released(&mut self) -> Option<consensus::Packet> {
         let synced = self.synced;
         let (_, packet) = self.held_packets.pop_front_if(|(number, _)| *number <= synced)?;
--- a/crates/hyssopfork-consensus/src/notice.rs
+++ b/crates/hyssopfork-consensus/src/notice.rs
@@ -3,31 +3,31 @@
 use hyssopfork_wire::{consensus, level, name, number};
 use std::fmt;
 
-/// A numbered event.
+/// A numbered log event.
 #[derive(Clone, Debug, PartialEq, Eq, strum::EnumDiscriminants)]
 #[strum_discriminants(name(Kind), derive(strum::EnumIter), doc = "Kind of a notice.")]
 pub enum Notice {
-    /// This node leads.
+    /// This node became leader.
     Leads(number::Term),
-    /// This node led and doesn't any more.
+    /// This node is no longer leader.
     SteppedDown(number::Term),
-    /// This node follows another.
+    /// This node became follower of a leader.
     Follows(number::Term, consensus::Voter),
-    /// This node leads but heard from no quorum for an election timeout.
+    /// This node leads but has received no response from a quorum for an election timeout.
     QuorumLost(number::Term),
-    /// The log was formed from blank folders.
+    /// The log was formed from blank data folders.
     Formed(Vec<consensus::Voter>),
     /// The voters changed.
     Voters(number::Index, Vec<consensus::Voter>),
-    /// A folder that is not a voter's is being caught up.
+    /// The leader started to replicate the log to a learner.
     CatchingUp(consensus::Voter),
-    /// A follower's state was replaced by a snapshot.
+    /// This follower replaced its state with a snapshot from the leader.
     Installed(number::Index),
-    /// Another process asks to form a log from another list of voters.
+    /// Another instance requests to form a log from a different list of voters.
     ListDiffers(name::Instance),
-    /// A change of voters was asked for that cannot be made now.
+    /// A requested change of the voters was rejected.
     ChangeRejected(name::Instance),
-    /// Leadership is being handed over.
+    /// The leader hands over its leadership.
     HandedOver(number::Term, consensus::Voter),
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// How urgent it is.
+    /// Severity.
     pub const fn level(&self) -> level::Level {
         match self {
             Notice::QuorumLost(..) | Notice::ListDiffers(..) | Notice::ChangeRejected(..) => {
@@ -63,41 +63,53 @@
 impl fmt::Display for Notice {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::Leads(term) => write!(formatter, "leads in term {term}"),
-            Notice::SteppedDown(term) => write!(formatter, "no longer leads in term {term}"),
+            Notice::Leads(term) => write!(formatter, "this instance leads in term {term}"),
+            Notice::SteppedDown(term) => {
+                write!(formatter, "this instance no longer leads in term {term}")
+            }
             Notice::Follows(term, leader) => {
-                write!(formatter, "follows {} in term {term}", leader.instance)
+                write!(formatter, "this instance follows {} in term {term}", leader.instance)
             }
             Notice::QuorumLost(term) => write!(
                 formatter,
-                "led in term {term} but a majority of voters is silent; check their processes and the network"
+                "this instance led in term {term} but got no response from a quorum of the voters; check their processes and the network"
             ),
             Notice::Formed(voters) => {
-                write!(formatter, "formed the log with {}", format_voters(voters))
+                write!(formatter, "this instance formed the log with {}", format_voters(voters))
             }
             Notice::Voters(index, voters) => {
                 write!(formatter, "voters from index {index} on: {}", format_voters(voters))
             }
             Notice::CatchingUp(voter) => {
-                write!(formatter, "catching up {} with a new folder", voter.instance)
+                write!(
+                    formatter,
+                    "this instance is catching up {}, which has a new data folder",
+                    voter.instance
+                )
+            }
+            Notice::Installed(index) => {
+                write!(formatter, "this instance installed a snapshot up to index {index}")
             }
-            Notice::Installed(index) => write!(formatter, "installed a snapshot up to {index}"),
             Notice::ListDiffers(instance) => write!(
                 formatter,
-                "{instance} lists other first voters than this instance; make the settings equal"
+                "{instance} lists other initial voters than this instance; use the same list in the settings of both"
             ),
             Notice::ChangeRejected(instance) => write!(
                 formatter,
-                "the voters cannot be changed for {instance} now; wait for the last change, and for an addition start its process first"
+                "this instance rejected a change of the voters for {instance}; wait until the last change is committed, and before an addition start the new instance"
             ),
             Notice::HandedOver(term, successor) => {
-                write!(formatter, "hands over term {term} to {}", successor.instance)
+                write!(
+                    formatter,
+                    "this instance hands over leadership of term {term} to {}",
+                    successor.instance
+                )
             }
         }
     }
 }
 
-/// Voters as a list of instances.
+/// Formats the voters as a list of instances, with vacant seats marked.
 fn format_voters(voters: &[consensus::Voter]) -> String {
     let seat = |voter: &consensus::Voter| match voter.folder {
         consensus::VACANT => format!("{} (vacant)", voter.instance),
--- a/crates/hyssopfork-consensus/src/proposals.rs
+++ b/crates/hyssopfork-consensus/src/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals on their way through the log, with what waits for each.
+//! Pending proposals, with the context that the owner keeps for each.
 
 use hyssopfork_wire::{clock, number};
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
     proposed_at: clock::Instant,
 }
 
-/// Proposals of one process that wait to be applied; `T` is what each is for.
+/// Proposals of one process that are not yet applied. `T` is the context kept for each.
 #[derive(Clone, Debug)]
 pub struct Proposals<T> {
     pending: BTreeMap<u64, Pending<T>>,
-    /// Tickets by the index of their entry, with the term that it must have.
+    /// Terms and tickets of the appended proposals, by index of their entry.
     appended: BTreeMap<number::Index, (number::Term, u64)>,
     last_ticket: u64,
 }
@@ -27,26 +27,27 @@
 }
 
 impl<T> Proposals<T> {
-    /// Keeps what a proposal is for and gives its ticket.
+    /// Registers a proposal and returns its ticket.
     pub fn register(&mut self, now: clock::Instant, context: T) -> u64 {
         self.last_ticket += 1;
         self.pending.insert(self.last_ticket, Pending { context, proposed_at: now });
         self.last_ticket
     }
 
-    /// Notes where a proposal was appended.
+    /// Records the position at which a proposal was appended.
     pub fn record_position(&mut self, ticket: u64, index: number::Index, term: number::Term) {
         self.appended.insert(index, (term, ticket));
     }
 
-    /// Takes what a proposal was for that was never appended.
+    /// Removes a rejected proposal and returns its context.
     pub fn take_rejected(&mut self, ticket: u64) -> Option<T> {
         self.pending.remove(&ticket).map(|pending| pending.context)
     }
 
-    /// Takes what the proposal was for that was applied at `index`; `None` when another entry than
-    /// the one proposed here stands there. Another leader's entry may stand where this one was
-    /// appended and lost: its reply would tell the caller that a stranger's command was his.
+    /// Removes the proposal that was applied at `index` and returns its context; `None` if the
+    /// entry is not one proposed here. An entry of another leader may have replaced the one
+    /// appended here; without the comparison of terms a client would be told that its command was
+    /// applied when another client's was.
     pub fn take_applied(&mut self, index: number::Index, term: number::Term) -> Option<T> {
         let (proposed, ticket) = self.appended.remove(&index)?;
         if proposed != term {
@@ -55,7 +56,7 @@
         self.take_rejected(ticket)
     }
 
-    /// Takes what has waited for `patience`.
+    /// Removes the proposals that have been pending for `timeout` and returns their contexts.
     pub fn take_expired(&mut self, now: clock::Instant, timeout: Duration) -> Vec<T> {
         let is_expired = |pending: &Pending<T>| now.since(pending.proposed_at) >= timeout;
         self.pending
@@ -64,13 +65,13 @@
             .collect()
     }
 
-    /// Takes everything that waits.
+    /// Removes all pending proposals and returns their contexts.
     pub fn take_all(&mut self) -> Vec<T> {
         self.appended.clear();
         mem::take(&mut self.pending).into_values().map(|pending| pending.context).collect()
     }
 
-    /// What the proposals that wait are for.
+    /// Contexts of the pending proposals.
     pub fn contexts(&self) -> impl Iterator<Item = &T> {
         self.pending.values().map(|pending| &pending.context)
     }
--- a/crates/hyssopfork-consensus/src/recovery.rs
+++ b/crates/hyssopfork-consensus/src/recovery.rs
@@ -1,23 +1,24 @@
-//! Recovery by an operator after a majority of the voters' disks was lost.
+//! Disaster recovery by an operator after a majority of the voters lost their disks.
 
 use crate::{error, journal, log, write};
 use hyssopfork_wire::{consensus, name, number};
 use std::path;
 
-/// What a recovery kept and gave up.
+/// Result of a recovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// Last index of the log that is kept. What the lost disks alone had after it is gone.
+    /// Last index of the retained log. Later entries that only the lost disks held are gone.
     pub last_index: number::Index,
-    /// Voters that no longer count; their folders must be wiped before they start again.
+    /// Removed voters. Their data folders must be wiped before their processes start again.
     pub removed_voters: Vec<consensus::Voter>,
 }
 
-/// Makes the voter of the folder at `path` the only one, so that it can lead and commit alone.
+/// Makes the voter of the data folder at `path` the only voter, so that it can lead and commit
+/// alone.
 ///
 /// Every other control process must be stopped, and its folder wiped before it starts again: a
-/// majority of the old voters that came back would go on with the old log beside this one. Run it
-/// on the surviving folder with the longest log of the newest term.
+/// majority of the previous voters would otherwise continue the old log beside this one. Of the
+/// surviving folders, use the one with the highest last term and, among those, the longest log.
 pub fn make_sole_voter(
     path: &path::Path,
     instance: &name::Instance,
@@ -33,7 +34,7 @@
     let removed = log.voters().iter().filter(|voter| **voter != identity).cloned().collect();
     let payload = consensus::Payload::Voters(vec![identity.clone()]);
     let entry = consensus::Entry { index: kept.next(), term, payload };
-    // A term that nobody else has: the entry can't be taken for one of a former leader.
+    // A term that no other voter has used, so that the entry differs from any of a former leader.
     let ballot = write::Ballot { term, vote: Some(identity) };
     journal.write(&write::Write {
         ballot: Some(ballot),
--- a/crates/hyssopfork-consensus/src/voters.rs
+++ b/crates/hyssopfork-consensus/src/voters.rs
@@ -1,16 +1,16 @@
-//! Changes of the voters that operators ask for.
+//! Changes of the voters that an operator requests.
 
 use hyssopfork_wire::name;
 
-/// A change by one voter.
+/// Addition or removal of one voter.
 ///
-/// A voter whose disk was lost needs none, nor does an instance that the leader's settings list:
-/// they are admitted by themselves.
+/// Neither a voter whose disk was lost nor an instance listed in the leader's settings needs one:
+/// both are admitted automatically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Adds the voter of an instance whose process runs and asks to join.
+    /// Adds a voter for an instance whose process is running and requests to join.
     Add(name::Instance),
-    /// Removes the voter of an instance. Its process must be stopped, or taken off the settings'
-    /// lists, before: a listed instance that asks to join comes back.
+    /// Removes the voter of an instance. Stop its process or remove it from the listed voters
+    /// first: a listed instance that requests to join is admitted again.
     Remove(name::Instance),
 }
--- a/crates/hyssopfork-consensus/src/write.rs
+++ b/crates/hyssopfork-consensus/src/write.rs
@@ -1,41 +1,41 @@
-//! Writes to the journal that the step function asks for.
+//! Journal writes that a node requests.
 
 use hyssopfork_wire::{consensus, number};
 use serde::{Deserialize, Serialize};
 
-/// Term and vote that must survive a restart.
+/// Term and vote, which must survive a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Newest term seen.
+    /// Highest term seen.
     pub term: number::Term,
-    /// Voter that got this one's vote in the term.
+    /// Voter that received this node's vote in the term.
     pub vote: Option<consensus::Voter>,
 }
 
 /// A snapshot of the state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last index that it covers.
+    /// Last index that the snapshot covers.
     pub index: number::Index,
     /// Term of that index.
     pub term: number::Term,
     /// Voters at that index.
     pub voters: Vec<consensus::Voter>,
-    /// The state as its owner encoded it.
+    /// State, encoded by its owner.
     pub data: Vec<u8>,
 }
 
-/// One write; its parts are applied in the order of the fields and are synced before it is
+/// One write. Its parts are applied in the order of the fields and synced before the write is
 /// reported as persisted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Counts the writes of this process, from 1.
+    /// Number of the write, counted from 1 since process start.
     pub number: u64,
-    /// New ballot.
+    /// Ballot to store.
     pub ballot: Option<Ballot>,
-    /// New snapshot; entries that it covers may be dropped.
+    /// Snapshot to store; entries that it covers may be dropped.
     pub snapshot: Option<Snapshot>,
-    /// Drop this index and all after it.
+    /// Index from which on entries are dropped.
     pub truncate: Option<number::Index>,
     /// Entries to append.
     pub entries: Vec<consensus::Entry>,
