--- a/crates/hyssopfork-consensus/src/event.rs
+++ b/crates/hyssopfork-consensus/src/event.rs
@@ -18,7 +18,7 @@
     Propose {
         /// Ticket that identifies the response.
         ticket: u64,
-        /// Encoded command, at most [`crate::node::COMMAND_LIMIT`] bytes.
+        /// Encoded command, at most [`crate::node::MAX_COMMAND_BYTES`] bytes.
         command: Vec<u8>,
     },
     /// The owner requests a change of the voters. The response is that of a proposal; for an
--- a/crates/hyssopfork-consensus/src/node.rs
+++ b/crates/hyssopfork-consensus/src/node.rs
@@ -70,7 +70,7 @@
     /// The owner designates one blank folder, which forms the log alone
     /// ([`event::Event::Form`]); the other instances join. For fleets whose instances are not
     /// known in advance.
-    Named,
+    Designated,
 }
 
 /// Settings of a node.
--- a/crates/hyssopfork-consensus/src/node/formation.rs
+++ b/crates/hyssopfork-consensus/src/node/formation.rs
@@ -1,6 +1,6 @@
 //! Cluster bootstrap: formation of the log from blank data folders.
 //!
-//! If the owner designates the folder that forms the log ([`node::Formation::Named`]), that node
+//! If the owner designates the folder that forms the log ([`node::Formation::Designated`]), that node
 //! forms a log with itself as the only voter and admits the others one by one.
 //!
 //! Otherwise the settings list instances, while votes and acknowledgements belong to folders. Only
--- a/crates/hyssopfork-consensus/tests/rules/founding.rs
+++ b/crates/hyssopfork-consensus/tests/rules/founding.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_folder_that_is_not_designated_forms_no_log() {
-    let mut node = node(node::Formation::Named, node::Durable::default());
+    let mut node = node(node::Formation::Designated, node::Durable::default());
 
     for millis in (0..5_000).step_by(20) {
         node.step(at(millis), event::Event::Tick);
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_designated_folder_forms_the_log_and_leads_at_once() {
-    let mut node = node(node::Formation::Named, node::Durable::default());
+    let mut node = node(node::Formation::Designated, node::Durable::default());
 
     let mut actions = node.step(at(0), event::Event::Form);
     actions.extend(node.step(at(20), event::Event::Tick));
@@ -58,7 +58,7 @@
 fn a_used_folder_forms_no_log() {
     let ballot = write::Ballot { term: number::Term(3), vote: None };
     let durable = node::Durable { ballot, ..node::Durable::default() };
-    let mut node = node(node::Formation::Named, durable);
+    let mut node = node(node::Formation::Designated, durable);
 
     node.step(at(0), event::Event::Form);
 
--- a/crates/hyssopfork-fleet/src/core.rs
+++ b/crates/hyssopfork-fleet/src/core.rs
@@ -238,7 +238,7 @@
         let identity = consensus::Voter { instance: instance_of(self.settings.address), folder };
         let options = node::Settings {
             voters: self.listed(),
-            formation: node::Formation::Named,
+            formation: node::Formation::Designated,
             retained_entries: KEPT_ENTRIES,
             election_timeout: ELECTION_TIMEOUT,
             election_spread: ELECTION_SPREAD,
