--- a/crates/hyssopfork-consensus/examples/stand_alone.rs
+++ b/crates/hyssopfork-consensus/examples/stand_alone.rs
@@ -1,6 +1,7 @@
-//! For operators: makes the surviving voter of a lost majority the only one.
+//! Disaster recovery for operators: makes a surviving voter the only voter after a majority was
+//! lost.
 //!
-//! `stand_alone FOLDER INSTANCE`, with every control process stopped; see
+//! Usage: `stand_alone FOLDER INSTANCE`, with every control process stopped; see
 //! docs/operations/lost-quorum.md.
 
 use hyssopfork_consensus::recovery;
@@ -16,7 +17,7 @@
         return process::ExitCode::from(2);
     };
     let instance = name::Instance::from(instance.as_str());
-    match recovery::stand_alone(path::Path::new(folder), &instance) {
+    match recovery::make_sole_voter(path::Path::new(folder), &instance) {
         Ok(recovery) => report(&recovery),
         Err(error) => {
             eprintln!("{error}");
@@ -26,8 +27,8 @@
 }
 
 fn report(recovery: &recovery::Recovery) -> process::ExitCode {
-    println!("kept the log up to index {}", recovery.kept);
-    for voter in &recovery.removed {
+    println!("kept the log up to index {}", recovery.last_index);
+    for voter in &recovery.removed_voters {
         println!("{}: wipe its data folder before it starts again", voter.instance);
     }
     process::ExitCode::SUCCESS
--- a/crates/hyssopfork-consensus/src/journal/folder.rs
+++ b/crates/hyssopfork-consensus/src/journal/folder.rs
@@ -1,27 +1,27 @@
-//! Files of a data folder: reading, replacing at once, and keeping other processes out.
+//! Files of a data folder: reads, atomic replacement, and a lock against other processes.
 
 use crate::error;
 use std::fs;
 use std::io::{self, Write};
 use std::path;
 
-/// File that holds the lock.
-const LOCK: &str = "lock";
+/// Name of the lock file.
+const LOCK_FILE: &str = "lock";
 
-/// A data folder that this process alone has open.
+/// Data folder that is locked by this process.
 #[derive(Debug)]
 pub struct Folder {
     path: path::PathBuf,
-    /// Locked as long as it is open.
+    /// Held open, since closing the file releases the lock.
     _lock: fs::File,
 }
 
 impl Folder {
-    /// Opens `path`, making it if it is not there.
+    /// Opens and locks the folder at `path`, creating it if it does not exist.
     pub fn open(path: &path::Path) -> Result<Folder, error::Error> {
         let failed = |source| error::Error::Disk(path.to_path_buf(), source);
         fs::create_dir_all(path).map_err(failed)?;
-        let lock = fs::File::create(path.join(LOCK)).map_err(failed)?;
+        let lock = fs::File::create(path.join(LOCK_FILE)).map_err(failed)?;
         match lock.try_lock() {
             Ok(()) => Ok(Folder { path: path.to_path_buf(), _lock: lock }),
             Err(fs::TryLockError::WouldBlock) => Err(error::Error::Locked(path.to_path_buf())),
@@ -30,50 +30,50 @@
     }
 
     /// Path of a file.
-    pub fn file(&self, name: &str) -> path::PathBuf {
+    pub fn file_path(&self, name: &str) -> path::PathBuf {
         self.path.join(name)
     }
 
-    /// Bytes of a file; `None` when it is not there.
+    /// Content of a file; `None` if it does not exist.
     pub fn read(&self, name: &str) -> Result<Option<Vec<u8>>, error::Error> {
-        match fs::read(self.file(name)) {
+        match fs::read(self.file_path(name)) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(source) if source.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(source) => Err(self.failed(name, source)),
+            Err(source) => Err(self.disk_error(name, source)),
         }
     }
 
-    /// Puts `bytes` in place of a file's, so that a crash leaves either the old ones or the new.
+    /// Replaces the content of a file atomically: after a crash it is either the old or the new.
     pub fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), error::Error> {
-        self.try_replace(name, bytes).map_err(|source| self.failed(name, source))
+        self.try_replace(name, bytes).map_err(|source| self.disk_error(name, source))
     }
 
     fn try_replace(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let next = self.file(&format!("{name}.next"));
+        let next = self.file_path(&format!("{name}.next"));
         let mut file = fs::File::create(&next)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&next, self.file(name))?;
-        // The rename itself is lost in a crash unless the folder is synced.
+        fs::rename(&next, self.file_path(name))?;
+        // A crash could undo the rename unless the folder is synced.
         fs::File::open(&self.path)?.sync_all()
     }
 
-    /// Opens a file to append to it, cut off at `length`.
-    pub fn append_to(&self, name: &str, length: u64) -> Result<fs::File, error::Error> {
+    /// Opens a file for appending, truncated to `length`.
+    pub fn open_for_append(&self, name: &str, length: u64) -> Result<fs::File, error::Error> {
         let open = || {
-            let file = fs::OpenOptions::new().append(true).open(self.file(name))?;
+            let file = fs::OpenOptions::new().append(true).open(self.file_path(name))?;
             if file.metadata()?.len() != length {
                 file.set_len(length)?;
             }
-            // What was read may be in memory alone, where the last write before was not synced.
+            // The bytes read may only be in the page cache if the last write was not synced.
             file.sync_all()?;
             Ok(file)
         };
-        open().map_err(|source| self.failed(name, source))
+        open().map_err(|source| self.disk_error(name, source))
     }
 
-    /// The error of a file.
-    pub fn failed(&self, name: &str, source: io::Error) -> error::Error {
-        error::Error::Disk(self.file(name), source)
+    /// I/O error of a file.
+    pub fn disk_error(&self, name: &str, source: io::Error) -> error::Error {
+        error::Error::Disk(self.file_path(name), source)
     }
 }
--- a/crates/hyssopfork-consensus/src/log.rs
+++ b/crates/hyssopfork-consensus/src/log.rs
@@ -1,15 +1,15 @@
-//! Log in memory: entries after a base, the newest snapshot, and the voters at each index.
+//! In-memory log: the retained entries, the newest snapshot, and the voters at each index.
 
 use crate::write;
 use hyssopfork_wire::{consensus, number};
 use std::collections;
 use std::sync;
 
-/// Bytes of entries kept in memory before a snapshot.
-const KEPT_BYTES: usize = 4 << 20;
+/// Bytes of the entries that compaction retains before a snapshot.
+const MAX_RETAINED_BYTES: usize = 4 << 20;
 
-/// What an entry takes besides its command, roughly.
-const ENTRY_BYTES: usize = 32;
+/// Approximate memory of an entry besides its command, and of a voter in an entry.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// An index and the term of its entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -20,41 +20,41 @@
     pub term: number::Term,
 }
 
-/// Voters from an index on.
+/// Voters that are in force from an index on.
 #[derive(Clone, Debug)]
-struct Seats {
-    from: number::Index,
+struct Membership {
+    since: number::Index,
     voters: Vec<consensus::Voter>,
 }
 
-/// The log.
+/// In-memory log.
 #[derive(Debug)]
 pub struct Log {
-    /// Position before the first entry in memory; at or below the snapshot's.
+    /// Position before the first entry in memory; at or below that of the snapshot.
     base: Position,
-    /// Invariant: indexes follow the base without gaps, terms never go down.
+    /// Invariant: indexes are contiguous from the base, and terms never decrease.
     entries: collections::VecDeque<consensus::Entry>,
     snapshot: Option<sync::Arc<write::Snapshot>>,
-    /// Invariant: never empty, in order of index.
-    seats: Vec<Seats>,
+    /// Invariant: never empty, sorted by index.
+    memberships: Vec<Membership>,
 }
 
 impl Log {
-    /// The log that a journal recovered.
+    /// Creates the log from what a journal recovered.
     pub fn new(snapshot: Option<write::Snapshot>, entries: Vec<consensus::Entry>) -> Log {
-        let mut log = Log::after(snapshot.map(sync::Arc::new));
+        let mut log = Log::from_snapshot(snapshot.map(sync::Arc::new));
         for entry in entries {
             log.append(entry);
         }
         log
     }
 
-    /// A log that holds nothing but a snapshot.
-    fn after(snapshot: Option<sync::Arc<write::Snapshot>>) -> Log {
-        let base = snapshot.as_deref().map(position).unwrap_or_default();
+    /// Creates a log that holds only a snapshot.
+    fn from_snapshot(snapshot: Option<sync::Arc<write::Snapshot>>) -> Log {
+        let base = snapshot.as_deref().map(snapshot_position).unwrap_or_default();
         let voters = snapshot.as_deref().map(|snapshot| snapshot.voters.clone());
-        let seats = Seats { from: base.index, voters: voters.unwrap_or_default() };
-        Log { base, entries: collections::VecDeque::new(), snapshot, seats: vec![seats] }
+        let membership = Membership { since: base.index, voters: voters.unwrap_or_default() };
+        Log { base, entries: collections::VecDeque::new(), snapshot, memberships: vec![membership] }
     }
 
     /// Position of the last entry.
@@ -63,16 +63,16 @@
         last.map_or(self.base, |entry| Position { index: entry.index, term: entry.term })
     }
 
-    /// Term of `index`, when it is known here.
+    /// Term of the entry at `index`, if known.
     pub fn term_at(&self, index: number::Index) -> Option<number::Term> {
         if index == self.base.index {
             return Some(self.base.term);
         }
-        self.get(index).map(|entry| entry.term)
+        self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entry at `index`, when it is in memory.
-    pub fn get(&self, index: number::Index) -> Option<&consensus::Entry> {
+    /// Entry at `index`, if it is in memory.
+    pub fn entry(&self, index: number::Index) -> Option<&consensus::Entry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(offset as usize)
     }
@@ -89,40 +89,40 @@
 
     /// Voters after the last entry.
     pub fn voters(&self) -> &[consensus::Voter] {
-        &self.newest().voters
+        &self.membership().voters
     }
 
-    /// Voters before they last changed; none when that is not known here.
-    pub fn former_voters(&self) -> &[consensus::Voter] {
-        self.seats.iter().rev().nth(1).map_or(&[], |seats| &seats.voters)
+    /// Voters before the last change; empty if not known.
+    pub fn previous_voters(&self) -> &[consensus::Voter] {
+        self.memberships.iter().rev().nth(1).map_or(&[], |membership| &membership.voters)
     }
 
-    /// Index since which the voters are as they are.
-    pub fn voters_since(&self) -> number::Index {
-        self.newest().from
+    /// Index of the last change of the voters.
+    pub fn voters_changed_at(&self) -> number::Index {
+        self.membership().since
     }
 
-    /// Appends the entry after the last one.
+    /// Appends an entry, which must follow the last one.
     pub fn append(&mut self, entry: consensus::Entry) {
         let last = self.last();
         assert_eq!(entry.index, last.index.next(), "the log has no gaps");
         assert!(entry.term >= last.term, "terms never go down along the log");
         if let consensus::Payload::Voters(voters) = &entry.payload {
-            self.seats.push(Seats { from: entry.index, voters: voters.clone() });
+            self.memberships.push(Membership { since: entry.index, voters: voters.clone() });
         }
         self.entries.push_back(entry);
     }
 
-    /// Drops `index` and all after it.
+    /// Drops the entry at `index` and all after it.
     pub fn truncate(&mut self, index: number::Index) {
         assert!(index > self.base.index, "the base is committed");
         let kept = index.0 - self.base.index.0 - 1;
         self.entries.truncate(kept as usize);
-        self.seats.retain(|seats| seats.from < index);
+        self.memberships.retain(|membership| membership.since < index);
     }
 
-    /// First index of the run of entries that have the term of `index`.
-    pub fn run_start(&self, index: number::Index) -> number::Index {
+    /// First index of the contiguous entries with the term of the one at `index`.
+    pub fn term_start(&self, index: number::Index) -> number::Index {
         let term = self.term_at(index);
         let mut start = index;
         while start > self.base.index && self.term_at(number::Index(start.0 - 1)) == term {
@@ -131,14 +131,14 @@
         start
     }
 
-    /// Takes a snapshot of the state after `index` and drops all but the last `kept` entries (and
-    /// [`KEPT_BYTES`]) before it; gives the snapshot, or `None` when there is a newer one or `index`
-    /// is not known.
+    /// Stores a snapshot of the state after `index` and drops the entries before it, except the
+    /// last `retained` ones within [`MAX_RETAINED_BYTES`]. Returns the snapshot, or `None` if the
+    /// stored one is at least as new or the term of `index` is not known.
     pub fn compact(
         &mut self,
         index: number::Index,
         data: Vec<u8>,
-        kept: u64,
+        retained: u64,
     ) -> Option<sync::Arc<write::Snapshot>> {
         let newest = self.snapshot.as_ref().map_or(number::Index(0), |snapshot| snapshot.index);
         if index <= newest {
@@ -148,38 +148,39 @@
         let voters = self.voters_at(index).to_vec();
         let snapshot = sync::Arc::new(write::Snapshot { index, term, voters, data });
         self.snapshot = Some(sync::Arc::clone(&snapshot));
-        self.drop_before(self.kept_from(index, kept));
+        self.discard_through(self.compaction_index(index, retained));
         Some(snapshot)
     }
 
-    /// Replaces what a snapshot covers; entries after it stay only where the log held the
-    /// snapshot's last entry, since others may follow a history that lost.
+    /// Installs a snapshot of the leader. Entries after it are retained only if the log holds the
+    /// last entry that the snapshot covers; otherwise they may belong to a log that was
+    /// overwritten.
     pub fn install(&mut self, snapshot: sync::Arc<write::Snapshot>) {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             self.snapshot = Some(snapshot);
             return;
         }
-        *self = Log::after(Some(snapshot));
+        *self = Log::from_snapshot(Some(snapshot));
     }
 
-    fn newest(&self) -> &Seats {
-        self.seats.last().expect("the voters at the base are always there")
+    fn membership(&self) -> &Membership {
+        self.memberships.last().expect("the voters at the base are always there")
     }
 
     fn voters_at(&self, index: number::Index) -> &[consensus::Voter] {
-        let seats = self.seats.iter().rev().find(|seats| seats.from <= index);
-        seats.map_or(&[], |seats| &seats.voters)
+        let membership = self.memberships.iter().rev().find(|membership| membership.since <= index);
+        membership.map_or(&[], |membership| &membership.voters)
     }
 
-    /// Index after which entries stay when a snapshot covers `index`.
-    fn kept_from(&self, index: number::Index, kept: u64) -> number::Index {
+    /// Index after which entries are retained beside a snapshot up to `index`.
+    fn compaction_index(&self, index: number::Index, retained: u64) -> number::Index {
         let mut from = index;
         let mut bytes = 0;
-        while let Some(entry) = self.get(from)
-            && index.0 - from.0 < kept
+        while let Some(entry) = self.entry(from)
+            && index.0 - from.0 < retained
         {
-            bytes += size(entry);
-            if bytes > KEPT_BYTES {
+            bytes += entry_bytes(entry);
+            if bytes > MAX_RETAINED_BYTES {
                 break;
             }
             from = number::Index(from.0 - 1);
@@ -187,7 +188,7 @@
         from
     }
 
-    fn drop_before(&mut self, index: number::Index) {
+    fn discard_through(&mut self, index: number::Index) {
         let Some(term) = self.term_at(index) else {
             return;
         };
@@ -195,24 +196,24 @@
         let dropped = index.0 - self.base.index.0;
         self.entries.drain(..dropped as usize);
         self.base = Position { index, term };
-        let from = self.seats.iter().rev().find(|seats| seats.from <= index);
-        let from = from.map_or(index, |seats| seats.from);
-        self.seats.retain(|seats| seats.from > index);
-        self.seats.insert(0, Seats { from, voters });
+        let from = self.memberships.iter().rev().find(|membership| membership.since <= index);
+        let from = from.map_or(index, |membership| membership.since);
+        self.memberships.retain(|membership| membership.since > index);
+        self.memberships.insert(0, Membership { since: from, voters });
     }
 }
 
-/// Bytes that an entry takes, roughly.
-pub fn size(entry: &consensus::Entry) -> usize {
+/// Approximate memory of an entry.
+pub fn entry_bytes(entry: &consensus::Entry) -> usize {
     let payload = match &entry.payload {
         consensus::Payload::Empty => 0,
         consensus::Payload::Command(command) => command.len(),
-        consensus::Payload::Voters(voters) => voters.len() * ENTRY_BYTES,
+        consensus::Payload::Voters(voters) => voters.len() * ENTRY_OVERHEAD_BYTES,
     };
-    ENTRY_BYTES + payload
+    ENTRY_OVERHEAD_BYTES + payload
 }
 
-/// Position that a snapshot covers.
-pub fn position(snapshot: &write::Snapshot) -> Position {
+/// Position of the last entry that a snapshot covers.
+pub fn snapshot_position(snapshot: &write::Snapshot) -> Position {
     Position { index: snapshot.index, term: snapshot.term }
 }
--- a/crates/hyssopfork-consensus/src/node.rs
+++ b/crates/hyssopfork-consensus/src/node.rs
@@ -1,16 +1,16 @@
-//! The step function of one voter or learner.
+//! Raft node: the step function of one voter or learner.
 //!
-//! The node decides; its owner sends, writes and applies. What other nodes may rely on (a vote, an
-//! acknowledgement) leaves only after the write that it rests on was reported as synced.
+//! The node decides; its owner sends, writes and applies. A message that other nodes rely on (a
+//! vote, an acknowledgement) is sent only after the write that it depends on is synced.
 
 mod election;
-mod follow;
+mod follower;
 mod formation;
-mod lead;
-mod leadership;
-mod ledger;
+mod leader;
+mod leader_state;
 mod membership;
 mod progress;
+mod write_tracker;
 
 use crate::{action, event, log, notice, write};
 use hyssopfork_wire::{clock, consensus, name, number, timing};
@@ -18,31 +18,31 @@
 use std::collections;
 use std::time::Duration;
 
-/// Longest command, in bytes.
-pub const COMMAND_LIMIT: usize = 1 << 20;
+/// Largest command in bytes.
+pub const MAX_COMMAND_BYTES: usize = 1 << 20;
 
-/// What the journal holds.
+/// Persistent state, as held by the journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Durable {
     /// Term and vote.
     pub ballot: write::Ballot,
     /// Newest snapshot.
     pub snapshot: Option<write::Snapshot>,
-    /// Entries after the snapshot, without gaps.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<consensus::Entry>,
 }
 
 impl Durable {
-    /// Applies a write in the order of its fields.
+    /// Applies the parts of a write in the order of its fields.
     ///
-    /// Entries after a new snapshot stay only when they follow the very entry that it ends with;
-    /// others belong to a history that lost.
+    /// Entries after a new snapshot are retained only if the last entry that it covers is in the
+    /// log; otherwise they belong to a log that was overwritten.
     pub fn apply(&mut self, write: &write::Write) {
         if let Some(ballot) = &write.ballot {
             self.ballot = ballot.clone();
         }
         if let Some(snapshot) = &write.snapshot {
-            self.cover(snapshot);
+            self.install_snapshot(snapshot);
         }
         if let Some(index) = write.truncate {
             self.entries.retain(|entry| entry.index < index);
@@ -50,51 +50,54 @@
         self.entries.extend(write.entries.iter().cloned());
     }
 
-    fn cover(&mut self, snapshot: &write::Snapshot) {
-        let follows = self
+    fn install_snapshot(&mut self, snapshot: &write::Snapshot) {
+        let matches = self
             .entries
             .iter()
             .any(|entry| entry.index == snapshot.index && entry.term == snapshot.term);
-        self.entries.retain(|entry| follows && entry.index > snapshot.index);
+        self.entries.retain(|entry| matches && entry.index > snapshot.index);
         self.snapshot = Some(snapshot.clone());
     }
 }
 
-/// How the log comes into being.
+/// How the log is formed at the first start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Formation {
-    /// The first of the listed instances forms it once every listed folder is known to be blank.
+    /// The first of the listed instances forms the log once all listed instances have reported a
+    /// blank data folder.
     #[default]
     Listed,
-    /// The owner names one blank folder that forms it alone ([`event::Event::Form`]); the others
-    /// join. For fleets whose instances are not known beforehand.
-    Named,
+    /// The owner designates one blank folder, which forms the log alone
+    /// ([`event::Event::Form`]); the other instances join. For fleets whose instances are not
+    /// known in advance.
+    Designated,
 }
 
 /// Settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Instances of the first voters, the same list at each of them. An instance that is listed
-    /// later joins by itself; a process that isn't listed asks these, and an operator lets it in.
-    /// [`event::Event::List`] replaces it.
+    /// Instances of the initial voters; the list must be the same on each of them. An instance
+    /// listed later joins automatically. One that is not listed sends its requests to join to these
+    /// and is added by an operator. [`event::Event::SetListedVoters`] replaces the list.
     pub voters: Vec<name::Instance>,
-    /// How the log comes into being.
+    /// How the log is formed.
     pub formation: Formation,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Least silence before an election.
+    /// Minimum time without contact with the leader before an election.
     pub election_timeout: Duration,
-    /// Span of the random addition to it.
+    /// Upper bound of the random addition to `election_timeout`.
     pub election_spread: Duration,
-    /// Term of the quorum lease; shorter than `election_timeout` by more than the clock-rate error.
+    /// Duration of the quorum lease; shorter than `election_timeout` by more than the clock-rate
+    /// error.
     pub quorum_lease: Duration,
-    /// Entries kept in memory before a snapshot, so that a follower that is a little behind needs
-    /// no snapshot.
-    pub kept_entries: u64,
+    /// Number of entries retained in memory before a snapshot, so that a follower that lags
+    /// slightly needs no snapshot.
+    pub retained_entries: u64,
 }
 
-/// Default of [`Settings::kept_entries`].
-const KEPT_ENTRIES: u64 = 2_000;
+/// Default of [`Settings::retained_entries`].
+const DEFAULT_RETAINED_ENTRIES: u64 = 2_000;
 
 impl Default for Settings {
     fn default() -> Settings {
@@ -105,66 +108,67 @@
             election_timeout: timing::ELECTION_TIMEOUT,
             election_spread: timing::ELECTION_JITTER,
             quorum_lease: timing::QUORUM_LEASE,
-            kept_entries: KEPT_ENTRIES,
+            retained_entries: DEFAULT_RETAINED_ENTRIES,
         }
     }
 }
 
-/// What a node is in its term.
+/// Role of a node in its term.
 #[derive(Debug)]
 enum Role {
-    /// Follows, or waits.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Stands for election.
+    /// Candidate in an election or a pre-vote.
     Candidate(election::Candidacy),
-    /// Leads.
-    Leader(Box<lead::Lead>),
+    /// Leader.
+    Leader(Box<leader_state::State>),
 }
 
-/// One voter or learner.
+/// Raft node: one voter or learner.
 #[derive(Debug)]
 pub struct Node {
     identity: consensus::Voter,
     settings: Settings,
-    random: rand_chacha::ChaCha8Rng,
-    /// Newest time seen.
+    rng: rand_chacha::ChaCha8Rng,
+    /// Latest time seen.
     now: clock::Instant,
-    /// When the process started: what it promised before that is forgotten.
-    started: clock::Instant,
-    /// Invariant: the term never goes down.
+    /// When the process started; it does not remember contact with a leader before that.
+    started_at: clock::Instant,
+    /// Invariant: the term never decreases.
     ballot: write::Ballot,
     log: log::Log,
-    ledger: ledger::Ledger,
-    /// Mark of the write that holds the ballot.
-    ballot_mark: u64,
-    /// Last committed index; everything up to it was handed out to be applied.
+    writes: write_tracker::Tracker,
+    /// Number of the write that contains the ballot.
+    ballot_write: u64,
+    /// Last committed index; all entries up to it have been issued for application.
     ///
-    /// Invariant: never goes down, and nothing up to it is ever dropped for another entry.
+    /// Invariant: never decreases, and no entry up to it is ever replaced by another.
     committed: number::Index,
     role: Role,
-    /// Leader of the term; at most one is ever seen.
+    /// Leader of the term; a term has at most one.
     leader: Option<consensus::Voter>,
-    /// When the term's leader was last heard from.
-    heard: Option<clock::Instant>,
-    /// When to stand for election.
-    deadline: clock::Instant,
-    /// When to ask to join, or to form the log, next.
-    ask_at: clock::Instant,
-    /// Folders that answered to be blank.
-    blank: collections::BTreeMap<name::Instance, consensus::Voter>,
-    /// Last asker whose list of first voters differs.
-    differing: Option<consensus::Voter>,
-    /// Snapshot that is arriving.
-    incoming: Option<follow::Incoming>,
-    /// Whether the process is to stop.
+    /// When the leader of the term was last heard from.
+    leader_heard_at: Option<clock::Instant>,
+    /// When to start the next candidacy.
+    election_at: clock::Instant,
+    /// When to send the next requests to join or to form the log.
+    next_request_at: clock::Instant,
+    /// Voters that reported a blank data folder.
+    blank_folders: collections::BTreeMap<name::Instance, consensus::Voter>,
+    /// Last sender of a request to form the log whose list of initial voters differs.
+    mismatched_voter: Option<consensus::Voter>,
+    /// Partially received snapshot.
+    incoming_snapshot: Option<follower::Incoming>,
+    /// Whether the process is stopping.
     resigned: bool,
-    /// The write of this step; its mark is set once it holds anything.
-    write: write::Write,
+    /// Write collected in this step; its number is set once it contains anything.
+    pending_write: write::Write,
     actions: Vec<action::Action>,
 }
 
 impl Node {
-    /// A node with what its journal recovered; `seed` gives its random numbers.
+    /// Creates a node from the state that its journal recovered. `seed` seeds the random number
+    /// generator.
     pub fn new(
         identity: consensus::Voter,
         durable: Durable,
@@ -178,59 +182,59 @@
         let mut node = Node {
             identity,
             settings,
-            random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
+            rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             now,
-            started: now,
+            started_at: now,
             ballot: durable.ballot,
-            ledger: ledger::Ledger::new(log.last().index),
+            writes: write_tracker::Tracker::new(log.last().index),
             log,
-            ballot_mark: 0,
+            ballot_write: 0,
             committed,
             role: Role::Follower,
             leader: None,
-            heard: None,
-            deadline: now,
-            ask_at: now,
-            blank: collections::BTreeMap::new(),
-            differing: None,
-            incoming: None,
+            leader_heard_at: None,
+            election_at: now,
+            next_request_at: now,
+            blank_folders: collections::BTreeMap::new(),
+            mismatched_voter: None,
+            incoming_snapshot: None,
             resigned: false,
-            write: write::Write::default(),
+            pending_write: write::Write::default(),
             actions: restored.into_iter().map(action::Action::Restore).collect(),
         };
         node.postpone_election();
         node
     }
 
-    /// Takes an event and gives the actions that answer it.
+    /// Handles an event and returns the resulting actions.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         self.now = self.now.max(now);
         self.check_quorum();
         match event {
-            event::Event::Tick => self.tick(),
-            event::Event::Received(packet) => self.received(packet),
-            event::Event::Persisted(mark) => self.persisted(mark),
-            event::Event::Propose { ticket, command } => self.propose(ticket, command),
-            event::Event::ChangeVoters { ticket, change } => self.change_voters(ticket, change),
-            event::Event::Snapshotted { index, data } => self.snapshotted(index, data),
-            event::Event::List(instances) => self.settings.voters = instances,
-            event::Event::Form => self.form_alone(),
-            event::Event::Resign => self.resign(),
+            event::Event::Tick => self.on_tick(),
+            event::Event::Received(packet) => self.on_message(packet),
+            event::Event::Persisted(number) => self.on_persisted(number),
+            event::Event::Propose { ticket, command } => self.on_propose(ticket, command),
+            event::Event::ChangeVoters { ticket, change } => self.on_change_voters(ticket, change),
+            event::Event::Snapshotted { index, data } => self.on_snapshotted(index, data),
+            event::Event::SetListedVoters(instances) => self.settings.voters = instances,
+            event::Event::Form => self.on_form(),
+            event::Event::Resign => self.on_resign(),
         }
-        self.finish()
+        self.take_actions()
     }
 
-    /// Whether this node leads, as far as it knows.
+    /// Whether this node considers itself leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Newest term seen.
+    /// Highest term seen.
     pub fn term(&self) -> number::Term {
         self.ballot.term
     }
 
-    /// Voter that leads, as far as is known.
+    /// Current leader, if known.
     pub fn leader(&self) -> Option<&consensus::Voter> {
         self.leader.as_ref()
     }
@@ -240,50 +244,50 @@
         self.committed
     }
 
-    /// Voters, with vacant seats.
+    /// Voters, including vacant seats.
     pub fn voters(&self) -> &[consensus::Voter] {
         self.log.voters()
     }
 
-    /// Time since each other voter, without vacant seats, last answered a message sent to it; empty
-    /// unless this node leads.
-    pub fn silences(&self, now: clock::Instant) -> Vec<(name::Instance, Duration)> {
-        let Role::Leader(lead) = &self.role else { return Vec::new() };
-        let silence = |voter: consensus::Voter| {
-            let contact = lead.progress.get(&voter)?.contact;
+    /// Age of the newest answered message for each other voter except vacant seats; empty unless
+    /// this node leads.
+    pub fn contact_ages(&self, now: clock::Instant) -> Vec<(name::Instance, Duration)> {
+        let Role::Leader(state) = &self.role else { return Vec::new() };
+        let contact_age = |voter: consensus::Voter| {
+            let contact = state.progress.get(&voter)?.last_contact;
             Some((voter.instance, now.since(contact)))
         };
-        self.others().into_iter().filter_map(silence).collect()
+        self.other_voters().into_iter().filter_map(contact_age).collect()
     }
 
-    /// Until when no other node can lead, measured from when the round that a quorum answered was
-    /// sent; `None` unless this node leads, has committed an entry of its own term and isn't
-    /// handing over.
+    /// End of the quorum lease, until which no other node can lead. It runs from the time at which
+    /// the newest round answered by a quorum was sent. `None` unless this node leads, has committed
+    /// an entry of its own term and is not handing over.
     pub fn quorum_lease(&self, now: clock::Instant) -> Option<clock::Instant> {
-        let Role::Leader(lead) = &self.role else {
+        let Role::Leader(state) = &self.role else {
             return None;
         };
-        if lead.resigning.is_some() || !self.has_committed_in_term() {
+        if state.handover_since.is_some() || !self.has_committed_in_term() {
             return None;
         }
-        let upheld = lead.upheld(self.context(), now)?;
-        let until = upheld + self.settings.quorum_lease;
+        let start = state.quorum_lease_start(self.context(), now)?;
+        let until = start + self.settings.quorum_lease;
         (until > now).then_some(until)
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         if self.is_leader() {
-            self.tick_leader();
+            self.on_leader_tick();
             return;
         }
-        if self.may_stand() {
-            self.tick_voter();
+        if self.is_eligible() {
+            self.on_voter_tick();
         } else {
-            self.tick_outsider();
+            self.on_nonvoter_tick();
         }
     }
 
-    fn received(&mut self, packet: consensus::Packet) {
+    fn on_message(&mut self, packet: consensus::Packet) {
         if packet.to != self.identity.instance || packet.from == self.identity {
             return;
         }
@@ -291,10 +295,10 @@
         match packet.message {
             consensus::Message::Vote { pre, term, last_index, last_term } => {
                 let last = log::Position { index: last_index, term: last_term };
-                self.asked_to_vote(from, pre, term, last);
+                self.on_vote_request(from, pre, term, last);
             }
             consensus::Message::Voted { pre, term, granted } => {
-                self.voted(from, pre, term, granted);
+                self.on_vote_response(from, pre, term, granted);
             }
             consensus::Message::Append {
                 term,
@@ -305,11 +309,15 @@
                 committed,
             } => {
                 let previous = log::Position { index: previous_index, term: previous_term };
-                let append = follow::Append { term, round, previous, entries, committed };
-                self.asked_to_append(from, append);
+                let append = follower::Append { term, round, previous, entries, committed };
+                self.on_append(from, append);
             }
             consensus::Message::Appended { term, round, accepted, matched } => {
-                self.appended(from, term, lead::Answer { round, accepted, matched });
+                self.on_append_response(
+                    from,
+                    term,
+                    leader_state::Response { round, accepted, matched },
+                );
             }
             consensus::Message::Snapshot {
                 term,
@@ -322,116 +330,116 @@
                 last,
             } => {
                 let position = log::Position { index, term: index_term };
-                let part = follow::Part { term, round, position, voters, offset, data, last };
-                self.asked_to_install(from, part);
+                let part = follower::Part { term, round, position, voters, offset, data, last };
+                self.on_snapshot_part(from, part);
             }
             consensus::Message::Release { term, successor } => {
-                self.released(from, term, successor);
+                self.on_release(from, term, successor);
             }
-            consensus::Message::Join { relayed } => self.asked_to_join(from, relayed),
-            consensus::Message::Form { instances } => self.asked_to_form(from, instances),
-            consensus::Message::Blank { folder } => self.found_blank(from, folder),
+            consensus::Message::Join { relayed } => self.on_join_request(from, relayed),
+            consensus::Message::Form { instances } => self.on_form_request(from, instances),
+            consensus::Message::Blank { folder } => self.on_blank_response(from, folder),
         }
     }
 
-    fn persisted(&mut self, mark: u64) {
-        self.ledger.persisted(mark);
-        while let Some(packet) = self.ledger.release() {
+    fn on_persisted(&mut self, number: u64) {
+        self.writes.on_persisted(number);
+        while let Some(packet) = self.writes.take_released() {
             self.actions.push(action::Action::Send(packet));
         }
         self.count_own_vote();
         self.advance_commit();
     }
 
-    fn snapshotted(&mut self, index: number::Index, data: Vec<u8>) {
-        assert!(index <= self.committed, "only applied entries are in a snapshot");
-        if let Some(snapshot) = self.log.compact(index, data, self.settings.kept_entries) {
-            self.writing().snapshot = Some((*snapshot).clone());
+    fn on_snapshotted(&mut self, index: number::Index, data: Vec<u8>) {
+        assert!(index <= self.committed, "a snapshot covers only committed entries");
+        if let Some(snapshot) = self.log.compact(index, data, self.settings.retained_entries) {
+            self.pending_write_mut().snapshot = Some((*snapshot).clone());
         }
     }
 
-    /// Emits the step's write and gives the step's actions.
-    fn finish(&mut self) -> Vec<action::Action> {
-        if self.write.mark != 0 {
-            let mark = self.ledger.write(self.log.last().index);
-            let write = std::mem::take(&mut self.write);
-            assert_eq!(mark, write.mark, "marks count the writes");
+    /// Issues the write of this step, if any, and returns the actions of this step.
+    fn take_actions(&mut self) -> Vec<action::Action> {
+        if self.pending_write.number != 0 {
+            let number = self.writes.issue(self.log.last().index);
+            let write = std::mem::take(&mut self.pending_write);
+            assert_eq!(number, write.number, "writes are numbered consecutively");
             self.actions.push(action::Action::Persist(write));
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// The write of this step.
-    fn writing(&mut self) -> &mut write::Write {
-        self.write.mark = self.ledger.written() + 1;
-        &mut self.write
+    /// Write of this step, with its number assigned.
+    fn pending_write_mut(&mut self) -> &mut write::Write {
+        self.pending_write.number = self.writes.issued() + 1;
+        &mut self.pending_write
     }
 
-    /// Mark up to which must be synced before anything that rests on the state may be told.
-    fn newest_mark(&self) -> u64 {
-        self.write.mark.max(self.ledger.written())
+    /// Number of the write that must be synced before other nodes may learn the current state.
+    fn newest_write(&self) -> u64 {
+        self.pending_write.number.max(self.writes.issued())
     }
 
     fn send(&mut self, to: &name::Instance, message: consensus::Message) {
-        let packet = self.packet(to, message);
+        let packet = self.make_packet(to, message);
         self.actions.push(action::Action::Send(packet));
     }
 
-    /// Sends once everything written so far is synced: a vote or an acknowledgement that a crash
-    /// could undo would let two leaders or two entries stand in one place.
-    fn send_synced(&mut self, to: &name::Instance, message: consensus::Message) {
-        let mark = self.newest_mark();
-        if mark <= self.ledger.synced() {
+    /// Sends once all writes so far are synced. If a crash could undo a vote or an acknowledgement
+    /// after it was sent, one term could get two leaders, or one index two entries.
+    fn send_after_sync(&mut self, to: &name::Instance, message: consensus::Message) {
+        let number = self.newest_write();
+        if number <= self.writes.synced() {
             self.send(to, message);
             return;
         }
-        let packet = self.packet(to, message);
-        self.ledger.hold(mark, packet);
+        let packet = self.make_packet(to, message);
+        self.writes.hold(number, packet);
     }
 
-    fn packet(&self, to: &name::Instance, message: consensus::Message) -> consensus::Packet {
+    fn make_packet(&self, to: &name::Instance, message: consensus::Message) -> consensus::Packet {
         consensus::Packet { from: self.identity.clone(), to: to.clone(), message }
     }
 
-    fn notice(&mut self, notice: notice::Notice) {
+    fn push_notice(&mut self, notice: notice::Notice) {
         self.actions.push(action::Action::Notice(notice));
     }
 
-    /// Moves to a newer term without a vote.
-    fn adopt(&mut self, term: number::Term) {
-        assert!(term > self.ballot.term, "the term never goes down");
+    /// Moves to a higher term without a vote.
+    fn adopt_term(&mut self, term: number::Term) {
+        assert!(term > self.ballot.term, "the term never decreases");
         self.set_ballot(write::Ballot { term, vote: None });
         self.leader = None;
-        self.heard = None;
+        self.leader_heard_at = None;
         self.become_follower();
     }
 
     fn set_ballot(&mut self, ballot: write::Ballot) {
-        assert!(ballot.term >= self.ballot.term, "the term never goes down");
+        assert!(ballot.term >= self.ballot.term, "the term never decreases");
         if ballot == self.ballot {
             return;
         }
         self.ballot = ballot.clone();
-        self.writing().ballot = Some(ballot);
-        self.ballot_mark = self.newest_mark();
+        self.pending_write_mut().ballot = Some(ballot);
+        self.ballot_write = self.newest_write();
     }
 
     fn become_follower(&mut self) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         self.postpone_election();
-        let Role::Leader(lead) = role else {
+        let Role::Leader(state) = role else {
             return;
         };
         if self.leader.as_ref() == Some(&self.identity) {
             self.leader = None;
         }
-        self.notice(notice::Notice::SteppedDown(self.ballot.term));
-        if let Some(addition) = lead.addition {
-            self.reject(addition.ticket);
+        self.push_notice(notice::Notice::SteppedDown(self.ballot.term));
+        if let Some(addition) = state.addition {
+            self.reject_proposal(addition.ticket);
         }
     }
 
-    fn reject(&mut self, ticket: u64) {
+    fn reject_proposal(&mut self, ticket: u64) {
         let leader = self.leader.clone();
         self.actions.push(action::Action::Rejected { ticket, leader });
     }
@@ -440,28 +448,28 @@
         self.log.voters().contains(&self.identity)
     }
 
-    fn note_committed(&mut self, entry: &consensus::Entry) {
-        let Role::Leader(lead) = &mut self.role else {
+    fn release_uncommitted_bytes(&mut self, entry: &consensus::Entry) {
+        let Role::Leader(state) = &mut self.role else {
             return;
         };
         if let consensus::Payload::Command(command) = &entry.payload
             && entry.term == self.ballot.term
         {
-            lead.waiting = lead.waiting.saturating_sub(command.len());
+            state.uncommitted_bytes = state.uncommitted_bytes.saturating_sub(command.len());
         }
     }
 
-    /// Marks entries up to `index` as committed and hands them out.
-    fn commit(&mut self, index: number::Index) {
-        assert!(index >= self.committed, "the committed index never goes down");
+    /// Marks entries up to `index` as committed and issues them for application.
+    fn commit_through(&mut self, index: number::Index) {
+        assert!(index >= self.committed, "the committed index never decreases");
         while self.committed < index {
             let next = self.committed.next();
-            let entry = self.log.get(next).expect("committed entries are here").clone();
+            let entry = self.log.entry(next).expect("committed entries are in memory").clone();
             assert_eq!(entry.index, next, "entries are applied in order");
             self.committed = next;
-            self.note_committed(&entry);
+            self.release_uncommitted_bytes(&entry);
             if let consensus::Payload::Voters(voters) = &entry.payload {
-                self.notice(notice::Notice::Voters(next, voters.clone()));
+                self.push_notice(notice::Notice::Voters(next, voters.clone()));
             }
             self.actions.push(action::Action::Apply(entry));
         }
