--- a/crates/hyssopfork-agent/src/core.rs
+++ b/crates/hyssopfork-agent/src/core.rs
@@ -47,7 +47,7 @@
             engine: engine::Engine::new(&settings.announcement.profile, now),
             announcement: settings.announcement,
             stop_limit: settings.stop_limit,
-            watcher: watcher::Watcher::new(settings.control, offset, now).narrow(instance),
+            watcher: watcher::Watcher::new(settings.control, offset, now).with_scope(instance),
             attempts: attempts::Attempts::default(),
             grants: grants::Grants::new(now),
             standing: standing::Standing::default(),
@@ -169,7 +169,7 @@
         response: Option<control::Response>,
         actions: &mut Vec<action::Action>,
     ) {
-        if let Some(output) = self.watcher.answered(now, call, response.as_ref()) {
+        if let Some(output) = self.watcher.on_response(now, call, response.as_ref()) {
             self.take_output(now, output, actions);
         }
     }
@@ -180,7 +180,7 @@
         output: watcher::Output,
         actions: &mut Vec<action::Action>,
     ) {
-        if output.leave_heard {
+        if output.leaving_granted {
             self.leave_heard.get_or_insert(now);
         }
         let notices = output.notices.into_iter().map(notice::Notice::Watch);
--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -27,7 +27,7 @@
         request: &member::Request,
         actions: &mut Vec<action::Action>,
     ) {
-        self.watcher.hear(request.version);
+        self.watcher.on_version_seen(request.version);
         let version = self.watcher.view().version;
         let response = if self.may_grant(now, request) {
             self.grants.give(request.fence, now);
@@ -43,11 +43,11 @@
     pub(crate) fn stood(&mut self, call: u64, response: Option<member::Response>) {
         match response {
             Some(member::Response::Granted { duration: term, version, leaving }) => {
-                self.watcher.hear(version);
+                self.watcher.on_version_seen(version);
                 self.standing.grant(call, term, leaving);
             }
             Some(member::Response::Refused { version }) => {
-                self.watcher.hear(version);
+                self.watcher.on_version_seen(version);
                 self.standing.refuse(call);
             }
             None => self.standing.fail(call),
--- a/crates/hyssopfork-agent/src/offers.rs
+++ b/crates/hyssopfork-agent/src/offers.rs
@@ -12,7 +12,7 @@
         offer: attempt::Offer,
         actions: &mut Vec<action::Action>,
     ) {
-        self.watcher.hear(offer.version);
+        self.watcher.on_version_seen(offer.version);
         let attempt = offer.attempt;
         match self.attempts.standing(attempt) {
             attempts::Standing::Live(_) => actions.push(action::Action::TakeUp(attempt)),
--- a/crates/hyssopfork-cli/src/command/check_history.rs
+++ b/crates/hyssopfork-cli/src/command/check_history.rs
@@ -68,11 +68,11 @@
 }
 
 async fn fetch(address: net::SocketAddr) -> Result<Bytes, hyssopfork_exchange::error::Error> {
-    let mut connection = connection::Connection::open(address).await?;
+    let mut connection = connection::Connection::connect(address).await?;
     let request = connection::Request { method: "GET", path: "/counts", headers: &[] };
     connection.send(&request, Bytes::new()).await?;
-    connection.head().await?;
-    connection.rest().await
+    connection.read_head().await?;
+    connection.read_rest().await
 }
 
 fn render(verdict: &history::Verdict) -> String {
--- a/crates/hyssopfork-cli/src/load/caller.rs
+++ b/crates/hyssopfork-cli/src/load/caller.rs
@@ -65,12 +65,12 @@
         };
         let body = request.route.body.as_ref().map(ToString::to_string).unwrap_or_default();
         connection.send(&head, Bytes::from(body)).await?;
-        let head = connection.head().await?;
+        let head = connection.read_head().await?;
         received.status = Some(head.status);
         let media = head.header("content-type").unwrap_or_default();
         received.events = media.starts_with("text/event-stream");
         let mut whole = BytesMut::new();
-        while let Some(part) = connection.part().await.inspect_err(|_| {
+        while let Some(part) = connection.read_part().await.inspect_err(|_| {
             received.body = whole.clone().freeze();
         })? {
             received.first.get_or_insert_with(Instant::now);
@@ -90,12 +90,12 @@
         }
         let mut last = None;
         for &entry in entries {
-            match connection::Connection::open(entry).await {
+            match connection::Connection::connect(entry).await {
                 Ok(connection) => return Ok((entry, connection)),
                 Err(error) => last = Some(error),
             }
         }
-        Err(last.unwrap_or(error::Error::Cut))
+        Err(last.unwrap_or(error::Error::ConnectionLost))
     }
 
     fn take(&self, entry: net::SocketAddr) -> Option<connection::Connection> {
--- a/crates/hyssopfork-cli/src/traffic.rs
+++ b/crates/hyssopfork-cli/src/traffic.rs
@@ -52,11 +52,11 @@
 }
 
 async fn fetch(address: net::SocketAddr) -> Result<Bytes, error::Error> {
-    let mut connection = connection::Connection::open(address).await?;
+    let mut connection = connection::Connection::connect(address).await?;
     let request = connection::Request { method: "GET", path: "/metrics", headers: &[] };
     connection.send(&request, Bytes::new()).await?;
-    connection.head().await?;
-    connection.rest().await
+    connection.read_head().await?;
+    connection.read_rest().await
 }
 
 impl Traffic {
--- a/crates/hyssopfork-daemon/benches/capacity/callers.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/callers.rs
@@ -91,10 +91,10 @@
         headers.extend(self.key.clone().map(|key| ("idempotency-key".to_owned(), key)));
         let request =
             connection::Request { method: self.method, path: &self.path, headers: &headers };
-        let mut connection = connection::Connection::open(entry).await.ok()?;
+        let mut connection = connection::Connection::connect(entry).await.ok()?;
         connection.send(&request, Bytes::from(self.body.clone())).await.ok()?;
-        let head = connection.head().await.ok()?;
-        let body = connection.rest().await.ok()?;
+        let head = connection.read_head().await.ok()?;
+        let body = connection.read_rest().await.ok()?;
         (head.status < 300).then_some(body)
     }
 }
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -112,7 +112,7 @@
             headers: &headers,
         };
         connection.send(&request, self.body.clone()).await.map_err(fault)?;
-        let head = connection.head().await.map_err(fault)?;
+        let head = connection.read_head().await.map_err(fault)?;
         if self.offer.group.is_some() && head.status >= SERVER_ERROR {
             return Err(event::Fault::Broken);
         }
@@ -121,7 +121,7 @@
         self.answer.head(head);
         self.post(event::Event::Begun(self.offer.attempt));
         let mut tail = Vec::new();
-        while let Some(part) = connection.part().await.map_err(fault)? {
+        while let Some(part) = connection.read_part().await.map_err(fault)? {
             if !self.answer.data(&part) {
                 return Err(event::Fault::Broken);
             }
@@ -134,7 +134,7 @@
     }
 
     async fn connect(&self) -> Result<connection::Connection, event::Fault> {
-        let opened = connection::Connection::open(self.upstream);
+        let opened = connection::Connection::connect(self.upstream);
         let opened = tokio::time::timeout(CONNECT_LIMIT, opened).await;
         opened.map_err(|_| event::Fault::Unreachable)?.map_err(fault)
     }
@@ -165,7 +165,7 @@
 fn fault(error: error::Error) -> event::Fault {
     match error {
         error::Error::Unreachable(..) | error::Error::Unsendable(_) => event::Fault::Unreachable,
-        error::Error::Cut | error::Error::Malformed(_) | error::Error::Unframed => {
+        error::Error::ConnectionLost | error::Error::Malformed(_) | error::Error::Unframed => {
             event::Fault::Broken
         }
     }
--- a/crates/hyssopfork-daemon/src/edge/attempt.rs
+++ b/crates/hyssopfork-daemon/src/edge/attempt.rs
@@ -67,8 +67,8 @@
 
     /// Waits for the answer's head. May be dropped and called again.
     pub async fn head(&mut self) -> Result<Vec<(String, String)>, event::Fault> {
-        let head = self.connection.head().await.map_err(fault)?;
-        self.answer = upstream::answer(head.status, &head.headers);
+        let head = self.connection.read_head().await.map_err(fault)?;
+        self.answer = upstream::parse_response(head.status, &head.headers);
         Ok(head.headers)
     }
 
@@ -80,13 +80,15 @@
     /// Waits for the next part of the body, and takes what has come with it; `None` when it is
     /// whole. May be dropped and called again.
     pub async fn part(&mut self) -> Result<Option<Bytes>, event::Fault> {
-        let Some(first) = self.connection.part().await.map_err(fault)? else { return Ok(None) };
-        let Some(second) = self.connection.ready_part().map_err(fault)? else {
+        let Some(first) = self.connection.read_part().await.map_err(fault)? else {
+            return Ok(None);
+        };
+        let Some(second) = self.connection.buffered_part().map_err(fault)? else {
             return Ok(Some(first));
         };
         let mut parts = BytesMut::from(first.as_ref());
         parts.extend_from_slice(&second);
-        while let Some(part) = self.connection.ready_part().map_err(fault)? {
+        while let Some(part) = self.connection.buffered_part().map_err(fault)? {
             parts.extend_from_slice(&part);
         }
         Ok(Some(parts.freeze()))
@@ -94,7 +96,7 @@
 
     /// Waits for the rest of a whole answer, added to `body`. May be dropped and called again.
     pub async fn rest(&mut self, body: &mut BytesMut) -> Result<(), event::Fault> {
-        while let Some(part) = self.connection.part().await.map_err(fault)? {
+        while let Some(part) = self.connection.read_part().await.map_err(fault)? {
             body.extend_from_slice(&part);
             if body.len() > WHOLE_LIMIT {
                 return Err(event::Fault::Wrong);
@@ -111,10 +113,10 @@
 }
 
 async fn open(key: &pool::Key, left: Duration) -> Result<connection::Connection, event::Fault> {
-    let opening = connection::Connection::open(key.1);
+    let opening = connection::Connection::connect(key.1);
     match time::timeout(left.min(CONNECT_LIMIT), opening).await {
         Ok(Ok(mut connection)) => {
-            connection.take_unframed();
+            connection.allow_unframed();
             Ok(connection)
         }
         Ok(Err(_)) | Err(_) => Err(event::Fault::Unreachable),
@@ -125,12 +127,12 @@
     match error {
         error::Error::Unreachable(..) => event::Fault::Unreachable,
         error::Error::Unsendable(_) => event::Fault::NotRun,
-        error::Error::Cut => event::Fault::Broken,
+        error::Error::ConnectionLost => event::Fault::Broken,
         error::Error::Malformed(_) | error::Error::Unframed => event::Fault::Wrong,
     }
 }
 
 /// Headers of an answer that travel to the caller.
 pub fn travelling(head: Vec<(String, String)>) -> Vec<(String, String)> {
-    head.into_iter().filter(|(name, _)| headers::answer_travels(name)).collect()
+    head.into_iter().filter(|(name, _)| headers::is_forwarded_to_client(name)).collect()
 }
--- a/crates/hyssopfork-daemon/src/edge/conversation.rs
+++ b/crates/hyssopfork-daemon/src/edge/conversation.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use futures::stream;
 use hyssopfork_gateway::{action, event, scanner};
-use hyssopfork_platform::{caller, headers, reply};
+use hyssopfork_platform::{client, headers, reply};
 use hyssopfork_wire::clock as wire_clock;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 /// Holds the conversation up to the answer's head; a stream's events follow in its body.
 pub async fn hold(traffic: Rc<traffic::Traffic>, incoming: web::Incoming) -> web::Outgoing {
     let head = incoming.request.head();
-    let arrival = caller::arrival(head, incoming.body.clone());
+    let arrival = client::parse_request(head, incoming.body.clone());
     let outbound = attempt::Outbound {
         method: head.method.as_str().to_owned(),
         path: head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned(),
-        headers: headers::of_request(&head.headers),
+        headers: headers::forwarded_request_headers(&head.headers),
         body: incoming.body,
         identifier: arrival.identifier.clone(),
     };
@@ -210,7 +210,7 @@
     }
 
     fn refuse(&self, refusal: &action::Refusal) -> web::Outgoing {
-        let reply = reply::refusal(refusal);
+        let reply = reply::refusal_reply(refusal);
         let headers = reply.headers.into_iter().map(|(name, value)| (name.to_owned(), value));
         web::Outgoing::whole(reply.status, headers.collect(), reply.body)
     }
--- a/crates/hyssopfork-daemon/src/edge/doors.rs
+++ b/crates/hyssopfork-daemon/src/edge/doors.rs
@@ -26,7 +26,7 @@
     pub async fn answer(self, incoming: web::Incoming) -> web::Outgoing {
         let path = incoming.request.path().to_owned();
         let method = incoming.request.method().as_str().to_owned();
-        let reply = match operator::call(&method, &path) {
+        let reply = match operator::parse_request(&method, &path) {
             Some(call) => match request(call, &incoming.body) {
                 Ok(request) => self.call(request, &path).await,
                 Err(why) => {
@@ -34,10 +34,10 @@
                         format!("{method} {path}"),
                         why.clone(),
                     ));
-                    reply::fault(StatusCode::BAD_REQUEST.as_u16(), &why)
+                    reply::error_reply(StatusCode::BAD_REQUEST.as_u16(), &why)
                 }
             },
-            None => reply::fault(StatusCode::NOT_FOUND.as_u16(), "nothing is offered here"),
+            None => reply::error_reply(StatusCode::NOT_FOUND.as_u16(), "nothing is offered here"),
         };
         outgoing(reply)
     }
@@ -47,27 +47,27 @@
         self.mailbox.post(control::Input::Call(Box::new(request), sender));
         let answer = answered.await.ok();
         answer
-            .and_then(|answer: action::Reply| reply::control(answer, path, self.port))
-            .unwrap_or_else(|| reply::unavailable("the process is ending; ask elsewhere"))
+            .and_then(|answer: action::Reply| reply::control_reply(answer, path, self.port))
+            .unwrap_or_else(|| reply::unavailable_reply("the process is ending; ask elsewhere"))
     }
 }
 
 /// The request that a call makes, or what is wrong with it.
-fn request(call: operator::Call, body: &Bytes) -> Result<event::Request, String> {
+fn request(call: operator::Request, body: &Bytes) -> Result<event::Request, String> {
     Ok(match call {
-        operator::Call::Read => event::Request::Read,
-        operator::Call::TakeOut(zone) => event::Request::TakeOut(zone),
-        operator::Call::BringIn(zone) => event::Request::BringIn(zone),
-        operator::Call::Depart(instance) => {
+        operator::Request::Read => event::Request::Read,
+        operator::Request::TakeOut(zone) => event::Request::TakeOut(zone),
+        operator::Request::BringIn(zone) => event::Request::BringIn(zone),
+        operator::Request::Depart(instance) => {
             let instance = name::Instance::new(instance);
             event::Request::Register(peer::Registration::Departed(instance))
         }
-        operator::Call::Announce(instance) => {
-            let told = registration::announcement(&instance, body);
+        operator::Request::Announce(instance) => {
+            let told = registration::parse_announcement(&instance, body);
             event::announced(told.map_err(|error| error.to_string())?)
         }
-        operator::Call::Declare => {
-            let declaration = operator::declaration(body)
+        operator::Request::Declare => {
+            let declaration = operator::parse_declaration(body)
                 .map_err(|error| format!("the declaration can't be read: {error}"))?;
             let faults = declaration.faults();
             if !faults.is_empty() {
@@ -92,7 +92,7 @@
 /// Answers a collector of metrics.
 pub async fn metrics(registry: Arc<metrics::Registry>, incoming: web::Incoming) -> web::Outgoing {
     if incoming.request.path() != "/metrics" {
-        return outgoing(reply::fault(StatusCode::NOT_FOUND.as_u16(), "ask for /metrics"));
+        return outgoing(reply::error_reply(StatusCode::NOT_FOUND.as_u16(), "ask for /metrics"));
     }
     let kind = ("content-type".to_owned(), "text/plain; version=0.0.4".to_owned());
     web::Outgoing::whole(StatusCode::OK.as_u16(), vec![kind], registry.encode().into())
--- a/crates/hyssopfork-daemon/src/edge/engine.rs
+++ b/crates/hyssopfork-daemon/src/edge/engine.rs
@@ -25,9 +25,9 @@
         (headers::EXPECTED_INSTANCE.to_owned(), order.instance.to_string()),
     ];
     let request = connection::Request { method: "POST", path: wire::PATH, headers: &told };
-    let body = Bytes::from(wire::body(order));
+    let body = Bytes::from(wire::encode_order(order));
     match time::timeout(ORDER_LIMIT, exchange(order.address, &request, body)).await {
-        Ok(Ok((status, _))) => wire::outcome(status),
+        Ok(Ok((status, _))) => wire::parse_outcome(status),
         Ok(Err(error::Error::Unreachable(..))) => order::Outcome::Unreachable,
         Ok(Err(_)) | Err(_) => order::Outcome::Unknown,
     }
@@ -45,7 +45,7 @@
 
 /// Whether an address refuses connections: its instance is up, and nothing listens there.
 pub async fn refuses(address: net::SocketAddr) -> bool {
-    match time::timeout(PROBE_LIMIT, connection::Connection::open(address)).await {
+    match time::timeout(PROBE_LIMIT, connection::Connection::connect(address)).await {
         Ok(Err(error::Error::Unreachable(_, cause))) => {
             cause.kind() == io::ErrorKind::ConnectionRefused
         }
@@ -58,8 +58,8 @@
     let request = connection::Request { method: "GET", path: wire::REPORT_PATH, headers: &[] };
     let (_, mut connection) =
         time::timeout(PROBE_LIMIT, exchange(address, &request, Bytes::new())).await.ok()?.ok()?;
-    let body = time::timeout(PROBE_LIMIT, connection.rest()).await.ok()?.ok()?;
-    wire::report(&body)
+    let body = time::timeout(PROBE_LIMIT, connection.read_rest()).await.ok()?.ok()?;
+    wire::parse_report(&body)
         .inspect_err(|error| tracing::warn!(%instance, %error, "an engine's report can't be read"))
         .ok()
 }
@@ -70,8 +70,8 @@
     request: &connection::Request<'_>,
     body: Bytes,
 ) -> Result<(u16, connection::Connection), error::Error> {
-    let mut connection = connection::Connection::open(address).await?;
+    let mut connection = connection::Connection::connect(address).await?;
     connection.send(request, body).await?;
-    let status = connection.head().await?.status;
+    let status = connection.read_head().await?.status;
     Ok((status, connection))
 }
--- a/crates/hyssopfork-daemon/src/edge/pool.rs
+++ b/crates/hyssopfork-daemon/src/edge/pool.rs
@@ -42,7 +42,7 @@
         let idle = pool.get_mut(key)?;
         let now = time::Instant::now();
         while let Some(Idle { connection, until }) = idle.pop() {
-            if now < until && connection.is_quiet() {
+            if now < until && connection.is_idle() {
                 return Some(connection);
             }
         }
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -153,7 +153,7 @@
             tolerated: settings.tolerated_losses,
             heartbeat: settings.heartbeat,
         };
-        let core = core::Core::new(core_settings, operator::known, clock::now());
+        let core = core::Core::new(core_settings, operator::parse_stored_declaration, clock::now());
         let folder = match &settings.data_folder {
             Some(folder) => Some(folder::Writer::start(folder.clone(), self.mailbox.clone())?),
             None => None,
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -116,7 +116,7 @@
 /// Tells what a watcher acts on.
 pub fn watched(registry: &metrics::Registry, watcher: &watcher::Watcher) {
     let now = clock::now();
-    let left = watcher.lease_until().map_or(Duration::ZERO, |until| now.until(until));
+    let left = watcher.lease_expires_at().map_or(Duration::ZERO, |until| now.until(until));
     registry.lease_left(left);
     let view = watcher.view();
     registry.in_force(view.configuration.number, view.version);
--- a/crates/hyssopfork-daemon/tests/processes/callers.rs
+++ b/crates/hyssopfork-daemon/tests/processes/callers.rs
@@ -27,10 +27,10 @@
     let headers = [("authorization".to_owned(), format!("Bearer {}", fleet::TOKEN))];
     let request =
         connection::Request { method: "POST", path: "/v1/completions", headers: &headers };
-    let mut connection = connection::Connection::open(entry).await.unwrap();
+    let mut connection = connection::Connection::connect(entry).await.unwrap();
     connection.send(&request, Bytes::from(caller::completion(LONG))).await.unwrap();
-    assert_eq!(connection.head().await.unwrap().status, 200);
-    assert!(connection.part().await.unwrap().is_some());
+    assert_eq!(connection.read_head().await.unwrap().status, 200);
+    assert!(connection.read_part().await.unwrap().is_some());
     connection
 }
 
--- a/crates/hyssopfork-daemon/tests/processes/metrics.rs
+++ b/crates/hyssopfork-daemon/tests/processes/metrics.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 
 async fn metrics(address: SocketAddr) -> String {
-    let mut connection = connection::Connection::open(address).await.unwrap();
+    let mut connection = connection::Connection::connect(address).await.unwrap();
     let request = connection::Request { method: "GET", path: "/metrics", headers: &[] };
     connection.send(&request, Bytes::new()).await.unwrap();
-    connection.head().await.unwrap();
-    String::from_utf8(connection.rest().await.unwrap().to_vec()).unwrap()
+    connection.read_head().await.unwrap();
+    String::from_utf8(connection.read_rest().await.unwrap().to_vec()).unwrap()
 }
 
 fn gauge(metrics: &str, name: &str) -> f64 {
--- a/crates/hyssopfork-daemon/tests/processes/support/caller.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/caller.rs
@@ -76,13 +76,13 @@
     body: &str,
     got: &mut Got,
 ) -> Result<(), error::Error> {
-    let mut connection = connection::Connection::open(entry).await?;
+    let mut connection = connection::Connection::connect(entry).await?;
     connection.send(request, Bytes::from(body.to_owned())).await?;
-    let head = connection.head().await?;
+    let head = connection.read_head().await?;
     got.status = StatusCode::from_u16(head.status).ok();
     got.retry_after = head.header("retry-after").map(str::to_owned);
     let mut whole = BytesMut::new();
-    while let Some(part) = connection.part().await? {
+    while let Some(part) = connection.read_part().await? {
         whole.extend_from_slice(&part);
         got.body = whole.clone().freeze();
     }
--- a/crates/hyssopfork-entry/src/claims.rs
+++ b/crates/hyssopfork-entry/src/claims.rs
@@ -225,9 +225,9 @@
         response: Option<&control::Response>,
     ) {
         match response {
-            Some(control::Response::NotLeader(hint)) => self.watcher.redirect(call.to, *hint),
+            Some(control::Response::NotLeader(hint)) => self.watcher.on_not_leader(call.to, *hint),
             Some(control::Response::Unknown) => {}
-            _ => self.watcher.fail(call.to),
+            _ => self.watcher.on_call_failed(call.to),
         }
         let Some(request) = self.requests.get(&call.request) else { return };
         let Some(claim) = request.claim.as_ref() else { return };
--- a/crates/hyssopfork-entry/src/core.rs
+++ b/crates/hyssopfork-entry/src/core.rs
@@ -201,7 +201,7 @@
     fn controlled(&mut self, now: clock::Instant, call: u64, response: Option<control::Response>) {
         if let Some(claim) = self.claim_calls.remove(&call) {
             self.claim_answered(now, claim, response);
-        } else if let Some(output) = self.watcher.answered(now, call, response.as_ref()) {
+        } else if let Some(output) = self.watcher.on_response(now, call, response.as_ref()) {
             self.take_output(output);
         }
     }
@@ -214,7 +214,7 @@
     }
 
     fn take_output(&mut self, output: watcher::Output) {
-        self.leave_heard |= output.leave_heard;
+        self.leave_heard |= output.leaving_granted;
         for notice in output.notices {
             self.note(notice::Notice::Watch(notice));
         }
--- a/crates/hyssopfork-entry/src/serve.rs
+++ b/crates/hyssopfork-entry/src/serve.rs
@@ -20,7 +20,7 @@
         identifier: wire::Identifier,
         load: frame::Load,
     ) {
-        self.watcher.hear(load.version);
+        self.watcher.on_version_seen(load.version);
         let Some(attempt) = self.attempts.get(identifier) else { return };
         let place = attempt.place.clone();
         let Some(pool) = self.pool_of(attempt.request) else { return };
--- a/crates/hyssopfork-exchange/src/connection.rs
+++ b/crates/hyssopfork-exchange/src/connection.rs
@@ -64,13 +64,13 @@
     stage: Stage,
     /// Whether the peer answered before it had read the request: what remains of the request must
     /// not reach it as the start of another, so the connection is not used again.
-    early: bool,
-    takes_unframed: bool,
+    responded_early: bool,
+    allows_unframed: bool,
 }
 
 impl Connection {
     /// Connects; nothing is sent yet.
-    pub async fn open(address: net::SocketAddr) -> Result<Connection, error::Error> {
+    pub async fn connect(address: net::SocketAddr) -> Result<Connection, error::Error> {
         let unreachable = |cause| error::Error::Unreachable(address, cause);
         let stream = TcpStream::connect(address).await.map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
@@ -80,27 +80,27 @@
             stream,
             buffer: BytesMut::new(),
             stage,
-            early: false,
-            takes_unframed: false,
+            responded_early: false,
+            allows_unframed: false,
         })
     }
 
     /// Takes answers without a length and chunks as well, whose body lasts until the peer closes the
     /// connection. For peers that never close one in the middle of an answer without a reset.
-    pub fn take_unframed(&mut self) {
-        self.takes_unframed = true;
+    pub fn allow_unframed(&mut self) {
+        self.allows_unframed = true;
     }
 
     /// Whether the last answer was read whole and the peer keeps the connection open.
     pub fn is_reusable(&self) -> bool {
         let kept = matches!(&self.stage, Stage::Idle(codec) if codec.keep_alive());
-        kept && self.buffer.is_empty() && !self.early
+        kept && self.buffer.is_empty() && !self.responded_early
     }
 
     /// Whether nothing has come and the peer has not closed since the last answer. Bytes that
     /// come between two answers belong to no request, and the next answer could not be told from
     /// them.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -109,7 +109,7 @@
     pub async fn send(&mut self, request: &Request<'_>, body: Bytes) -> Result<(), error::Error> {
         let head = encode_head(request, self.address)?;
         let Stage::Idle(mut codec) = std::mem::replace(&mut self.stage, Stage::Failed) else {
-            return Err(error::Error::Cut);
+            return Err(error::Error::ConnectionLost);
         };
         let mut bytes = BytesMut::new();
         let size = BodySize::Sized(body.len() as u64);
@@ -127,11 +127,11 @@
         let (mut reader, mut writer) = self.stream.split();
         tokio::select! {
             biased;
-            written = writer.write_all(bytes) => written.map_err(|_| error::Error::Cut),
+            written = writer.write_all(bytes) => written.map_err(|_| error::Error::ConnectionLost),
             read = reader.read_buf(&mut self.buffer) => match read {
-                Ok(0) | Err(_) => Err(error::Error::Cut),
+                Ok(0) | Err(_) => Err(error::Error::ConnectionLost),
                 Ok(_) => {
-                    self.early = true;
+                    self.responded_early = true;
                     Ok(())
                 }
             },
@@ -139,33 +139,33 @@
     }
 
     /// Waits for the answer's head.
-    pub async fn head(&mut self) -> Result<Head, error::Error> {
+    pub async fn read_head(&mut self) -> Result<Head, error::Error> {
         loop {
             if let Some(head) = self.decode_head()? {
                 return Ok(head);
             }
-            self.fill().await?;
+            self.fill_buffer().await?;
         }
     }
 
     /// Waits for the next part of the body; `None` when the answer is whole.
-    pub async fn part(&mut self) -> Result<Option<Bytes>, error::Error> {
+    pub async fn read_part(&mut self) -> Result<Option<Bytes>, error::Error> {
         loop {
-            if let Some(part) = self.ready_part()? {
+            if let Some(part) = self.buffered_part()? {
                 return Ok(Some(part));
             }
             match self.stage {
                 Stage::Idle(_) | Stage::Closed => return Ok(None),
                 Stage::UntilClosed => self.fill_until_closed().await?,
-                Stage::Body(_) => self.fill().await?,
-                Stage::Head(_) | Stage::Failed => return Err(error::Error::Cut),
+                Stage::Body(_) => self.fill_buffer().await?,
+                Stage::Head(_) | Stage::Failed => return Err(error::Error::ConnectionLost),
             }
         }
     }
 
     /// The next part of the body as far as it is here already; `None` when none is, or the answer
     /// is whole. Parts that came together can thus be handed on together.
-    pub fn ready_part(&mut self) -> Result<Option<Bytes>, error::Error> {
+    pub fn buffered_part(&mut self) -> Result<Option<Bytes>, error::Error> {
         if matches!(self.stage, Stage::UntilClosed | Stage::Closed) {
             let part = self.buffer.split().freeze();
             return Ok((!part.is_empty()).then_some(part));
@@ -182,19 +182,19 @@
     }
 
     /// Reads the rest of the body; fails when it is cut.
-    pub async fn rest(&mut self) -> Result<Bytes, error::Error> {
+    pub async fn read_rest(&mut self) -> Result<Bytes, error::Error> {
         let mut whole = BytesMut::new();
-        while let Some(part) = self.part().await? {
+        while let Some(part) = self.read_part().await? {
             whole.extend_from_slice(&part);
         }
         Ok(whole.freeze())
     }
 
-    async fn fill(&mut self) -> Result<(), error::Error> {
+    async fn fill_buffer(&mut self) -> Result<(), error::Error> {
         let read = self.stream.read_buf(&mut self.buffer).await;
         if matches!(read, Ok(0) | Err(_)) {
             self.stage = Stage::Failed;
-            return Err(error::Error::Cut);
+            return Err(error::Error::ConnectionLost);
         }
         Ok(())
     }
@@ -206,29 +206,29 @@
             Ok(_) => {}
             Err(_) => {
                 self.stage = Stage::Failed;
-                return Err(error::Error::Cut);
+                return Err(error::Error::ConnectionLost);
             }
         }
         Ok(())
     }
 
     fn decode_head(&mut self) -> Result<Option<Head>, error::Error> {
-        let Stage::Head(codec) = &mut self.stage else { return Err(error::Error::Cut) };
+        let Stage::Head(codec) = &mut self.stage else { return Err(error::Error::ConnectionLost) };
         let decoded = codec.decode(&mut self.buffer);
         let head = decoded.map_err(|error| error::Error::Malformed(error.to_string()))?;
         let Some(head) = head else { return Ok(None) };
         self.begin_body(&head)?;
-        Ok(Some(convert(&head)))
+        Ok(Some(convert_head(&head)))
     }
 
     fn begin_body(&mut self, head: &ResponseHead) -> Result<(), error::Error> {
         let Stage::Head(codec) = std::mem::replace(&mut self.stage, Stage::Failed) else {
-            return Err(error::Error::Cut);
+            return Err(error::Error::ConnectionLost);
         };
         self.stage = match codec.message_type() {
             MessageType::Payload => Stage::Body(codec.into_payload_codec()),
             MessageType::None if is_framed(head) => Stage::Idle(codec),
-            MessageType::None if self.takes_unframed => Stage::UntilClosed,
+            MessageType::None if self.allows_unframed => Stage::UntilClosed,
             MessageType::None | MessageType::Stream => return Err(error::Error::Unframed),
         };
         Ok(())
@@ -273,7 +273,7 @@
     Ok(head)
 }
 
-fn convert(head: &ResponseHead) -> Head {
+fn convert_head(head: &ResponseHead) -> Head {
     let text = head.headers.iter().filter_map(|(name, value)| {
         Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
     });
--- a/crates/hyssopfork-exchange/src/error.rs
+++ b/crates/hyssopfork-exchange/src/error.rs
@@ -17,7 +17,7 @@
             display("the request's {} cannot be written as HTTP; correct it", part)
         }
         /// The connection ended or failed before the answer was whole.
-        Cut {
+        ConnectionLost {
             display("the connection broke off before the answer was whole; it may have run")
         }
         /// The answer is not HTTP/1.1.
--- a/crates/hyssopfork-exchange/tests/connection.rs
+++ b/crates/hyssopfork-exchange/tests/connection.rs
@@ -34,21 +34,22 @@
 }
 
 async fn exchange(address: net::SocketAddr) -> Result<Bytes, error::Error> {
-    let mut connection = connection::Connection::open(address).await?;
+    let mut connection = connection::Connection::connect(address).await?;
     connection.send(&LODGE, body()).await?;
-    connection.head().await?;
-    connection.rest().await
+    connection.read_head().await?;
+    connection.read_rest().await
 }
 
 #[actix_rt::test]
 async fn whole_answer_is_read_and_the_connection_used_again() {
     let server = start_service();
-    let mut connection = connection::Connection::open(server.address()).await.expect("it listens");
+    let mut connection =
+        connection::Connection::connect(server.address()).await.expect("it listens");
 
     for _ in 0..2 {
         connection.send(&LODGE, body()).await.expect("sent");
-        let head = connection.head().await.expect("answered");
-        let rest = connection.rest().await.expect("whole");
+        let head = connection.read_head().await.expect("answered");
+        let rest = connection.read_rest().await.expect("whole");
 
         assert_eq!(head.status, 201);
         assert_eq!(head.header("content-type"), Some("application/json"));
@@ -63,13 +64,13 @@
 async fn answer_cut_before_its_length_is_an_error() {
     let server = start_service();
     let cut = connection::Request { path: "/fake/cut?after=5", ..LODGE };
-    let mut order = connection::Connection::open(server.address()).await.expect("it listens");
+    let mut order = connection::Connection::connect(server.address()).await.expect("it listens");
     order.send(&cut, Bytes::new()).await.expect("sent");
-    order.head().await.expect("answered");
+    order.read_head().await.expect("answered");
 
     let answer = exchange(server.address()).await;
 
-    assert!(matches!(answer, Err(error::Error::Cut)), "{answer:?}");
+    assert!(matches!(answer, Err(error::Error::ConnectionLost)), "{answer:?}");
 }
 
 // The same in a stream of chunks: no length was promised, only the last chunk says that it ended.
@@ -79,7 +80,7 @@
 
     let cut = exchange(scripted(answer)).await;
 
-    assert!(matches!(cut, Err(error::Error::Cut)), "{cut:?}");
+    assert!(matches!(cut, Err(error::Error::ConnectionLost)), "{cut:?}");
 }
 
 #[actix_rt::test]
@@ -131,17 +132,18 @@
     let (server, _) = engine::start(listener, engine::Profile::default()).expect("it starts");
     let order = connection::Request { path: "/orders/load", ..LODGE };
     let request = connection::Request { path: "/v1/completions", ..LODGE };
-    let mut connection = connection::Connection::open(server.address()).await.expect("it listens");
+    let mut connection =
+        connection::Connection::connect(server.address()).await.expect("it listens");
     let load = Bytes::from_static(b"{\"fence\":1,\"model\":\"m\",\"rank\":0}");
     connection.send(&order, load).await.expect("sent");
-    connection.head().await.expect("answered");
-    connection.rest().await.expect("whole");
+    connection.read_head().await.expect("answered");
+    connection.read_rest().await.expect("whole");
 
     let body = Bytes::from_static(b"{\"prompt\":\"a [#r]\",\"max_tokens\":3,\"stream\":true}");
     connection.send(&request, body).await.expect("sent");
-    connection.head().await.expect("answered");
+    connection.read_head().await.expect("answered");
     let mut parts = Vec::new();
-    while let Some(part) = connection.part().await.expect("not cut") {
+    while let Some(part) = connection.read_part().await.expect("not cut") {
         parts.push(part);
     }
 
@@ -152,7 +154,8 @@
 #[actix_rt::test]
 async fn header_that_is_no_http_is_refused_before_anything_is_sent() {
     let server = start_service();
-    let mut connection = connection::Connection::open(server.address()).await.expect("it listens");
+    let mut connection =
+        connection::Connection::connect(server.address()).await.expect("it listens");
     let headers = [("x-team".to_owned(), "a\r\nb".to_owned())];
     let request = connection::Request { headers: &headers, ..LODGE };
 
@@ -178,13 +181,16 @@
 #[actix_rt::test]
 async fn a_body_that_lasts_until_the_connection_closes_is_whole() {
     let address = scripted(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it");
-    let mut connection = connection::Connection::open(address).await.expect("it listens");
-    connection.take_unframed();
+    let mut connection = connection::Connection::connect(address).await.expect("it listens");
+    connection.allow_unframed();
 
     connection.send(&LODGE, body()).await.expect("it is sent");
-    connection.head().await.expect("a head comes");
+    connection.read_head().await.expect("a head comes");
 
-    assert_eq!(connection.rest().await.expect("it is whole"), Bytes::from_static(b"all of it"));
+    assert_eq!(
+        connection.read_rest().await.expect("it is whole"),
+        Bytes::from_static(b"all of it")
+    );
     assert!(!connection.is_reusable());
 }
 
@@ -193,11 +199,11 @@
 #[actix_rt::test]
 async fn a_connection_whose_peer_answered_early_is_not_used_again() {
     let address = hasty(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n");
-    let mut connection = connection::Connection::open(address).await.expect("it listens");
+    let mut connection = connection::Connection::connect(address).await.expect("it listens");
     let long = Bytes::from(vec![b'x'; 32 << 20]);
 
     connection.send(&LODGE, long).await.expect("an answer ends the sending");
-    let head = connection.head().await.expect("it has come");
+    let head = connection.read_head().await.expect("it has come");
 
     assert_eq!(head.status, 413);
     assert!(!connection.is_reusable());
@@ -206,8 +212,8 @@
 #[actix_rt::test]
 async fn bytes_between_two_answers_show() {
     let address = hasty(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    let connection = connection::Connection::open(address).await.expect("it listens");
+    let connection = connection::Connection::connect(address).await.expect("it listens");
     actix_rt::time::sleep(std::time::Duration::from_millis(50)).await;
 
-    assert!(!connection.is_quiet());
+    assert!(!connection.is_idle());
 }
--- a/crates/hyssopfork-test-support/examples/started.rs
+++ b/crates/hyssopfork-test-support/examples/started.rs
@@ -24,9 +24,9 @@
 }
 
 async fn fetch(address: net::SocketAddr) -> Result<Bytes, error::Error> {
-    let mut connection = connection::Connection::open(address).await?;
+    let mut connection = connection::Connection::connect(address).await?;
     let request = connection::Request { method: "GET", path: "/counts", headers: &[] };
     connection.send(&request, Bytes::new()).await?;
-    connection.head().await?;
-    connection.rest().await
+    connection.read_head().await?;
+    connection.read_rest().await
 }
--- a/crates/hyssopfork-test-support/tests/support/mod.rs
+++ b/crates/hyssopfork-test-support/tests/support/mod.rs
@@ -31,11 +31,11 @@
     body: &str,
     headers: &[(String, String)],
 ) -> Option<Answer> {
-    let mut connection = connection::Connection::open(address).await.ok()?;
+    let mut connection = connection::Connection::connect(address).await.ok()?;
     let request = connection::Request { method, path, headers };
     connection.send(&request, Bytes::from(body.to_owned())).await.ok()?;
-    let status = connection.head().await.ok()?.status;
-    let rest = connection.rest().await.ok()?;
+    let status = connection.read_head().await.ok()?.status;
+    let rest = connection.read_rest().await.ok()?;
     let body = String::from_utf8(rest.to_vec()).expect("fakes answer in text");
     Some(Answer { status, body })
 }
--- a/crates/hyssopfork-watch/src/lease.rs
+++ b/crates/hyssopfork-watch/src/lease.rs
@@ -8,7 +8,7 @@
 /// Invariant: its end never moves back.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lease {
-    until: Option<clock::Instant>,
+    expires_at: Option<clock::Instant>,
 }
 
 impl Lease {
@@ -17,18 +17,18 @@
     /// The term runs from the sending, not from the answer: control granted somewhere between the
     /// two, and an answer that a network held back for long would otherwise prove a view recent
     /// that control has since changed. The earlier moment is right wherever the delay was.
-    pub fn extend(&mut self, sent: clock::Instant, term: Duration) {
-        let until = sent + term;
-        self.until = self.until.max(Some(until));
+    pub fn extend(&mut self, sent: clock::Instant, duration: Duration) {
+        let until = sent + duration;
+        self.expires_at = self.expires_at.max(Some(until));
     }
 
     /// Whether the lease is in force at `now`.
     pub fn is_valid(&self, now: clock::Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.expires_at.is_some_and(|until| now < until)
     }
 
     /// When the lease lapses; `None` when none was ever held.
-    pub fn until(&self) -> Option<clock::Instant> {
-        self.until
+    pub fn expires_at(&self) -> Option<clock::Instant> {
+        self.expires_at
     }
 }
--- a/crates/hyssopfork-watch/src/notice.rs
+++ b/crates/hyssopfork-watch/src/notice.rs
@@ -56,12 +56,12 @@
                  a quorum can be reached"
             ),
             Notice::TargetChanged(to) => write!(formatter, "asking control instance {to} now"),
-            Notice::UpdateBack(have) => {
-                write!(formatter, "dropped an update that leads back from version {have}")
+            Notice::UpdateBack(version) => {
+                write!(formatter, "dropped an update that leads back from version {version}")
             }
-            Notice::ProtocolDiffers(speaks) => write!(
+            Notice::ProtocolDiffers(version) => write!(
                 formatter,
-                "control speaks protocol version {speaks}; run compatible releases at both ends"
+                "control speaks protocol version {version}; run compatible releases at both ends"
             ),
         }
     }
--- a/crates/hyssopfork-watch/src/target.rs
+++ b/crates/hyssopfork-watch/src/target.rs
@@ -25,7 +25,7 @@
     }
 
     /// `from` failed: moves on to the next address, unless another was chosen meanwhile.
-    pub fn fail(&mut self, from: net::SocketAddr) {
+    pub fn on_failure(&mut self, from: net::SocketAddr) {
         if self.current != Some(from) || self.addresses.is_empty() {
             return;
         }
@@ -38,10 +38,10 @@
     /// A hint is followed only from the instance that is asked now. A late one from another would
     /// lead away from a leader that was found since, and two instances with stale hints could
     /// send a watcher to and fro; a hint to the instance itself is none.
-    pub fn redirect(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
+    pub fn on_not_leader(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
         match hint {
             Some(hint) if self.current == Some(from) && hint != from => self.current = Some(hint),
-            _ => self.fail(from),
+            _ => self.on_failure(from),
         }
     }
 }
--- a/crates/hyssopfork-watch/src/watcher.rs
+++ b/crates/hyssopfork-watch/src/watcher.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 /// Time beyond [`timing::LONG_POLL_TIMEOUT`] that an unanswered watch is given.
-const WATCH_MARGIN: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Least time between two watches, or between a failed renewal and the next.
-const RETRY: Duration = Duration::from_millis(50);
+const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A call to control.
 #[derive(Clone, Debug)]
@@ -33,13 +33,13 @@
     /// Numbered events.
     pub notices: Vec<notice::Notice>,
     /// Whether the view moved on.
-    pub moved: bool,
+    pub view_changed: bool,
     /// Whether a renewal that said that the holder is leaving was answered with a grant.
-    pub leave_heard: bool,
+    pub leaving_granted: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Outstanding {
+struct PendingCall {
     call: u64,
     to: net::SocketAddr,
     sent: clock::Instant,
@@ -51,12 +51,12 @@
 pub struct Watcher {
     target: target::Target,
     lease: lease::Lease,
-    held: bool,
+    lease_held: bool,
     view: change::View,
-    renewal: Option<Outstanding>,
+    renewal: Option<PendingCall>,
     renew_at: clock::Instant,
     renewed_at: clock::Instant,
-    watch: Option<Outstanding>,
+    watch: Option<PendingCall>,
     watch_at: clock::Instant,
     calls: u64,
     /// Instance whose part of the view is followed; `None` for the whole view.
@@ -69,7 +69,7 @@
         Watcher {
             target: target::Target::new(addresses, offset),
             lease: lease::Lease::default(),
-            held: false,
+            lease_held: false,
             view: change::View::default(),
             renewal: None,
             renew_at: now,
@@ -82,7 +82,7 @@
     }
 
     /// Follows only the part of the view that concerns `instance`.
-    pub fn narrow(mut self, instance: name::Instance) -> Watcher {
+    pub fn with_scope(mut self, instance: name::Instance) -> Watcher {
         self.scope = Some(instance);
         self
     }
@@ -98,8 +98,8 @@
     }
 
     /// When the lease lapses; `None` when none was ever held.
-    pub fn lease_until(&self) -> Option<clock::Instant> {
-        self.lease.until()
+    pub fn lease_expires_at(&self) -> Option<clock::Instant> {
+        self.lease.expires_at()
     }
 
     /// Control instance to ask now.
@@ -108,13 +108,13 @@
     }
 
     /// `from` did not answer a call in time.
-    pub fn fail(&mut self, from: net::SocketAddr) {
-        self.target.fail(from);
+    pub fn on_call_failed(&mut self, from: net::SocketAddr) {
+        self.target.on_failure(from);
     }
 
     /// `from` answered that it doesn't lead.
-    pub fn redirect(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
-        self.target.redirect(from, hint);
+    pub fn on_not_leader(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
+        self.target.on_not_leader(from, hint);
     }
 
     /// Number for the next call to control.
@@ -125,9 +125,9 @@
 
     /// Another process told of `version`: where that is newer, control is asked at once, but not
     /// more often than every [`RETRY`], since many processes tell of the same version together.
-    pub fn hear(&mut self, version: number::Version) {
+    pub fn on_version_seen(&mut self, version: number::Version) {
         if version > self.view.version {
-            self.renew_at = self.renew_at.min(self.renewed_at + RETRY);
+            self.renew_at = self.renew_at.min(self.renewed_at + MIN_RETRY_INTERVAL);
         }
     }
 
@@ -139,17 +139,17 @@
         leaving: bool,
     ) -> Output {
         let mut output = Output::default();
-        self.note_lease(now, &mut output);
-        self.forget_overdue(now);
+        self.report_lease_change(now, &mut output);
+        self.expire_overdue_calls(now);
         if self.renewal.is_none() && now >= self.renew_at {
-            self.renew(now, holder(), leaving, &mut output);
+            self.send_renewal(now, holder(), leaving, &mut output);
         }
-        self.follow(now, &mut output);
+        self.send_watch(now, &mut output);
         output
     }
 
     /// Takes the answer of a call; `None` when the call is none of the watcher's.
-    pub fn answered(
+    pub fn on_response(
         &mut self,
         now: clock::Instant,
         call: u64,
@@ -157,17 +157,17 @@
     ) -> Option<Output> {
         let mut output = Output::default();
         if let Some(renewal) = self.renewal.take_if(|renewal| renewal.call == call) {
-            self.renewed(now, renewal, response, &mut output);
+            self.on_renewal_response(now, renewal, response, &mut output);
         } else if self.watch.take_if(|watch| watch.call == call).is_some() {
-            self.watched(now, response, &mut output);
+            self.on_watch_response(now, response, &mut output);
         } else {
             return None;
         }
-        self.note_lease(now, &mut output);
+        self.report_lease_change(now, &mut output);
         Some(output)
     }
 
-    fn renew(
+    fn send_renewal(
         &mut self,
         now: clock::Instant,
         holder: control::Holder,
@@ -175,10 +175,10 @@
         output: &mut Output,
     ) {
         let Some(to) = self.target.current() else { return };
-        let have = self.view.version;
-        let renewal = control::Renewal { holder, version: have, leaving };
+        let version = self.view.version;
+        let renewal = control::Renewal { holder, version, leaving };
         let call = self.next_call();
-        self.renewal = Some(Outstanding { call, to, sent: now, leaving });
+        self.renewal = Some(PendingCall { call, to, sent: now, leaving });
         self.renewed_at = now;
         self.renew_at = now + timing::RENEWAL_INTERVAL;
         let request = control::Request::Renew(renewal);
@@ -187,7 +187,7 @@
 
     /// Keeps one watch outstanding, at the instance that renewals go to: one left at an instance
     /// that no longer leads would be told of nothing.
-    fn follow(&mut self, now: clock::Instant, output: &mut Output) {
+    fn send_watch(&mut self, now: clock::Instant, output: &mut Output) {
         let Some(to) = self.target.current() else { return };
         if self.watch.is_some_and(|watch| watch.to != to) {
             self.watch = None;
@@ -196,49 +196,49 @@
             return;
         }
         let call = self.next_call();
-        self.watch = Some(Outstanding { call, to, sent: now, leaving: false });
-        self.watch_at = now + RETRY;
+        self.watch = Some(PendingCall { call, to, sent: now, leaving: false });
+        self.watch_at = now + MIN_RETRY_INTERVAL;
         let request = match &self.scope {
             None => control::Request::Watch(self.view.version),
             Some(instance) => control::Request::Follow(self.view.version, instance.clone()),
         };
-        let timeout = timing::LONG_POLL_TIMEOUT + WATCH_MARGIN;
+        let timeout = timing::LONG_POLL_TIMEOUT + CALL_TIMEOUT_MARGIN;
         output.calls.push(Call { call, to, request, timeout });
     }
 
     /// A shell that loses a call must not stop the renewals: an overdue one counts as failed.
-    fn forget_overdue(&mut self, now: clock::Instant) {
-        let overdue = |sent: clock::Instant, limit: Duration| now.since(sent) > limit;
-        let limit = timing::RENEWAL_INTERVAL + WATCH_MARGIN;
-        if let Some(renewal) = self.renewal.take_if(|renewal| overdue(renewal.sent, limit)) {
-            self.target.fail(renewal.to);
+    fn expire_overdue_calls(&mut self, now: clock::Instant) {
+        let is_overdue = |sent: clock::Instant, limit: Duration| now.since(sent) > limit;
+        let limit = timing::RENEWAL_INTERVAL + CALL_TIMEOUT_MARGIN;
+        if let Some(renewal) = self.renewal.take_if(|renewal| is_overdue(renewal.sent, limit)) {
+            self.target.on_failure(renewal.to);
         }
-        let limit = timing::LONG_POLL_TIMEOUT + WATCH_MARGIN + WATCH_MARGIN;
-        self.watch.take_if(|watch| overdue(watch.sent, limit));
+        let limit = timing::LONG_POLL_TIMEOUT + CALL_TIMEOUT_MARGIN + CALL_TIMEOUT_MARGIN;
+        self.watch.take_if(|watch| is_overdue(watch.sent, limit));
     }
 
-    fn renewed(
+    fn on_renewal_response(
         &mut self,
         now: clock::Instant,
-        renewal: Outstanding,
+        renewal: PendingCall,
         response: Option<&control::Response>,
         output: &mut Output,
     ) {
         match response {
             Some(control::Response::Granted(grant)) => {
-                if self.lead(&grant.update, output) {
+                if self.apply_update(&grant.update, output) {
                     self.lease.extend(renewal.sent, grant.duration.min(timing::HOLDER_LEASE));
-                    output.leave_heard = renewal.leaving;
+                    output.leaving_granted = renewal.leaving;
                 }
             }
             other => {
-                self.turn(renewal.to, other, output);
-                self.renew_at = now + RETRY;
+                self.switch_target(renewal.to, other, output);
+                self.renew_at = now + MIN_RETRY_INTERVAL;
             }
         }
     }
 
-    fn watched(
+    fn on_watch_response(
         &mut self,
         now: clock::Instant,
         response: Option<&control::Response>,
@@ -246,26 +246,26 @@
     ) {
         match response {
             Some(control::Response::Updated(update)) => {
-                self.lead(update, output);
+                self.apply_update(update, output);
             }
             _ => self.watch_at = now + timing::RENEWAL_INTERVAL,
         }
     }
 
     /// Turns to another control instance after an answer that was no grant.
-    fn turn(
+    fn switch_target(
         &mut self,
         from: net::SocketAddr,
         response: Option<&control::Response>,
         output: &mut Output,
     ) {
         match response {
-            Some(control::Response::NotLeader(hint)) => self.target.redirect(from, *hint),
-            Some(control::Response::Protocol { version: speaks }) => {
-                output.notices.push(notice::Notice::ProtocolDiffers(*speaks));
-                self.target.fail(from);
+            Some(control::Response::NotLeader(hint)) => self.target.on_not_leader(from, *hint),
+            Some(control::Response::Protocol { version }) => {
+                output.notices.push(notice::Notice::ProtocolDiffers(*version));
+                self.target.on_failure(from);
             }
-            _ => self.target.fail(from),
+            _ => self.target.on_failure(from),
         }
         if let Some(to) = self.target.current().filter(|to| *to != from) {
             output.notices.push(notice::Notice::TargetChanged(to));
@@ -274,7 +274,7 @@
 
     /// Leads the view on; `false` when the update would lead back, and then its lease proves
     /// nothing either.
-    fn lead(&mut self, update: &change::Update, output: &mut Output) -> bool {
+    fn apply_update(&mut self, update: &change::Update, output: &mut Output) -> bool {
         let before = self.view.version;
         let Ok(moved) = view::lead(&mut self.view, update.clone()) else {
             output.notices.push(notice::Notice::UpdateBack(before));
@@ -282,18 +282,18 @@
         };
         assert!(self.view.version >= before, "a view never goes back in version");
         if moved {
-            output.moved = true;
+            output.view_changed = true;
             output.notices.push(notice::Notice::Advanced(self.view.version));
         }
         true
     }
 
-    fn note_lease(&mut self, now: clock::Instant, output: &mut Output) {
+    fn report_lease_change(&mut self, now: clock::Instant, output: &mut Output) {
         let held = self.lease.is_valid(now);
-        if held == self.held {
+        if held == self.lease_held {
             return;
         }
-        self.held = held;
+        self.lease_held = held;
         let notice = if held { notice::Notice::LeaseHeld } else { notice::Notice::LeaseLapsed };
         output.notices.push(notice);
     }
--- a/crates/hyssopfork-watch/tests/watcher.rs
+++ b/crates/hyssopfork-watch/tests/watcher.rs
@@ -44,7 +44,7 @@
     let call = renewal(&mut watcher, START);
     let answered = START + Duration::from_millis(450);
 
-    watcher.answered(answered, call.call, Some(&granted(whole(4))));
+    watcher.on_response(answered, call.call, Some(&granted(whole(4))));
 
     let last = START + timing::HOLDER_LEASE - Duration::from_micros(1);
     assert!(watcher.is_recent(answered) && watcher.is_recent(last));
@@ -57,16 +57,16 @@
 fn update_that_leads_back_is_dropped_with_its_lease() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.answered(START, call.call, Some(&granted(whole(9))));
-    let until = watcher.lease_until();
+    watcher.on_response(START, call.call, Some(&granted(whole(9))));
+    let until = watcher.lease_expires_at();
     let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
 
-    let output = watcher.answered(later, call.call, Some(&granted(whole(8))));
+    let output = watcher.on_response(later, call.call, Some(&granted(whole(8))));
 
     let notices = output.expect("the answer is the watcher's").notices;
     assert_eq!(watcher.view().version, number::Version(9));
-    assert_eq!(watcher.lease_until(), until);
+    assert_eq!(watcher.lease_expires_at(), until);
     assert!(notices.contains(&notice::Notice::UpdateBack(number::Version(9))));
 }
 
@@ -75,30 +75,30 @@
 fn overlapping_steps_are_taken_once() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.answered(START, call.call, Some(&granted(whole(1))));
+    watcher.on_response(START, call.call, Some(&granted(whole(1))));
     let watch = watcher.tick(START, holder, false).calls.pop().expect("a watch goes out");
     let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
     let step = |version| change::Step { version: number::Version(version), changes: Vec::new() };
 
     let updated = control::Response::Updated(change::Update::Steps(vec![step(3), step(5)]));
-    watcher.answered(later, watch.call, Some(&updated));
+    watcher.on_response(later, watch.call, Some(&updated));
     let older = granted(change::Update::Steps(vec![step(3), step(5)]));
-    watcher.answered(later, call.call, Some(&older));
+    watcher.on_response(later, call.call, Some(&older));
 
     assert_eq!(watcher.view().version, number::Version(5));
-    assert_eq!(watcher.lease_until(), Some(later + timing::HOLDER_LEASE));
+    assert_eq!(watcher.lease_expires_at(), Some(later + timing::HOLDER_LEASE));
 }
 
 #[test]
 fn doubled_and_unknown_answers_change_nothing() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.answered(START, call.call, Some(&granted(whole(4))));
+    watcher.on_response(START, call.call, Some(&granted(whole(4))));
     let later = START + Duration::from_millis(100);
 
-    let again = watcher.answered(later, call.call, Some(&granted(whole(6))));
-    let unknown = watcher.answered(later, 77, Some(&granted(whole(7))));
+    let again = watcher.on_response(later, call.call, Some(&granted(whole(6))));
+    let unknown = watcher.on_response(later, 77, Some(&granted(whole(7))));
 
     assert!(again.is_none() && unknown.is_none());
     assert_eq!(watcher.view().version, number::Version(4));
@@ -129,7 +129,7 @@
 fn watch_follows_the_leader_and_is_never_doubled() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.answered(START, call.call, Some(&granted(whole(1))));
+    watcher.on_response(START, call.call, Some(&granted(whole(1))));
     let watches = |output: &watcher::Output| {
         let watch = |call: &&watcher::Call| matches!(call.request, control::Request::Watch(_));
         output.calls.iter().filter(watch).map(|call| call.to).collect::<Vec<_>>()
@@ -139,7 +139,7 @@
     let call = renewal(&mut watcher, later);
     let hint = control::Response::NotLeader(Some(address(3)));
 
-    watcher.answered(later, call.call, Some(&hint));
+    watcher.on_response(later, call.call, Some(&hint));
     let moved = watches(&watcher.tick(later + timing::RENEWAL_INTERVAL, holder, false));
     let again = watches(&watcher.tick(later + timing::RENEWAL_INTERVAL, holder, false));
 
@@ -153,10 +153,10 @@
 fn hints_are_followed_only_from_the_instance_that_is_asked() {
     let mut target = target::Target::new(vec![address(1), address(2), address(3)], 0);
 
-    target.redirect(address(1), Some(address(3)));
-    target.redirect(address(1), Some(address(2)));
+    target.on_not_leader(address(1), Some(address(3)));
+    target.on_not_leader(address(1), Some(address(2)));
     let kept = target.current();
-    target.redirect(address(3), Some(address(3)));
+    target.on_not_leader(address(3), Some(address(3)));
     let moved = target.current();
 
     assert_eq!(kept, Some(address(3)));
@@ -169,18 +169,18 @@
 fn newer_version_heard_brings_the_renewal_forward() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.answered(START, call.call, Some(&granted(whole(1))));
+    watcher.on_response(START, call.call, Some(&granted(whole(1))));
     let mut renewals = 0;
 
     for milli in 0..40 {
-        watcher.hear(number::Version(2));
+        watcher.on_version_seen(number::Version(2));
         let now = START + Duration::from_millis(milli * 5);
         let output = watcher.tick(now, holder, false);
         for call in output.calls {
             if matches!(call.request, control::Request::Renew(_)) {
                 renewals += 1;
                 let current = granted(change::Update::Current);
-                watcher.answered(now, call.call, Some(&current));
+                watcher.on_response(now, call.call, Some(&current));
             }
         }
     }
