--- a/crates/hyssopfork-exchange/src/connection.rs
+++ b/crates/hyssopfork-exchange/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that carries one exchange after another.
+//! Client connection for sequential HTTP/1.1 exchanges.
 
 use crate::error;
 use actix_http::body::BodySize;
@@ -12,29 +12,29 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A request's head.
+/// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Headers besides `Content-Length`, which the connection writes. Without a `Host` among them
-    /// the connection names its peer's address.
+    /// Headers besides `Content-Length`, which the connection adds. It also adds a `Host` with the
+    /// server's address if there is none.
     pub headers: &'a [(String, String)],
 }
 
-/// An answer's head.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// HTTP status code.
     pub status: u16,
-    /// Header names in lower case, and values that are text.
+    /// Header names in lower case, and their values; headers whose values are not text are omitted.
     pub headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The first value of a header; `name` in lower case.
+    /// First value of a header; `name` in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
         found.map(|(_, value)| value.as_str())
@@ -42,34 +42,34 @@
 }
 
 enum Stage {
-    /// No exchange runs.
+    /// No exchange is in progress.
     Idle(ClientCodec),
-    /// The head is awaited.
+    /// The request is sent; the response's head is to be read.
     Head(ClientCodec),
-    /// Parts of the body are awaited.
+    /// The response's body is to be read.
     Body(ClientPayloadCodec),
-    /// The body has neither length nor chunks: it lasts until the peer closes the connection.
+    /// The body has neither a length nor chunks: it ends when the server closes the connection.
     UntilClosed,
-    /// The peer closed the connection after a body that lasted until then.
+    /// The server closed the connection at the end of such a body.
     Closed,
-    /// An exchange failed: the connection cannot be used again.
+    /// An exchange failed: the connection cannot be reused.
     Failed,
 }
 
-/// A connection. Its waits may be dropped and called again without loss.
+/// A connection. Its read methods are cancel-safe: no bytes are lost if their future is dropped.
 pub struct Connection {
     address: net::SocketAddr,
     stream: TcpStream,
     buffer: BytesMut,
     stage: Stage,
-    /// Whether the peer answered before it had read the request: what remains of the request must
-    /// not reach it as the start of another, so the connection is not used again.
+    /// Whether the server responded before it had read the whole request. It could take the rest of
+    /// the request for the start of the next one, so the connection is not reused.
     responded_early: bool,
     allows_unframed: bool,
 }
 
 impl Connection {
-    /// Connects; nothing is sent yet.
+    /// Connects to `address` without sending a request.
     pub async fn connect(address: net::SocketAddr) -> Result<Connection, error::Error> {
         let unreachable = |cause| error::Error::Unreachable(address, cause);
         let stream = TcpStream::connect(address).await.map_err(unreachable)?;
@@ -85,27 +85,27 @@
         })
     }
 
-    /// Takes answers without a length and chunks as well, whose body lasts until the peer closes the
-    /// connection. For peers that never close one in the middle of an answer without a reset.
+    /// Accepts responses with neither a length nor chunks, whose body ends when the server closes the
+    /// connection. Only for servers that always abort a truncated response with a reset.
     pub fn allow_unframed(&mut self) {
         self.allows_unframed = true;
     }
 
-    /// Whether the last answer was read whole and the peer keeps the connection open.
+    /// Whether the last response was read completely and the server keeps the connection open.
     pub fn is_reusable(&self) -> bool {
         let kept = matches!(&self.stage, Stage::Idle(codec) if codec.keep_alive());
         kept && self.buffer.is_empty() && !self.responded_early
     }
 
-    /// Whether nothing has come and the peer has not closed since the last answer. Bytes that
-    /// come between two answers belong to no request, and the next answer could not be told from
-    /// them.
+    /// Whether the server has neither sent bytes nor closed the connection since the last response.
+    /// Bytes between two responses belong to no request and would be read as the next response.
     pub fn is_idle(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Writes a request. After an error other than [`error::Error::Unsendable`] it may have come.
+    /// Sends a request. After an error other than [`error::Error::Unsendable`] the server may have
+    /// received it.
     pub async fn send(&mut self, request: &Request<'_>, body: Bytes) -> Result<(), error::Error> {
         let head = encode_head(request, self.address)?;
         let Stage::Idle(mut codec) = std::mem::replace(&mut self.stage, Stage::Failed) else {
@@ -121,8 +121,8 @@
         Ok(())
     }
 
-    /// Writes a request, or as much of it as goes out before the peer answers: one that answers
-    /// early may never read the rest, and waiting for that would hold its answer back.
+    /// Writes a request until the server responds: a server that responds early may never read the
+    /// rest, and waiting for it would delay the response.
     async fn write(&mut self, bytes: &[u8]) -> Result<(), error::Error> {
         let (mut reader, mut writer) = self.stream.split();
         tokio::select! {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Waits for the answer's head.
+    /// Reads the head of the response.
     pub async fn read_head(&mut self) -> Result<Head, error::Error> {
         loop {
             if let Some(head) = self.decode_head()? {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Waits for the next part of the body; `None` when the answer is whole.
+    /// Reads the next part of the body; `None` when the response is complete.
     pub async fn read_part(&mut self) -> Result<Option<Bytes>, error::Error> {
         loop {
             if let Some(part) = self.buffered_part()? {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// The next part of the body as far as it is here already; `None` when none is, or the answer
-    /// is whole. Parts that came together can thus be handed on together.
+    /// Returns the next part of the body that is already in the buffer; `None` if there is none, or
+    /// the response is complete. It allows parts that arrived together to be forwarded together.
     pub fn buffered_part(&mut self) -> Result<Option<Bytes>, error::Error> {
         if matches!(self.stage, Stage::UntilClosed | Stage::Closed) {
             let part = self.buffer.split().freeze();
@@ -181,13 +181,13 @@
         }
     }
 
-    /// Reads the rest of the body; fails when it is cut.
+    /// Reads the rest of the body; fails if the body is truncated.
     pub async fn read_rest(&mut self) -> Result<Bytes, error::Error> {
-        let mut whole = BytesMut::new();
+        let mut rest = BytesMut::new();
         while let Some(part) = self.read_part().await? {
-            whole.extend_from_slice(&part);
+            rest.extend_from_slice(&part);
         }
-        Ok(whole.freeze())
+        Ok(rest.freeze())
     }
 
     async fn fill_buffer(&mut self) -> Result<(), error::Error> {
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// Reads on where the end of the connection ends the body. A reset is no such end.
+    /// Reads more of a body that ends when the connection is closed. A reset is an error.
     async fn fill_until_closed(&mut self) -> Result<(), error::Error> {
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) => self.stage = Stage::Closed,
@@ -242,13 +242,13 @@
     }
 }
 
-/// Whether an answer without a payload is whole by its own words. Without a length and chunks the
-/// body would last until the connection's end, and the codec would leave it unread.
+/// Whether the head of a response without a payload says that it has no body. With neither a length
+/// nor chunks the body would end when the connection is closed, and the codec would not read it.
 fn is_framed(head: &ResponseHead) -> bool {
-    let bare = head.status.is_informational()
+    let has_no_body = head.status.is_informational()
         || head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED;
-    bare || head.headers.contains_key(header::CONTENT_LENGTH)
+    has_no_body || head.headers.contains_key(header::CONTENT_LENGTH)
 }
 
 fn encode_head(
--- a/crates/hyssopfork-exchange/src/error.rs
+++ b/crates/hyssopfork-exchange/src/error.rs
@@ -1,32 +1,32 @@
-//! Why an exchange did not end with a whole answer.
+//! Errors of an exchange that did not end with a complete response.
 
 use quick_error::quick_error;
 use std::{io, net};
 
 quick_error! {
-    /// Why an exchange did not end with a whole answer.
+    /// Error of an exchange that did not end with a complete response.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection could be made: nothing was sent.
+        /// The connection could not be opened: nothing was sent.
         Unreachable(address: net::SocketAddr, cause: io::Error) {
-            display("cannot connect to {}: {}; check that it listens there", address, cause)
+            display("cannot connect to {}: {}; check that a server listens there", address, cause)
             source(cause)
         }
-        /// The request cannot be written as HTTP: nothing was sent.
+        /// A part of the request is not valid in HTTP: nothing was sent.
         Unsendable(part: &'static str) {
-            display("the request's {} cannot be written as HTTP; correct it", part)
+            display("the request's {} is not valid HTTP; correct it", part)
         }
-        /// The connection ended or failed before the answer was whole.
+        /// The connection was closed or failed before the response was complete.
         ConnectionLost {
-            display("the connection broke off before the answer was whole; it may have run")
+            display("connection lost before the response was complete; the request may have run")
         }
-        /// The answer is not HTTP/1.1.
+        /// The response is not HTTP/1.1.
         Malformed(text: String) {
-            display("the answer is not HTTP/1.1 ({}); check what listens there", text)
+            display("the response is not HTTP/1.1 ({}); check which server listens there", text)
         }
-        /// The answer has neither length nor chunks: its end cannot be told from a cut.
+        /// The response has neither a length nor chunks: its end looks like a lost connection.
         Unframed {
-            display("the answer has neither length nor chunks; have the server send one of them")
+            display("the response has neither a length nor chunks; have the server send either")
         }
     }
 }
--- a/crates/hyssopfork-exchange/src/lib.rs
+++ b/crates/hyssopfork-exchange/src/lib.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 exchanges over a connection of one's own, for callers that must know whether an answer
-//! came whole.
+//! HTTP/1.1 client connection that distinguishes a complete response from a truncated one.
 //!
-//! `awc` ends the body's stream in the same way whether the answer was complete or its connection
-//! broke off, with a length and in chunks alike, so a caller takes a cut answer for a whole one.
-//! The codec beneath it (`actix_http::h1`) tells them apart. A connection also opens before
-//! anything is sent, so that "never sent" and "sent, then broken" are known for sure.
+//! The `awc` client ends a body's stream in the same way whether the response was complete or its
+//! connection was lost, both with a `Content-Length` and in chunks, so a truncated response passes
+//! for a complete one. The codec beneath it (`actix_http::h1`) distinguishes them. A connection is
+//! opened before anything is sent, so that a request that was never sent is known from one whose
+//! connection was lost afterwards.
 
 pub mod connection;
 pub mod error;
--- a/crates/hyssopfork-exchange/tests/connection.rs
+++ b/crates/hyssopfork-exchange/tests/connection.rs
@@ -1,4 +1,4 @@
-//! A whole answer and a cut one are told apart, which is what answers are checked by.
+//! Complete responses are distinguished from truncated ones, and reusable connections from others.
 
 use bytes::Bytes;
 use hyssopfork_exchange::{connection, error};
@@ -7,7 +7,7 @@
 use std::net;
 use std::thread;
 
-const LODGE: connection::Request<'static> =
+const REQUEST: connection::Request<'static> =
     connection::Request { method: "POST", path: "/lodgements", headers: &[] };
 
 fn body() -> Bytes {
@@ -19,37 +19,37 @@
     service::start(listener, service::Profile::default()).expect("it starts").0
 }
 
-/// A peer that answers the first request with `answer` and closes.
-fn scripted(answer: &'static [u8]) -> net::SocketAddr {
+/// Starts a server that sends `response` to the first request and closes the connection.
+fn start_scripted_server(response: &'static [u8]) -> net::SocketAddr {
     let listener = http::free_listener().expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a caller comes");
+        let (mut stream, _) = listener.accept().expect("a client connects");
         let mut request = [0; 4096];
-        let length = stream.read(&mut request).expect("a request comes");
+        let length = stream.read(&mut request).expect("a request arrives");
         assert!(length > 0);
-        stream.write_all(answer).expect("the answer goes out");
+        stream.write_all(response).expect("the response is sent");
     });
     address
 }
 
 async fn exchange(address: net::SocketAddr) -> Result<Bytes, error::Error> {
     let mut connection = connection::Connection::connect(address).await?;
-    connection.send(&LODGE, body()).await?;
+    connection.send(&REQUEST, body()).await?;
     connection.read_head().await?;
     connection.read_rest().await
 }
 
 #[actix_rt::test]
-async fn whole_answer_is_read_and_the_connection_used_again() {
+async fn a_connection_is_reusable_after_a_complete_response() {
     let server = start_service();
     let mut connection =
         connection::Connection::connect(server.address()).await.expect("it listens");
 
     for _ in 0..2 {
-        connection.send(&LODGE, body()).await.expect("sent");
-        let head = connection.read_head().await.expect("answered");
-        let rest = connection.read_rest().await.expect("whole");
+        connection.send(&REQUEST, body()).await.expect("sent");
+        let head = connection.read_head().await.expect("a response");
+        let rest = connection.read_rest().await.expect("a complete body");
 
         assert_eq!(head.status, 201);
         assert_eq!(head.header("content-type"), Some("application/json"));
@@ -58,65 +58,65 @@
     }
 }
 
-// A back end breaks off in the middle of an answer whose length it gave. A caller that took the
-// end of the connection for the end of the answer would hand on half a receipt as a whole one.
+// The server closes the connection in the middle of a body with a Content-Length. A client that took
+// the end of the connection for the end of the body would forward half a receipt as a complete one.
 #[actix_rt::test]
-async fn answer_cut_before_its_length_is_an_error() {
+async fn a_response_shorter_than_its_length_is_an_error() {
     let server = start_service();
-    let cut = connection::Request { path: "/fake/cut?after=5", ..LODGE };
-    let mut order = connection::Connection::connect(server.address()).await.expect("it listens");
-    order.send(&cut, Bytes::new()).await.expect("sent");
-    order.read_head().await.expect("answered");
+    let truncate = connection::Request { path: "/fake/cut?after=5", ..REQUEST };
+    let mut setup = connection::Connection::connect(server.address()).await.expect("it listens");
+    setup.send(&truncate, Bytes::new()).await.expect("sent");
+    setup.read_head().await.expect("a response");
 
-    let answer = exchange(server.address()).await;
+    let truncated = exchange(server.address()).await;
 
-    assert!(matches!(answer, Err(error::Error::ConnectionLost)), "{answer:?}");
+    assert!(matches!(truncated, Err(error::Error::ConnectionLost)), "{truncated:?}");
 }
 
-// The same in a stream of chunks: no length was promised, only the last chunk says that it ended.
+// A chunked body has no length: only its last chunk marks its end.
 #[actix_rt::test]
-async fn chunked_answer_without_its_last_chunk_is_an_error() {
-    let answer = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n";
+async fn a_chunked_response_without_its_last_chunk_is_an_error() {
+    let response = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n";
 
-    let cut = exchange(scripted(answer)).await;
+    let truncated = exchange(start_scripted_server(response)).await;
 
-    assert!(matches!(cut, Err(error::Error::ConnectionLost)), "{cut:?}");
+    assert!(matches!(truncated, Err(error::Error::ConnectionLost)), "{truncated:?}");
 }
 
 #[actix_rt::test]
-async fn chunked_answer_with_its_last_chunk_is_whole() {
-    let answer = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
+async fn a_chunked_response_with_its_last_chunk_is_complete() {
+    let response = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
 
-    let whole = exchange(scripted(answer)).await;
+    let body = exchange(start_scripted_server(response)).await;
 
-    assert_eq!(whole.expect("whole"), Bytes::from_static(b"abc"));
+    assert_eq!(body.expect("a complete body"), Bytes::from_static(b"abc"));
 }
 
 #[actix_rt::test]
-async fn answer_that_only_the_connection_ends_is_refused() {
-    let answer = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nabc";
+async fn a_body_that_lasts_until_the_connection_closes_is_an_error_by_default() {
+    let response = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nabc";
 
-    let unframed = exchange(scripted(answer)).await;
+    let unframed = exchange(start_scripted_server(response)).await;
 
     assert!(matches!(unframed, Err(error::Error::Unframed)), "{unframed:?}");
 }
 
 #[actix_rt::test]
-async fn answer_without_body_is_whole() {
-    let empty = exchange(scripted(b"HTTP/1.1 204 No Content\r\n\r\n")).await;
+async fn a_response_without_a_body_is_complete() {
+    let empty = exchange(start_scripted_server(b"HTTP/1.1 204 No Content\r\n\r\n")).await;
 
-    assert_eq!(empty.expect("whole"), Bytes::new());
+    assert_eq!(empty.expect("a complete body"), Bytes::new());
 }
 
 #[actix_rt::test]
-async fn peer_that_is_no_http_server_is_named() {
-    let other = exchange(scripted(b"SSH-2.0-OpenSSH\r\n\r\n")).await;
+async fn a_response_that_is_not_http_is_malformed() {
+    let malformed = exchange(start_scripted_server(b"SSH-2.0-OpenSSH\r\n\r\n")).await;
 
-    assert!(matches!(other, Err(error::Error::Malformed(_))), "{other:?}");
+    assert!(matches!(malformed, Err(error::Error::Malformed(_))), "{malformed:?}");
 }
 
 #[actix_rt::test]
-async fn closed_port_is_unreachable_and_nothing_was_sent() {
+async fn a_closed_port_is_unreachable() {
     let listener = http::free_listener().expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     drop(listener);
@@ -127,91 +127,91 @@
 }
 
 #[actix_rt::test]
-async fn stream_comes_part_by_part() {
+async fn a_stream_is_read_part_by_part() {
     let listener = http::free_listener().expect("a free port");
     let (server, _) = engine::start(listener, engine::Profile::default()).expect("it starts");
-    let order = connection::Request { path: "/orders/load", ..LODGE };
-    let request = connection::Request { path: "/v1/completions", ..LODGE };
+    let order = connection::Request { path: "/orders/load", ..REQUEST };
+    let request = connection::Request { path: "/v1/completions", ..REQUEST };
     let mut connection =
         connection::Connection::connect(server.address()).await.expect("it listens");
     let load = Bytes::from_static(b"{\"fence\":1,\"model\":\"m\",\"rank\":0}");
     connection.send(&order, load).await.expect("sent");
-    connection.read_head().await.expect("answered");
-    connection.read_rest().await.expect("whole");
+    connection.read_head().await.expect("a response");
+    connection.read_rest().await.expect("a complete body");
 
     let body = Bytes::from_static(b"{\"prompt\":\"a [#r]\",\"max_tokens\":3,\"stream\":true}");
     connection.send(&request, body).await.expect("sent");
-    connection.read_head().await.expect("answered");
+    connection.read_head().await.expect("a response");
     let mut parts = Vec::new();
-    while let Some(part) = connection.read_part().await.expect("not cut") {
+    while let Some(part) = connection.read_part().await.expect("not truncated") {
         parts.push(part);
     }
 
     assert!(parts.len() >= 3, "{parts:?}");
-    assert!(parts.last().expect("some").ends_with(b"[DONE]\n\n"));
+    assert!(parts.last().expect("parts").ends_with(b"[DONE]\n\n"));
 }
 
 #[actix_rt::test]
-async fn header_that_is_no_http_is_refused_before_anything_is_sent() {
+async fn an_invalid_header_value_is_rejected_as_unsendable() {
     let server = start_service();
     let mut connection =
         connection::Connection::connect(server.address()).await.expect("it listens");
     let headers = [("x-team".to_owned(), "a\r\nb".to_owned())];
-    let request = connection::Request { headers: &headers, ..LODGE };
+    let request = connection::Request { headers: &headers, ..REQUEST };
 
-    let refused = connection.send(&request, body()).await;
+    let rejected = connection.send(&request, body()).await;
 
-    assert!(matches!(refused, Err(error::Error::Unsendable("header value"))), "{refused:?}");
+    assert!(matches!(rejected, Err(error::Error::Unsendable("header value"))), "{rejected:?}");
 }
 
-/// A peer that answers with `answer` as soon as the connection opens, and reads nothing.
-fn hasty(answer: &'static [u8]) -> net::SocketAddr {
+/// Starts a server that sends `response` as soon as a client connects, and reads nothing.
+fn start_early_server(response: &'static [u8]) -> net::SocketAddr {
     let listener = http::free_listener().expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a caller comes");
-        stream.write_all(answer).expect("the caller is there");
+        let (mut stream, _) = listener.accept().expect("a client connects");
+        stream.write_all(response).expect("the client is connected");
         thread::sleep(std::time::Duration::from_millis(300));
     });
     address
 }
 
-/// An answer without length and chunks lasts until the peer closes; a caller that asked for such
-/// answers gets all of it.
+/// A response with neither a length nor chunks ends when the server closes the connection; a client
+/// that allows such responses reads all of it.
 #[actix_rt::test]
-async fn a_body_that_lasts_until_the_connection_closes_is_whole() {
-    let address = scripted(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it");
+async fn an_allowed_body_that_lasts_until_the_connection_closes_is_complete() {
+    let address = start_scripted_server(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it");
     let mut connection = connection::Connection::connect(address).await.expect("it listens");
     connection.allow_unframed();
 
-    connection.send(&LODGE, body()).await.expect("it is sent");
-    connection.read_head().await.expect("a head comes");
+    connection.send(&REQUEST, body()).await.expect("sent");
+    connection.read_head().await.expect("a response");
 
     assert_eq!(
-        connection.read_rest().await.expect("it is whole"),
+        connection.read_rest().await.expect("a complete body"),
         Bytes::from_static(b"all of it")
     );
     assert!(!connection.is_reusable());
 }
 
-/// The peer answers before it has read a long request, and would read the rest as the start of
-/// another one. The caller gets the answer, and uses the connection for nothing else.
+/// The server responds before it has read a long request, and would take the rest for the start of
+/// the next request. The client reads the response and does not reuse the connection.
 #[actix_rt::test]
-async fn a_connection_whose_peer_answered_early_is_not_used_again() {
-    let address = hasty(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n");
+async fn a_connection_with_an_early_response_is_not_reusable() {
+    let address = start_early_server(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n");
     let mut connection = connection::Connection::connect(address).await.expect("it listens");
     let long = Bytes::from(vec![b'x'; 32 << 20]);
 
-    connection.send(&LODGE, long).await.expect("an answer ends the sending");
-    let head = connection.read_head().await.expect("it has come");
+    connection.send(&REQUEST, long).await.expect("sending ends with the response");
+    let head = connection.read_head().await.expect("a response");
 
     assert_eq!(head.status, 413);
     assert!(!connection.is_reusable());
 }
 
 #[actix_rt::test]
-async fn bytes_between_two_answers_show() {
-    let address = hasty(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+async fn a_connection_with_bytes_before_a_request_is_not_idle() {
+    let address = start_early_server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let connection = connection::Connection::connect(address).await.expect("it listens");
     actix_rt::time::sleep(std::time::Duration::from_millis(50)).await;
 
--- a/crates/hyssopfork-watch/src/lib.rs
+++ b/crates/hyssopfork-watch/src/lib.rs
@@ -1,4 +1,5 @@
-//! Lease, view and choice of control instance of entries and agents, as a step function.
+//! Watcher of entries and agents: keeps the view current under a lease, and selects the control
+//! instance to ask. A state machine without I/O.
 
 pub mod lease;
 pub mod notice;
--- a/crates/hyssopfork-watch/src/notice.rs
+++ b/crates/hyssopfork-watch/src/notice.rs
@@ -1,28 +1,28 @@
-//! Numbered events of the watcher, for the log.
+//! Numbered log events of the watcher.
 
 use hyssopfork_wire::{level, number};
 use std::{fmt, net};
 
-/// A numbered event.
+/// A numbered log event.
 #[derive(Clone, Debug, PartialEq, Eq, strum::EnumDiscriminants)]
-#[strum_discriminants(derive(strum::EnumIter), name(Kind), doc = "Kind of a numbered event.")]
+#[strum_discriminants(derive(strum::EnumIter), name(Kind), doc = "Kind of a numbered log event.")]
 pub enum Notice {
-    /// The view moved on.
+    /// The view has a new version.
     Advanced(number::Version),
-    /// A lease is held after a time without.
+    /// A lease was granted while none was valid.
     LeaseHeld,
-    /// The lease lapsed.
+    /// The lease expired.
     LeaseLapsed,
-    /// Another control instance is asked from now on.
+    /// Requests go to another control instance.
     TargetChanged(net::SocketAddr),
-    /// An update that leads back was dropped, and its lease with it.
+    /// An update to an older version was dropped, together with its lease.
     UpdateBack(number::Version),
-    /// A control instance speaks another protocol version.
+    /// A control instance has another protocol version.
     ProtocolDiffers(u16),
 }
 
 impl Notice {
-    /// Number in the catalogue.
+    /// Number in the catalogue of events.
     pub fn number(&self) -> u16 {
         match self {
             Notice::Advanced(_) => 4000,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Severity.
     pub fn level(&self) -> level::Level {
         match self {
             Notice::Advanced(_) | Notice::TargetChanged(_) => level::Level::Debug,
@@ -49,19 +49,21 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Notice::Advanced(version) => write!(formatter, "view is at version {version}"),
-            Notice::LeaseHeld => write!(formatter, "a lease on the view is held"),
+            Notice::LeaseHeld => write!(formatter, "lease on the view granted"),
             Notice::LeaseLapsed => write!(
                 formatter,
-                "the lease on the view lapsed; new work is refused until a control instance with \
-                 a quorum can be reached"
+                "lease on the view expired; rejecting new work until a control instance with a \
+                 quorum is reachable"
             ),
-            Notice::TargetChanged(to) => write!(formatter, "asking control instance {to} now"),
+            Notice::TargetChanged(to) => {
+                write!(formatter, "watcher switched to control instance {to}")
+            }
             Notice::UpdateBack(version) => {
-                write!(formatter, "dropped an update that leads back from version {version}")
+                write!(formatter, "dropped an update to a version before {version}")
             }
             Notice::ProtocolDiffers(version) => write!(
                 formatter,
-                "control speaks protocol version {version}; run compatible releases at both ends"
+                "control has protocol version {version}; run compatible releases at both ends"
             ),
         }
     }
--- a/crates/hyssopfork-watch/src/target.rs
+++ b/crates/hyssopfork-watch/src/target.rs
@@ -1,8 +1,8 @@
-//! Choice of the control instance to ask.
+//! Selection of the control instance that requests go to.
 
 use std::net;
 
-/// The choice.
+/// Selected control instance, out of the configured ones and the hinted leaders.
 #[derive(Clone, Debug)]
 pub struct Target {
     addresses: Vec<net::SocketAddr>,
@@ -11,7 +11,8 @@
 }
 
 impl Target {
-    /// Starts at the address that `offset` picks, so that a restarted fleet spreads over them.
+    /// Selects the address at index `offset` modulo their number: with different offsets a fleet that
+    /// restarts spreads its requests over the control instances.
     pub fn new(addresses: Vec<net::SocketAddr>, offset: u64) -> Target {
         let count = addresses.len().max(1) as u64;
         let next = (offset % count) as usize;
@@ -19,12 +20,12 @@
         Target { addresses, current, next }
     }
 
-    /// Address to ask now; `None` when none is configured.
+    /// Selected address; `None` if none is configured.
     pub fn current(&self) -> Option<net::SocketAddr> {
         self.current
     }
 
-    /// `from` failed: moves on to the next address, unless another was chosen meanwhile.
+    /// Selects the next address after a request to `from` failed, unless another is selected already.
     pub fn on_failure(&mut self, from: net::SocketAddr) {
         if self.current != Some(from) || self.addresses.is_empty() {
             return;
@@ -33,11 +34,12 @@
         self.current = Some(self.addresses[self.next]);
     }
 
-    /// `from` doesn't lead: follows its hint, or moves on where it gave none.
+    /// Selects the address in `hint` after `from` responded that it is not the leader, or the next
+    /// address if it gave none.
     ///
-    /// A hint is followed only from the instance that is asked now. A late one from another would
-    /// lead away from a leader that was found since, and two instances with stale hints could
-    /// send a watcher to and fro; a hint to the instance itself is none.
+    /// A hint is followed only from the selected instance: a late one from another would lead away
+    /// from a leader found since, and two instances with stale hints could redirect a watcher back
+    /// and forth. A hint of `from` to itself is ignored.
     pub fn on_not_leader(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
         match hint {
             Some(hint) if self.current == Some(from) && hint != from => self.current = Some(hint),
--- a/crates/hyssopfork-watch/src/watcher.rs
+++ b/crates/hyssopfork-watch/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Renewals and watches: keeps a view recent, as a step function.
+//! Watcher: renews the lease on the view, and long-polls control for its changes. A state machine
+//! without I/O: the process makes the calls and passes in the responses and the time.
 
 use crate::{lease, notice, target};
 use hyssopfork_state::view;
@@ -6,35 +7,36 @@
 use std::net;
 use std::time::Duration;
 
-/// Time beyond [`timing::LONG_POLL_TIMEOUT`] that an unanswered watch is given.
+/// Time that the timeout of a watch exceeds [`timing::LONG_POLL_TIMEOUT`]; also the time beyond its
+/// timeout after which a call counts as failed even if its end was not reported.
 const CALL_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Least time between two watches, or between a failed renewal and the next.
+/// Minimum interval between two watches, and between a failed renewal and the next one.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A call to control.
+/// A call to a control instance.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Number of the call, unique in this process.
     pub call: u64,
-    /// Control instance to ask.
+    /// Control instance to call.
     pub to: net::SocketAddr,
     /// Request.
     pub request: control::Request,
-    /// Time after which the call has failed.
+    /// Timeout of the call.
     pub timeout: Duration,
 }
 
-/// What a step of the watcher asks for and tells.
+/// Output of a step of the watcher.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Calls to make.
     pub calls: Vec<Call>,
-    /// Numbered events.
+    /// Numbered log events.
     pub notices: Vec<notice::Notice>,
-    /// Whether the view moved on.
+    /// Whether the view changed.
     pub view_changed: bool,
-    /// Whether a renewal that said that the holder is leaving was answered with a grant.
+    /// Whether a renewal that announced that the holder is leaving was granted.
     pub leaving_granted: bool,
 }
 
@@ -46,7 +48,7 @@
     leaving: bool,
 }
 
-/// The watcher.
+/// A watcher.
 #[derive(Clone, Debug)]
 pub struct Watcher {
     target: target::Target,
@@ -59,12 +61,13 @@
     watch: Option<PendingCall>,
     watch_at: clock::Instant,
     calls: u64,
-    /// Instance whose part of the view is followed; `None` for the whole view.
+    /// Instance whose part of the view is watched; `None` for the full view.
     scope: Option<name::Instance>,
 }
 
 impl Watcher {
-    /// A watcher that asks the control instances at `addresses`, first the one `offset` picks.
+    /// Creates a watcher of the control instances at `addresses`, which starts with the one at
+    /// `offset`.
     pub fn new(addresses: Vec<net::SocketAddr>, offset: u64, now: clock::Instant) -> Watcher {
         Watcher {
             target: target::Target::new(addresses, offset),
@@ -81,57 +84,58 @@
         }
     }
 
-    /// Follows only the part of the view that concerns `instance`.
+    /// Limits the watcher to the part of the view that concerns `instance`.
     pub fn with_scope(mut self, instance: name::Instance) -> Watcher {
         self.scope = Some(instance);
         self
     }
 
-    /// The view; to be acted on only while [`Watcher::is_recent`].
+    /// The view; valid only while [`Watcher::is_recent`] holds.
     pub fn view(&self) -> &change::View {
         &self.view
     }
 
-    /// Whether the view may be acted on: an unexpired lease says that it is recent.
+    /// Whether the view is not stale, as the lease is valid.
     pub fn is_recent(&self, now: clock::Instant) -> bool {
         self.lease.is_valid(now)
     }
 
-    /// When the lease lapses; `None` when none was ever held.
+    /// Time of the lease's expiry; `None` if none was ever granted.
     pub fn lease_expires_at(&self) -> Option<clock::Instant> {
         self.lease.expires_at()
     }
 
-    /// Control instance to ask now.
+    /// Selected control instance.
     pub fn target(&self) -> Option<net::SocketAddr> {
         self.target.current()
     }
 
-    /// `from` did not answer a call in time.
+    /// Handles the failure of a call to `from`.
     pub fn on_call_failed(&mut self, from: net::SocketAddr) {
         self.target.on_failure(from);
     }
 
-    /// `from` answered that it doesn't lead.
+    /// Handles the response of `from` that it is not the leader.
     pub fn on_not_leader(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
         self.target.on_not_leader(from, hint);
     }
 
-    /// Number for the next call to control.
+    /// Returns the number for the next call to control.
     pub fn next_call(&mut self) -> u64 {
         self.calls += 1;
         self.calls
     }
 
-    /// Another process told of `version`: where that is newer, control is asked at once, but not
-    /// more often than every [`RETRY`], since many processes tell of the same version together.
+    /// Handles a message of another process whose view has `version`: if that is newer, the next
+    /// renewal is sent at once, but not within [`MIN_RETRY_INTERVAL`] of the last one, since many
+    /// processes report the same version at the same time.
     pub fn on_version_seen(&mut self, version: number::Version) {
         if version > self.view.version {
             self.renew_at = self.renew_at.min(self.renewed_at + MIN_RETRY_INTERVAL);
         }
     }
 
-    /// Renews and watches where that is due. `holder` is asked for only when a renewal goes out.
+    /// Sends the renewals and watches that are due. `holder` is called only for a renewal.
     pub fn tick(
         &mut self,
         now: clock::Instant,
@@ -148,7 +152,8 @@
         output
     }
 
-    /// Takes the answer of a call; `None` when the call is none of the watcher's.
+    /// Handles the response to a call, or its failure; returns `None` if the call is not pending
+    /// at the watcher.
     pub fn on_response(
         &mut self,
         now: clock::Instant,
@@ -185,8 +190,8 @@
         output.calls.push(Call { call, to, request, timeout: timing::RENEWAL_INTERVAL });
     }
 
-    /// Keeps one watch outstanding, at the instance that renewals go to: one left at an instance
-    /// that no longer leads would be told of nothing.
+    /// Keeps one watch pending at the instance that renewals go to: an instance that is no longer
+    /// the leader would not respond to it with changes.
     fn send_watch(&mut self, now: clock::Instant, output: &mut Output) {
         let Some(to) = self.target.current() else { return };
         if self.watch.is_some_and(|watch| watch.to != to) {
@@ -206,7 +211,8 @@
         output.calls.push(Call { call, to, request, timeout });
     }
 
-    /// A shell that loses a call must not stop the renewals: an overdue one counts as failed.
+    /// Treats overdue calls as failed, so that renewals go on even if the end of a call is never
+    /// reported.
     fn expire_overdue_calls(&mut self, now: clock::Instant) {
         let is_overdue = |sent: clock::Instant, limit: Duration| now.since(sent) > limit;
         let limit = timing::RENEWAL_INTERVAL + CALL_TIMEOUT_MARGIN;
@@ -252,7 +258,7 @@
         }
     }
 
-    /// Turns to another control instance after an answer that was no grant.
+    /// Selects another control instance after a response that is not a grant.
     fn switch_target(
         &mut self,
         from: net::SocketAddr,
@@ -272,16 +278,16 @@
         }
     }
 
-    /// Leads the view on; `false` when the update would lead back, and then its lease proves
-    /// nothing either.
+    /// Applies an update to the view; returns `false` if the update is older than the view, in which
+    /// case its lease is not valid either.
     fn apply_update(&mut self, update: &change::Update, output: &mut Output) -> bool {
         let before = self.view.version;
-        let Ok(moved) = view::lead(&mut self.view, update.clone()) else {
+        let Ok(changed) = view::lead(&mut self.view, update.clone()) else {
             output.notices.push(notice::Notice::UpdateBack(before));
             return false;
         };
-        assert!(self.view.version >= before, "a view never goes back in version");
-        if moved {
+        assert!(self.view.version >= before, "the version of a view never decreases");
+        if changed {
             output.view_changed = true;
             output.notices.push(notice::Notice::Advanced(self.view.version));
         }
--- a/crates/hyssopfork-watch/tests/watcher.rs
+++ b/crates/hyssopfork-watch/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! Tests of the watcher: lease, view and choice of control instance.
+//! Watcher: lease, view and selection of the control instance.
 
 use hyssopfork_watch::{notice, target, watcher};
 use hyssopfork_wire::{change, clock, control, number, timing};
@@ -19,64 +19,65 @@
     control::Holder::Entry("entry-1".into())
 }
 
-fn whole(version: u64) -> change::Update {
+fn full_view(version: u64) -> change::Update {
     let version = number::Version(version);
     change::Update::Whole(Box::new(change::View { version, ..change::View::default() }))
 }
 
 fn granted(update: change::Update) -> control::Response {
-    let term = timing::HOLDER_LEASE;
-    control::Response::Granted(control::Grant { duration: term, update, incarnation: None })
+    let duration = timing::HOLDER_LEASE;
+    control::Response::Granted(control::Grant { duration, update, incarnation: None })
 }
 
-/// Ticks, and gives the renewal that went out.
+/// Ticks, and returns the renewal that was sent.
 fn renewal(watcher: &mut watcher::Watcher, now: clock::Instant) -> watcher::Call {
     let output = watcher.tick(now, holder, false);
     let renews = |call: &watcher::Call| matches!(call.request, control::Request::Renew(_));
     output.calls.into_iter().find(renews).expect("a renewal is due")
 }
 
-// Control's answer is held back by the network for nearly the lease's term. The view may have
-// changed right after it was granted, so the term runs from when the renewal was sent.
+// The network delays the response of control. The view may have changed right after the lease was
+// granted, so the lease runs from when the renewal was sent.
 #[test]
-fn lease_runs_from_when_it_was_asked_for() {
+fn the_lease_runs_from_when_the_renewal_was_sent() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
     let answered = START + Duration::from_millis(450);
 
-    watcher.on_response(answered, call.call, Some(&granted(whole(4))));
+    watcher.on_response(answered, call.call, Some(&granted(full_view(4))));
 
     let last = START + timing::HOLDER_LEASE - Duration::from_micros(1);
     assert!(watcher.is_recent(answered) && watcher.is_recent(last));
     assert!(!watcher.is_recent(START + timing::HOLDER_LEASE));
 }
 
-// A control instance that was deposed in silence answers with an older view. Neither the view nor
-// the lease that came with it is taken.
+// A leader that does not know yet that it was replaced responds with an older view. Neither the view
+// nor its lease is accepted.
 #[test]
-fn update_that_leads_back_is_dropped_with_its_lease() {
+fn an_update_to_an_older_version_is_dropped_with_its_lease() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.on_response(START, call.call, Some(&granted(whole(9))));
+    watcher.on_response(START, call.call, Some(&granted(full_view(9))));
     let until = watcher.lease_expires_at();
     let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
 
-    let output = watcher.on_response(later, call.call, Some(&granted(whole(8))));
+    let output = watcher.on_response(later, call.call, Some(&granted(full_view(8))));
 
-    let notices = output.expect("the answer is the watcher's").notices;
+    let notices = output.expect("the call is pending").notices;
     assert_eq!(watcher.view().version, number::Version(9));
     assert_eq!(watcher.lease_expires_at(), until);
     assert!(notices.contains(&notice::Notice::UpdateBack(number::Version(9))));
 }
 
-// The answers to a watch and to a renewal overlap: steps that were taken already are left out.
+// The responses to a watch and to a renewal contain the same steps: steps that were applied already
+// are skipped.
 #[test]
-fn overlapping_steps_are_taken_once() {
+fn overlapping_steps_are_applied_once() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.on_response(START, call.call, Some(&granted(whole(1))));
-    let watch = watcher.tick(START, holder, false).calls.pop().expect("a watch goes out");
+    watcher.on_response(START, call.call, Some(&granted(full_view(1))));
+    let watch = watcher.tick(START, holder, false).calls.pop().expect("a watch is sent");
     let later = START + timing::RENEWAL_INTERVAL;
     let call = renewal(&mut watcher, later);
     let step = |version| change::Step { version: number::Version(version), changes: Vec::new() };
@@ -91,23 +92,23 @@
 }
 
 #[test]
-fn doubled_and_unknown_answers_change_nothing() {
+fn duplicate_and_unknown_responses_are_ignored() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.on_response(START, call.call, Some(&granted(whole(4))));
+    watcher.on_response(START, call.call, Some(&granted(full_view(4))));
     let later = START + Duration::from_millis(100);
 
-    let again = watcher.on_response(later, call.call, Some(&granted(whole(6))));
-    let unknown = watcher.on_response(later, 77, Some(&granted(whole(7))));
+    let again = watcher.on_response(later, call.call, Some(&granted(full_view(6))));
+    let unknown = watcher.on_response(later, 77, Some(&granted(full_view(7))));
 
     assert!(again.is_none() && unknown.is_none());
     assert_eq!(watcher.view().version, number::Version(4));
 }
 
-// A connection went silent for good: the renewal on it is given up after its time and another
-// control instance is asked, also when the shell never reports the call's end.
+// A connection stops delivering data: its renewal times out and the next one goes to another control
+// instance, even if the end of the call is never reported.
 #[test]
-fn silent_control_instance_is_left() {
+fn renewals_switch_from_a_control_instance_that_does_not_respond() {
     let mut watcher = new_watcher();
     let first = renewal(&mut watcher, START);
     let mut now = START;
@@ -124,12 +125,13 @@
     assert!(now.since(START) <= timing::RENEWAL_INTERVAL * 3);
 }
 
-// The watch was left at an instance that no longer leads. It goes where renewals go.
+// A watch is pending at an instance that is no longer the leader. The next one goes to the instance
+// that renewals go to.
 #[test]
-fn watch_follows_the_leader_and_is_never_doubled() {
+fn the_watch_switches_to_the_new_leader_and_is_sent_once() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.on_response(START, call.call, Some(&granted(whole(1))));
+    watcher.on_response(START, call.call, Some(&granted(full_view(1))));
     let watches = |output: &watcher::Output| {
         let watch = |call: &&watcher::Call| matches!(call.request, control::Request::Watch(_));
         output.calls.iter().filter(watch).map(|call| call.to).collect::<Vec<_>>()
@@ -148,9 +150,9 @@
     assert_eq!(again, Vec::new());
 }
 
-// Two instances with stale hints name each other; a late hint comes from one that was left.
+// A late hint comes from an instance that is no longer selected, and an instance hints at itself.
 #[test]
-fn hints_are_followed_only_from_the_instance_that_is_asked() {
+fn only_hints_of_the_selected_instance_to_another_are_followed() {
     let mut target = target::Target::new(vec![address(1), address(2), address(3)], 0);
 
     target.on_not_leader(address(1), Some(address(3)));
@@ -163,13 +165,13 @@
     assert_eq!(moved, Some(address(2)));
 }
 
-// Another process tells of a newer version: control is asked well before the next renewal is due,
-// but a crowd that tells of the same doesn't multiply the renewals.
+// Another process reports a newer version: the next renewal is sent early, but many reports of the
+// same version do not multiply the renewals.
 #[test]
-fn newer_version_heard_brings_the_renewal_forward() {
+fn a_newer_version_advances_the_renewal_at_a_limited_rate() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    watcher.on_response(START, call.call, Some(&granted(whole(1))));
+    watcher.on_response(START, call.call, Some(&granted(full_view(1))));
     let mut renewals = 0;
 
     for milli in 0..40 {
