--- a/crates/hyssopfork-exchange/src/connection.rs
+++ b/crates/hyssopfork-exchange/src/connection.rs
@@ -85,8 +85,8 @@
         })
     }
 
-    /// Accepts responses with neither a length nor chunks, whose body ends when the server closes the
-    /// connection. Only for servers that always abort a truncated response with a reset.
+    /// Accepts responses with neither a length nor chunks, whose body ends when the server closes
+    /// the connection. Only for servers that always abort a truncated response with a reset.
     pub fn allow_unframed(&mut self) {
         self.allows_unframed = true;
     }
--- a/crates/hyssopfork-exchange/tests/connection.rs
+++ b/crates/hyssopfork-exchange/tests/connection.rs
@@ -58,8 +58,9 @@
     }
 }
 
-// The server closes the connection in the middle of a body with a Content-Length. A client that took
-// the end of the connection for the end of the body would forward half a receipt as a complete one.
+// The server closes the connection in the middle of a body with a Content-Length. A client that
+// took the end of the connection for the end of the body would forward half a receipt as a complete
+// one.
 #[actix_rt::test]
 async fn a_response_shorter_than_its_length_is_an_error() {
     let server = start_service();
--- a/crates/hyssopfork-watch/src/target.rs
+++ b/crates/hyssopfork-watch/src/target.rs
@@ -11,8 +11,8 @@
 }
 
 impl Target {
-    /// Selects the address at index `offset` modulo their number: with different offsets a fleet that
-    /// restarts spreads its requests over the control instances.
+    /// Selects the address at index `offset` modulo their number: with different offsets a fleet
+    /// that restarts spreads its requests over the control instances.
     pub fn new(addresses: Vec<net::SocketAddr>, offset: u64) -> Target {
         let count = addresses.len().max(1) as u64;
         let next = (offset % count) as usize;
@@ -25,7 +25,8 @@
         self.current
     }
 
-    /// Selects the next address after a request to `from` failed, unless another is selected already.
+    /// Selects the next address after a request to `from` failed, unless another is selected
+    /// already.
     pub fn on_failure(&mut self, from: net::SocketAddr) {
         if self.current != Some(from) || self.addresses.is_empty() {
             return;
--- a/crates/hyssopfork-watch/src/watcher.rs
+++ b/crates/hyssopfork-watch/src/watcher.rs
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Applies an update to the view; returns `false` if the update is older than the view, in which
-    /// case its lease is not valid either.
+    /// Applies an update to the view; returns `false` if the update is older than the view, in
+    /// which case its lease is not valid either.
     fn apply_update(&mut self, update: &change::Update, output: &mut Output) -> bool {
         let before = self.view.version;
         let Ok(changed) = view::lead(&mut self.view, update.clone()) else {
--- a/crates/hyssopfork-watch/tests/watcher.rs
+++ b/crates/hyssopfork-watch/tests/watcher.rs
@@ -51,8 +51,8 @@
     assert!(!watcher.is_recent(START + timing::HOLDER_LEASE));
 }
 
-// A leader that does not know yet that it was replaced responds with an older view. Neither the view
-// nor its lease is accepted.
+// A leader that does not know yet that it was replaced responds with an older view. Neither the
+// view nor its lease is accepted.
 #[test]
 fn an_update_to_an_older_version_is_dropped_with_its_lease() {
     let mut watcher = new_watcher();
@@ -105,8 +105,8 @@
     assert_eq!(watcher.view().version, number::Version(4));
 }
 
-// A connection stops delivering data: its renewal times out and the next one goes to another control
-// instance, even if the end of the call is never reported.
+// A connection stops delivering data: its renewal times out and the next one goes to another
+// control instance, even if the end of the call is never reported.
 #[test]
 fn renewals_switch_from_a_control_instance_that_does_not_respond() {
     let mut watcher = new_watcher();
--- a/crates/hyssopfork-wire/src/timing.rs
+++ b/crates/hyssopfork-wire/src/timing.rs
@@ -8,8 +8,8 @@
 //! [`CLOCK_RATE_ERROR_PERCENT`] if the holder's clock runs slow.
 //!
 //! No instance serves two groups at once, and no group serves without a member: a member grants for
-//! one fencing number at a time, each grant for [`GROUP_GRANT`]. It grants under a newer number only
-//! after its last grant under the older one has expired, and not in the first
+//! one fencing number at a time, each grant for [`GROUP_GRANT`]. It grants under a newer number
+//! only after its last grant under the older one has expired, and not in the first
 //! [`GROUP_GRANT_GUARD`] after its process started, because it does not know the grants of the
 //! process before.
 
