--- a/crates/hyssopfork-daemon/src/edge/attempt.rs
+++ b/crates/hyssopfork-daemon/src/edge/attempt.rs
@@ -3,7 +3,7 @@
 use crate::edge::pool;
 use bytes::{Bytes, BytesMut};
 use hyssopfork_exchange::{connection, error};
-use hyssopfork_gateway::{action, answer, event};
+use hyssopfork_gateway::{action, event, response};
 use hyssopfork_platform::{headers, upstream};
 use std::time::Duration;
 use tokio::time;
@@ -33,7 +33,7 @@
 pub struct Attempt {
     key: pool::Key,
     connection: connection::Connection,
-    answer: answer::Answer,
+    answer: response::Response,
 }
 
 impl Attempt {
@@ -45,7 +45,7 @@
         idle: &pool::Pool,
     ) -> Result<Attempt, event::Fault> {
         let key = (start.instance.clone(), start.address);
-        let kept = if start.fresh { None } else { idle.take(&key) };
+        let kept = if start.new_connection { None } else { idle.take(&key) };
         let mut connection = match kept {
             Some(connection) => connection,
             None => open(&key, left).await?,
@@ -59,9 +59,9 @@
         };
         let sent = time::timeout(left, connection.send(&request, outbound.body.clone())).await;
         match sent {
-            Ok(Ok(())) => Ok(Attempt { key, connection, answer: answer::Answer::default() }),
+            Ok(Ok(())) => Ok(Attempt { key, connection, answer: response::Response::default() }),
             Ok(Err(error::Error::Unsendable(_))) => Err(event::Fault::NotRun),
-            Ok(Err(_)) | Err(_) => Err(event::Fault::Broken),
+            Ok(Err(_)) | Err(_) => Err(event::Fault::ConnectionLost),
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The answer's head, once it has come.
-    pub fn answer(&self) -> &answer::Answer {
+    pub fn answer(&self) -> &response::Response {
         &self.answer
     }
 
@@ -97,7 +97,7 @@
         while let Some(part) = self.connection.part().await.map_err(fault)? {
             body.extend_from_slice(&part);
             if body.len() > WHOLE_LIMIT {
-                return Err(event::Fault::Wrong);
+                return Err(event::Fault::InvalidResponse);
             }
         }
         Ok(())
@@ -125,8 +125,8 @@
     match error {
         error::Error::Unreachable(..) => event::Fault::Unreachable,
         error::Error::Unsendable(_) => event::Fault::NotRun,
-        error::Error::Cut => event::Fault::Broken,
-        error::Error::Malformed(_) | error::Error::Unframed => event::Fault::Wrong,
+        error::Error::Cut => event::Fault::ConnectionLost,
+        error::Error::Malformed(_) | error::Error::Unframed => event::Fault::InvalidResponse,
     }
 }
 
--- a/crates/hyssopfork-daemon/src/edge/conversation.rs
+++ b/crates/hyssopfork-daemon/src/edge/conversation.rs
@@ -72,7 +72,7 @@
     /// The caller went away: the attempt's connection closes with this, which cancels its work.
     fn drop(&mut self) {
         if !self.over {
-            self.traffic.step(event::Event::Gone(self.number));
+            self.traffic.step(event::Event::ClientDisconnected(self.number));
         }
     }
 }
@@ -87,13 +87,13 @@
                     self.quiet = quiet;
                     decision = self.receive().await;
                 }
-                action::Decision::Hold(patience) => decision = self.hold(patience).await,
-                action::Decision::Deliver => return self.deliver(),
-                action::Decision::Forward => return self.forward(),
-                action::Decision::Refuse(refusal) => return self.refuse(&refusal),
-                action::Decision::Cut => {
+                action::Decision::Queue(patience) => decision = self.hold(patience).await,
+                action::Decision::ForwardResponse => return self.deliver(),
+                action::Decision::ForwardStream => return self.forward(),
+                action::Decision::Reject(refusal) => return self.refuse(&refusal),
+                action::Decision::Abort => {
                     let reason = action::Reason::Failed;
-                    return self.refuse(&action::Refusal { reason, retry_after: None });
+                    return self.refuse(&action::Rejection { reason, retry_after: None });
                 }
             }
         }
@@ -101,10 +101,12 @@
 
     /// Hands an event to the core; a request that it forgot has failed.
     fn step(&mut self, event: event::Event) -> action::Decision {
-        let decision = self.traffic.step(event).unwrap_or(action::Decision::Cut);
+        let decision = self.traffic.step(event).unwrap_or(action::Decision::Abort);
         self.over = matches!(
             decision,
-            action::Decision::Deliver | action::Decision::Refuse(_) | action::Decision::Cut
+            action::Decision::ForwardResponse
+                | action::Decision::Reject(_)
+                | action::Decision::Abort
         );
         decision
     }
@@ -117,7 +119,7 @@
             // It may have been decided in the moment in which the time ended.
             Ok(Err(_)) | Err(_) => match decided.try_recv() {
                 Ok(decision) => decision,
-                Err(_) => self.step(event::Event::Waited(self.number)),
+                Err(_) => self.step(event::Event::QueueTimeout(self.number)),
             },
         }
     }
@@ -127,8 +129,8 @@
         self.attempt = None;
         self.body.clear();
         self.scanner.discard_partial();
-        self.quiet = start.quiet;
-        self.limit = start.limit;
+        self.quiet = start.idle_timeout;
+        self.limit = start.deadline;
         let left = clock::now().until(self.limit);
         let sent = attempt::Attempt::send(&self.outbound, start, left, &self.traffic.idle).await;
         match sent {
@@ -141,7 +143,7 @@
     /// Waits for the answer's head, and for the rest where it isn't a stream.
     async fn receive(&mut self) -> action::Decision {
         let Some(mut attempt) = self.attempt.take() else {
-            return self.fail(event::Fault::Broken);
+            return self.fail(event::Fault::ConnectionLost);
         };
         if attempt.answer().status == 0 {
             match self.wait(attempt.head()).await {
@@ -150,22 +152,22 @@
             }
             if let Some(fault) = attempt.answer().fault(&self.outbound.identifier) {
                 let load = attempt.answer().load;
-                return self.step(event::Event::Failed(self.number, fault, load));
+                return self.step(event::Event::AttemptFailed(self.number, fault, load));
             }
         }
         let answer = attempt.answer();
         let head = answer.head();
         self.status = head.status;
-        if answer.streams && head.status == 200 {
+        if answer.is_event_stream && head.status == 200 {
             self.attempt = Some(attempt);
-            return self.step(event::Event::Headed(self.number, head));
+            return self.step(event::Event::HeadReceived(self.number, head));
         }
         let mut body = std::mem::take(&mut self.body);
         let waited = self.wait(attempt.rest(&mut body)).await;
         self.body = body;
         match waited {
             Waited::Came(Ok(())) => {
-                let decision = self.step(event::Event::Answered(self.number, head));
+                let decision = self.step(event::Event::ResponseReceived(self.number, head));
                 attempt.keep(&self.traffic.idle);
                 decision
             }
@@ -189,10 +191,10 @@
     /// Asks the core about a wait that came to nothing; the attempt stays if it is to be waited for.
     fn pause<T>(&mut self, attempt: attempt::Attempt, waited: Waited<T>) -> action::Decision {
         let decision = match waited {
-            Waited::Quiet => self.step(event::Event::Quiet(self.number)),
-            Waited::Expired => self.step(event::Event::Expired(self.number)),
+            Waited::Quiet => self.step(event::Event::IdleTimeout(self.number)),
+            Waited::Expired => self.step(event::Event::DeadlineExceeded(self.number)),
             Waited::Came(Err(fault)) => return self.fail(fault),
-            Waited::Came(Ok(_)) => return self.fail(event::Fault::Wrong),
+            Waited::Came(Ok(_)) => return self.fail(event::Fault::InvalidResponse),
         };
         if matches!(decision, action::Decision::Wait(_)) {
             self.attempt = Some(attempt);
@@ -201,7 +203,7 @@
     }
 
     fn fail(&mut self, fault: event::Fault) -> action::Decision {
-        self.step(event::Event::Failed(self.number, fault, None))
+        self.step(event::Event::AttemptFailed(self.number, fault, None))
     }
 
     fn deliver(&mut self) -> web::Outgoing {
@@ -209,7 +211,7 @@
         web::Outgoing::whole(self.status, std::mem::take(&mut self.head), body)
     }
 
-    fn refuse(&self, refusal: &action::Refusal) -> web::Outgoing {
+    fn refuse(&self, refusal: &action::Rejection) -> web::Outgoing {
         let reply = reply::refusal(refusal);
         let headers = reply.headers.into_iter().map(|(name, value)| (name.to_owned(), value));
         web::Outgoing::whole(reply.status, headers.collect(), reply.body)
@@ -244,7 +246,7 @@
             }
             match decision {
                 action::Decision::Wait(quiet) => self.quiet = quiet,
-                action::Decision::Forward => {}
+                action::Decision::ForwardStream => {}
                 _ => return Some(Err(web::Broken)),
             }
         }
@@ -252,7 +254,7 @@
 
     async fn pull(&mut self) -> Pulled {
         let Some(mut attempt) = self.attempt.take() else {
-            return Pulled::Decided(self.fail(event::Fault::Broken));
+            return Pulled::Decided(self.fail(event::Fault::ConnectionLost));
         };
         if attempt.answer().status == 0 {
             self.attempt = Some(attempt);
@@ -260,13 +262,13 @@
         }
         match self.wait(attempt.part()).await {
             Waited::Came(Ok(Some(bytes))) => self.scan(attempt, &bytes),
-            Waited::Came(Ok(None)) if self.scanner.is_clean() => {
-                self.traffic.step(event::Event::Ended(self.number));
+            Waited::Came(Ok(None)) if self.scanner.is_at_event_boundary() => {
+                self.traffic.step(event::Event::StreamCompleted(self.number));
                 self.over = true;
                 attempt.keep(&self.traffic.idle);
                 Pulled::End
             }
-            Waited::Came(Ok(None)) => Pulled::Decided(self.fail(event::Fault::Broken)),
+            Waited::Came(Ok(None)) => Pulled::Decided(self.fail(event::Fault::ConnectionLost)),
             other => Pulled::Decided(self.pause(attempt, other)),
         }
     }
@@ -275,12 +277,14 @@
         match self.scanner.feed(bytes) {
             Ok(events) => {
                 self.attempt = Some(attempt);
-                self.quiet = hyssopfork_gateway::target::SUSPECT;
-                let last = self.scanner.last();
-                self.traffic.step(event::Event::Moved(self.number, last));
+                self.quiet = hyssopfork_gateway::target::SUSPECT_TIMEOUT;
+                let last = self.scanner.last_event();
+                self.traffic.step(event::Event::EventsReceived(self.number, last));
                 Pulled::Events(events)
             }
-            Err(scanner::OutOfOrder { .. }) => Pulled::Decided(self.fail(event::Fault::Wrong)),
+            Err(scanner::OutOfOrder { .. }) => {
+                Pulled::Decided(self.fail(event::Fault::InvalidResponse))
+            }
         }
     }
 }
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -95,7 +95,7 @@
                 action::Action::Probe(process, address) => self.probe(process, address),
                 action::Action::Notice(notice) => log::notice(&notice),
                 action::Action::Measure(measure) => log::measure_edge(&self.registry, &measure),
-                action::Action::Tell(evidence) => {
+                action::Action::Report(evidence) => {
                     let seen = fleet_event::Event::Seen(self.own, evidence);
                     self.mailbox.post(control::Input::Event(Box::new(seen)));
                 }
@@ -122,8 +122,8 @@
     fn show(&self) {
         let core = self.core.borrow();
         self.status.ready.store(core.is_ready(), Ordering::Relaxed);
-        self.status.open.store(core.open(), Ordering::Relaxed);
-        self.registry.occupied(0, core.open());
+        self.status.open.store(core.open_requests(), Ordering::Relaxed);
+        self.registry.occupied(0, core.open_requests());
         if let Some(table) = core.table() {
             let version = table.declaration().version;
             self.registry.in_force(number::Configuration(version), number::Version(version));
@@ -147,7 +147,7 @@
             tracing::error!(%error, "callers can't be listened to");
         }
     });
-    let mut ticks = time::interval(action::TICK);
+    let mut ticks = time::interval(action::TICK_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -156,7 +156,7 @@
                 if let Some(declared) = &declaration {
                     shared.limits.set(limits(&declared.limits));
                 }
-                traffic.step(event::Event::Viewed(update, declaration));
+                traffic.step(event::Event::ViewUpdated(update, declaration));
             }
             Ok(()) = phase.changed() => {
                 if *phase.borrow_and_update() == web::Phase::Leaving {
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -6,7 +6,9 @@
 use hyssopfork_control::notice as control;
 use hyssopfork_entry::{measure, notice as entry};
 use hyssopfork_fleet::notice as fleet;
-use hyssopfork_gateway::{action as gateway_action, measure as gateway_measure, notice as gateway};
+use hyssopfork_gateway::{
+    action as gateway_action, measurement as gateway_measure, notice as gateway,
+};
 use hyssopfork_telemetry::{log, metrics};
 use hyssopfork_watch::{notice as watch, watcher};
 use hyssopfork_wire::{level, refusal};
@@ -123,8 +125,8 @@
 }
 
 /// Adds a finished request of an edge process to the histograms.
-pub fn measure_edge(registry: &metrics::Registry, measure: &gateway_measure::Measure) {
-    if let gateway_measure::Outcome::Refused(reason) = measure.outcome {
+pub fn measure_edge(registry: &metrics::Registry, measure: &gateway_measure::Measurement) {
+    if let gateway_measure::Outcome::Rejected(reason) = measure.outcome {
         registry.refused(measure.team.as_ref(), &refusal_of(reason));
     }
     let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
@@ -132,12 +134,12 @@
         registry.retried(team, class);
     }
     match measure.outcome {
-        gateway_measure::Outcome::Answered(first) => {
+        gateway_measure::Outcome::Completed(first) => {
             registry.first_token(team, class, first);
-            registry.answered(team, class, measure.whole);
+            registry.answered(team, class, measure.total_time);
         }
-        gateway_measure::Outcome::Cut => registry.cut(team, class),
-        gateway_measure::Outcome::Refused(_) => {}
+        gateway_measure::Outcome::Aborted => registry.cut(team, class),
+        gateway_measure::Outcome::Rejected(_) => {}
     }
 }
 
@@ -146,8 +148,8 @@
     let told = match reason {
         Reason::NotReady => refusal::Reason::Stale,
         Reason::NoRoute => refusal::Reason::NoRoute,
-        Reason::NoKey => refusal::Reason::Unauthorized,
-        Reason::NoUpstream | Reason::NotTaken => refusal::Reason::NoUpstream,
+        Reason::Unauthorized => refusal::Reason::Unauthorized,
+        Reason::NoUpstream | Reason::NotAccepted => refusal::Reason::NoUpstream,
         Reason::Overloaded => refusal::Reason::Overloaded,
         Reason::TooLate | Reason::TimedOut => refusal::Reason::Deadline,
         Reason::Quarantined | Reason::Failed => refusal::Reason::UpstreamFailed,
--- a/crates/hyssopfork-gateway/src/action.rs
+++ b/crates/hyssopfork-gateway/src/action.rs
@@ -1,13 +1,13 @@
 //! What an entry does about an event.
 
-use crate::{measure, notice};
+use crate::{measurement, notice};
 use hyssopfork_fleet::{peer, quarantine};
 use hyssopfork_wire::{clock, name};
 use std::net;
 use std::time::Duration;
 
 /// Time between two ticks, which also bounds the age of what the leader is told.
-pub const TICK: Duration = Duration::from_millis(250);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
@@ -18,7 +18,8 @@
     /// No route covers the request.
     NoRoute,
     /// It shows no key that is known.
-    NoKey,
+    #[strum(serialize = "no_key")]
+    Unauthorized,
     /// No upstream is there for it.
     NoUpstream,
     /// The upstreams are full.
@@ -26,7 +27,8 @@
     /// Upstreams crash when they run it.
     Quarantined,
     /// The upstreams that were tried did not take it.
-    NotTaken,
+    #[strum(serialize = "not_taken")]
+    NotAccepted,
     /// Its time was over before an upstream had it.
     TooLate,
     /// Its time was over while an upstream had it.
@@ -44,17 +46,17 @@
 
 /// A refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why.
     pub reason: Reason,
     /// When to come back.
     pub retry_after: Option<Duration>,
 }
 
-impl Refusal {
+impl Rejection {
     /// A refusal for `reason`.
-    pub const fn new(reason: Reason, retry_after: Option<Duration>) -> Refusal {
-        Refusal { reason, retry_after }
+    pub const fn new(reason: Reason, retry_after: Option<Duration>) -> Rejection {
+        Rejection { reason, retry_after }
     }
 }
 
@@ -68,16 +70,16 @@
     /// Team of the caller.
     pub team: Option<name::Team>,
     /// When the request's time is over.
-    pub limit: clock::Instant,
+    pub deadline: clock::Instant,
     /// Last event that the caller has, or that an earlier attempt delivered.
     pub last_event: Option<u64>,
     /// Whether the connection must be new: on one that was used before, the upstream may have
     /// closed it just now, and whether the request ran would not be known.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// Whether the answer is a stream of events.
-    pub streams: bool,
+    pub is_event_stream: bool,
     /// Silence after which to ask what to do.
-    pub quiet: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What is to be done about a request.
@@ -86,17 +88,17 @@
     /// Make an attempt; an earlier one ends here.
     Start(Box<Start>),
     /// Forward the stream.
-    Forward,
+    ForwardStream,
     /// Deliver the whole answer.
-    Deliver,
+    ForwardResponse,
     /// Wait on; ask again after this long without bytes.
     Wait(Duration),
     /// Hold the request until another decision about it comes, or ask again after this long.
-    Hold(Duration),
+    Queue(Duration),
     /// Refuse.
-    Refuse(Refusal),
+    Reject(Rejection),
     /// Break the answer off, so that it can't look whole.
-    Cut,
+    Abort,
 }
 
 /// An action.
@@ -107,9 +109,9 @@
     /// Open a connection to the process's address, to learn whether it refuses any.
     Probe(quarantine::Process, net::SocketAddr),
     /// Tell the leader what was seen.
-    Tell(peer::Evidence),
+    Report(peer::Evidence),
     /// Measure a request that ended.
-    Measure(measure::Measure),
+    Measure(measurement::Measurement),
     /// Log a numbered event.
     Notice(notice::Notice),
 }
--- a/crates/hyssopfork-gateway/src/arrival.rs
+++ b/crates/hyssopfork-gateway/src/arrival.rs
@@ -18,5 +18,5 @@
     /// Last event of the stream that the caller has; `None` when it has none.
     pub last_event: Option<u64>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
--- a/crates/hyssopfork-gateway/src/limit.rs
+++ b/crates/hyssopfork-gateway/src/concurrency_limit.rs
@@ -15,24 +15,24 @@
 use std::time::Duration;
 
 /// Part of the objective from which an answer counts as nearly late.
-const LATE: f64 = 1.0;
+const LATE_RATIO: f64 = 1.0;
 
 /// Factor of a decrease. An entry sees a few answers of an upstream a second, so that an overload
 /// shows in the limit within a second or two.
-const DECREASE: f64 = 0.94;
+const DECREASE_FACTOR: f64 = 0.94;
 
 /// Addition of an increase, in parts of the slots: at the balance about one answer in five is nearly
 /// late.
-const INCREASE: f64 = 0.015;
+const INCREASE_RATIO: f64 = 0.015;
 
 /// Part of the limit from which a late answer is put down to it.
-const FULL: f64 = 0.5;
+const FULL_RATIO: f64 = 0.5;
 
 /// Least limit, in parts of the slots.
-const LEAST: f64 = 0.35;
+const MIN_LIMIT_RATIO: f64 = 0.35;
 
 /// Highest limit, in parts of the slots: some requests may wait while others end.
-const MOST: f64 = 1.1;
+const MAX_LIMIT_RATIO: f64 = 1.1;
 
 /// The limit of one upstream, as one process sees it; it counts everybody's requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,16 +55,16 @@
 
     /// Takes in that an answer began after `first`, where `objective` was wanted, of a request that
     /// was sent when the upstream was believed to have `load` requests.
-    pub fn began(&mut self, first: Duration, objective: Duration, load: f64) {
-        let late = first.as_secs_f64() > objective.as_secs_f64() * LATE;
+    pub fn on_response(&mut self, time_to_first_byte: Duration, objective: Duration, load: f64) {
+        let late = time_to_first_byte.as_secs_f64() > objective.as_secs_f64() * LATE_RATIO;
         let next = if late {
             // Of an upstream that was far from full, the limit is not what made it late.
-            let full = load >= self.limit * FULL;
-            if full { self.limit * DECREASE } else { self.limit }
+            let full = load >= self.limit * FULL_RATIO;
+            if full { self.limit * DECREASE_FACTOR } else { self.limit }
         } else {
-            self.limit + self.slots * INCREASE
+            self.limit + self.slots * INCREASE_RATIO
         };
-        let least = (self.slots * LEAST).max(1.0);
-        self.limit = next.clamp(least, (self.slots * MOST).max(self.slots + 1.0));
+        let least = (self.slots * MIN_LIMIT_RATIO).max(1.0);
+        self.limit = next.clamp(least, (self.slots * MAX_LIMIT_RATIO).max(self.slots + 1.0));
     }
 }
--- a/crates/hyssopfork-gateway/src/core.rs
+++ b/crates/hyssopfork-gateway/src/core.rs
@@ -1,16 +1,17 @@
 //! The step function: events in, actions out.
 
+mod completion;
 mod crash;
-mod ending;
-mod follow;
-mod holds;
+mod fleet_view;
+mod named_rates;
 mod quarantine;
-mod rates;
+mod queue;
 mod serve;
-mod silence;
+mod stall;
 
 use crate::{
-    action, budget, choice, event, load, moves, notice, request, returns, settings, table, target,
+    action, event, load, moves, notice, request, retry_budget, retry_schedule, routing, selection,
+    settings, target,
 };
 use hyssopfork_fleet::{peer, view};
 use hyssopfork_wire::{clock, name};
@@ -21,38 +22,38 @@
 use std::time::Duration;
 
 /// Age up to which the leader is told when bytes last came of an upstream; it judges by the age.
-const MOVING: Duration = Duration::from_secs(2);
+const ACTIVITY_REPORT_TIME: Duration = Duration::from_secs(2);
 
 /// The entry.
 #[derive(Debug)]
 pub struct Core {
     settings: settings::Settings,
-    table: Option<table::Table>,
+    table: Option<routing::Table>,
     /// Version of the newest declaration that was accepted, as far as is known.
-    declared: u64,
+    newest_version: u64,
     /// When the last view came.
     viewed_at: clock::Instant,
-    out: BTreeSet<name::Zone>,
+    excluded_zones: BTreeSet<name::Zone>,
     /// Entries that share the fleet's limits.
     entries: BTreeMap<net::SocketAddr, ()>,
     upstreams: BTreeMap<name::Instance, view::Upstream>,
     groups: BTreeMap<name::Group, view::Group>,
     /// Serving group of each head.
-    heads: BTreeMap<name::Instance, name::Group>,
+    groups_by_head: BTreeMap<name::Instance, name::Group>,
     targets: BTreeMap<name::Instance, target::Target>,
-    budgets: BTreeMap<name::Pool, budget::Budget>,
-    moves: BTreeMap<name::Pool, moves::Allowance>,
+    retry_budgets: BTreeMap<name::Pool, retry_budget::Budget>,
+    move_buckets: BTreeMap<name::Pool, moves::Bucket>,
     /// This process's requests beside others', for each pool and model.
-    shares: BTreeMap<(name::Pool, Option<name::Model>), load::Share>,
-    returns: BTreeMap<(name::Pool, Option<name::Model>), returns::Returns>,
-    holds: holds::Holds,
+    baselines: BTreeMap<(name::Pool, Option<name::Model>), load::Baseline>,
+    retry_schedules: BTreeMap<(name::Pool, Option<name::Model>), retry_schedule::Schedule>,
+    queue: queue::Queue,
     crashes: crash::Crashes,
     quarantine: quarantine::Quarantine,
     requests: BTreeMap<u64, request::Request>,
     /// Whether any request has come.
-    traffic: bool,
+    has_traffic: bool,
     stopping: bool,
-    random: rand_chacha::ChaCha8Rng,
+    rng: rand_chacha::ChaCha8Rng,
     now: clock::Instant,
     actions: Vec<action::Action>,
 }
@@ -63,25 +64,25 @@
         Core {
             settings,
             table: None,
-            declared: 0,
+            newest_version: 0,
             viewed_at: now,
-            out: BTreeSet::new(),
+            excluded_zones: BTreeSet::new(),
             entries: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             groups: BTreeMap::new(),
-            heads: BTreeMap::new(),
+            groups_by_head: BTreeMap::new(),
             targets: BTreeMap::new(),
-            budgets: BTreeMap::new(),
-            moves: BTreeMap::new(),
-            shares: BTreeMap::new(),
-            returns: BTreeMap::new(),
-            holds: holds::Holds::default(),
+            retry_budgets: BTreeMap::new(),
+            move_buckets: BTreeMap::new(),
+            baselines: BTreeMap::new(),
+            retry_schedules: BTreeMap::new(),
+            queue: queue::Queue::default(),
             crashes: crash::Crashes::default(),
             quarantine: quarantine::Quarantine::default(),
             requests: BTreeMap::new(),
-            traffic: false,
+            has_traffic: false,
             stopping: false,
-            random: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
+            rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             now,
             actions: Vec::new(),
         }
@@ -93,12 +94,12 @@
     }
 
     /// The declaration in force here.
-    pub fn table(&self) -> Option<&table::Table> {
+    pub fn table(&self) -> Option<&routing::Table> {
         self.table.as_ref()
     }
 
     /// Requests that are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -106,38 +107,42 @@
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         self.now = self.now.max(now);
         match event {
-            event::Event::Tick => self.tick(),
-            event::Event::Viewed(update, declaration) => self.viewed(*update, declaration),
-            event::Event::Arrived(number, arrival) => self.arrived(number, *arrival),
-            event::Event::Headed(number, head) => self.headed(number, head),
-            event::Event::Moved(number, last) => self.moved(number, last),
-            event::Event::Answered(number, head) => self.answered(number, head),
-            event::Event::Ended(number) => self.ended(number),
-            event::Event::Failed(number, fault, load) => self.failed(number, fault, load),
-            event::Event::Probed(process, refused) => self.probed(&process, refused),
-            event::Event::Quiet(number) => self.quiet(number),
-            event::Event::Waited(number) => self.on_queue_timeout(number),
-            event::Event::Expired(number) => self.expired(number),
-            event::Event::Gone(number) => self.gone(number),
-            event::Event::Stop => self.stop(),
+            event::Event::Tick => self.on_tick(),
+            event::Event::ViewUpdated(update, declaration) => {
+                self.on_view_updated(*update, declaration)
+            }
+            event::Event::Arrived(number, arrival) => self.on_arrival(number, *arrival),
+            event::Event::HeadReceived(number, head) => self.on_head(number, head),
+            event::Event::EventsReceived(number, last) => self.on_events(number, last),
+            event::Event::ResponseReceived(number, head) => self.on_response(number, head),
+            event::Event::StreamCompleted(number) => self.on_stream_completed(number),
+            event::Event::AttemptFailed(number, fault, load) => {
+                self.on_attempt_failed(number, fault, load)
+            }
+            event::Event::Probed(process, refused) => self.on_probed(&process, refused),
+            event::Event::IdleTimeout(number) => self.on_idle_timeout(number),
+            event::Event::QueueTimeout(number) => self.on_queue_timeout(number),
+            event::Event::DeadlineExceeded(number) => self.on_deadline(number),
+            event::Event::ClientDisconnected(number) => self.on_client_disconnected(number),
+            event::Event::Stop => self.on_stop(),
         }
         mem::take(&mut self.actions)
     }
 
-    fn stop(&mut self) {
+    fn on_stop(&mut self) {
         self.stopping = true;
         let open = self.requests.len();
-        self.note(notice::Notice::Leaving(open));
+        self.log(notice::Notice::Leaving(open));
     }
 
-    fn tick(&mut self) {
-        self.crashes.forget(self.now);
-        self.quarantine.forget(self.now);
-        self.tell();
+    fn on_tick(&mut self) {
+        self.crashes.expire(self.now);
+        self.quarantine.expire(self.now);
+        self.report_evidence();
     }
 
     /// Tells the leader what was seen.
-    fn tell(&mut self) {
+    fn report_evidence(&mut self) {
         let named = |chosen: &dyn Fn(&target::Target) -> bool| {
             let chosen = self.targets.iter().filter(|(_, target)| chosen(target));
             chosen.map(|(instance, _)| instance.clone()).collect()
@@ -146,20 +151,20 @@
         let ages = self
             .targets
             .iter()
-            .map(|(instance, target)| (instance.clone(), now.since(target.moved)));
-        let moving = ages.filter(|(_, age)| *age < MOVING).collect();
+            .map(|(instance, target)| (instance.clone(), now.since(target.last_bytes_at)));
+        let moving = ages.filter(|(_, age)| *age < ACTIVITY_REPORT_TIME).collect();
         let evidence = peer::Evidence {
             stalled: named(&|target| {
-                target.suspected || target.is_stalled(now) || target.health.is_away(now)
+                target.suspected || target.is_stalled(now) || target.health.is_backing_off(now)
             }),
             moving,
-            busy: named(&|target| target.load.own > 0),
-            traffic: self.traffic,
+            busy: named(&|target| target.load.own_requests > 0),
+            traffic: self.has_traffic,
             crashes: self.crashes.confirmed(now),
             completions: self.quarantine.completions(now),
             rates: self.rate_changes(now),
         };
-        self.actions.push(action::Action::Tell(evidence));
+        self.actions.push(action::Action::Report(evidence));
     }
 
     /// Entries that share the fleet's limits; this one at least.
@@ -168,48 +173,48 @@
     }
 
     /// This process's requests at the upstreams of the pool and model.
-    fn own_load(&self, pool: &name::Pool, model: Option<&name::Model>) -> load::Own {
+    fn own_load(&self, pool: &name::Pool, model: Option<&name::Model>) -> load::OwnLoad {
         let of_kind = |it: &&target::Target| it.pool == *pool && it.model.as_ref() == model;
-        let loads = self.targets.values().filter(of_kind).map(|target| target.load.own);
-        let none = load::Own { requests: 0, upstreams: 0 };
-        loads.fold(none, |own, load| load::Own {
+        let loads = self.targets.values().filter(of_kind).map(|target| target.load.own_requests);
+        let none = load::OwnLoad { requests: 0, upstreams: 0 };
+        loads.fold(none, |own, load| load::OwnLoad {
             requests: own.requests + load,
             upstreams: own.upstreams + 1,
         })
     }
 
     /// What the upstreams of the pool and model have on average.
-    fn average(&self, pool: &name::Pool, model: Option<&name::Model>) -> load::Average {
+    fn average_load(&self, pool: &name::Pool, model: Option<&name::Model>) -> load::Average {
         let own = self.own_load(pool, model);
-        let share = self.shares.get(&(pool.clone(), model.cloned())).copied();
-        let share = share.unwrap_or_else(|| load::Share::of(self.entry_count()));
+        let share = self.baselines.get(&(pool.clone(), model.cloned())).copied();
+        let share = share.unwrap_or_else(|| load::Baseline::new(self.entry_count()));
         load::Average { own, others: share.others(self.now, own) }
     }
 
     /// What a request asks for; `again` when it was accepted before.
-    fn want<'a>(&'a self, request: &'a request::Request, again: bool) -> choice::Want<'a> {
-        choice::Want {
+    fn query<'a>(&'a self, request: &'a request::Request, is_retry: bool) -> selection::Query<'a> {
+        selection::Query {
             pool: &request.pool,
             model: request.model.as_ref(),
             zone: &self.settings.zone,
             excluded: &request.excluded,
-            standing: request.standing(self.now, again),
+            priority: request.priority(self.now, is_retry),
         }
     }
 
     /// What bounds the choice of an upstream for the request.
-    fn bounds(&self, request: &request::Request) -> choice::Bounds<'_> {
-        choice::Bounds {
-            out: &self.out,
-            average: self.average(&request.pool, request.model.as_ref()),
+    fn constraints(&self, request: &request::Request) -> selection::Constraints<'_> {
+        selection::Constraints {
+            excluded_zones: &self.excluded_zones,
+            average: self.average_load(&request.pool, request.model.as_ref()),
         }
     }
 
-    fn draw(&mut self) -> f64 {
-        self.random.random()
+    fn random_fraction(&mut self) -> f64 {
+        self.rng.random()
     }
 
-    fn note(&mut self, notice: notice::Notice) {
+    fn log(&mut self, notice: notice::Notice) {
         self.actions.push(action::Action::Notice(notice));
     }
 
--- a/crates/hyssopfork-gateway/src/core/crash.rs
+++ b/crates/hyssopfork-gateway/src/core/crash.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Time for which a process is remembered after its first broken request.
-const CRASH_MEMORY: Duration = Duration::from_secs(2);
+const CRASH_RETENTION: Duration = Duration::from_secs(2);
 
 /// Most processes that are remembered at once.
 const MAX_CRASHES: usize = 64;
@@ -59,7 +59,7 @@
     }
 
     /// Takes the result of a probe; the requests that broke off, if the process ended.
-    fn settle(
+    fn on_probe_result(
         &mut self,
         process: &quarantine::Process,
         refused: bool,
@@ -89,8 +89,8 @@
         self.0.get(process).is_some_and(|crash| crash.confirmed)
     }
 
-    pub(super) fn forget(&mut self, now: clock::Instant) {
-        self.0.retain(|_, crash| now.since(crash.since) < CRASH_MEMORY);
+    pub(super) fn expire(&mut self, now: clock::Instant) {
+        self.0.retain(|_, crash| now.since(crash.since) < CRASH_RETENTION);
     }
 }
 
@@ -113,25 +113,25 @@
             let address = attempt.incarnation.address;
             self.actions.push(action::Action::Probe(process, address));
         } else if ended {
-            self.quarantine.crashed(self.now, &fingerprint);
-            self.tell();
+            self.quarantine.on_crash(self.now, &fingerprint);
+            self.report_evidence();
         }
     }
 
     /// Takes the result of a probe.
-    pub(super) fn probed(&mut self, process: &quarantine::Process, refused: bool) {
-        let Some(requests) = self.crashes.settle(process, refused) else { return };
+    pub(super) fn on_probed(&mut self, process: &quarantine::Process, refused: bool) {
+        let Some(requests) = self.crashes.on_probe_result(process, refused) else { return };
         for request in &requests {
-            self.quarantine.crashed(self.now, request);
+            self.quarantine.on_crash(self.now, request);
         }
         let now = self.now;
         let target = self.targets.get_mut(&process.instance);
         if let Some(target) = target.filter(|target| target.incarnation.born == process.born) {
-            target.health.unreachable(now);
+            target.health.on_unreachable(now);
         }
         let (instance, requests) = (process.instance.clone(), requests.len());
-        self.note(notice::Notice::Crashed { instance, requests });
-        self.tell();
+        self.log(notice::Notice::Crashed { instance, requests });
+        self.report_evidence();
     }
 
     /// Whether the process ends on request.
--- a/crates/hyssopfork-gateway/src/core/follow.rs
+++ b/crates/hyssopfork-gateway/src/core/fleet_view.rs
@@ -1,7 +1,9 @@
 //! Following the fleet's view.
 
 use super::Core;
-use crate::{cold, health, limit, load, notice, rendezvous, request, table, target};
+use crate::{
+    concurrency_limit, health, load, notice, rendezvous, request, routing, slow_start, target,
+};
 use hyssopfork_fleet::{declaration, view};
 use hyssopfork_wire::{clock, name};
 use std::collections::BTreeSet;
@@ -15,36 +17,36 @@
 impl Core {
     /// Whether a newer declaration than the one held may be in force. What this one lacks is then no
     /// reason to tell a caller that it doesn't exist.
-    pub(super) fn may_be_outdated(&self) -> bool {
+    pub(super) fn may_be_stale(&self) -> bool {
         let held = self.table.as_ref().map_or(0, |table| table.declaration().version);
-        held < self.declared || self.now.since(self.viewed_at) >= MAX_VIEW_AGE
+        held < self.newest_version || self.now.since(self.viewed_at) >= MAX_VIEW_AGE
     }
 
-    pub(super) fn viewed(
+    pub(super) fn on_view_updated(
         &mut self,
         update: view::Update,
         declaration: Option<Arc<declaration::Declaration>>,
     ) {
         let redeclared = declaration.is_some();
         if let Some(declaration) = declaration {
-            self.note(notice::Notice::InForce(declaration.version));
-            self.table = Some(table::Table::new(declaration));
+            self.log(notice::Notice::InForce(declaration.version));
+            self.table = Some(routing::Table::new(declaration));
         }
-        self.declared = self.declared.max(update.declared);
+        self.newest_version = self.newest_version.max(update.declared);
         self.viewed_at = self.now;
         let redraws = update.whole || redeclared;
         if update.whole {
             self.upstreams.clear();
             self.groups.clear();
-            self.heads.clear();
+            self.groups_by_head.clear();
             self.entries.clear();
         }
-        self.quarantine.follow(self.now, update.whole, update.quarantine);
+        self.quarantine.on_published(self.now, update.whole, update.quarantine);
         let redivides = !update.entries.is_empty();
         view::merge(&mut self.entries, update.entries);
-        self.out = update.out;
-        let mut changed = self.follow_groups(update.groups);
-        changed.extend(self.follow_upstreams(update.upstreams));
+        self.excluded_zones = update.out;
+        let mut changed = self.apply_groups(update.groups);
+        changed.extend(self.apply_upstreams(update.upstreams));
         if redraws {
             changed.extend(self.upstreams.keys().chain(self.targets.keys()).cloned());
         }
@@ -52,13 +54,13 @@
             changed.extend(self.targets.keys().cloned());
         }
         for instance in &changed {
-            self.refresh(instance);
+            self.rebuild_target(instance);
         }
-        self.try_held();
+        self.retry_queued();
     }
 
     /// Takes in groups that have changed; gives their heads.
-    fn follow_groups(
+    fn apply_groups(
         &mut self,
         changes: Vec<(name::Group, Option<view::Group>)>,
     ) -> BTreeSet<name::Instance> {
@@ -66,14 +68,14 @@
         for (name, group) in changes {
             if let Some(head) = self.groups.get(&name).and_then(view::Group::head) {
                 changed.insert(head.clone());
-                if self.heads.get(head) == Some(&name) {
-                    self.heads.remove(head);
+                if self.groups_by_head.get(head) == Some(&name) {
+                    self.groups_by_head.remove(head);
                 }
             }
             let serving = group.as_ref().filter(|group| group.serving);
             if let Some(head) = serving.and_then(view::Group::head) {
                 changed.insert(head.clone());
-                self.heads.insert(head.clone(), name.clone());
+                self.groups_by_head.insert(head.clone(), name.clone());
             }
             view::merge(&mut self.groups, [(name, group)]);
         }
@@ -81,7 +83,7 @@
     }
 
     /// Takes in upstreams that have changed; gives their names.
-    fn follow_upstreams(
+    fn apply_upstreams(
         &mut self,
         changes: Vec<(name::Instance, Option<view::Upstream>)>,
     ) -> Vec<name::Instance> {
@@ -91,13 +93,13 @@
     }
 
     /// Makes an upstream's target anew; one that is the same as before keeps its record.
-    fn refresh(&mut self, instance: &name::Instance) {
+    fn rebuild_target(&mut self, instance: &name::Instance) {
         let before = self.targets.remove(instance);
         let (Some(table), Some(upstream)) = (&self.table, self.upstreams.get(instance)) else {
             return;
         };
         let told = &upstream.announcement;
-        let group = self.heads.get(instance).and_then(|group| self.groups.get(group));
+        let group = self.groups_by_head.get(instance).and_then(|group| self.groups.get(group));
         let engine = table.engine(&told.pool);
         if engine.is_some() && group.is_none() {
             return;
@@ -109,7 +111,7 @@
         };
         let known = before.filter(|it| it.incarnation == incarnation);
         let slots = engine.map_or(told.slots, |engine| engine.slots);
-        let mut target = known.unwrap_or_else(|| fresh(incarnation, slots, told));
+        let mut target = known.unwrap_or_else(|| new_target(incarnation, slots, told));
         target.model = group.map(|group| group.model.clone());
         target.standing = upstream.standing;
         let key = instance.as_str().as_bytes();
@@ -118,22 +120,22 @@
         target.preference = rank as f64 / entries as f64;
         // Cold until the leader says otherwise: it may turn cold again meanwhile.
         let rate = table.cold_rate(&told.pool).filter(|_| !told.cold.is_zero());
-        target.cold_part = rate.map(|rate| cold::part(rate, rank, entries));
+        target.slow_start_share = rate.map(|rate| slow_start::entry_share(rate, rank, entries));
         if target.published_rate != upstream.rate {
             target.published_rate = upstream.rate;
-            target.named.follow(self.now, upstream.rate);
+            target.named_rate.on_published(self.now, upstream.rate);
         }
-        target.divide_rate(rank, entries);
+        target.update_rate_share(rank, entries);
         // Requests that were sent before the target was left out, or its group formed anew, still run.
         let runs = |request: &&request::Request| {
             request.attempt.as_ref().is_some_and(|attempt| attempt.instance == *instance)
         };
-        target.load.own = self.requests.values().filter(runs).count() as u32;
+        target.load.own_requests = self.requests.values().filter(runs).count() as u32;
         self.targets.insert(instance.clone(), target);
     }
 }
 
-fn fresh(
+fn new_target(
     incarnation: target::Incarnation,
     slots: u32,
     told: &hyssopfork_fleet::announcement::Announcement,
@@ -145,16 +147,16 @@
         zone: told.zone.clone(),
         standing: view::Standing::Present,
         load: load::Load::new(slots),
-        limit: limit::Limit::new(slots),
+        limit: concurrency_limit::Limit::new(slots),
         health: health::Health::default(),
-        recent: Default::default(),
-        cold_part: None,
+        recent_sends: Default::default(),
+        slow_start_share: None,
         preference: 0.0,
-        named: Default::default(),
+        named_rate: Default::default(),
         published_rate: None,
-        limiter: None,
-        moved: clock::Instant::ORIGIN,
+        rate_limiter: None,
+        last_bytes_at: clock::Instant::ORIGIN,
         suspected: false,
-        stalled: None,
+        stalled_since: None,
     }
 }
--- a/crates/hyssopfork-gateway/src/core/rates.rs
+++ b/crates/hyssopfork-gateway/src/core/named_rates.rs
@@ -7,10 +7,10 @@
 
 impl Core {
     /// Takes in the rate that an upstream names in an answer; `None` where it names none.
-    pub(super) fn hear_rate(&mut self, number: u64, rate: Option<rate::Rate>) {
+    pub(super) fn on_named_rate(&mut self, number: u64, rate: Option<rate::Rate>) {
         let now = self.now;
         let Some(target) = self.target_of(number) else { return };
-        if !target.named.hear(now, rate) {
+        if !target.named_rate.on_response(now, rate) {
             return;
         }
         let attempt = self.requests.get(&number).and_then(|request| request.attempt.as_ref());
@@ -19,16 +19,16 @@
         let rank = rendezvous::rank(self.settings.address, self.entries.keys(), key);
         let entries = self.entry_count();
         if let Some(target) = self.targets.get_mut(&instance) {
-            target.divide_rate(rank, entries);
+            target.update_rate_share(rank, entries);
         }
-        self.note(notice::Notice::RateNamed { instance, rate });
-        self.tell();
+        self.log(notice::Notice::RateNamed { instance, rate });
+        self.report_evidence();
     }
 
     /// Changes to report to the leader.
     pub(super) fn rate_changes(&self, now: clock::Instant) -> Vec<rate::Change> {
         let changes = self.targets.iter().filter_map(|(instance, target)| {
-            let (rate, age) = target.named.report(now)?;
+            let (rate, age) = target.named_rate.report(now)?;
             let instance = instance.clone();
             let process = quarantine::Process { instance, born: target.incarnation.born };
             Some(rate::Change { process, rate, age })
--- a/crates/hyssopfork-gateway/src/core/quarantine.rs
+++ b/crates/hyssopfork-gateway/src/core/quarantine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Time for which a completion is reported. A message may be lost.
-const COMPLETION_MEMORY: Duration = Duration::from_secs(2);
+const COMPLETION_REPORT_TIME: Duration = Duration::from_secs(2);
 
 /// Most completions that are reported at once.
 const MAX_COMPLETIONS: usize = 64;
@@ -25,7 +25,7 @@
 
 /// A request with a verdict.
 #[derive(Clone, Copy, Debug)]
-struct Listing {
+struct Record {
     verdict: quarantine::Verdict,
     /// When this entry learned the verdict, or the last trial ended in a crash.
     since: clock::Instant,
@@ -38,43 +38,43 @@
 /// Verdicts on requests, as the leader published them.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
-    listings: BTreeMap<quarantine::Fingerprint, Listing>,
+    records: BTreeMap<quarantine::Fingerprint, Record>,
     /// Requests that completed lately, and when.
     completions: Vec<(quarantine::Fingerprint, clock::Instant)>,
 }
 
 impl Quarantine {
     /// Takes in verdicts. One that is known keeps its time.
-    pub(super) fn follow(
+    pub(super) fn on_published(
         &mut self,
         now: clock::Instant,
         whole: bool,
         changes: Vec<(quarantine::Fingerprint, Option<quarantine::Verdict>)>,
     ) {
         if whole {
-            for listing in self.listings.values_mut() {
+            for listing in self.records.values_mut() {
                 listing.unnamed_since.get_or_insert(now);
             }
         }
         for (request, verdict) in changes {
-            let known = self.listings.remove(&request);
+            let known = self.records.remove(&request);
             let Some(verdict) = verdict else { continue };
-            let fresh = Listing { verdict, since: now, trial: None, unnamed_since: None };
+            let fresh = Record { verdict, since: now, trial: None, unnamed_since: None };
             let known = known.filter(|listing| listing.verdict == verdict);
-            let listing = known.map_or(fresh, |listing| Listing { unnamed_since: None, ..listing });
-            self.listings.insert(request, listing);
+            let listing = known.map_or(fresh, |listing| Record { unnamed_since: None, ..listing });
+            self.records.insert(request, listing);
         }
     }
 
     /// Whether a request with so long a body may have a verdict: only then it needs to be hashed.
-    fn may_list(&self, length: u64) -> bool {
+    fn may_have_verdict(&self, length: u64) -> bool {
         let least = quarantine::Fingerprint { length, digest: [0; 16] };
-        self.listings.range(least..).next().is_some_and(|(request, _)| request.length == length)
+        self.records.range(least..).next().is_some_and(|(request, _)| request.length == length)
     }
 
     /// Takes in that a request was in flight at a crash: a trial failed.
-    pub(super) fn crashed(&mut self, now: clock::Instant, request: &quarantine::Fingerprint) {
-        if let Some(listing) = self.listings.get_mut(request)
+    pub(super) fn on_crash(&mut self, now: clock::Instant, request: &quarantine::Fingerprint) {
+        if let Some(listing) = self.records.get_mut(request)
             && now >= listing.since + listing.verdict.period()
         {
             listing.since = now;
@@ -90,31 +90,30 @@
         told.collect()
     }
 
-    pub(super) fn forget(&mut self, now: clock::Instant) {
-        self.completions.retain(|(_, at)| now.since(*at) < COMPLETION_MEMORY);
-        let holds = |listing: &Listing| {
-            listing.unnamed_since.is_none_or(|at| now.since(at) < UNNAMED_GRACE)
-        };
-        self.listings.retain(|_, listing| holds(listing));
+    pub(super) fn expire(&mut self, now: clock::Instant) {
+        self.completions.retain(|(_, at)| now.since(*at) < COMPLETION_REPORT_TIME);
+        let holds =
+            |listing: &Record| listing.unnamed_since.is_none_or(|at| now.since(at) < UNNAMED_GRACE);
+        self.records.retain(|_, listing| holds(listing));
     }
 }
 
 impl Core {
     /// When the client of a quarantined request is to return; `None` where it may be sent.
-    pub(super) fn quarantine_wait(&mut self, number: u64) -> Option<Duration> {
+    pub(super) fn quarantine_retry_after(&mut self, number: u64) -> Option<Duration> {
         let now = self.now;
         let request = self.requests.get(&number)?;
-        if !self.quarantine.may_list(request.content.length()) {
+        if !self.quarantine.may_have_verdict(request.content.length()) {
             return None;
         }
         let fingerprint = request.fingerprint();
-        let listing = *self.quarantine.listings.get(&fingerprint)?;
+        let listing = *self.quarantine.records.get(&fingerprint)?;
         let period = listing.verdict.period();
         if listing.verdict == quarantine::Verdict::Suspect {
             return None;
         }
         // A trial that ran is over: sent on, it would crash the next upstream.
-        if request.runs > 0 {
+        if request.possible_runs > 0 {
             return Some(period);
         }
         if listing.trial == Some(number) {
@@ -128,38 +127,38 @@
             return Some(left.max(TRIAL_RETRY_AFTER));
         }
         let identifier = request.identifier.clone();
-        if let Some(listing) = self.quarantine.listings.get_mut(&fingerprint) {
+        if let Some(listing) = self.quarantine.records.get_mut(&fingerprint) {
             listing.trial = Some(number);
         }
-        self.note(notice::Notice::Trial { identifier, fingerprint });
+        self.log(notice::Notice::Trial { identifier, fingerprint });
         None
     }
 
     /// Whether the request was quarantined while its attempt waits for its first byte.
     pub(super) fn is_recalled(&self, number: u64) -> bool {
         let Some(request) = self.requests.get(&number) else { return false };
-        let waits = request.attempt.as_ref().is_some_and(|attempt| attempt.moved.is_none());
-        if !waits || !self.quarantine.may_list(request.content.length()) {
+        let waits = request.attempt.as_ref().is_some_and(|attempt| attempt.last_bytes_at.is_none());
+        if !waits || !self.quarantine.may_have_verdict(request.content.length()) {
             return false;
         }
-        self.quarantine.listings.get(&request.fingerprint()).is_some_and(|listing| {
+        self.quarantine.records.get(&request.fingerprint()).is_some_and(|listing| {
             listing.verdict != quarantine::Verdict::Suspect && listing.trial != Some(number)
         })
     }
 
     /// Takes in that an upstream ran the request to its end, and tells the leader if others of the same
     /// content were in flight at crashes.
-    pub(super) fn note_completion(&mut self, number: u64) {
+    pub(super) fn record_completion(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
-        if !self.quarantine.may_list(request.content.length()) {
+        if !self.quarantine.may_have_verdict(request.content.length()) {
             return;
         }
         let fingerprint = request.fingerprint();
-        if self.quarantine.listings.remove(&fingerprint).is_some()
+        if self.quarantine.records.remove(&fingerprint).is_some()
             && self.quarantine.completions.len() < MAX_COMPLETIONS
         {
             self.quarantine.completions.push((fingerprint, self.now));
-            self.tell();
+            self.report_evidence();
         }
     }
 }
--- a/crates/hyssopfork-gateway/src/event.rs
+++ b/crates/hyssopfork-gateway/src/event.rs
@@ -24,17 +24,20 @@
     /// The upstream says that it has not run the request, and is full or leaving.
     NotRun,
     /// Another upstream has the address; it has not run the request.
-    Stranger,
+    #[strum(serialize = "stranger")]
+    WrongInstance,
     /// The connection broke off.
-    Broken,
+    #[strum(serialize = "broken")]
+    ConnectionLost,
     /// What came is no answer to the request.
-    Wrong,
+    #[strum(serialize = "wrong")]
+    InvalidResponse,
 }
 
 impl Fault {
     /// Whether the request surely has not run.
     pub fn is_not_run(self) -> bool {
-        matches!(self, Fault::Unreachable | Fault::NotRun | Fault::Stranger)
+        matches!(self, Fault::Unreachable | Fault::NotRun | Fault::WrongInstance)
     }
 }
 
@@ -44,29 +47,29 @@
     /// Time has passed; comes every [`crate::action::TICK`].
     Tick,
     /// What is new in the fleet, and the declaration where it is.
-    Viewed(Box<view::Update>, Option<Arc<declaration::Declaration>>),
+    ViewUpdated(Box<view::Update>, Option<Arc<declaration::Declaration>>),
     /// A request arrived.
     Arrived(u64, Box<arrival::Arrival>),
     /// The head of a stream's answer came, in answer to its newest attempt.
-    Headed(u64, Head),
+    HeadReceived(u64, Head),
     /// Events of the stream came; the last one's identifier.
-    Moved(u64, Option<u64>),
+    EventsReceived(u64, Option<u64>),
     /// A whole answer came, that has not gone to the caller.
-    Answered(u64, Head),
+    ResponseReceived(u64, Head),
     /// The whole answer has gone to the caller.
-    Ended(u64),
+    StreamCompleted(u64),
     /// The newest attempt failed.
-    Failed(u64, Fault, Option<load::Report>),
+    AttemptFailed(u64, Fault, Option<load::Report>),
     /// A process was probed; whether its address refuses connections.
     Probed(quarantine::Process, bool),
     /// Nothing came for the time that was last given.
-    Quiet(u64),
+    IdleTimeout(u64),
     /// The time for which the request may wait for a place is over.
-    Waited(u64),
+    QueueTimeout(u64),
     /// The request's time is over.
-    Expired(u64),
+    DeadlineExceeded(u64),
     /// The caller went away.
-    Gone(u64),
+    ClientDisconnected(u64),
     /// The process is to stop.
     Stop,
 }
@@ -76,16 +79,16 @@
     pub fn request(&self) -> Option<u64> {
         match self {
             Event::Arrived(number, _)
-            | Event::Headed(number, _)
-            | Event::Moved(number, _)
-            | Event::Answered(number, _)
-            | Event::Ended(number)
-            | Event::Failed(number, ..)
-            | Event::Quiet(number)
-            | Event::Waited(number)
-            | Event::Expired(number)
-            | Event::Gone(number) => Some(*number),
-            Event::Tick | Event::Viewed(..) | Event::Probed(..) | Event::Stop => None,
+            | Event::HeadReceived(number, _)
+            | Event::EventsReceived(number, _)
+            | Event::ResponseReceived(number, _)
+            | Event::StreamCompleted(number)
+            | Event::AttemptFailed(number, ..)
+            | Event::IdleTimeout(number)
+            | Event::QueueTimeout(number)
+            | Event::DeadlineExceeded(number)
+            | Event::ClientDisconnected(number) => Some(*number),
+            Event::Tick | Event::ViewUpdated(..) | Event::Probed(..) | Event::Stop => None,
         }
     }
 }
--- a/crates/hyssopfork-gateway/src/lib.rs
+++ b/crates/hyssopfork-gateway/src/lib.rs
@@ -16,25 +16,25 @@
 //! - [`core`]: a request's way from arrival to its end; [`scanner`]: whole events of a stream
 
 pub mod action;
-pub mod answer;
 pub mod arrival;
-pub mod budget;
-pub mod choice;
-pub mod cold;
+pub mod concurrency_limit;
 pub mod content;
 pub mod core;
 pub mod event;
 pub mod health;
-pub mod limit;
 pub mod load;
-pub mod measure;
+pub mod measurement;
 pub mod moves;
 pub mod notice;
 pub mod rate_limit;
 pub mod rendezvous;
 pub mod request;
-pub mod returns;
+pub mod response;
+pub mod retry_budget;
+pub mod retry_schedule;
+pub mod routing;
 pub mod scanner;
+pub mod selection;
 pub mod settings;
-pub mod table;
+pub mod slow_start;
 pub mod target;
--- a/crates/hyssopfork-gateway/src/measure.rs
+++ b/crates/hyssopfork-gateway/src/measurement.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// With the upstream's whole answer; the time to its first bytes.
-    Answered(Duration),
+    Completed(Duration),
     /// With a refusal.
-    Refused(action::Reason),
+    Rejected(action::Reason),
     /// With an answer that was broken off.
-    Cut,
+    Aborted,
 }
 
 /// A measurement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Measure {
+pub struct Measurement {
     /// Team of the caller; `None` where the route needs no key, or none matched.
     pub team: Option<name::Team>,
     /// Class of the work; `None` when no route matched.
@@ -27,5 +27,5 @@
     /// Attempts made.
     pub attempts: u32,
     /// Time from arrival to the end.
-    pub whole: Duration,
+    pub total_time: Duration,
 }
--- a/crates/hyssopfork-gateway/src/moves.rs
+++ b/crates/hyssopfork-gateway/src/moves.rs
@@ -6,34 +6,34 @@
 //! move.
 
 /// Moves that an answer earns.
-const MOVES_PER_ANSWER: f64 = 0.1;
+const TOKENS_PER_RESPONSE: f64 = 0.1;
 
 /// Most moves that are saved up: about the requests that one process has at one upstream.
-const MAX_SAVED_MOVES: f64 = 4.0;
+const MAX_TOKENS: f64 = 4.0;
 
 /// Moves that may be made.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance(f64);
+pub struct Bucket(f64);
 
-impl Default for Allowance {
-    fn default() -> Allowance {
-        Allowance(MAX_SAVED_MOVES)
+impl Default for Bucket {
+    fn default() -> Bucket {
+        Bucket(MAX_TOKENS)
     }
 }
 
-impl Allowance {
+impl Bucket {
     /// Takes in that an upstream answered a request.
-    pub fn earn(&mut self) {
-        self.0 = (self.0 + MOVES_PER_ANSWER).min(MAX_SAVED_MOVES);
+    pub fn add_for_response(&mut self) {
+        self.0 = (self.0 + TOKENS_PER_RESPONSE).min(MAX_TOKENS);
     }
 
     /// Whether a request may be moved now.
-    pub fn has_room(&self) -> bool {
+    pub fn has_token(&self) -> bool {
         self.0 >= 1.0
     }
 
     /// Takes in that a request was moved.
-    pub fn spend(&mut self) {
+    pub fn take_token(&mut self) {
         self.0 -= 1.0;
     }
 }
--- a/crates/hyssopfork-gateway/src/rate_limit.rs
+++ b/crates/hyssopfork-gateway/src/rate_limit.rs
@@ -3,7 +3,7 @@
 //! Invariant: the parts of all entries add up to no more than the rate. It is counted over a window that
 //! holds at least one request, so that a rate of less than one a second is no ban.
 
-use crate::cold;
+use crate::slow_start;
 use hyssopfork_fleet::rate;
 use hyssopfork_wire::clock;
 use std::collections::VecDeque;
@@ -29,18 +29,18 @@
 
 /// What an upstream last named to this entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Named {
+pub struct NamedRate {
     /// The rate; `None` for no limit.
     pub rate: Option<rate::Rate>,
     /// When it changed; `None` for never.
     pub changed_at: Option<clock::Instant>,
     /// Whether this entry heard it of the upstream, and not of the leader.
-    pub heard: bool,
+    pub from_upstream: bool,
 }
 
-impl Named {
+impl NamedRate {
     /// Takes in what an answer names; whether that is a change.
-    pub fn hear(&mut self, now: clock::Instant, rate: Option<rate::Rate>) -> bool {
+    pub fn on_response(&mut self, now: clock::Instant, rate: Option<rate::Rate>) -> bool {
         let recent = self.changed_at.is_some_and(|at| now.since(at) < CHANGE_INTERVAL);
         let alike = match (self.rate, rate) {
             (Some(old), Some(new)) => {
@@ -52,18 +52,18 @@
         if alike || recent {
             return false;
         }
-        *self = Named { rate, changed_at: Some(now), heard: true };
+        *self = NamedRate { rate, changed_at: Some(now), from_upstream: true };
         true
     }
 
     /// Takes in what the leader newly publishes.
-    pub fn follow(&mut self, now: clock::Instant, rate: Option<rate::Rate>) {
-        *self = Named { rate, changed_at: Some(now), heard: false };
+    pub fn on_published(&mut self, now: clock::Instant, rate: Option<rate::Rate>) {
+        *self = NamedRate { rate, changed_at: Some(now), from_upstream: false };
     }
 
     /// What to report to the leader: the rate, and the time since it was heard.
     pub fn report(&self, now: clock::Instant) -> Option<(Option<rate::Rate>, Duration)> {
-        let age = now.since(self.changed_at.filter(|_| self.heard)?);
+        let age = now.since(self.changed_at.filter(|_| self.from_upstream)?);
         (age < REPORT_TIME).then_some((self.rate, age))
     }
 }
@@ -75,7 +75,7 @@
     /// Requests of all entries in a window.
     total: usize,
     /// Those of this entry.
-    part: usize,
+    share: usize,
     /// Sends in the last window.
     sends: VecDeque<clock::Instant>,
 }
@@ -86,18 +86,18 @@
         let one = Duration::try_from_secs_f64(1.0 / rate.per_second()).unwrap_or(MAX_WINDOW);
         let window = one.clamp(MIN_WINDOW, MAX_WINDOW);
         let total = (rate.per_second() * window.as_secs_f64()).max(1.0);
-        let part = cold::part(total, rank, entries);
-        Limiter { window, total: total as usize, part, sends: VecDeque::new() }
+        let part = slow_start::entry_share(total, rank, entries);
+        Limiter { window, total: total as usize, share: part, sends: VecDeque::new() }
     }
 
     /// The same part or another, after what was sent before.
-    pub fn after(self, before: Option<Limiter>) -> Limiter {
-        let sends = before.map(|before| before.sends).unwrap_or_default();
+    pub fn with_history_of(self, previous: Option<Limiter>) -> Limiter {
+        let sends = previous.map(|before| before.sends).unwrap_or_default();
         Limiter { sends, ..self }
     }
 
     /// Notes a send.
-    pub fn note(&mut self, now: clock::Instant) {
+    pub fn record(&mut self, now: clock::Instant) {
         while self.sends.front().is_some_and(|sent| now.since(*sent) >= self.window) {
             self.sends.pop_front();
         }
@@ -106,14 +106,14 @@
 
     /// Time until another request may be sent; zero for now. For an entry without a part, the average
     /// time between two requests of any.
-    pub fn wait(&self, now: clock::Instant) -> Duration {
-        if self.part == 0 {
+    pub fn delay(&self, now: clock::Instant) -> Duration {
+        if self.share == 0 {
             return self.window / self.total as u32;
         }
         let recent = self.sends.iter().filter(|sent| now.since(**sent) < self.window).count();
-        if recent < self.part {
+        if recent < self.share {
             return Duration::ZERO;
         }
-        now.until(self.sends[self.sends.len() - self.part] + self.window)
+        now.until(self.sends[self.sends.len() - self.share] + self.window)
     }
 }
--- a/crates/hyssopfork-gateway/src/request.rs
+++ b/crates/hyssopfork-gateway/src/request.rs
@@ -1,6 +1,6 @@
 //! Requests of an entry.
 
-use crate::{choice, content, target};
+use crate::{content, selection, target};
 use hyssopfork_fleet::{declaration, quarantine};
 use hyssopfork_wire::{clock, configuration, name};
 use std::time::Duration;
@@ -13,11 +13,11 @@
     /// Process and group that the request was sent to.
     pub incarnation: target::Incarnation,
     /// When it was started.
-    pub started: clock::Instant,
+    pub started_at: clock::Instant,
     /// Requests that the upstream was believed to have then.
-    pub load: f64,
+    pub load_at_start: f64,
     /// When bytes last came.
-    pub moved: Option<clock::Instant>,
+    pub last_bytes_at: Option<clock::Instant>,
 }
 
 /// A request.
@@ -38,31 +38,31 @@
     /// How often the work may run.
     pub repetition: declaration::Repetition,
     /// Upstreams that may run it, at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Time to the answer within which it is on time.
     pub objective: Duration,
     /// When it arrived.
-    pub arrived: clock::Instant,
+    pub arrived_at: clock::Instant,
     /// When its answer must have begun to be in time.
-    pub due: clock::Instant,
+    pub on_time_until: clock::Instant,
     /// Whether it was queued once for lack of an upstream.
-    pub held: bool,
+    pub was_queued: bool,
     /// When its time is over.
-    pub limit: clock::Instant,
+    pub deadline: clock::Instant,
     /// Upstreams that may have run it.
-    pub runs: u32,
+    pub possible_runs: u32,
     /// Attempts made.
-    pub tries: u32,
+    pub attempt_count: u32,
     /// Upstreams that it was sent to.
     pub excluded: Vec<name::Instance>,
     /// The attempt that is under way.
     pub attempt: Option<Attempt>,
     /// Whether the head of the answer has gone to the caller.
-    pub forwarded: bool,
+    pub head_forwarded: bool,
     /// Last event that the caller has.
     pub last_event: Option<u64>,
     /// When the first bytes came.
-    pub begun: Option<clock::Instant>,
+    pub first_bytes_at: Option<clock::Instant>,
 }
 
 impl Request {
@@ -72,13 +72,13 @@
     }
 
     /// How it stands among others; `again` when it was accepted before.
-    pub fn standing(&self, now: clock::Instant, again: bool) -> choice::Standing {
-        if again {
-            choice::Standing::Again
-        } else if now < self.due {
-            choice::Standing::InTime
+    pub fn priority(&self, now: clock::Instant, is_retry: bool) -> selection::Priority {
+        if is_retry {
+            selection::Priority::Retry
+        } else if now < self.on_time_until {
+            selection::Priority::OnTime
         } else {
-            choice::Standing::Late
+            selection::Priority::Late
         }
     }
 
--- a/crates/hyssopfork-gateway/src/answer.rs
+++ b/crates/hyssopfork-gateway/src/response.rs
@@ -6,13 +6,13 @@
 
 /// Head of an answer, as far as it decides anything.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status code.
     pub status: u16,
     /// Whether the upstream says that it has not run the request.
     pub not_run: bool,
     /// Whether the upstream says that it is another than the one that was meant.
-    pub stranger: bool,
+    pub wrong_instance: bool,
     /// Whether it carries the upstream's proof.
     pub signed: bool,
     /// Identifier of the request that it answers.
@@ -20,7 +20,7 @@
     /// Whether its body is encoded, although nobody asked for that.
     pub encoded: bool,
     /// Whether its body is a stream of events.
-    pub streams: bool,
+    pub is_event_stream: bool,
     /// What the upstream says of its load.
     pub load: Option<load::Report>,
     /// Rate that the upstream takes of the whole fleet; `None` where it names none.
@@ -29,7 +29,7 @@
     pub keep_alive: Option<Duration>,
 }
 
-impl Answer {
+impl Response {
     /// What is wrong with it as an answer to the request `identifier`.
     ///
     /// An answer of another request can come where this one's is expected, when an upstream answers
@@ -39,10 +39,10 @@
         let named = self.identifier.as_deref();
         let other = named.is_some_and(|named| named != identifier);
         if other || success && (named.is_none() || !self.signed || self.encoded) {
-            return Some(event::Fault::Wrong);
+            return Some(event::Fault::InvalidResponse);
         }
-        if self.stranger {
-            return Some(event::Fault::Stranger);
+        if self.wrong_instance {
+            return Some(event::Fault::WrongInstance);
         }
         self.not_run.then_some(event::Fault::NotRun)
     }
--- a/crates/hyssopfork-gateway/src/budget.rs
+++ b/crates/hyssopfork-gateway/src/retry_budget.rs
@@ -15,16 +15,16 @@
 
 /// Part of the budget that is used: windows of whoever counts begin at other moments than ours, and
 /// a process that is new is counted by the others only after a moment.
-const USED: f64 = 0.8;
+const USABLE_RATIO: f64 = 0.8;
 
 /// Length of the buckets that a window is counted in.
-const BUCKET: Duration = Duration::from_millis(500);
+const BUCKET_LENGTH: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     start: clock::Instant,
-    first: u32,
-    again: u32,
+    requests: u32,
+    retries: u32,
 }
 
 /// The budget of one pool in one process.
@@ -35,40 +35,44 @@
 
 /// What bounds a budget.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct Policy {
     /// Sends beyond the first for each request.
-    pub ratio: f64,
+    pub retry_ratio: f64,
     /// Sends beyond the first besides, for this process.
-    pub extra: f64,
+    pub retry_extra: f64,
     /// The window.
     pub window: Duration,
 }
 
 impl Budget {
     /// Counts a request.
-    pub fn first(&mut self, now: clock::Instant, bound: Bound) {
-        self.bucket(now, bound).first += 1;
+    pub fn count_request(&mut self, now: clock::Instant, policy: Policy) {
+        self.current_bucket(now, policy).requests += 1;
     }
 
     /// Whether work may be sent again now; counts it when it may.
-    pub fn again(&mut self, now: clock::Instant, bound: Bound) -> bool {
-        self.bucket(now, bound);
-        let first: u32 = self.buckets.iter().map(|bucket| bucket.first).sum();
-        let again: u32 = self.buckets.iter().map(|bucket| bucket.again).sum();
-        let most = (f64::from(first) * bound.ratio + bound.extra) * USED;
+    pub fn try_retry(&mut self, now: clock::Instant, policy: Policy) -> bool {
+        self.current_bucket(now, policy);
+        let first: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let again: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let most = (f64::from(first) * policy.retry_ratio + policy.retry_extra) * USABLE_RATIO;
         let may = f64::from(again) + 1.0 <= most;
         if may {
-            self.bucket(now, bound).again += 1;
+            self.current_bucket(now, policy).retries += 1;
         }
         may
     }
 
-    fn bucket(&mut self, now: clock::Instant, bound: Bound) -> &mut Bucket {
-        while self.buckets.front().is_some_and(|it| now.since(it.start) > bound.window + BUCKET) {
+    fn current_bucket(&mut self, now: clock::Instant, policy: Policy) -> &mut Bucket {
+        while self
+            .buckets
+            .front()
+            .is_some_and(|it| now.since(it.start) > policy.window + BUCKET_LENGTH)
+        {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|it| now.since(it.start) >= BUCKET) {
-            self.buckets.push_back(Bucket { start: now, first: 0, again: 0 });
+        if self.buckets.back().is_none_or(|it| now.since(it.start) >= BUCKET_LENGTH) {
+            self.buckets.push_back(Bucket { start: now, requests: 0, retries: 0 });
         }
         self.buckets.back_mut().expect("a bucket was just added")
     }
--- a/crates/hyssopfork-gateway/src/returns.rs
+++ b/crates/hyssopfork-gateway/src/retry_schedule.rs
@@ -14,14 +14,14 @@
 
 /// Returns that are booked.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Returns {
-    next: clock::Instant,
+pub struct Schedule {
+    next_return: clock::Instant,
 }
 
-impl Returns {
+impl Schedule {
     /// Books a return: not before `wait`, and `spacing` after the one booked before.
-    pub fn book(&mut self, now: clock::Instant, wait: Duration, spacing: Duration) -> Duration {
-        self.next = self.next.max(now + wait) + spacing;
-        now.until(self.next)
+    pub fn reserve(&mut self, now: clock::Instant, wait: Duration, spacing: Duration) -> Duration {
+        self.next_return = self.next_return.max(now + wait) + spacing;
+        now.until(self.next_return)
     }
 }
--- a/crates/hyssopfork-gateway/src/table.rs
+++ b/crates/hyssopfork-gateway/src/routing.rs
@@ -11,9 +11,9 @@
 pub struct Table {
     declaration: Arc<declaration::Declaration>,
     /// Place of each route in the declaration, by host and prefix.
-    places: HashMap<String, HashMap<String, usize>>,
+    route_indices: HashMap<String, HashMap<String, usize>>,
     /// Place of each key's team in the declaration.
-    keys: HashMap<String, usize>,
+    team_indices: HashMap<String, usize>,
 }
 
 /// Why a request has no place.
@@ -27,7 +27,7 @@
 
 /// Where a request belongs.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct Match<'a> {
     /// Its route.
     pub route: &'a declaration::Route,
     /// Its team; `None` where the route needs no key.
@@ -46,7 +46,7 @@
         for (place, team) in declaration.teams.iter().enumerate() {
             keys.extend(team.keys.iter().map(|key| (key.clone(), place)));
         }
-        Table { declaration, places, keys }
+        Table { declaration, route_indices: places, team_indices: keys }
     }
 
     /// The declaration.
@@ -55,15 +55,18 @@
     }
 
     /// Finds where a request belongs.
-    pub fn find(&self, arrival: &arrival::Arrival) -> Result<Place<'_>, Error> {
+    pub fn find(&self, arrival: &arrival::Arrival) -> Result<Match<'_>, Error> {
         let route =
             self.route(&arrival.content.host, &arrival.content.path).ok_or(Error::RouteNotFound)?;
         if route.anonymous || self.declaration.teams.is_empty() {
-            return Ok(Place { route, team: None });
+            return Ok(Match { route, team: None });
         }
-        let place =
-            arrival.key.as_ref().and_then(|key| self.keys.get(key)).ok_or(Error::KeyNotFound)?;
-        Ok(Place { route, team: Some(&self.declaration.teams[*place]) })
+        let place = arrival
+            .key
+            .as_ref()
+            .and_then(|key| self.team_indices.get(key))
+            .ok_or(Error::KeyNotFound)?;
+        Ok(Match { route, team: Some(&self.declaration.teams[*place]) })
     }
 
     /// Engines of a pool; `None` for a plain service.
@@ -79,7 +82,7 @@
     /// The route of the longest prefix. Prefixes end with a slash, so only the path's parts up to
     /// each of its slashes can be one.
     fn route(&self, host: &str, path: &str) -> Option<&declaration::Route> {
-        let prefixes = self.places.get(&host.to_ascii_lowercase())?;
+        let prefixes = self.route_indices.get(&host.to_ascii_lowercase())?;
         let ends = path.char_indices().rev().filter(|(_, letter)| *letter == '/');
         let mut parts = ends.map(|(end, _)| &path[..=end]);
         let place = parts.find_map(|part| prefixes.get(part))?;
@@ -88,7 +91,7 @@
 }
 
 /// The pool that a draw between 0 and 1 falls on, by the route's weights.
-pub fn split(route: &declaration::Route, draw: f64) -> Option<&name::Pool> {
+pub fn pick_pool(route: &declaration::Route, draw: f64) -> Option<&name::Pool> {
     let total: u32 = route.targets.iter().map(|(_, weight)| weight).sum();
     let mut left = draw * f64::from(total);
     let mut last = None;
--- a/crates/hyssopfork-gateway/src/scanner.rs
+++ b/crates/hyssopfork-gateway/src/scanner.rs
@@ -9,22 +9,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutOfOrder {
     /// Identifier that came.
-    pub came: u64,
+    pub received: u64,
     /// Last identifier before it.
-    pub last: u64,
+    pub previous: u64,
 }
 
 /// Tells whole events apart and follows their identifiers.
 #[derive(Clone, Debug, Default)]
 pub struct Scanner {
-    partial: BytesMut,
-    last: Option<u64>,
+    buffer: BytesMut,
+    last_event: Option<u64>,
 }
 
 impl Scanner {
     /// A scanner of a stream of which the caller has all up to event `last`.
-    pub fn new(last: Option<u64>) -> Scanner {
-        Scanner { partial: BytesMut::new(), last }
+    pub fn new(last_event: Option<u64>) -> Scanner {
+        Scanner { buffer: BytesMut::new(), last_event }
     }
 
     /// Takes the next bytes and gives the events that are whole by now.
@@ -34,38 +34,38 @@
     /// [`OutOfOrder`] when an identifier does not follow the one before it: the bytes of two runs
     /// would be joined with a gap or a repetition.
     pub fn feed(&mut self, data: &[u8]) -> Result<Bytes, OutOfOrder> {
-        let mut scanned = self.partial.len().saturating_sub(3);
-        self.partial.extend_from_slice(data);
+        let mut scanned = self.buffer.len().saturating_sub(3);
+        self.buffer.extend_from_slice(data);
         let mut whole = 0;
-        while let Some(end) = event_end(&self.partial, scanned.max(whole)) {
-            self.follow(whole, end)?;
+        while let Some(end) = event_end(&self.buffer, scanned.max(whole)) {
+            self.check_order(whole, end)?;
             whole = end;
             scanned = end;
         }
-        Ok(self.partial.split_to(whole).freeze())
+        Ok(self.buffer.split_to(whole).freeze())
     }
 
     /// Last event that was given out.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_event(&self) -> Option<u64> {
+        self.last_event
     }
 
     /// Whether the bytes so far end with a whole event.
-    pub fn is_clean(&self) -> bool {
-        self.partial.is_empty()
+    pub fn is_at_event_boundary(&self) -> bool {
+        self.buffer.is_empty()
     }
 
     /// Drops the beginning of an event whose rest will not come.
     pub fn discard_partial(&mut self) {
-        self.partial.clear();
+        self.buffer.clear();
     }
 
-    fn follow(&mut self, from: usize, to: usize) -> Result<(), OutOfOrder> {
-        let Some(came) = identifier(&self.partial[from..to]) else { return Ok(()) };
-        if let Some(last) = self.last.filter(|last| came != last + 1) {
-            return Err(OutOfOrder { came, last });
+    fn check_order(&mut self, from: usize, to: usize) -> Result<(), OutOfOrder> {
+        let Some(came) = event_identifier(&self.buffer[from..to]) else { return Ok(()) };
+        if let Some(last) = self.last_event.filter(|last| came != last + 1) {
+            return Err(OutOfOrder { received: came, previous: last });
         }
-        self.last = Some(came);
+        self.last_event = Some(came);
         Ok(())
     }
 }
@@ -85,7 +85,7 @@
 }
 
 /// The event's identifier, where it has a number for one.
-fn identifier(event: &[u8]) -> Option<u64> {
+fn event_identifier(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| matches!(byte, b'\n' | b'\r'));
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/hyssopfork-gateway/src/choice.rs
+++ b/crates/hyssopfork-gateway/src/selection.rs
@@ -21,7 +21,7 @@
 
 /// Deviations of the estimate that are kept free: what is sent to an upstream that is fuller than it
 /// seems waits there until it is late.
-const DOUBT: f64 = 0.3;
+const UNCERTAINTY_FACTOR: f64 = 0.3;
 
 /// Part of its slots by which an upstream of another zone must be emptier to go first: traffic
 /// between zones costs, but less than a late answer.
@@ -33,11 +33,11 @@
 const AFFINITY: f64 = 1.0;
 
 /// Time for which an upstream that the leader doesn't hear counts as good after it has answered.
-const VOUCHED: Duration = Duration::from_secs(2);
+const RECENT_RESPONSE_TIME: Duration = Duration::from_secs(2);
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Query<'a> {
     /// Pool.
     pub pool: &'a name::Pool,
     /// Model; `None` for a plain service.
@@ -47,35 +47,37 @@
     /// Upstreams that it was sent to before.
     pub excluded: &'a [name::Instance],
     /// How it stands.
-    pub standing: Standing,
+    pub priority: Priority,
 }
 
 /// How a request stands, which decides how much room must be left for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
+pub enum Priority {
     /// Its answer can still begin in time.
-    InTime,
+    #[strum(serialize = "in_time")]
+    OnTime,
     /// Its answer will be late: it is a retry of a rejected request.
     Late,
     /// It was accepted before and goes on elsewhere.
-    Again,
+    #[strum(serialize = "again")]
+    Retry,
 }
 
 /// What bounds the choice for all requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds<'a> {
+pub struct Constraints<'a> {
     /// Zones that are out.
-    pub out: &'a BTreeSet<name::Zone>,
+    pub excluded_zones: &'a BTreeSet<name::Zone>,
     /// What the upstreams of the pool and model have on average.
     pub average: load::Average,
 }
 
 /// The choice.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Choice {
+pub enum Selection {
     /// This upstream.
-    Take(name::Instance),
+    Selected(name::Instance),
     /// None has room.
     Full {
         /// When one will.
@@ -84,56 +86,57 @@
         best: Option<name::Instance>,
     },
     /// There is none.
-    Nobody,
+    NoUpstream,
 }
 
 /// Preference among upstreams that may be taken: each class before the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Class {
-    Sound,
-    Sick,
+enum Condition {
+    Healthy,
+    Unhealthy,
     Stalled,
 }
 
 /// Chooses among the targets.
-pub fn choose(
+pub fn select(
     now: clock::Instant,
     targets: &BTreeMap<name::Instance, target::Target>,
-    want: Want<'_>,
-    bounds: Bounds<'_>,
-) -> Choice {
+    query: Query<'_>,
+    constraints: Constraints<'_>,
+) -> Selection {
     let fits = |(instance, target): &(&name::Instance, &target::Target)| {
-        target.pool == *want.pool
-            && target.model.as_ref() == want.model
-            && !want.excluded.contains(instance)
-            && !bounds.out.contains(&target.zone)
+        target.pool == *query.pool
+            && target.model.as_ref() == query.model
+            && !query.excluded.contains(instance)
+            && !constraints.excluded_zones.contains(&target.zone)
             && target.standing != view::Standing::Leaving
     };
     let open = |(_, target): &(&name::Instance, &target::Target)| {
         let silent = target.standing == view::Standing::Silent;
-        !target.health.is_away(now) && (!silent || target.health.answered_within(now, VOUCHED))
+        !target.health.is_backing_off(now)
+            && (!silent || target.health.has_responded_within(now, RECENT_RESPONSE_TIME))
     };
     let candidates: Vec<_> = targets.iter().filter(fits).collect();
     let usable: Vec<Candidate<'_>> = candidates
         .iter()
         .filter(|candidate| open(candidate))
-        .filter(|(_, target)| bears(now, target))
-        .map(|(instance, target)| Candidate::new(now, instance, target, want, bounds))
+        .filter(|(_, target)| is_within_rate(now, target))
+        .map(|(instance, target)| Candidate::new(now, instance, target, query, constraints))
         .collect();
-    let class = usable.iter().map(|candidate| candidate.class).min();
-    let wanted = usable.iter().filter(|candidate| Some(candidate.class) == class);
+    let class = usable.iter().map(|candidate| candidate.condition).min();
+    let wanted = usable.iter().filter(|candidate| Some(candidate.condition) == class);
     let free = wanted.clone().filter(|candidate| candidate.excess <= 0.0);
     let first = free.min_by(|left, right| left.score.total_cmp(&right.score));
     if let Some(candidate) = first {
-        return Choice::Take(candidate.instance.clone());
+        return Selection::Selected(candidate.instance.clone());
     }
     if candidates.is_empty() {
-        return Choice::Nobody;
+        return Selection::NoUpstream;
     }
     let best = wanted.min_by_key(|candidate| candidate.wait);
     let limited = candidates.iter().filter(|candidate| open(candidate));
-    let limited = limited.map(|(_, target)| target.wait(now)).min();
-    Choice::Full {
+    let limited = limited.map(|(_, target)| target.rate_limit_delay(now)).min();
+    Selection::Full {
         wait: best.map_or(limited.unwrap_or_default(), |candidate| candidate.wait),
         best: best.map(|candidate| candidate.instance.clone()),
     }
@@ -142,7 +145,7 @@
 /// An upstream that can be asked.
 struct Candidate<'a> {
     instance: &'a name::Instance,
-    class: Class,
+    condition: Condition,
     score: f64,
     /// Requests that it would have beyond what it may have.
     excess: f64,
@@ -155,40 +158,40 @@
         now: clock::Instant,
         instance: &'a name::Instance,
         target: &target::Target,
-        want: Want<'_>,
-        bounds: Bounds<'_>,
+        query: Query<'_>,
+        constraints: Constraints<'_>,
     ) -> Candidate<'a> {
-        let load = target.load.estimate(now, bounds.average);
-        let room = match want.standing {
-            Standing::InTime => 0.0,
-            Standing::Late => -target.limit.get() * RESERVED_FOR_ON_TIME,
-            Standing::Again => target.load.slots() * RETRY_OVERSHOOT,
+        let load = target.load.estimate(now, constraints.average);
+        let room = match query.priority {
+            Priority::OnTime => 0.0,
+            Priority::Late => -target.limit.get() * RESERVED_FOR_ON_TIME,
+            Priority::Retry => target.load.slots() * RETRY_OVERSHOOT,
         };
-        let doubt = target.load.deviation(now, bounds.average) * DOUBT;
+        let doubt = target.load.deviation(now, constraints.average) * UNCERTAINTY_FACTOR;
         let excess = load + 1.0 + doubt - target.limit.get() - room;
         Candidate {
             instance,
-            class: class(now, target),
-            score: score(now, target, load, want.zone, bounds),
+            condition: condition(now, target),
+            score: score(now, target, load, query.zone, constraints),
             excess,
-            wait: Duration::from_secs_f64(excess.max(0.0) / target.load.pace()),
+            wait: Duration::from_secs_f64(excess.max(0.0) / target.load.throughput()),
         }
     }
 }
 
 /// Whether the upstream bears another request now.
-fn bears(now: clock::Instant, target: &target::Target) -> bool {
-    let warm = target.cold_part.is_none_or(|part| target.recent.has_room(now, part));
-    warm && target.wait(now).is_zero()
+fn is_within_rate(now: clock::Instant, target: &target::Target) -> bool {
+    let warm = target.slow_start_share.is_none_or(|part| target.recent_sends.has_room(now, part));
+    warm && target.rate_limit_delay(now).is_zero()
 }
 
-fn class(now: clock::Instant, target: &target::Target) -> Class {
+fn condition(now: clock::Instant, target: &target::Target) -> Condition {
     if target.is_stalled(now) {
-        Class::Stalled
-    } else if target.suspected || target.health.is_sick(now) {
-        Class::Sick
+        Condition::Stalled
+    } else if target.suspected || target.health.is_outlier(now) {
+        Condition::Unhealthy
     } else {
-        Class::Sound
+        Condition::Healthy
     }
 }
 
@@ -198,10 +201,10 @@
     target: &target::Target,
     load: f64,
     zone: &name::Zone,
-    bounds: Bounds<'_>,
+    constraints: Constraints<'_>,
 ) -> f64 {
     let elsewhere = if target.zone == *zone { 0.0 } else { ZONE_PREFERENCE };
     // Who has several requests at each upstream knows all of them.
-    let unknown = (1.0 - target.load.freshness(now)) / (1.0 + bounds.average.own.plain_mean());
+    let unknown = (1.0 - target.load.freshness(now)) / (1.0 + constraints.average.own.mean());
     load / target.limit.get() + elsewhere + target.preference * unknown * AFFINITY
 }
--- a/crates/hyssopfork-gateway/src/cold.rs
+++ b/crates/hyssopfork-gateway/src/slow_start.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// The span that the rate is counted over.
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Requests in [`SPAN`] that the entry at `rank` of `entries` may send where `rate` may come of all.
-pub fn part(rate: f64, rank: usize, entries: usize) -> usize {
+pub fn entry_share(rate: f64, rank: usize, entries: usize) -> usize {
     let units = rate.max(0.0).floor() as usize;
     let entries = entries.max(1);
     units / entries + usize::from(rank < units % entries)
@@ -19,26 +19,26 @@
 
 /// Sends to one upstream in the last second.
 #[derive(Clone, Debug, Default)]
-pub struct Recent {
-    sends: VecDeque<clock::Instant>,
+pub struct Sends {
+    times: VecDeque<clock::Instant>,
 }
 
-impl Recent {
+impl Sends {
     /// Notes a send.
-    pub fn note(&mut self, now: clock::Instant) {
-        self.trim(now);
-        self.sends.push_back(now);
+    pub fn record(&mut self, now: clock::Instant) {
+        self.evict(now);
+        self.times.push_back(now);
     }
 
     /// Whether another send stays within this entry's `part`.
-    pub fn has_room(&self, now: clock::Instant, part: usize) -> bool {
-        let recent = self.sends.iter().filter(|sent| now.since(**sent) < SPAN).count();
-        recent < part
+    pub fn has_room(&self, now: clock::Instant, share: usize) -> bool {
+        let recent = self.times.iter().filter(|sent| now.since(**sent) < WINDOW).count();
+        recent < share
     }
 
-    fn trim(&mut self, now: clock::Instant) {
-        while self.sends.front().is_some_and(|sent| now.since(*sent) >= SPAN) {
-            self.sends.pop_front();
+    fn evict(&mut self, now: clock::Instant) {
+        while self.times.front().is_some_and(|sent| now.since(*sent) >= WINDOW) {
+            self.times.pop_front();
         }
     }
 }
--- a/crates/hyssopfork-gateway/tests/gateway/limit.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! How many requests an upstream may have.
 
-use hyssopfork_gateway::limit::Limit;
+use hyssopfork_gateway::concurrency_limit::Limit;
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
@@ -11,7 +11,7 @@
 fn late_answers_of_a_full_upstream_lower_it() {
     let mut limit = Limit::new(34);
 
-    (0..10).for_each(|_| limit.began(LATE, OBJECTIVE, 33.0));
+    (0..10).for_each(|_| limit.on_response(LATE, OBJECTIVE, 33.0));
 
     assert!(limit.get() < 20.0, "{}", limit.get());
 }
@@ -19,9 +19,9 @@
 #[test]
 fn answers_in_time_raise_it_again_to_a_little_over_the_slots() {
     let mut limit = Limit::new(34);
-    (0..10).for_each(|_| limit.began(LATE, OBJECTIVE, 33.0));
+    (0..10).for_each(|_| limit.on_response(LATE, OBJECTIVE, 33.0));
 
-    (0..200).for_each(|_| limit.began(SOON, OBJECTIVE, 10.0));
+    (0..200).for_each(|_| limit.on_response(SOON, OBJECTIVE, 10.0));
 
     assert!((37.0..38.0).contains(&limit.get()), "{}", limit.get());
 }
@@ -32,7 +32,7 @@
 fn a_late_answer_of_an_upstream_that_is_far_from_full_changes_nothing() {
     let mut limit = Limit::new(34);
 
-    limit.began(LATE, OBJECTIVE, 3.0);
+    limit.on_response(LATE, OBJECTIVE, 3.0);
 
     assert_eq!(limit.get(), 34.0);
 }
@@ -41,7 +41,7 @@
 fn some_requests_always_get_through() {
     let mut limit = Limit::new(2);
 
-    (0..100).for_each(|_| limit.began(LATE, OBJECTIVE, 9.0));
+    (0..100).for_each(|_| limit.on_response(LATE, OBJECTIVE, 9.0));
 
     assert!(limit.get() >= 1.0);
 }
--- a/crates/hyssopfork-gateway/tests/gateway/crash.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/crash.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 fn broken(number: u64) -> event::Event {
-    event::Event::Failed(number, event::Fault::Broken, None)
+    event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None)
 }
 
 #[test]
@@ -172,7 +172,7 @@
     let (number, _) = entry.sent("stream");
     entry.see(told("stream", Some(ROUND)));
 
-    let decision = entry.step(event::Event::Quiet(number)).expect("it is decided");
+    let decision = entry.step(event::Event::IdleTimeout(number)).expect("it is decided");
 
     assert_eq!(refused(&decision).reason, action::Reason::Failed);
 }
@@ -186,7 +186,10 @@
 
     let (number, tried) = entry.arrive(arrival("status"));
     let (_, meanwhile) = entry.arrive(arrival("status"));
-    entry.step(event::Event::Answered(number, event::Head { status: 200, load: None, rate: None }));
+    entry.step(event::Event::ResponseReceived(
+        number,
+        event::Head { status: 200, load: None, rate: None },
+    ));
     let (_, after) = entry.arrive(arrival("status"));
 
     started(&tried);
--- a/crates/hyssopfork-gateway/tests/gateway/fixture.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/fixture.rs
@@ -150,7 +150,7 @@
         key: Some("key".to_owned()),
         model: Some(name::Model::from("large")),
         last_event: None,
-        patience: Some(Duration::from_secs(6)),
+        timeout: Some(Duration::from_secs(6)),
     }
 }
 
@@ -219,7 +219,7 @@
 
     pub fn see(&mut self, update: view::Update) {
         let declaration = Some(Arc::new(declaration()));
-        self.step(event::Event::Viewed(Box::new(update), declaration));
+        self.step(event::Event::ViewUpdated(Box::new(update), declaration));
     }
 
     pub fn pass(&mut self, millis: u64) {
@@ -231,7 +231,7 @@
         for action in self.core.step(self.now, event) {
             match action {
                 action::Action::Decide(_, decided) => decision = Some(decided),
-                action::Action::Tell(evidence) => self.told.push(evidence),
+                action::Action::Report(evidence) => self.told.push(evidence),
                 action::Action::Probe(process, _) => self.probes.push(process),
                 action::Action::Notice(_) | action::Action::Measure(_) => {}
             }
@@ -269,8 +269,11 @@
     /// The first event of a stream comes, and is forwarded.
     pub fn begin(&mut self, number: u64) {
         let head = event::Head { status: 200, load: None, rate: None };
-        assert_eq!(self.step(event::Event::Headed(number, head)), Some(action::Decision::Forward));
-        self.step(event::Event::Moved(number, Some(1)));
+        assert_eq!(
+            self.step(event::Event::HeadReceived(number, head)),
+            Some(action::Decision::ForwardStream)
+        );
+        self.step(event::Event::EventsReceived(number, Some(1)));
     }
 }
 
@@ -281,12 +284,12 @@
     }
 }
 
-pub fn refused(decision: &action::Decision) -> action::Refusal {
+pub fn refused(decision: &action::Decision) -> action::Rejection {
     match decision {
-        action::Decision::Refuse(refusal) => *refusal,
+        action::Decision::Reject(refusal) => *refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
 /// Silence after which the tests ask what to do with a stream that had begun.
-pub const STALL_MS: u64 = target::STALL.as_millis() as u64;
+pub const STALL_MS: u64 = target::STREAM_STALL_TIMEOUT.as_millis() as u64;
--- a/crates/hyssopfork-gateway/tests/gateway/main.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/main.rs
@@ -1,18 +1,18 @@
 //! The entry's decisions, driven without network or clock.
 
-mod answer;
-mod budget;
-mod choice;
-mod cold;
+mod concurrency_limit;
 mod crash;
 mod fixture;
 mod health;
-mod holds;
-mod limit;
 mod moves;
 mod overload;
+mod queue;
 mod rate_limit;
-mod returns;
+mod response;
+mod retry_budget;
+mod retry_schedule;
+mod routing;
 mod scanner;
+mod selection;
 mod serve;
-mod table;
+mod slow_start;
--- a/crates/hyssopfork-gateway/tests/gateway/moves.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/moves.rs
@@ -9,24 +9,24 @@
 }
 
 fn moved(entry: &mut Entry, numbers: &[u64]) -> usize {
-    let decide = |number: &u64| entry.step(event::Event::Quiet(*number));
+    let decide = |number: &u64| entry.step(event::Event::IdleTimeout(*number));
     let decisions: Vec<_> = numbers.iter().map(decide).collect();
     decisions.iter().filter(|it| matches!(it, Some(action::Decision::Start(_)))).count()
 }
 
 #[test]
 fn moves_are_earned_by_answers() {
-    let mut allowance = moves::Allowance::default();
-    while allowance.has_room() {
-        allowance.spend();
+    let mut allowance = moves::Bucket::default();
+    while allowance.has_token() {
+        allowance.take_token();
     }
 
-    (0..9).for_each(|_| allowance.earn());
-    let early = allowance.has_room();
-    (0..2).for_each(|_| allowance.earn());
+    (0..9).for_each(|_| allowance.add_for_response());
+    let early = allowance.has_token();
+    (0..2).for_each(|_| allowance.add_for_response());
 
     assert!(!early);
-    assert!(allowance.has_room());
+    assert!(allowance.has_token());
 }
 
 /// Guards against an overload that keeps itself going: every request leaves its place in one queue for
--- a/crates/hyssopfork-gateway/tests/gateway/overload.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/overload.rs
@@ -81,11 +81,11 @@
         for group in groups.values_mut() {
             let (ended, begin) = group.pass(now);
             for (process, number) in ended {
-                entries[process].step(event::Event::Ended(number));
+                entries[process].step(event::Event::StreamCompleted(number));
             }
             for (process, number) in begin {
                 let head = event::Head { status: 200, load: Some(group.report()), rate: None };
-                entries[process].step(event::Event::Headed(number, head));
+                entries[process].step(event::Event::HeadReceived(number, head));
                 let first = now - arrived[&(process, number)];
                 if first <= 300 { seen.in_time += 1 } else { seen.late += 1 }
             }
@@ -102,7 +102,7 @@
                 let group = groups.entry(start.instance.clone()).or_default();
                 group.waiting.push_back((process, number));
             }
-            action::Decision::Refuse(refusal) => {
+            action::Decision::Reject(refusal) => {
                 seen.refused += 1;
                 seen.returns.extend(refusal.retry_after);
             }
@@ -192,7 +192,7 @@
     let sent: Vec<u64> = (0..2 * fixture::SLOTS).map(|_| entry.sent("stream").0).collect();
     entry.pass(2_000);
     for number in sent {
-        entry.step(event::Event::Gone(number));
+        entry.step(event::Event::ClientDisconnected(number));
     }
 
     let decisions = (0..2 * fixture::SLOTS).map(|_| entry.arrive(arrival("stream")).1);
@@ -212,7 +212,7 @@
         entry.sent("stream");
     }
 
-    let returning = Arrival { patience: Some(Duration::from_secs(2)), ..arrival("stream") };
+    let returning = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
     let (_, late) = entry.arrive(returning);
     let (_, in_time) = entry.arrive(arrival("stream"));
 
@@ -229,7 +229,7 @@
         entry.sent("stream");
     }
 
-    let impatient = Arrival { patience: Some(Duration::from_millis(3_400)), ..arrival("stream") };
+    let impatient = Arrival { timeout: Some(Duration::from_millis(3_400)), ..arrival("stream") };
     let (_, decision) = entry.arrive(impatient);
 
     fixture::started(&decision);
@@ -242,11 +242,11 @@
     let mut entry = Entry::ready();
     let report = load::Report { running: fixture::SLOTS, waiting: 8, slots: fixture::SLOTS };
     let (number, _) = entry.sent("stream");
-    entry.step(event::Event::Headed(
+    entry.step(event::Event::HeadReceived(
         number,
         event::Head { status: 200, load: Some(report), rate: None },
     ));
-    entry.step(event::Event::Ended(number));
+    entry.step(event::Event::StreamCompleted(number));
     let (_, full) = entry.arrive(arrival("stream"));
 
     entry.pass(5_000);
@@ -262,7 +262,7 @@
     let mut entry = Entry::ready();
     entry.sent("stream");
 
-    let returning = Arrival { patience: Some(Duration::from_secs(2)), ..arrival("stream") };
+    let returning = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
     let (_, late) = entry.arrive(returning);
 
     fixture::started(&late);
--- a/crates/hyssopfork-gateway/tests/gateway/holds.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/queue.rs
@@ -16,17 +16,17 @@
 }
 
 fn groups(update: view::Update) -> event::Event {
-    event::Event::Viewed(Box::new(update), Some(Arc::new(fixture::declaration())))
+    event::Event::ViewUpdated(Box::new(update), Some(Arc::new(fixture::declaration())))
 }
 
 /// A retry with two seconds left.
 fn returning() -> Arrival {
-    Arrival { patience: Some(Duration::from_secs(2)), ..arrival("stream") }
+    Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") }
 }
 
 fn held_for(decision: &action::Decision) -> Duration {
     match decision {
-        action::Decision::Hold(time) => *time,
+        action::Decision::Queue(time) => *time,
         other => panic!("not held: {other:?}"),
     }
 }
@@ -41,7 +41,7 @@
     entry.pass(500);
     let decision = entry.step(groups_serve()).expect("it is decided");
 
-    let left = started(&decision).limit.since(entry.now);
+    let left = started(&decision).deadline.since(entry.now);
     assert_eq!(left, Duration::from_millis(1_500));
 }
 
@@ -81,8 +81,10 @@
     let mut entry = Entry::blank();
     entry.arrive(returning());
 
-    let declared =
-        event::Event::Viewed(Box::new(without_groups()), Some(Arc::new(fixture::declaration())));
+    let declared = event::Event::ViewUpdated(
+        Box::new(without_groups()),
+        Some(Arc::new(fixture::declaration())),
+    );
     assert_eq!(entry.step(declared), None);
     let decision = entry.step(groups_serve()).expect("it is decided");
 
@@ -96,7 +98,7 @@
     entry.see(without_groups());
     let (number, _) = entry.arrive(returning());
 
-    let decision = entry.step(event::Event::Waited(number)).expect("it is decided");
+    let decision = entry.step(event::Event::QueueTimeout(number)).expect("it is decided");
 
     let refusal = refused(&decision);
     assert_eq!(refusal.reason, action::Reason::NoUpstream);
@@ -109,10 +111,10 @@
     let mut entry = Entry::blank();
     let (number, _) = entry.arrive(returning());
 
-    entry.step(event::Event::Gone(number));
+    entry.step(event::Event::ClientDisconnected(number));
 
     assert_eq!(entry.step(groups_serve()), None);
-    assert_eq!(entry.core.open(), 0);
+    assert_eq!(entry.core.open_requests(), 0);
 }
 
 /// Guards against a queue without bound.
@@ -122,7 +124,7 @@
 
     let decisions: Vec<_> = (0..1_000).map(|_| entry.arrive(returning()).1).collect();
 
-    let held = decisions.iter().filter(|it| matches!(it, action::Decision::Hold(_))).count();
+    let held = decisions.iter().filter(|it| matches!(it, action::Decision::Queue(_))).count();
     assert!(held < 200, "{held}");
     refused(decisions.last().expect("there are some"));
 }
@@ -141,7 +143,7 @@
     let (number, decision) = entry.arrive(unrouted());
 
     held_for(&decision);
-    let decision = entry.step(event::Event::Waited(number)).expect("it is decided");
+    let decision = entry.step(event::Event::QueueTimeout(number)).expect("it is decided");
     assert_eq!(refused(&decision).reason, action::Reason::NotReady);
     assert!(refused(&decision).retry_after.is_some());
 }
@@ -169,7 +171,7 @@
     entry.arrive(unrouted());
 
     let update = view::Update { declared: version, ..fixture::view() };
-    let seen = event::Event::Viewed(Box::new(update), None);
+    let seen = event::Event::ViewUpdated(Box::new(update), None);
     let decision = entry.step(seen).expect("it is decided");
 
     assert_eq!(refused(&decision).reason, action::Reason::NoRoute);
--- a/crates/hyssopfork-gateway/tests/gateway/rate_limit.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/rate_limit.rs
@@ -24,7 +24,7 @@
 /// An answer that names a rate, to the whole of a request.
 fn answer(entry: &mut Entry, number: u64, per_second: Option<f64>) {
     let head = event::Head { status: 200, load: None, rate: per_second.map(rate) };
-    entry.step(event::Event::Answered(number, head));
+    entry.step(event::Event::ResponseReceived(number, head));
 }
 
 /// Requests at each upstream by the tenth of a second in which they were sent, of entries that each get
@@ -37,7 +37,7 @@
                 let (number, decision) = entry.arrive(arrival("stream"));
                 if let action::Decision::Start(start) = decision {
                     sent.entry(start.instance.clone()).or_default().push(tenth);
-                    entry.step(event::Event::Gone(number));
+                    entry.step(event::Event::ClientDisconnected(number));
                 }
             }
             entry.pass(100);
@@ -169,8 +169,8 @@
 
         let sent: usize = limits.map(|mut limiter| {
             (0..100).take_while(|_| {
-                let room = limiter.wait(at(1_000)).is_zero();
-                limiter.note(at(1_000));
+                let room = limiter.delay(at(1_000)).is_zero();
+                limiter.record(at(1_000));
                 room
             }).count()
         }).sum();
@@ -211,7 +211,7 @@
     entry.sent("stream");
 
     let resumed = numbers.into_iter().filter(|number| {
-        let broken = event::Event::Failed(*number, event::Fault::Broken, None);
+        let broken = event::Event::AttemptFailed(*number, event::Fault::ConnectionLost, None);
         matches!(entry.step(broken), Some(action::Decision::Start(_)))
     });
 
--- a/crates/hyssopfork-gateway/tests/gateway/budget.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/retry_budget.rs
@@ -1,19 +1,20 @@
 //! How often work is sent again.
 
 use crate::fixture::at;
-use hyssopfork_gateway::budget::{Bound, Budget};
+use hyssopfork_gateway::retry_budget::{Budget, Policy};
 use std::time::Duration;
 
-const BOUND: Bound = Bound { ratio: 0.2, extra: 10.0, window: Duration::from_secs(10) };
+const BOUND: Policy =
+    Policy { retry_ratio: 0.2, retry_extra: 10.0, window: Duration::from_secs(10) };
 
 fn granted(budget: &mut Budget, millis: u64, asked: u32) -> usize {
-    (0..asked).filter(|_| budget.again(at(millis), BOUND)).count()
+    (0..asked).filter(|_| budget.try_retry(at(millis), BOUND)).count()
 }
 
 #[test]
 fn repeats_stay_below_a_share_of_the_requests_and_an_extra() {
     let mut budget = Budget::default();
-    (0..100).for_each(|_| budget.first(at(0), BOUND));
+    (0..100).for_each(|_| budget.count_request(at(0), BOUND));
 
     // 0.8 of 0.2 times 100 and 10.
     assert_eq!(granted(&mut budget, 10, 1_000), 24);
--- a/crates/hyssopfork-gateway/tests/gateway/table.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/routing.rs
@@ -1,7 +1,7 @@
 //! Where requests belong.
 
 use crate::fixture::{self, arrival};
-use hyssopfork_gateway::table::{self, Error, Table};
+use hyssopfork_gateway::routing::{self, Error, Table};
 use hyssopfork_wire::name;
 use std::sync::Arc;
 
@@ -52,7 +52,7 @@
     let mut route = fixture::declaration().routes[0].clone();
     route.targets = vec![(name::Pool::from("a"), 90), (name::Pool::from("b"), 10)];
 
-    let taken = |draw| table::split(&route, draw).map(name::Pool::as_str);
+    let taken = |draw| routing::pick_pool(&route, draw).map(name::Pool::as_str);
 
     assert_eq!(taken(0.0), Some("a"));
     assert_eq!(taken(0.89), Some("a"));
@@ -64,5 +64,5 @@
     let mut route = fixture::declaration().routes[0].clone();
     route.targets = vec![(name::Pool::from("a"), 0), (name::Pool::from("b"), 1)];
 
-    assert_eq!(table::split(&route, 0.0).map(name::Pool::as_str), Some("b"));
+    assert_eq!(routing::pick_pool(&route, 0.0).map(name::Pool::as_str), Some("b"));
 }
--- a/crates/hyssopfork-gateway/tests/gateway/scanner.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/scanner.rs
@@ -11,17 +11,17 @@
 fn the_beginning_of_an_event_waits_for_its_rest() {
     let mut scanner = Scanner::new(None);
     assert_eq!(scanner.feed(b"id: 1\ndata: a\n\nid: 2\nda"), Ok("id: 1\ndata: a\n\n".into()));
-    assert!(!scanner.is_clean());
+    assert!(!scanner.is_at_event_boundary());
 
     assert_eq!(scanner.feed(b"ta: b\n\n"), Ok("id: 2\ndata: b\n\n".into()));
-    assert_eq!(scanner.last(), Some(2));
+    assert_eq!(scanner.last_event(), Some(2));
 }
 
 #[test]
 fn an_event_that_does_not_follow_is_refused() {
     let mut scanner = Scanner::new(Some(4));
 
-    assert_eq!(scanner.feed(event(6).as_bytes()), Err(OutOfOrder { came: 6, last: 4 }));
+    assert_eq!(scanner.feed(event(6).as_bytes()), Err(OutOfOrder { received: 6, previous: 4 }));
 }
 
 #[test]
@@ -51,8 +51,8 @@
             rest = left;
         }
         prop_assert_eq!(out, whole.into_bytes());
-        prop_assert!(scanner.is_clean());
-        prop_assert_eq!(scanner.last(), Some(count));
+        prop_assert!(scanner.is_at_event_boundary());
+        prop_assert_eq!(scanner.last_event(), Some(count));
     }
 
     #[test]
--- a/crates/hyssopfork-gateway/tests/gateway/choice.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/selection.rs
@@ -43,7 +43,7 @@
 fn an_upstream_that_cannot_be_reached_is_left_alone_for_a_while() {
     let mut entry = Entry::ready();
     let (number, first) = entry.sent("status");
-    entry.step(event::Event::Failed(number, event::Fault::Unreachable, None));
+    entry.step(event::Event::AttemptFailed(number, event::Fault::Unreachable, None));
 
     for _ in 0..4 {
         let (_, instance) = entry.sent("status");
@@ -77,7 +77,10 @@
     for _ in 0..4 {
         let (number, instance) = entry.sent("submit");
         let status = if instance == fixture::instance("p1") { 500 } else { 200 };
-        entry.step(event::Event::Answered(number, event::Head { status, load: None, rate: None }));
+        entry.step(event::Event::ResponseReceived(
+            number,
+            event::Head { status, load: None, rate: None },
+        ));
     }
 
     for _ in 0..4 {
--- a/crates/hyssopfork-gateway/tests/gateway/serve.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/serve.rs
@@ -15,8 +15,8 @@
     let mut entry = Entry::blank();
 
     let (number, decision) = entry.arrive(arrival("status"));
-    assert!(matches!(decision, action::Decision::Hold(_)), "{decision:?}");
-    let decision = entry.step(event::Event::Waited(number)).expect("it is decided");
+    assert!(matches!(decision, action::Decision::Queue(_)), "{decision:?}");
+    let decision = entry.step(event::Event::QueueTimeout(number)).expect("it is decided");
 
     let refusal = refused(&decision);
     assert_eq!(refusal.reason, action::Reason::NotReady);
@@ -33,7 +33,7 @@
     let (_, stranger) = entry.arrive(stranger);
 
     assert_eq!(refused(&nowhere).reason, action::Reason::NoRoute);
-    assert_eq!(refused(&stranger).reason, action::Reason::NoKey);
+    assert_eq!(refused(&stranger).reason, action::Reason::Unauthorized);
 }
 
 #[test]
@@ -44,11 +44,11 @@
     declaration.version = 2;
     declaration.teams[0].keys.clear();
     let told = Some(std::sync::Arc::new(declaration));
-    entry.step(event::Event::Viewed(Box::new(fixture::view()), told));
+    entry.step(event::Event::ViewUpdated(Box::new(fixture::view()), told));
 
     let (_, decision) = entry.arrive(arrival("status"));
 
-    assert_eq!(refused(&decision).reason, action::Reason::NoKey);
+    assert_eq!(refused(&decision).reason, action::Reason::Unauthorized);
 }
 
 /// An upstream takes a lodgement and breaks off. It may have run: another upstream must not get it,
@@ -58,7 +58,8 @@
     let mut entry = Entry::ready();
     let (number, _) = entry.sent("submit");
 
-    let decision = entry.step(event::Event::Failed(number, event::Fault::Broken, None));
+    let decision =
+        entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
     assert_eq!(refused(&decision.expect("decided")).reason, action::Reason::Failed);
 }
@@ -68,7 +69,7 @@
     let mut entry = Entry::ready();
     let (number, first) = entry.sent("submit");
 
-    let decision = entry.step(event::Event::Failed(number, event::Fault::NotRun, None));
+    let decision = entry.step(event::Event::AttemptFailed(number, event::Fault::NotRun, None));
 
     assert_ne!(started(&decision.expect("decided")).instance, first);
 }
@@ -80,8 +81,8 @@
     let (_, once) = entry.arrive(arrival("submit"));
     let (_, many) = entry.arrive(arrival("status"));
 
-    assert!(started(&once).fresh);
-    assert!(!started(&many).fresh);
+    assert!(started(&once).new_connection);
+    assert!(!started(&many).new_connection);
 }
 
 /// An upstream fails a status check with its own error. Another is asked, and the caller gets the
@@ -91,11 +92,11 @@
     let mut entry = Entry::ready();
     let (number, first) = entry.sent("status");
 
-    let again = entry.step(event::Event::Answered(number, head(500))).expect("decided");
+    let again = entry.step(event::Event::ResponseReceived(number, head(500))).expect("decided");
     assert_ne!(started(&again).instance, first);
-    let last = entry.step(event::Event::Answered(number, head(500)));
+    let last = entry.step(event::Event::ResponseReceived(number, head(500)));
 
-    assert_eq!(last, Some(action::Decision::Deliver));
+    assert_eq!(last, Some(action::Decision::ForwardResponse));
 }
 
 /// An upstream answers a lodgement with 503 and does not say that it has not run it. Passed on, that
@@ -105,7 +106,7 @@
     let mut entry = Entry::ready();
     let (number, _) = entry.sent("submit");
 
-    let decision = entry.step(event::Event::Answered(number, head(503))).expect("decided");
+    let decision = entry.step(event::Event::ResponseReceived(number, head(503))).expect("decided");
 
     assert_eq!(refused(&decision).reason, action::Reason::Failed);
 }
@@ -117,9 +118,10 @@
     let mut entry = Entry::ready();
     let (number, first) = entry.sent("stream");
     entry.begin(number);
-    entry.step(event::Event::Moved(number, Some(7)));
+    entry.step(event::Event::EventsReceived(number, Some(7)));
 
-    let decision = entry.step(event::Event::Failed(number, event::Fault::Broken, None));
+    let decision =
+        entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
     let decision = decision.expect("decided");
     assert_ne!(started(&decision).instance, first);
@@ -131,11 +133,12 @@
     let mut entry = Entry::ready();
     let (number, _) = entry.sent("stream");
     entry.begin(number);
-    entry.step(event::Event::Failed(number, event::Fault::Broken, None));
+    entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
-    let decision = entry.step(event::Event::Failed(number, event::Fault::Broken, None));
+    let decision =
+        entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
-    assert_eq!(decision, Some(action::Decision::Cut));
+    assert_eq!(decision, Some(action::Decision::Abort));
 }
 
 /// What should go on a stream is an error page; the caller already has the first half of a stream.
@@ -144,11 +147,11 @@
     let mut entry = Entry::ready();
     let (number, _) = entry.sent("stream");
     entry.begin(number);
-    entry.step(event::Event::Failed(number, event::Fault::Broken, None));
+    entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
-    let decision = entry.step(event::Event::Answered(number, head(200)));
+    let decision = entry.step(event::Event::ResponseReceived(number, head(200)));
 
-    assert_eq!(decision, Some(action::Decision::Cut));
+    assert_eq!(decision, Some(action::Decision::Abort));
 }
 
 /// A member of a group went dark: its streams stand still, no connection breaks. They go on at the
@@ -160,7 +163,7 @@
     entry.begin(number);
     entry.pass(fixture::STALL_MS);
 
-    let decision = entry.step(event::Event::Quiet(number)).expect("decided");
+    let decision = entry.step(event::Event::IdleTimeout(number)).expect("decided");
 
     assert_ne!(started(&decision).instance, first);
     assert!(entry.told.iter().any(|told| told.stalled.contains(&first)));
@@ -175,7 +178,7 @@
     entry.begin(number);
     entry.pass(320);
 
-    let decision = entry.step(event::Event::Quiet(number));
+    let decision = entry.step(event::Event::IdleTimeout(number));
 
     assert!(matches!(decision, Some(action::Decision::Wait(_))));
     assert!(entry.told.iter().any(|told| told.stalled.contains(&first)));
@@ -202,7 +205,7 @@
     entry.pass(160);
     entry.see(told_of_group(&first, true));
 
-    let decision = entry.step(event::Event::Quiet(number)).expect("decided");
+    let decision = entry.step(event::Event::IdleTimeout(number)).expect("decided");
 
     assert_ne!(started(&decision).instance, first);
 }
@@ -217,7 +220,7 @@
     entry.pass(160);
     entry.see(told_of_group(&first, false));
 
-    let decision = entry.step(event::Event::Quiet(number));
+    let decision = entry.step(event::Event::IdleTimeout(number));
 
     assert!(matches!(decision, Some(action::Decision::Wait(_))));
 }
@@ -236,9 +239,9 @@
     };
     entry.begin(other);
     entry.pass(fixture::STALL_MS);
-    entry.step(event::Event::Moved(other, Some(2)));
+    entry.step(event::Event::EventsReceived(other, Some(2)));
 
-    let decision = entry.step(event::Event::Quiet(slow));
+    let decision = entry.step(event::Event::IdleTimeout(slow));
 
     assert!(matches!(decision, Some(action::Decision::Wait(_))));
 }
@@ -249,7 +252,7 @@
     let (number, _) = entry.sent("submit");
     entry.pass(2_000);
 
-    let decision = entry.step(event::Event::Quiet(number));
+    let decision = entry.step(event::Event::IdleTimeout(number));
 
     assert!(matches!(decision, Some(action::Decision::Wait(_))));
 }
@@ -260,7 +263,7 @@
     let (number, _) = entry.sent("submit");
     entry.pass(4_000);
 
-    let decision = entry.step(event::Event::Expired(number)).expect("decided");
+    let decision = entry.step(event::Event::DeadlineExceeded(number)).expect("decided");
 
     let refusal = refused(&decision);
     assert_eq!((refusal.reason, refusal.retry_after), (action::Reason::TimedOut, None));
@@ -270,13 +273,13 @@
 fn the_shorter_of_the_callers_and_the_routes_time_counts() {
     let mut entry = Entry::ready();
     let mut hurried = arrival("status");
-    hurried.patience = Some(Duration::from_millis(700));
+    hurried.timeout = Some(Duration::from_millis(700));
 
     let (_, hurried) = entry.arrive(hurried);
     let (_, patient) = entry.arrive(arrival("status"));
 
-    assert_eq!(started(&hurried).limit, entry.now + Duration::from_millis(700));
-    assert_eq!(started(&patient).limit, entry.now + Duration::from_secs(4));
+    assert_eq!(started(&hurried).deadline, entry.now + Duration::from_millis(700));
+    assert_eq!(started(&patient).deadline, entry.now + Duration::from_secs(4));
 }
 
 #[test]
@@ -296,10 +299,10 @@
 }
 
 /// The refusal of a request that is held first and finds nobody until its wait is over.
-fn refused_after_a_wait(entry: &mut Entry, route: &str) -> action::Refusal {
+fn refused_after_a_wait(entry: &mut Entry, route: &str) -> action::Rejection {
     let (number, decision) = entry.arrive(arrival(route));
-    assert!(matches!(decision, action::Decision::Hold(_)), "{decision:?}");
-    refused(&entry.step(event::Event::Waited(number)).expect("it is decided"))
+    assert!(matches!(decision, action::Decision::Queue(_)), "{decision:?}");
+    refused(&entry.step(event::Event::QueueTimeout(number)).expect("it is decided"))
 }
 
 #[test]
@@ -330,7 +333,7 @@
     let mut entry = Entry::ready();
     let (number, _) = entry.sent("stream");
 
-    entry.step(event::Event::Gone(number));
+    entry.step(event::Event::ClientDisconnected(number));
 
-    assert_eq!(entry.core.open(), 0);
+    assert_eq!(entry.core.open_requests(), 0);
 }
--- a/crates/hyssopfork-gateway/tests/gateway/cold.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/slow_start.rs
@@ -1,16 +1,16 @@
 //! Slow start of an upstream behind many entries.
 
 use crate::fixture::{self, Entry, arrival, at};
-use hyssopfork_gateway::{action, cold, rendezvous};
+use hyssopfork_gateway::{action, rendezvous, slow_start};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[test]
 fn an_entry_sends_its_part_of_any_second() {
-    let mut recent = cold::Recent::default();
+    let mut recent = slow_start::Sends::default();
     for millis in [0, 100, 200] {
         assert!(recent.has_room(at(millis), 3));
-        recent.note(at(millis));
+        recent.record(at(millis));
     }
 
     assert!(!recent.has_room(at(900), 3));
@@ -20,7 +20,7 @@
 #[test]
 fn parts_add_up_to_the_rate() {
     for entries in [1, 4, 7, 15, 16, 39, 380] {
-        let parts = (0..entries).map(|rank| cold::part(15.7, rank, entries));
+        let parts = (0..entries).map(|rank| slow_start::entry_share(15.7, rank, entries));
 
         assert_eq!(parts.sum::<usize>(), 15, "{entries} entries");
     }
