--- a/crates/hyssopfork-gateway/src/core/queue.rs
+++ b/crates/hyssopfork-gateway/src/core/queue.rs
@@ -7,32 +7,34 @@
 use std::mem;
 use std::time::Duration;
 
-/// Longest wait at a process that holds no current declaration. Clients whose streams broke retry
-/// shortly after all processes were killed, and most of them only once.
+/// Longest wait at a process without a current declaration. Clients whose streams were aborted
+/// retry shortly after all processes have been killed, and most of them only once.
 const NO_DECLARATION_QUEUE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Longest wait while no upstream of the pool and model serves: a lost group is replaced within it.
 const NO_UPSTREAM_QUEUE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Part of a request's remaining time that it waits at most.
+/// Divisor of a request's remaining time: it waits at most that long.
 const QUEUE_TIMEOUT_DIVISOR: u32 = 4;
 
-/// Most requests in the queue. More would fill the upstreams once these are back, and be rejected late.
+/// Most requests in the queue. More would fill the upstreams once these are available again, and be
+/// rejected late.
 const MAX_QUEUED_REQUESTS: usize = 128;
 
-/// Requests that are held, by number.
+/// Queued requests, by number.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     entries: BTreeMap<u64, Entry>,
-    /// The request that is tried again just now. Its conversation waits already: told to wait once
-    /// more, it would miss the decision that follows.
+    /// The request whose dispatch is being retried. Its connection is waiting already: a second
+    /// decision to wait would make it miss the decision that follows.
     retrying: Option<u64>,
 }
 
+/// A queued request.
 #[derive(Debug)]
 struct Entry {
     since: clock::Instant,
-    /// What arrived, where no declaration has said yet what it is.
+    /// The arrival, if no declaration was available to match it.
     arrival: Option<Box<arrival::Arrival>>,
 }
 
@@ -41,14 +43,14 @@
         self.entries.remove(&number);
     }
 
-    /// Whether the request leaves the queue just now.
+    /// Whether the dispatch of the request is being retried.
     pub(super) fn is_retrying(&self, number: u64) -> bool {
         self.retrying == Some(number)
     }
 }
 
 impl Core {
-    /// Holds an arrival until the declaration is known; gives it back when too many are held.
+    /// Queues an arrival until the declaration is known; returns it if the queue is full.
     pub(super) fn enqueue_arrival(
         &mut self,
         number: u64,
@@ -57,17 +59,17 @@
         if self.queue.entries.len() >= MAX_QUEUED_REQUESTS {
             return Some(arrival);
         }
-        let left = arrival
+        let max_timeout = arrival
             .timeout
-            .map_or(NO_DECLARATION_QUEUE_TIMEOUT, |patience| patience / QUEUE_TIMEOUT_DIVISOR);
-        let time = NO_DECLARATION_QUEUE_TIMEOUT.min(left);
+            .map_or(NO_DECLARATION_QUEUE_TIMEOUT, |timeout| timeout / QUEUE_TIMEOUT_DIVISOR);
+        let timeout = NO_DECLARATION_QUEUE_TIMEOUT.min(max_timeout);
         let identifier = arrival.identifier.clone();
-        self.enqueue(number, time, Some(Box::new(arrival)));
-        self.log(notice::Notice::Held { identifier, time });
+        self.enqueue(number, timeout, Some(Box::new(arrival)));
+        self.log(notice::Notice::Held { identifier, timeout });
         None
     }
 
-    /// Queues a request without a serving upstream, once; whether it is queued.
+    /// Queues a request without a serving upstream, once; returns whether it was queued.
     pub(super) fn enqueue_request(&mut self, number: u64) -> bool {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&number) else { return false };
@@ -77,58 +79,59 @@
         {
             return false;
         }
-        let time =
+        let timeout =
             NO_UPSTREAM_QUEUE_TIMEOUT.min(now.until(request.deadline) / QUEUE_TIMEOUT_DIVISOR);
         let identifier = request.identifier.clone();
         request.was_queued = true;
-        self.enqueue(number, time, None);
-        self.log(notice::Notice::Held { identifier, time });
+        self.enqueue(number, timeout, None);
+        self.log(notice::Notice::Held { identifier, timeout });
         true
     }
 
-    fn enqueue(&mut self, number: u64, time: Duration, arrival: Option<Box<arrival::Arrival>>) {
+    fn enqueue(&mut self, number: u64, timeout: Duration, arrival: Option<Box<arrival::Arrival>>) {
         self.queue.entries.insert(number, Entry { since: self.now, arrival });
         if self.queue.retrying != Some(number) {
-            self.decide(number, action::Decision::Queue(time));
+            self.decide(number, action::Decision::Queue(timeout));
         }
     }
 
-    /// Tries again for those who are held: the fleet's view has changed.
+    /// Retries the queued requests after a change of the fleet's view.
     pub(super) fn retry_queued(&mut self) {
-        for (number, hold) in mem::take(&mut self.queue.entries) {
+        for (number, entry) in mem::take(&mut self.queue.entries) {
             self.queue.retrying = Some(number);
-            match hold.arrival {
+            match entry.arrival {
                 Some(arrival) if self.table.is_some() => {
-                    self.on_arrival(number, after_waiting(*arrival, self.now.since(hold.since)));
+                    self.on_arrival(number, after_waiting(*arrival, self.now.since(entry.since)));
                 }
                 None if self.has_room(number) => self.dispatch(number, false),
-                arrival => drop(self.queue.entries.insert(number, Entry { arrival, ..hold })),
+                arrival => drop(self.queue.entries.insert(number, Entry { arrival, ..entry })),
             }
         }
         self.queue.retrying = None;
     }
 
-    /// Rejects a request whose wait has ended.
+    /// Handles the end of a request's wait.
     pub(super) fn on_queue_timeout(&mut self, number: u64) {
-        let Some(hold) = self.queue.entries.remove(&number) else { return };
-        match hold.arrival {
+        let Some(entry) = self.queue.entries.remove(&number) else { return };
+        match entry.arrival {
             Some(arrival) => self.reject_not_ready(number, arrival.identifier),
             None => self.dispatch(number, false),
         }
     }
 
-    /// Whether a queued request can be sent now. After a restart the groups appear one after the other,
-    /// and the first of them has no room for all that wait.
+    /// Whether a queued request can be sent now. After a restart the groups appear one after the
+    /// other, and the first of them doesn't have capacity for all queued requests.
     fn has_room(&self, number: u64) -> bool {
         let Some(request) = self.requests.get(&number) else { return true };
-        let bounds = self.constraints(request);
-        let chosen = selection::select(self.now, &self.targets, self.query(request, false), bounds);
-        matches!(chosen, selection::Selection::Selected(_))
+        let constraints = self.constraints(request);
+        let selected =
+            selection::select(self.now, &self.targets, self.query(request, false), constraints);
+        matches!(selected, selection::Selection::Selected(_))
     }
 }
 
-/// The arrival after it has spent so much of its time.
+/// The arrival after `time` of its timeout has passed.
 fn after_waiting(arrival: arrival::Arrival, time: Duration) -> arrival::Arrival {
-    let patience = arrival.timeout.map(|patience| patience.saturating_sub(time));
-    arrival::Arrival { timeout: patience, ..arrival }
+    let timeout = arrival.timeout.map(|timeout| timeout.saturating_sub(time));
+    arrival::Arrival { timeout, ..arrival }
 }
--- a/crates/hyssopfork-gateway/src/notice.rs
+++ b/crates/hyssopfork-gateway/src/notice.rs
@@ -1,4 +1,4 @@
-//! Numbered events of an entry that sends straight to upstreams, 5200 to 5399.
+//! Numbered log events of an entry, 5200 to 5399.
 
 use crate::{action, event};
 use hyssopfork_fleet::{quarantine, rate};
@@ -14,140 +14,140 @@
     doc = "Kind of a notice."
 )]
 pub enum Notice {
-    /// The declaration that this entry acts on.
+    /// A declaration has come into force at this entry.
     InForce(u64),
     /// A request was sent to an upstream.
     Sent {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
         /// Route.
         route: name::Route,
         /// Upstream.
         instance: name::Instance,
-        /// Which attempt this is.
+        /// Number of the attempt.
         attempt: u32,
-        /// Requests that the upstream was believed to have, and its limit.
+        /// Estimated requests at the upstream, and its limit.
         load: (f64, f64),
-        /// Age of its last report.
+        /// Age of the upstream's last report.
         report_age: Option<Duration>,
         /// Time since arrival.
         after: Duration,
-        /// Time until the request's time is over.
+        /// Time until the deadline.
         left: Duration,
     },
-    /// No upstream has room for a request, which is refused with the next line.
+    /// No upstream has capacity for a request. The rejection is logged next.
     Full {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
-        /// Upstream that came closest; `None` where none could be asked at all.
+        /// Upstream that is closest to having capacity; `None` if none is available.
         best: Option<name::Instance>,
-        /// Requests that it was believed to have, and its limit.
+        /// Estimated requests at that upstream, and its limit.
         load: Option<(f64, f64)>,
-        /// Age of its last report.
+        /// Age of that upstream's last report.
         report_age: Option<Duration>,
     },
-    /// A request is queued until an upstream is available.
+    /// A request was queued until an upstream is available.
     Held {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
-        /// For how long at most.
-        time: Duration,
+        /// Longest time in the queue.
+        timeout: Duration,
     },
     /// An attempt failed.
     Failed {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
         /// Upstream.
         instance: name::Instance,
-        /// Why.
+        /// Reason.
         fault: event::Fault,
-        /// Time since the attempt began.
+        /// Time since the attempt started.
         after: Duration,
-        /// Fingerprint of the request, where the connection broke off.
+        /// Fingerprint of the request, if the connection was lost.
         fingerprint: Option<quarantine::Fingerprint>,
     },
-    /// A request was taken away from an upstream that stands still.
+    /// A request moved away from a stalled upstream.
     Moved {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
         /// Upstream.
         instance: name::Instance,
-        /// Silence of the request, and of all requests there.
+        /// Time without bytes for the request, and for all requests of the upstream.
         silence: (Duration, Duration),
     },
-    /// A request was refused.
+    /// A request was rejected.
     Refused {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
-        /// Why.
+        /// Reason.
         reason: action::Reason,
-        /// When to come back.
+        /// Time after which the client should retry.
         retry_after: Option<Duration>,
-        /// Attempts made.
+        /// Number of attempts.
         attempts: u32,
         /// Time since arrival.
         after: Duration,
     },
-    /// An answer was broken off.
+    /// A response was aborted.
     Cut {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
-        /// Why it could not go on.
+        /// Reason.
         reason: action::Reason,
-        /// Attempts made.
+        /// Number of attempts.
         attempts: u32,
         /// Time since arrival.
         after: Duration,
     },
-    /// A request was answered.
+    /// A request was completed.
     Answered {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
         /// Status code.
         status: u16,
-        /// Attempts made.
+        /// Number of attempts.
         attempts: u32,
         /// Time to the first bytes.
         first: Duration,
-        /// Time to the last.
+        /// Time to the last bytes.
         after: Duration,
     },
-    /// The caller went away.
+    /// The client disconnected.
     Gone {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
         /// Time since arrival.
         after: Duration,
     },
-    /// An upstream's process ended while requests ran there.
+    /// An upstream's process ended with requests in flight.
     Crashed {
         /// Upstream.
         instance: name::Instance,
-        /// Requests of this entry that broke off.
+        /// Requests of this entry whose connection was lost.
         requests: usize,
     },
     /// A quarantined request is sent as a trial, to learn whether it still crashes upstreams.
     Trial {
-        /// The caller's identifier.
+        /// Identifier that the client assigned.
         identifier: String,
         /// Fingerprint of the request.
         fingerprint: quarantine::Fingerprint,
     },
-    /// An upstream names another rate than before, or none any more.
+    /// An upstream names a different rate limit than before, or none any more.
     RateNamed {
         /// Upstream.
         instance: name::Instance,
-        /// The rate.
+        /// The rate limit.
         rate: Option<rate::Rate>,
     },
-    /// Everything stands still on an upstream.
+    /// An upstream is stalled: no stream receives bytes.
     Stalled(name::Instance, Duration),
-    /// The entry takes no new connections.
+    /// The entry accepts no new connections.
     Leaving(usize),
 }
 
 impl Notice {
-    /// Number in the catalogue of events.
+    /// Number in the event catalogue.
     pub const fn number(&self) -> u16 {
         match self {
             Notice::InForce(..) => 5200,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Severity.
     pub const fn level(&self) -> level::Level {
         match self {
             Notice::Cut { .. } | Notice::Crashed { .. } | Notice::Stalled(..) => level::Level::Warn,
@@ -176,12 +176,12 @@
         }
     }
 
-    /// Name in the catalogue of events.
+    /// Name in the event catalogue.
     pub fn name(&self) -> String {
         format!("{:?}", Kind::from(self))
     }
 
-    /// The request that it is about.
+    /// The request that the event concerns.
     pub fn request(&self) -> Option<&str> {
         match self {
             Notice::Sent { identifier, .. }
@@ -206,7 +206,7 @@
 impl fmt::Display for Notice {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::InForce(version) => write!(formatter, "acts on declaration {version}"),
+            Notice::InForce(version) => write!(formatter, "declaration {version} is in force"),
             Notice::Sent { route, instance, attempt, load, report_age, after, left, .. } => write!(
                 formatter,
                 "sent to {instance} as attempt {attempt} route={route} load={:.1} limit={:.1} report_age_ms={} after_ms={} left_ms={}",
@@ -218,17 +218,21 @@
             ),
             Notice::Full { best: Some(best), load: Some(load), report_age, .. } => write!(
                 formatter,
-                "no room: {best} comes closest load={:.1} limit={:.1} report_age_ms={}",
+                "no capacity: {best} is closest load={:.1} limit={:.1} report_age_ms={}",
                 load.0,
                 load.1,
                 millis(*report_age)
             ),
             Notice::Full { .. } => write!(
                 formatter,
-                "no room: no upstream can be asked now (cold, silent or out of reach)"
+                "no capacity: no upstream is available (cold, silent or unreachable)"
             ),
-            Notice::Held { time, .. } => {
-                write!(formatter, "held until somebody serves it, for_ms={}", time.as_millis())
+            Notice::Held { timeout, .. } => {
+                write!(
+                    formatter,
+                    "queued until an upstream is available, for_ms={}",
+                    timeout.as_millis()
+                )
             }
             Notice::Failed { instance, fault, after, fingerprint, .. } => {
                 let after = after.as_millis();
@@ -239,23 +243,26 @@
                 }
             }
             Notice::Crashed { instance, requests } => {
-                write!(formatter, "{instance} ended while it ran {requests} requests of this entry")
+                write!(
+                    formatter,
+                    "{instance} crashed with {requests} requests of this entry in flight"
+                )
             }
             Notice::Moved { instance, silence, .. } => write!(
                 formatter,
-                "taken away from {instance}: silent_ms={} all_silent_ms={}",
+                "moved away from {instance}: silent_ms={} all_silent_ms={}",
                 silence.0.as_millis(),
                 silence.1.as_millis()
             ),
             Notice::Refused { reason, retry_after, attempts, after, .. } => write!(
                 formatter,
-                "refused: {reason} attempts={attempts} retry_after_ms={} after_ms={}",
+                "rejected: {reason} attempts={attempts} retry_after_ms={} after_ms={}",
                 millis(*retry_after),
                 after.as_millis()
             ),
             Notice::Cut { reason, attempts, after, .. } => write!(
                 formatter,
-                "answer broken off: {reason} attempts={attempts} after_ms={}",
+                "response aborted: {reason} attempts={attempts} after_ms={}",
                 after.as_millis()
             ),
             Notice::Answered { status, attempts, first, after, .. } => write!(
@@ -265,26 +272,25 @@
                 after.as_millis()
             ),
             Notice::Gone { after, .. } => {
-                write!(formatter, "the caller went away after_ms={}", after.as_millis())
+                write!(formatter, "client disconnected after_ms={}", after.as_millis())
             }
             Notice::RateNamed { instance, rate: Some(rate) } => {
-                write!(formatter, "{instance} takes {rate} requests a second of all entries")
+                write!(
+                    formatter,
+                    "{instance} limits all entries together to {rate} requests per second"
+                )
             }
             Notice::RateNamed { instance, rate: None } => {
-                write!(formatter, "{instance} names no rate limit any more")
+                write!(formatter, "{instance} no longer names a rate limit")
             }
             Notice::Trial { fingerprint, .. } => {
-                write!(formatter, "quarantined, and sent as a trial fingerprint={fingerprint}")
+                write!(formatter, "quarantined request sent as a trial fingerprint={fingerprint}")
             }
             Notice::Stalled(instance, silence) => {
-                write!(
-                    formatter,
-                    "everything stands still on {instance} for_ms={}",
-                    silence.as_millis()
-                )
+                write!(formatter, "{instance} is stalled for_ms={}", silence.as_millis())
             }
             Notice::Leaving(open) => {
-                write!(formatter, "takes no new connections; {open} requests are open")
+                write!(formatter, "accepts no new connections; {open} requests are open")
             }
         }
     }
