--- a/crates/hyssopfork-gateway/src/core.rs
+++ b/crates/hyssopfork-gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! The step function: events in, actions out.
+//! The entry as a step function: events in, actions out.
 
 mod completion;
 mod crash;
@@ -21,7 +21,8 @@
 use std::net;
 use std::time::Duration;
 
-/// Age up to which the leader is told when bytes last came of an upstream; it judges by the age.
+/// Time for which the leader is told when bytes last arrived from an upstream; it judges the
+/// upstream by that age.
 const ACTIVITY_REPORT_TIME: Duration = Duration::from_secs(2);
 
 /// The entry.
@@ -29,9 +30,9 @@
 pub struct Core {
     settings: settings::Settings,
     table: Option<routing::Table>,
-    /// Version of the newest declaration that was accepted, as far as is known.
+    /// Version of the newest accepted declaration that is known.
     newest_version: u64,
-    /// When the last view came.
+    /// When the last view arrived.
     viewed_at: clock::Instant,
     excluded_zones: BTreeSet<name::Zone>,
     /// Entries that share the fleet's limits.
@@ -43,14 +44,14 @@
     targets: BTreeMap<name::Instance, target::Target>,
     retry_budgets: BTreeMap<name::Pool, retry_budget::Budget>,
     move_buckets: BTreeMap<name::Pool, moves::Bucket>,
-    /// This process's requests beside others', for each pool and model.
+    /// Average load of this process and of others, for each pool and model.
     baselines: BTreeMap<(name::Pool, Option<name::Model>), load::Baseline>,
     retry_schedules: BTreeMap<(name::Pool, Option<name::Model>), retry_schedule::Schedule>,
     queue: queue::Queue,
     crashes: crash::Crashes,
     quarantine: quarantine::Quarantine,
     requests: BTreeMap<u64, request::Request>,
-    /// Whether any request has come.
+    /// Whether any request has arrived.
     has_traffic: bool,
     stopping: bool,
     rng: rand_chacha::ChaCha8Rng,
@@ -59,7 +60,7 @@
 }
 
 impl Core {
-    /// An entry whose process started at `now`; `seed` gives its random numbers.
+    /// Creates an entry whose process started at `now`; `seed` seeds its random numbers.
     pub fn new(settings: settings::Settings, seed: u64, now: clock::Instant) -> Core {
         Core {
             settings,
@@ -88,22 +89,22 @@
         }
     }
 
-    /// Whether new connections are welcome: for the balancer.
+    /// Whether new connections are accepted, for the load balancer.
     pub fn is_ready(&self) -> bool {
         !self.stopping && self.table.is_some()
     }
 
-    /// The declaration in force here.
+    /// Routing table of the current declaration.
     pub fn table(&self) -> Option<&routing::Table> {
         self.table.as_ref()
     }
 
-    /// Requests that are not over.
+    /// Number of requests that have not ended.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes in an event and says what is to be done, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         self.now = self.now.max(now);
         match event {
@@ -141,11 +142,11 @@
         self.report_evidence();
     }
 
-    /// Tells the leader what was seen.
+    /// Reports to the leader what this entry has observed.
     fn report_evidence(&mut self) {
-        let named = |chosen: &dyn Fn(&target::Target) -> bool| {
-            let chosen = self.targets.iter().filter(|(_, target)| chosen(target));
-            chosen.map(|(instance, _)| instance.clone()).collect()
+        let instances_where = |predicate: &dyn Fn(&target::Target) -> bool| {
+            let matching = self.targets.iter().filter(|(_, target)| predicate(target));
+            matching.map(|(instance, _)| instance.clone()).collect()
         };
         let now = self.now;
         let ages = self
@@ -154,11 +155,11 @@
             .map(|(instance, target)| (instance.clone(), now.since(target.last_bytes_at)));
         let moving = ages.filter(|(_, age)| *age < ACTIVITY_REPORT_TIME).collect();
         let evidence = peer::Evidence {
-            stalled: named(&|target| {
+            stalled: instances_where(&|target| {
                 target.suspected || target.is_stalled(now) || target.health.is_backing_off(now)
             }),
             moving,
-            busy: named(&|target| target.load.own_requests > 0),
+            busy: instances_where(&|target| target.load.own_requests > 0),
             traffic: self.has_traffic,
             crashes: self.crashes.confirmed(now),
             completions: self.quarantine.completions(now),
@@ -167,31 +168,32 @@
         self.actions.push(action::Action::Report(evidence));
     }
 
-    /// Entries that share the fleet's limits; this one at least.
+    /// Number of entries that share the fleet's limits, at least this one.
     fn entry_count(&self) -> usize {
         self.entries.len().max(1)
     }
 
     /// This process's requests at the upstreams of the pool and model.
     fn own_load(&self, pool: &name::Pool, model: Option<&name::Model>) -> load::OwnLoad {
-        let of_kind = |it: &&target::Target| it.pool == *pool && it.model.as_ref() == model;
-        let loads = self.targets.values().filter(of_kind).map(|target| target.load.own_requests);
-        let none = load::OwnLoad { requests: 0, upstreams: 0 };
-        loads.fold(none, |own, load| load::OwnLoad {
+        let serves =
+            |target: &&target::Target| target.pool == *pool && target.model.as_ref() == model;
+        let loads = self.targets.values().filter(serves).map(|target| target.load.own_requests);
+        let empty = load::OwnLoad { requests: 0, upstreams: 0 };
+        loads.fold(empty, |own, load| load::OwnLoad {
             requests: own.requests + load,
             upstreams: own.upstreams + 1,
         })
     }
 
-    /// What the upstreams of the pool and model have on average.
+    /// Average load of the upstreams of the pool and model.
     fn average_load(&self, pool: &name::Pool, model: Option<&name::Model>) -> load::Average {
         let own = self.own_load(pool, model);
-        let share = self.baselines.get(&(pool.clone(), model.cloned())).copied();
-        let share = share.unwrap_or_else(|| load::Baseline::new(self.entry_count()));
-        load::Average { own, others: share.others(self.now, own) }
+        let baseline = self.baselines.get(&(pool.clone(), model.cloned())).copied();
+        let baseline = baseline.unwrap_or_else(|| load::Baseline::new(self.entry_count()));
+        load::Average { own, others: baseline.others(self.now, own) }
     }
 
-    /// What a request asks for; `again` when it was accepted before.
+    /// Requirements of a request; `is_retry` if it has been accepted before.
     fn query<'a>(&'a self, request: &'a request::Request, is_retry: bool) -> selection::Query<'a> {
         selection::Query {
             pool: &request.pool,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// What bounds the choice of an upstream for the request.
+    /// Constraints on the selection of an upstream for the request.
     fn constraints(&self, request: &request::Request) -> selection::Constraints<'_> {
         selection::Constraints {
             excluded_zones: &self.excluded_zones,
--- a/crates/hyssopfork-gateway/src/core/completion.rs
+++ b/crates/hyssopfork-gateway/src/core/completion.rs
@@ -1,34 +1,38 @@
-//! Endings: each request gets exactly one.
+//! Ends of requests: each request ends exactly once.
 
 use super::Core;
 use crate::{action, measurement, notice, request, target};
 use std::time::Duration;
 
-/// Least time to come back after; a retry that is sooner finds the same state.
+/// Shortest `Retry-After`: an earlier retry would find the same state.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Least `Retry-After` of a request that will be late in any case.
+/// Shortest `Retry-After` of a request that will be late in any case.
 const MIN_LATE_RETRY_AFTER: Duration = Duration::from_millis(600);
 
-/// Longest time to come back after: what is known now says little of what will be later.
+/// Longest `Retry-After`: the current state says little about later times.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 impl Core {
     pub(super) fn complete(&mut self, number: u64, status: u16) {
         let Some(request) = self.requests.remove(&number) else { return };
-        let begun = request.first_bytes_at.unwrap_or(self.now);
-        self.measure(&request, measurement::Outcome::Completed(begun.since(request.arrived_at)));
+        let first_bytes_at = request.first_bytes_at.unwrap_or(self.now);
+        self.measure(
+            &request,
+            measurement::Outcome::Completed(first_bytes_at.since(request.arrived_at)),
+        );
         self.log(notice::Notice::Answered {
             identifier: request.identifier,
             status,
             attempts: request.attempt_count,
-            first: begun.since(request.arrived_at),
+            first: first_bytes_at.since(request.arrived_at),
             after: self.now.since(request.arrived_at),
         });
     }
 
-    /// Ends a request without an answer of an upstream. Once its head is out the answer can only be
-    /// broken off; once work may have run, "not run" would be a lie.
+    /// Ends a request without an upstream's response. Once the head has been forwarded, the
+    /// response can only be aborted; once work may have run, the reason must not claim that it has
+    /// not.
     pub(super) fn end_without_response(
         &mut self,
         number: u64,
@@ -36,8 +40,8 @@
         wait: Duration,
     ) {
         let Some(request) = self.requests.remove(&number) else { return };
-        let ran = request.possible_runs > 0 && reason.is_not_run();
-        let reason = if ran { action::Reason::Failed } else { reason };
+        let may_have_run = request.possible_runs > 0 && reason.is_not_run();
+        let reason = if may_have_run { action::Reason::Failed } else { reason };
         let after = self.now.since(request.arrived_at);
         if request.head_forwarded {
             self.decide(number, action::Decision::Abort);
@@ -50,8 +54,8 @@
             reason => reason.is_not_run().then(|| self.retry_after(&request, wait)),
         };
         self.measure(&request, measurement::Outcome::Rejected(reason));
-        let refusal = action::Rejection::new(reason, retry_after);
-        self.decide(number, action::Decision::Reject(refusal));
+        let rejection = action::Rejection::new(reason, retry_after);
+        self.decide(number, action::Decision::Reject(rejection));
         self.log(notice::Notice::Refused {
             identifier: request.identifier,
             reason,
@@ -61,24 +65,30 @@
         });
     }
 
-    /// When the caller of a refused request is to come back.
+    /// Time after which the client of a rejected request should retry.
     fn retry_after(&mut self, request: &request::Request, wait: Duration) -> Duration {
         let now = self.now;
         let serves = |target: &&target::Target| {
             target.pool == request.pool && target.model == request.model && !target.is_stalled(now)
         };
-        let pace: f64 = self.targets.values().filter(serves).map(|it| it.load.throughput()).sum();
-        let own = pace / self.entry_count() as f64;
-        let spacing = if own > 0.0 { Duration::from_secs_f64(1.0 / own) } else { Duration::ZERO };
-        // A request that can't be in time any more gains by finding room, not by returning soon.
+        let throughput: f64 =
+            self.targets.values().filter(serves).map(|it| it.load.throughput()).sum();
+        let own_throughput = throughput / self.entry_count() as f64;
+        let spacing = if own_throughput > 0.0 {
+            Duration::from_secs_f64(1.0 / own_throughput)
+        } else {
+            Duration::ZERO
+        };
+        // A request that can no longer be on time benefits from spare capacity, not from an early
+        // retry.
         let wait = if request.on_time_until < now + MIN_RETRY_AFTER {
             wait.max(MIN_LATE_RETRY_AFTER)
         } else {
             wait
         };
         let key = (request.pool.clone(), request.model.clone());
-        let returns = self.retry_schedules.entry(key).or_default();
-        returns
+        let schedule = self.retry_schedules.entry(key).or_default();
+        schedule
             .reserve(now, wait, spacing.min(MAX_RETRY_AFTER))
             .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
@@ -93,25 +103,26 @@
         }));
     }
 
-    /// Refuses a request that has no place.
+    /// Rejects a request without a route, team or pool, or without a declaration to look these up
+    /// in.
     pub(super) fn reject_unmatched(
         &mut self,
         number: u64,
         identifier: String,
-        refusal: action::Rejection,
+        rejection: action::Rejection,
     ) {
         self.actions.push(action::Action::Measure(measurement::Measurement {
             team: None,
             class: None,
-            outcome: measurement::Outcome::Rejected(refusal.reason),
+            outcome: measurement::Outcome::Rejected(rejection.reason),
             attempts: 0,
             total_time: Duration::ZERO,
         }));
-        self.decide(number, action::Decision::Reject(refusal));
+        self.decide(number, action::Decision::Reject(rejection));
         self.log(notice::Notice::Refused {
             identifier,
-            reason: refusal.reason,
-            retry_after: refusal.retry_after,
+            reason: rejection.reason,
+            retry_after: rejection.retry_after,
             attempts: 0,
             after: Duration::ZERO,
         });
--- a/crates/hyssopfork-gateway/src/core/crash.rs
+++ b/crates/hyssopfork-gateway/src/core/crash.rs
@@ -1,8 +1,8 @@
-//! Upstreams whose process ended under their requests.
+//! Detection of upstream processes that crash while requests are in flight.
 //!
-//! A connection that breaks off says nothing of the process behind it. One whose address refuses
-//! connections right afterwards has ended; one without power or behind a partition doesn't answer at
-//! all.
+//! A lost connection alone does not show that the process has ended. If its address refuses
+//! connections right afterwards, it has; a process without power or behind a network partition
+//! doesn't respond at all.
 
 use super::Core;
 use crate::{action, notice, request};
@@ -11,32 +11,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time for which a process is remembered after its first broken request.
+/// Time for which a process is kept after its first lost connection.
 const CRASH_RETENTION: Duration = Duration::from_secs(2);
 
-/// Most processes that are remembered at once.
+/// Most processes that are kept at once.
 const MAX_CRASHES: usize = 64;
 
-/// Most fingerprints that are kept of one process.
+/// Most fingerprints that are kept for one process.
 const MAX_REQUESTS_PER_CRASH: usize = 64;
 
-/// A process with broken requests.
+/// A process with lost connections.
 #[derive(Clone, Debug)]
 struct Crash {
-    /// When its first request broke off.
+    /// When its first connection was lost.
     since: clock::Instant,
     /// Whether its address is known to refuse connections.
     confirmed: bool,
-    /// Requests that broke off.
+    /// Requests whose connection was lost.
     requests: BTreeSet<quarantine::Fingerprint>,
 }
 
-/// Processes with broken requests.
+/// Processes with lost connections.
 #[derive(Debug, Default)]
 pub(super) struct Crashes(BTreeMap<quarantine::Process, Crash>);
 
 impl Crashes {
-    /// Adds a broken request; whether to probe the process for it.
+    /// Adds a request whose connection was lost; returns whether to probe the process.
     fn add(
         &mut self,
         now: clock::Instant,
@@ -58,7 +58,8 @@
         !known
     }
 
-    /// Takes the result of a probe; the requests that broke off, if the process ended.
+    /// Handles the result of a probe; returns the requests with lost connections if the process has
+    /// ended.
     fn on_probe_result(
         &mut self,
         process: &quarantine::Process,
@@ -73,15 +74,15 @@
         Some(crash.requests.iter().copied().collect())
     }
 
-    /// Processes that ended, for the leader.
+    /// Crashes to report to the leader.
     pub(super) fn confirmed(&self, now: clock::Instant) -> Vec<quarantine::Crash> {
         let ended = self.0.iter().filter(|(_, crash)| crash.confirmed);
-        let told = ended.map(|(process, crash)| quarantine::Crash {
+        let reported = ended.map(|(process, crash)| quarantine::Crash {
             process: process.clone(),
             age: now.since(crash.since),
             requests: crash.requests.iter().copied().collect(),
         });
-        told.collect()
+        reported.collect()
     }
 
     /// Whether the process is known to have ended.
@@ -95,7 +96,7 @@
 }
 
 impl Core {
-    /// Takes in that a request's connection broke off, and probes the upstream.
+    /// Records that a request's connection was lost, and probes the upstream.
     pub(super) fn suspect_crash(
         &mut self,
         attempt: &request::Attempt,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Takes the result of a probe.
+    /// Handles the result of a probe.
     pub(super) fn on_probed(&mut self, process: &quarantine::Process, refused: bool) {
         let Some(requests) = self.crashes.on_probe_result(process, refused) else { return };
         for request in &requests {
@@ -134,7 +135,7 @@
         self.report_evidence();
     }
 
-    /// Whether the process ends on request.
+    /// Whether the process is shutting down on request.
     fn is_leaving(&self, process: &quarantine::Process) -> bool {
         self.upstreams.get(&process.instance).is_some_and(|upstream| {
             upstream.announcement.born == process.born
--- a/crates/hyssopfork-gateway/src/core/fleet_view.rs
+++ b/crates/hyssopfork-gateway/src/core/fleet_view.rs
@@ -1,4 +1,4 @@
-//! Following the fleet's view.
+//! Updates of the fleet's view.
 
 use super::Core;
 use crate::{
@@ -10,16 +10,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Age of the view from which on it may lack a declaration that is due to be in force here: a leader
-/// is heard of each 0.4 s, and a change is in force everywhere two seconds after its acknowledgement.
+/// Age from which the view may lack a declaration that should be in force here: the leader is heard
+/// from every 0.4 s, and a change is in force everywhere two seconds after its acknowledgement.
 const MAX_VIEW_AGE: Duration = Duration::from_millis(1_500);
 
 impl Core {
-    /// Whether a newer declaration than the one held may be in force. What this one lacks is then no
-    /// reason to tell a caller that it doesn't exist.
+    /// Whether a newer declaration than the local one may be in force. A client must not be told
+    /// that something doesn't exist because the local declaration lacks it.
     pub(super) fn may_be_stale(&self) -> bool {
-        let held = self.table.as_ref().map_or(0, |table| table.declaration().version);
-        held < self.newest_version || self.now.since(self.viewed_at) >= MAX_VIEW_AGE
+        let version = self.table.as_ref().map_or(0, |table| table.declaration().version);
+        version < self.newest_version || self.now.since(self.viewed_at) >= MAX_VIEW_AGE
     }
 
     pub(super) fn on_view_updated(
@@ -27,14 +27,14 @@
         update: view::Update,
         declaration: Option<Arc<declaration::Declaration>>,
     ) {
-        let redeclared = declaration.is_some();
+        let has_new_declaration = declaration.is_some();
         if let Some(declaration) = declaration {
             self.log(notice::Notice::InForce(declaration.version));
             self.table = Some(routing::Table::new(declaration));
         }
         self.newest_version = self.newest_version.max(update.declared);
         self.viewed_at = self.now;
-        let redraws = update.whole || redeclared;
+        let rebuild_all = update.whole || has_new_declaration;
         if update.whole {
             self.upstreams.clear();
             self.groups.clear();
@@ -42,15 +42,15 @@
             self.entries.clear();
         }
         self.quarantine.on_published(self.now, update.whole, update.quarantine);
-        let redivides = !update.entries.is_empty();
+        let entries_changed = !update.entries.is_empty();
         view::merge(&mut self.entries, update.entries);
         self.excluded_zones = update.out;
         let mut changed = self.apply_groups(update.groups);
         changed.extend(self.apply_upstreams(update.upstreams));
-        if redraws {
+        if rebuild_all {
             changed.extend(self.upstreams.keys().chain(self.targets.keys()).cloned());
         }
-        if redivides {
+        if entries_changed {
             changed.extend(self.targets.keys().cloned());
         }
         for instance in &changed {
@@ -59,7 +59,7 @@
         self.retry_queued();
     }
 
-    /// Takes in groups that have changed; gives their heads.
+    /// Applies changes of groups and returns their heads.
     fn apply_groups(
         &mut self,
         changes: Vec<(name::Group, Option<view::Group>)>,
@@ -82,7 +82,7 @@
         changed
     }
 
-    /// Takes in upstreams that have changed; gives their names.
+    /// Applies changes of upstreams and returns their names.
     fn apply_upstreams(
         &mut self,
         changes: Vec<(name::Instance, Option<view::Upstream>)>,
@@ -92,41 +92,43 @@
         changed
     }
 
-    /// Makes an upstream's target anew; one that is the same as before keeps its record.
+    /// Rebuilds the target of an upstream. It keeps its state if process and group are the same.
     fn rebuild_target(&mut self, instance: &name::Instance) {
-        let before = self.targets.remove(instance);
+        let previous = self.targets.remove(instance);
         let (Some(table), Some(upstream)) = (&self.table, self.upstreams.get(instance)) else {
             return;
         };
-        let told = &upstream.announcement;
+        let announcement = &upstream.announcement;
         let group = self.groups_by_head.get(instance).and_then(|group| self.groups.get(group));
-        let engine = table.engine(&told.pool);
+        let engine = table.engine(&announcement.pool);
         if engine.is_some() && group.is_none() {
             return;
         }
         let incarnation = target::Incarnation {
-            born: told.born,
+            born: announcement.born,
             epoch: group.map_or(0, |group| group.epoch),
-            address: told.address,
+            address: announcement.address,
         };
-        let known = before.filter(|it| it.incarnation == incarnation);
-        let slots = engine.map_or(told.slots, |engine| engine.slots);
-        let mut target = known.unwrap_or_else(|| new_target(incarnation, slots, told));
+        let retained = previous.filter(|it| it.incarnation == incarnation);
+        let slots = engine.map_or(announcement.slots, |engine| engine.slots);
+        let mut target = retained.unwrap_or_else(|| new_target(incarnation, slots, announcement));
         target.model = group.map(|group| group.model.clone());
         target.standing = upstream.standing;
         let key = instance.as_str().as_bytes();
         let rank = rendezvous::rank(self.settings.address, self.entries.keys(), key);
         let entries = self.entry_count();
         target.preference = rank as f64 / entries as f64;
-        // Cold until the leader says otherwise: it may turn cold again meanwhile.
-        let rate = table.cold_rate(&told.pool).filter(|_| !told.cold.is_zero());
+        // The upstream stays cold until the leader says otherwise: it may become cold again
+        // meanwhile.
+        let rate = table.cold_rate(&announcement.pool).filter(|_| !announcement.cold.is_zero());
         target.slow_start_share = rate.map(|rate| slow_start::entry_share(rate, rank, entries));
         if target.published_rate != upstream.rate {
             target.published_rate = upstream.rate;
             target.named_rate.on_published(self.now, upstream.rate);
         }
         target.update_rate_share(rank, entries);
-        // Requests that were sent before the target was left out, or its group formed anew, still run.
+        // Requests that were sent before the target was removed, or before its group was formed
+        // again, are still in flight.
         let runs = |request: &&request::Request| {
             request.attempt.as_ref().is_some_and(|attempt| attempt.instance == *instance)
         };
@@ -138,13 +140,13 @@
 fn new_target(
     incarnation: target::Incarnation,
     slots: u32,
-    told: &hyssopfork_fleet::announcement::Announcement,
+    announcement: &hyssopfork_fleet::announcement::Announcement,
 ) -> target::Target {
     target::Target {
         incarnation,
-        pool: told.pool.clone(),
+        pool: announcement.pool.clone(),
         model: None,
-        zone: told.zone.clone(),
+        zone: announcement.zone.clone(),
         standing: view::Standing::Present,
         load: load::Load::new(slots),
         limit: concurrency_limit::Limit::new(slots),
--- a/crates/hyssopfork-gateway/src/core/named_rates.rs
+++ b/crates/hyssopfork-gateway/src/core/named_rates.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams name in their answers.
+//! Rate limits that upstreams name in their responses.
 
 use super::Core;
 use crate::{notice, rendezvous};
@@ -6,7 +6,7 @@
 use hyssopfork_wire::clock;
 
 impl Core {
-    /// Takes in the rate that an upstream names in an answer; `None` where it names none.
+    /// Applies the rate that an upstream names in a response; `None` if it names none.
     pub(super) fn on_named_rate(&mut self, number: u64, rate: Option<rate::Rate>) {
         let now = self.now;
         let Some(target) = self.target_of(number) else { return };
--- a/crates/hyssopfork-gateway/src/core/serve.rs
+++ b/crates/hyssopfork-gateway/src/core/serve.rs
@@ -1,4 +1,4 @@
-//! A request's way from arrival to its end.
+//! Handling of a request from arrival to its end.
 
 use super::{Core, completion, stall};
 use crate::{
@@ -7,28 +7,29 @@
 use hyssopfork_wire::{clock, name};
 use std::time::Duration;
 
-/// Attempts of one request, those counted that surely have not run: more would only find the same
-/// upstreams full again.
+/// Attempts of one request, including those that were rejected without running it: further ones
+/// would only find the same upstreams full again.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Part of a route's timeout by which clients wait less for a first attempt already. Taken for retries
-/// by the time that they have left, most first attempts would be rejected as late.
+/// Divisor of a route's timeout: a client's first attempt may wait up to that much less. If such
+/// first attempts were taken for retries because of their shorter remaining time, most would be
+/// rejected as late.
 const TIMEOUT_MARGIN_DIVISOR: u32 = 5;
 
-/// Time that must be left for another attempt to be worth its place.
+/// Remaining time that another attempt needs to be worth its place.
 pub(super) const MIN_TIME_LEFT: Duration = Duration::from_millis(60);
 
-/// When to come back where no upstream is there. A lost group serves again 1 s after its member's
-/// death when the reserve has the weights at hand, 2 s when it takes them from a host; most callers
-/// come back once only, and after 0.7 s found nobody again.
+/// `Retry-After` if no upstream is available. A lost group serves again 1 s after its member's
+/// failure if the reserve has the weights locally, 2 s if it loads them from a host. Most clients
+/// retry only once, and after 0.7 s they still found no upstream.
 pub(super) const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(1_200);
 
-/// When to come back to a process that has just started.
+/// `Retry-After` of a process that has just started.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 impl Core {
     pub(super) fn on_arrival(&mut self, number: u64, arrival: arrival::Arrival) {
-        let draw = self.random_fraction();
+        let fraction = self.random_fraction();
         let now = self.now;
         let Some(table) = &self.table else {
             if let Some(arrival) = self.enqueue_arrival(number, arrival) {
@@ -36,8 +37,8 @@
             }
             return;
         };
-        let place = match table.find(&arrival) {
-            Ok(place) => place,
+        let matched = match table.find(&arrival) {
+            Ok(matched) => matched,
             Err(_) if self.may_be_stale() => {
                 if let Some(arrival) = self.enqueue_arrival(number, arrival) {
                     self.reject_not_ready(number, arrival.identifier);
@@ -56,27 +57,27 @@
                 );
             }
         };
-        let Some(pool) = routing::pick_pool(place.route, draw).cloned() else {
-            let refusal =
+        let Some(pool) = routing::pick_pool(matched.route, fraction).cloned() else {
+            let rejection =
                 action::Rejection::new(action::Reason::NoUpstream, Some(NO_UPSTREAM_RETRY_AFTER));
-            return self.reject_unmatched(number, arrival.identifier, refusal);
+            return self.reject_unmatched(number, arrival.identifier, rejection);
         };
         let model = arrival.model.clone().filter(|_| table.engine(&pool).is_some());
-        let request = new_request(now, arrival, place, pool, model);
+        let request = new_request(now, arrival, matched, pool, model);
         self.has_traffic = true;
         self.requests.insert(number, request);
         self.dispatch(number, false);
     }
 
-    /// Sends the request to an upstream, or ends it.
-    pub(super) fn dispatch(&mut self, number: u64, again: bool) {
+    /// Sends the request to an upstream, queues it, or ends it.
+    pub(super) fn dispatch(&mut self, number: u64, is_retry: bool) {
         let now = self.now;
         if let Some(wait) = self.quarantine_retry_after(number) {
             return self.end_without_response(number, action::Reason::Quarantined, wait);
         }
         let Some(request) = self.requests.get(&number) else { return };
-        let bounds = self.constraints(request);
-        match selection::select(now, &self.targets, self.query(request, again), bounds) {
+        let constraints = self.constraints(request);
+        match selection::select(now, &self.targets, self.query(request, is_retry), constraints) {
             selection::Selection::Selected(instance) => self.send(number, &instance),
             selection::Selection::Full { .. }
                 if self.queue.is_retrying(number) && self.enqueue_request(number) => {}
@@ -96,13 +97,14 @@
         }
     }
 
-    /// Refuses an arrival that no declaration is known for, or an outdated one.
+    /// Rejects an arrival for which this process has no declaration, or a stale one.
     pub(super) fn reject_not_ready(&mut self, number: u64, identifier: String) {
-        let refusal = action::Rejection::new(action::Reason::NotReady, Some(NOT_READY_RETRY_AFTER));
-        self.reject_unmatched(number, identifier, refusal);
+        let rejection =
+            action::Rejection::new(action::Reason::NotReady, Some(NOT_READY_RETRY_AFTER));
+        self.reject_unmatched(number, identifier, rejection);
     }
 
-    /// Logs what a refusal for want of room rests on.
+    /// Logs the load estimate that a rejection for lack of capacity is based on.
     fn log_full(&mut self, number: u64, best: Option<name::Instance>) {
         let now = self.now;
         let Some(request) = self.requests.get(&number) else { return };
@@ -144,7 +146,7 @@
             is_event_stream: request.repetition.streams(),
             idle_timeout: stall::initial_idle_timeout(request),
         };
-        let told = notice::Notice::Sent {
+        let sent = notice::Notice::Sent {
             identifier: request.identifier.clone(),
             route: request.route.clone(),
             instance: instance.clone(),
@@ -154,13 +156,13 @@
             after: now.since(request.arrived_at),
             left: now.until(request.deadline),
         };
-        let (pool, first) = (request.pool.clone(), request.attempt_count == 1);
-        let bound = self.retry_policy();
-        if first {
-            self.retry_budgets.entry(pool).or_default().count_request(now, bound);
+        let (pool, is_first) = (request.pool.clone(), request.attempt_count == 1);
+        let policy = self.retry_policy();
+        if is_first {
+            self.retry_budgets.entry(pool).or_default().count_request(now, policy);
         }
         self.decide(number, action::Decision::Start(Box::new(start)));
-        self.log(told);
+        self.log(sent);
     }
 
     fn retry_policy(&self) -> retry_budget::Policy {
@@ -187,16 +189,16 @@
         request.first_bytes_at.get_or_insert(now);
     }
 
-    /// Bytes came of the request's upstream.
+    /// Records that bytes arrived for the request.
     fn on_bytes(&mut self, number: u64, report: Option<load::Report>) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&number) else { return };
         let objective = request.objective;
         let Some(attempt) = &mut request.attempt else { return };
-        let first = attempt.last_bytes_at.replace(now).is_none();
+        let is_first = attempt.last_bytes_at.replace(now).is_none();
         let Some(target) = self.targets.get_mut(&attempt.instance) else { return };
         target.on_bytes(now);
-        if first {
+        if is_first {
             target.limit.on_response(
                 now.since(attempt.started_at),
                 objective,
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Takes in what an upstream says of its load.
+    /// Adds a load report of an upstream.
     fn on_load_report(&mut self, instance: &name::Instance, report: load::Report) {
         let now = self.now;
         let Some(target) = self.targets.get(instance) else { return };
@@ -220,8 +222,8 @@
         target.load.on_report(now, report, own);
         let others = target.load.others();
         let entries = self.entry_count();
-        let share = self.baselines.entry(kind);
-        share.or_insert_with(|| load::Baseline::new(entries)).update(now, own, others);
+        let baseline = self.baselines.entry(kind);
+        baseline.or_insert_with(|| load::Baseline::new(entries)).update(now, own, others);
     }
 
     pub(super) fn on_response(&mut self, number: u64, head: event::Head) {
@@ -229,7 +231,7 @@
         self.record_completion(number);
         let Some(request) = self.requests.get(&number) else { return };
         if request.head_forwarded {
-            // What should go on a stream is something else: the caller can't be given both.
+            // A complete response can't continue a stream whose head the client already has.
             return self.on_attempt_failed(number, event::Fault::InvalidResponse, None);
         }
         if head.status < 500 {
@@ -243,9 +245,10 @@
         if repeatable && self.try_retry(number) {
             return self.dispatch(number, true);
         }
-        // A status that promises "not run" is no promise of an upstream that doesn't say so.
-        let promises = matches!(head.status, 408 | 421 | 429 | 503);
-        if promises && !repeatable {
+        // Forwarded, these statuses would promise that the request has not run, which this upstream
+        // doesn't state.
+        let promises_not_run = matches!(head.status, 408 | 421 | 429 | 503);
+        if promises_not_run && !repeatable {
             return self.end_without_response(number, action::Reason::Failed, Duration::ZERO);
         }
         self.forward_response(number, head.status);
@@ -275,8 +278,8 @@
         let now = self.now;
         let Some(request) = self.requests.get(&number) else { return };
         let Some(attempt) = request.attempt.clone() else { return };
-        let broken = fault == event::Fault::ConnectionLost;
-        let fingerprint = broken.then(|| request.fingerprint());
+        let is_lost = fault == event::Fault::ConnectionLost;
+        let fingerprint = is_lost.then(|| request.fingerprint());
         self.log(notice::Notice::Failed {
             identifier: request.identifier.clone(),
             instance: attempt.instance.clone(),
@@ -311,34 +314,35 @@
         self.retry_or_end(number, fault.is_not_run());
     }
 
-    /// Tries elsewhere if the work may be sent again, and ends the request otherwise.
+    /// Retries the request elsewhere if the work may be sent again, and ends it otherwise.
     fn retry_or_end(&mut self, number: u64, not_run: bool) {
         let Some(request) = self.requests.get(&number) else { return };
-        let ran = request.possible_runs > 0;
+        let may_have_run = request.possible_runs > 0;
         if (not_run || request.repetition.may_repeat()) && self.try_retry(number) {
             return self.dispatch(number, true);
         }
-        let reason = if ran { action::Reason::Failed } else { action::Reason::NotAccepted };
+        let reason =
+            if may_have_run { action::Reason::Failed } else { action::Reason::NotAccepted };
         self.end_without_response(number, reason, completion::MIN_RETRY_AFTER);
     }
 
-    /// Whether another attempt may be made; spends from the budget when it may.
+    /// Returns whether another attempt may be made, and takes it from the retry budget if so.
     pub(super) fn try_retry(&mut self, number: u64) -> bool {
         let now = self.now;
-        let bound = self.retry_policy();
+        let policy = self.retry_policy();
         let Some(request) = self.requests.get(&number) else { return false };
-        let left = now.until(request.deadline) >= MIN_TIME_LEFT;
-        if !left
+        let has_time = now.until(request.deadline) >= MIN_TIME_LEFT;
+        if !has_time
             || request.possible_runs >= request.max_attempts
             || request.attempt_count >= MAX_ATTEMPTS
         {
             return false;
         }
         let pool = request.pool.clone();
-        self.retry_budgets.entry(pool).or_default().try_retry(now, bound)
+        self.retry_budgets.entry(pool).or_default().try_retry(now, policy)
     }
 
-    /// Counts the newest attempt's upstream among those that may have run the request.
+    /// Counts the newest attempt's upstream as one that may have run the request.
     pub(super) fn count_possible_run(&mut self, number: u64) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.possible_runs += 1;
@@ -347,8 +351,8 @@
 
     pub(super) fn on_deadline(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
-        let sent = request.possible_runs > 0 || request.attempt.is_some();
-        let reason = if sent { action::Reason::TimedOut } else { action::Reason::TooLate };
+        let was_sent = request.possible_runs > 0 || request.attempt.is_some();
+        let reason = if was_sent { action::Reason::TimedOut } else { action::Reason::TooLate };
         self.drop_attempt(number);
         self.end_without_response(number, reason, completion::MIN_RETRY_AFTER);
     }
@@ -361,13 +365,13 @@
         self.log(notice::Notice::Gone { identifier: request.identifier, after });
     }
 
-    /// The attempt ended by itself.
-    fn finish_attempt(&mut self, number: u64, sound: bool) {
+    /// Records the result of an attempt that ended by itself.
+    fn finish_attempt(&mut self, number: u64, succeeded: bool) {
         let now = self.now;
         let started =
             self.requests.get(&number).and_then(|it| it.attempt.as_ref()).map(|it| it.started_at);
         if let (Some(target), Some(started)) = (self.target_of(number), started) {
-            if sound {
+            if succeeded {
                 target.health.on_success(now);
                 target.load.record_duration(now.since(started));
             } else {
@@ -382,7 +386,7 @@
         self.targets.get_mut(&attempt.instance)
     }
 
-    /// The attempt is over; its upstream is not asked again.
+    /// Ends the attempt and excludes its upstream from further ones.
     pub(super) fn drop_attempt(&mut self, number: u64) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&number) else { return };
@@ -390,7 +394,7 @@
         if let Some(target) = self.targets.get_mut(&attempt.instance) {
             target.load.own_requests = target.load.own_requests.saturating_sub(1);
             let waited = now.since(attempt.started_at);
-            // Counted by their answers alone, the slowest attempts would not count at all.
+            // If only attempts with a response counted, the slowest ones would not count at all.
             if attempt.last_bytes_at.is_none() && waited > request.objective {
                 target.limit.on_response(waited, request.objective, attempt.load_at_start);
             }
@@ -402,18 +406,18 @@
 fn new_request(
     now: clock::Instant,
     arrival: arrival::Arrival,
-    place: routing::Match<'_>,
+    matched: routing::Match<'_>,
     pool: name::Pool,
     model: Option<name::Model>,
 ) -> request::Request {
-    let route = place.route;
-    let time = arrival.timeout.map_or(route.timeout, |patience| patience.min(route.timeout));
-    // A retry waits for its remaining time, which counts from the first attempt.
-    let before = (route.timeout - time).saturating_sub(route.timeout / TIMEOUT_MARGIN_DIVISOR);
+    let route = matched.route;
+    let timeout = arrival.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
+    // The timeout of a retry is the remaining time since the first attempt.
+    let elapsed = (route.timeout - timeout).saturating_sub(route.timeout / TIMEOUT_MARGIN_DIVISOR);
     request::Request {
         identifier: arrival.identifier,
         route: route.name.clone(),
-        team: place.team.map(|team| team.name.clone()),
+        team: matched.team.map(|team| team.name.clone()),
         content: arrival.content,
         pool,
         model,
@@ -421,8 +425,8 @@
         max_attempts: route.attempts.max(1),
         objective: route.objective,
         arrived_at: now,
-        on_time_until: now + route.objective.saturating_sub(before),
-        deadline: now + time,
+        on_time_until: now + route.objective.saturating_sub(elapsed),
+        deadline: now + timeout,
         was_queued: false,
         possible_runs: 0,
         attempt_count: 0,
--- a/crates/hyssopfork-gateway/src/core/stall.rs
+++ b/crates/hyssopfork-gateway/src/core/stall.rs
@@ -1,4 +1,4 @@
-//! Requests for which nothing comes: waited for, or taken elsewhere.
+//! Stall detection: requests that receive no bytes wait on or move to another upstream.
 
 use super::{Core, serve};
 use crate::{action, notice, request, selection, target};
@@ -6,15 +6,15 @@
 use hyssopfork_wire::name;
 use std::time::Duration;
 
-/// Longest time without an answer for a request that others of its upstream do not share, in
-/// multiples of the objective, before it is tried elsewhere.
+/// Longest time without a response for a request, in multiples of its objective, before it is tried
+/// elsewhere although other requests of its upstream progress.
 const OVERDUE_FACTOR: u32 = 3;
 
-/// Least such time.
+/// Lower bound of that time.
 const MIN_OVERDUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest pause in the middle of a stream while others of its upstream go on. Callers give a
-/// stream up after two seconds.
+/// Longest pause within a stream while other streams of its upstream progress. Clients abandon a
+/// stream after two seconds.
 const MAX_STREAM_PAUSE: Duration = Duration::from_millis(1_000);
 
 impl Core {
@@ -36,46 +36,47 @@
             let left = now.until(request.deadline).max(serve::MIN_TIME_LEFT);
             return self.decide(number, action::Decision::Wait(left));
         }
-        let (stall, own) = idle_limits(request, attempt);
-        let stalled = all_silent >= stall;
-        let lost =
+        let (stall_timeout, max_silence) = idle_limits(request, attempt);
+        let is_stalled = all_silent >= stall_timeout;
+        let is_lost =
             silence >= target::LOST_GROUP_TIMEOUT && self.is_group_lost(attempt.incarnation.epoch);
-        if !stalled && !lost && silence < own {
+        if !is_stalled && !is_lost && silence < max_silence {
             let instance = attempt.instance.clone();
             let streams = request.repetition.streams();
             if streams && attempt.last_bytes_at.is_some() && all_silent >= target::SUSPECT_TIMEOUT {
                 self.mark_suspected(&instance);
             }
-            let wait =
-                (stall - all_silent.min(stall)).min(own - silence).min(target::CHECK_INTERVAL);
+            let wait = (stall_timeout - all_silent.min(stall_timeout))
+                .min(max_silence - silence)
+                .min(target::CHECK_INTERVAL);
             let wait = wait.max(serve::MIN_TIME_LEFT);
             return self.decide(number, action::Decision::Wait(wait));
         }
-        // A group that is known to be lost is no suspicion.
+        // A move away from a group that is known to be lost needs no token.
         let instance = attempt.instance.clone();
-        if !lost && !self.move_buckets.entry(request.pool.clone()).or_default().has_token() {
+        if !is_lost && !self.move_buckets.entry(request.pool.clone()).or_default().has_token() {
             self.mark_suspected(&instance);
             return self.decide(number, action::Decision::Wait(target::CHECK_INTERVAL));
         }
-        let told = notice::Notice::Moved {
+        let moved = notice::Notice::Moved {
             identifier: request.identifier.clone(),
             instance: instance.clone(),
             silence: (silence, all_silent),
         };
-        if stalled {
+        if is_stalled {
             self.mark_stalled(&instance, all_silent);
         }
-        self.move_elsewhere(number, told, lost);
+        self.move_elsewhere(number, moved, is_lost);
     }
 
-    /// Whether the group of this epoch is lost, or gone. The leader knows that from its own questions
-    /// sooner than a silence says it, and a member that died stops the whole group for good.
+    /// Whether the group of this epoch is lost or gone. The leader learns that from its own probes
+    /// before a timeout shows it, and a failed member stops the whole group for good.
     fn is_group_lost(&self, epoch: u64) -> bool {
-        let goes_on = |group: &view::Group| group.epoch == epoch && !group.lost;
-        epoch != 0 && !self.groups.values().any(goes_on)
+        let is_intact = |group: &view::Group| group.epoch == epoch && !group.lost;
+        epoch != 0 && !self.groups.values().any(is_intact)
     }
 
-    /// Tells the leader that an upstream may stand still.
+    /// Notifies the leader that an upstream may be stalled.
     fn mark_suspected(&mut self, instance: &name::Instance) {
         let Some(target) = self.targets.get_mut(instance) else { return };
         if !std::mem::replace(&mut target.suspected, true) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Notes that everything stands still on an upstream, and tells the leader at once.
+    /// Records that an upstream is stalled, and notifies the leader at once.
     fn mark_stalled(&mut self, instance: &name::Instance, silence: Duration) {
         let now = self.now;
         let Some(target) = self.targets.get_mut(instance) else { return };
@@ -95,19 +96,19 @@
         self.report_evidence();
     }
 
-    /// Takes a request away from its upstream, if it can go on elsewhere.
-    fn move_elsewhere(&mut self, number: u64, told: notice::Notice, lost: bool) {
+    /// Moves a request to another upstream if one has capacity and a retry is allowed.
+    fn move_elsewhere(&mut self, number: u64, moved: notice::Notice, is_lost: bool) {
         let runs = self.requests.get(&number).map_or(0, |request| request.possible_runs);
         self.count_possible_run(number);
-        let elsewhere = self.has_alternative(number) && self.try_retry(number);
-        if !elsewhere {
+        let can_move = self.has_alternative(number) && self.try_retry(number);
+        if !can_move {
             if let Some(request) = self.requests.get_mut(&number) {
                 request.possible_runs = runs;
             }
             return self.decide(number, action::Decision::Wait(target::STREAM_STALL_TIMEOUT));
         }
-        self.log(told);
-        if let Some(request) = self.requests.get(&number).filter(|_| !lost) {
+        self.log(moved);
+        if let Some(request) = self.requests.get(&number).filter(|_| !is_lost) {
             self.move_buckets.entry(request.pool.clone()).or_default().take_token();
         }
         if let Some(target) = self.target_of(number) {
@@ -117,28 +118,28 @@
         self.dispatch(number, true);
     }
 
-    /// Whether another upstream than the present one would take the request.
+    /// Whether an upstream other than the current one has capacity for the request.
     fn has_alternative(&self, number: u64) -> bool {
         let Some(request) = self.requests.get(&number) else { return false };
         let Some(attempt) = &request.attempt else { return false };
         let mut excluded = request.excluded.clone();
         excluded.push(attempt.instance.clone());
-        let want = selection::Query {
+        let query = selection::Query {
             pool: &request.pool,
             model: request.model.as_ref(),
             zone: &self.settings.zone,
             excluded: &excluded,
             priority: selection::Priority::Retry,
         };
-        let bounds = self.constraints(request);
+        let constraints = self.constraints(request);
         matches!(
-            selection::select(self.now, &self.targets, want, bounds),
+            selection::select(self.now, &self.targets, query, constraints),
             selection::Selection::Selected(_)
         )
     }
 }
 
-/// Silence of all requests on the upstream, and of this one, that is borne now.
+/// Longest time without bytes for all requests of the upstream, and for this one.
 fn idle_limits(request: &request::Request, attempt: &request::Attempt) -> (Duration, Duration) {
     let overdue = (request.objective * OVERDUE_FACTOR).max(MIN_OVERDUE_TIMEOUT);
     match (request.repetition.streams(), attempt.last_bytes_at) {
@@ -148,7 +149,7 @@
     }
 }
 
-/// Silence after which a fresh attempt is looked at.
+/// Idle timeout of a new attempt.
 pub(super) fn initial_idle_timeout(request: &request::Request) -> Duration {
     let overdue = (request.objective * OVERDUE_FACTOR).max(MIN_OVERDUE_TIMEOUT);
     if request.repetition.streams() { target::SUSPECT_TIMEOUT } else { overdue }
