--- a/crates/hyssopfork-gateway/src/action.rs
+++ b/crates/hyssopfork-gateway/src/action.rs
@@ -1,4 +1,4 @@
-//! What an entry does about an event.
+//! Actions that an entry takes in response to events.
 
 use crate::{measurement, notice};
 use hyssopfork_fleet::{peer, quarantine};
@@ -6,111 +6,112 @@
 use std::net;
 use std::time::Duration;
 
-/// Time between two ticks, which also bounds the age of what the leader is told.
+/// Interval between ticks, which also bounds the age of the evidence that the leader receives.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a request was not served.
+/// Why a request was rejected or its response aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// This process knows no declaration yet.
+    /// This process holds no declaration yet, or one that may be stale.
     NotReady,
-    /// No route covers the request.
+    /// No route matches the request.
     NoRoute,
-    /// It shows no key that is known.
+    /// The route requires a key, and the request has none or an unknown one.
     #[strum(serialize = "no_key")]
     Unauthorized,
-    /// No upstream is there for it.
+    /// No upstream is available for the request.
     NoUpstream,
-    /// The upstreams are full.
+    /// Every upstream is at its limit.
     Overloaded,
-    /// Upstreams crash when they run it.
+    /// Upstreams crash when they run this request.
     Quarantined,
-    /// The upstreams that were tried did not take it.
+    /// None of the upstreams that were tried accepted the request.
     #[strum(serialize = "not_taken")]
     NotAccepted,
-    /// Its time was over before an upstream had it.
+    /// The deadline passed before the request was sent to an upstream.
     TooLate,
-    /// Its time was over while an upstream had it.
+    /// The deadline passed while the request was in flight at an upstream.
     TimedOut,
     /// The upstream failed; the work may have run.
     Failed,
 }
 
 impl Reason {
-    /// Whether the request surely has not run and never will.
+    /// Whether the request is certain not to have run, and will never run.
     pub fn is_not_run(self) -> bool {
         !matches!(self, Reason::TimedOut | Reason::Failed)
     }
 }
 
-/// A refusal.
+/// Rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Reason for the rejection.
     pub reason: Reason,
-    /// When to come back.
+    /// Time after which the client should retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Rejection {
-    /// A refusal for `reason`.
+    /// Creates a rejection.
     pub const fn new(reason: Reason, retry_after: Option<Duration>) -> Rejection {
         Rejection { reason, retry_after }
     }
 }
 
-/// An attempt to be made.
+/// An attempt to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// Upstream; another at the address refuses the request.
+    /// Upstream. Another one at the same address rejects the request.
     pub instance: name::Instance,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: net::SocketAddr,
-    /// Team of the caller.
+    /// Team of the client.
     pub team: Option<name::Team>,
-    /// When the request's time is over.
+    /// Deadline of the request.
     pub deadline: clock::Instant,
-    /// Last event that the caller has, or that an earlier attempt delivered.
+    /// Last event that the client has received, or that an earlier attempt delivered.
     pub last_event: Option<u64>,
-    /// Whether the connection must be new: on one that was used before, the upstream may have
-    /// closed it just now, and whether the request ran would not be known.
+    /// Whether a new connection is required. The upstream may just have closed a reused one, and
+    /// whether the request ran would then be unknown.
     pub new_connection: bool,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub is_event_stream: bool,
-    /// Silence after which to ask what to do.
+    /// Time without bytes after which the core is asked what to do.
     pub idle_timeout: Duration,
 }
 
-/// What is to be done about a request.
+/// Decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Make an attempt; an earlier one ends here.
+    /// Start an attempt; the previous one ends.
     Start(Box<Start>),
-    /// Forward the stream.
+    /// Forward the stream to the client.
     ForwardStream,
-    /// Deliver the whole answer.
+    /// Forward the complete response to the client.
     ForwardResponse,
-    /// Wait on; ask again after this long without bytes.
+    /// Keep waiting; report an idle timeout after this time without bytes.
     Wait(Duration),
-    /// Hold the request until another decision about it comes, or ask again after this long.
+    /// Queue the request until another decision about it follows; report a queue timeout after this
+    /// time.
     Queue(Duration),
-    /// Refuse.
+    /// Reject the request.
     Reject(Rejection),
-    /// Break the answer off, so that it can't look whole.
+    /// Abort the response, so that a partial one can't be taken for a complete one.
     Abort,
 }
 
 /// An action.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Do this about a request.
+    /// Carry out the decision about the request with this number.
     Decide(u64, Decision),
-    /// Open a connection to the process's address, to learn whether it refuses any.
+    /// Connect to the address of the process, to learn whether it refuses connections.
     Probe(quarantine::Process, net::SocketAddr),
-    /// Tell the leader what was seen.
+    /// Send evidence to the leader.
     Report(peer::Evidence),
-    /// Measure a request that ended.
+    /// Record the measurement of a finished request.
     Measure(measurement::Measurement),
     /// Log a numbered event.
     Notice(notice::Notice),
--- a/crates/hyssopfork-gateway/src/arrival.rs
+++ b/crates/hyssopfork-gateway/src/arrival.rs
@@ -1,22 +1,23 @@
-//! A caller's request as it arrives.
+//! A client's request on arrival.
 
 use crate::content;
 use hyssopfork_wire::name;
 use std::time::Duration;
 
-/// What decides about a request; its method and headers travel beside it.
+/// The parts of a request that decisions depend on. Method and headers are kept by the connection
+/// that received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Arrival {
-    /// Identifier that the caller gave this try of its request.
+    /// Identifier that the client assigned to this attempt.
     pub identifier: String,
-    /// What is asked for; its host is without a port.
+    /// Host, path, query and body. The host has no port.
     pub content: content::Content,
-    /// Key that the caller showed. A secret: never logged.
+    /// API key. A secret: never logged.
     pub key: Option<String>,
-    /// Model that the work is for; `None` for a plain service.
+    /// Requested model; `None` for a plain service.
     pub model: Option<name::Model>,
-    /// Last event of the stream that the caller has; `None` when it has none.
+    /// Last event of the stream that the client has received; `None` if it has none.
     pub last_event: Option<u64>,
-    /// How long the caller waits.
+    /// Time that the client waits for the response.
     pub timeout: Option<Duration>,
 }
--- a/crates/hyssopfork-gateway/src/content.rs
+++ b/crates/hyssopfork-gateway/src/content.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, apart from the attempt that carries it.
+//! Content of a request, independent of the attempt that carries it.
 
 use bytes::Bytes;
 use hyssopfork_fleet::quarantine;
@@ -10,22 +10,22 @@
 pub struct Content {
     /// Host that the client named.
     pub host: String,
-    /// Path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// Query; empty for none.
+    /// Query; empty if there is none.
     pub query: String,
     /// Body.
     pub body: Bytes,
 }
 
 impl Content {
-    /// Bytes of the body, as fingerprints count them.
+    /// Length of the body in bytes.
     pub fn length(&self) -> u64 {
         self.body.len() as u64
     }
 
-    /// The fingerprint of this content when `team` sends it. Teams don't share fingerprints, so that
-    /// none can have another's requests rejected.
+    /// Fingerprint of this content when `team` sends it. Teams don't share fingerprints, so that
+    /// none can cause another's requests to be rejected.
     pub fn fingerprint(&self, team: Option<&name::Team>) -> quarantine::Fingerprint {
         let team = team.map_or("", |team| team.as_str());
         let host = self.host.to_ascii_lowercase();
--- a/crates/hyssopfork-gateway/src/event.rs
+++ b/crates/hyssopfork-gateway/src/event.rs
@@ -1,81 +1,81 @@
-//! What happens to an entry.
+//! Events that an entry handles.
 
 use crate::{arrival, load};
 use hyssopfork_fleet::{declaration, quarantine, rate, view};
 use std::sync::Arc;
 
-/// Head of an upstream's answer.
+/// Head of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     /// HTTP status code.
     pub status: u16,
-    /// What the upstream says of its load.
+    /// Load that the upstream reports.
     pub load: Option<load::Report>,
-    /// Rate that it takes of the whole fleet; `None` where it names none.
+    /// Rate limit that the upstream names for the whole fleet; `None` if it names none.
     pub rate: Option<rate::Rate>,
 }
 
-/// Why an attempt ended without a whole answer.
+/// Why an attempt ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be established, so nothing was sent.
     Unreachable,
-    /// The upstream says that it has not run the request, and is full or leaving.
+    /// The upstream is full or leaving, and states that it has not run the request.
     NotRun,
-    /// Another upstream has the address; it has not run the request.
+    /// A different upstream has this address; it has not run the request.
     #[strum(serialize = "stranger")]
     WrongInstance,
-    /// The connection broke off.
+    /// The connection was lost.
     #[strum(serialize = "broken")]
     ConnectionLost,
-    /// What came is no answer to the request.
+    /// The response is not a valid response to this request.
     #[strum(serialize = "wrong")]
     InvalidResponse,
 }
 
 impl Fault {
-    /// Whether the request surely has not run.
+    /// Whether the request is certain not to have run.
     pub fn is_not_run(self) -> bool {
         matches!(self, Fault::Unreachable | Fault::NotRun | Fault::WrongInstance)
     }
 }
 
-/// An event.
+/// An event. The number identifies the request.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; comes every [`crate::action::TICK`].
+    /// Time has passed. Occurs every [`crate::action::TICK_INTERVAL`].
     Tick,
-    /// What is new in the fleet, and the declaration where it is.
+    /// The fleet's view changed; with the declaration if that is new.
     ViewUpdated(Box<view::Update>, Option<Arc<declaration::Declaration>>),
     /// A request arrived.
     Arrived(u64, Box<arrival::Arrival>),
-    /// The head of a stream's answer came, in answer to its newest attempt.
+    /// The newest attempt received the head of a stream.
     HeadReceived(u64, Head),
-    /// Events of the stream came; the last one's identifier.
+    /// Complete events of the stream arrived; with the identifier of the last one.
     EventsReceived(u64, Option<u64>),
-    /// A whole answer came, that has not gone to the caller.
+    /// A complete response arrived, of which nothing has been forwarded to the client.
     ResponseReceived(u64, Head),
-    /// The whole answer has gone to the caller.
+    /// The stream has been forwarded to its end.
     StreamCompleted(u64),
     /// The newest attempt failed.
     AttemptFailed(u64, Fault, Option<load::Report>),
-    /// A process was probed; whether its address refuses connections.
+    /// A process was probed; true if its address refuses connections.
     Probed(quarantine::Process, bool),
-    /// Nothing came for the time that was last given.
+    /// No bytes arrived within the idle timeout.
     IdleTimeout(u64),
-    /// The time for which the request may wait for a place is over.
+    /// The queue timeout of the request passed.
     QueueTimeout(u64),
-    /// The request's time is over.
+    /// The deadline of the request passed.
     DeadlineExceeded(u64),
-    /// The caller went away.
+    /// The client disconnected.
     ClientDisconnected(u64),
     /// The process is to stop.
     Stop,
 }
 
 impl Event {
-    /// Number of the request that it is about.
+    /// Number of the request that the event concerns.
     pub fn request(&self) -> Option<u64> {
         match self {
             Event::Arrived(number, _)
--- a/crates/hyssopfork-gateway/src/lib.rs
+++ b/crates/hyssopfork-gateway/src/lib.rs
@@ -1,19 +1,20 @@
-//! Entry that sends callers' requests straight to upstreams, as a step function.
+//! HTTP entry that forwards requests directly to upstreams, as a step function.
 //!
-//! It stands where no process of the system runs beside an upstream. Each request gets one final
-//! answer: the upstream's whole answer, a refusal that is true, or a broken connection.
+//! It runs where no process of the system runs beside an upstream. Each request gets exactly one
+//! final result: the upstream's complete response, a rejection whose claims hold, or an aborted
+//! connection.
 //!
-//! Where each decision stands:
+//! Modules by decision:
 //!
-//! - [`table`]: whose a request is and where it may go
-//! - [`choice`]: which upstream gets it, and whether any may
-//! - [`load`]: how full an upstream is; [`limit`]: how full it may be
-//! - [`rendezvous`]: which upstreams an entry prefers, and which entries share one
-//! - [`cold`]: how much an upstream gets after a start; [`rate_limit`]: where it names a limit itself
-//! - [`health`]: whether it answers; [`moves`]: how many requests leave one on suspicion
-//! - [`budget`]: how often work may be sent again; [`returns`]: when rejected requests return
-//! - [`content`]: by what a request is known again when it crashes upstreams
-//! - [`core`]: a request's way from arrival to its end; [`scanner`]: whole events of a stream
+//! - [`routing`]: route and team of a request, and the pool that it goes to
+//! - [`selection`]: load balancing among the upstreams, and rejection without capacity
+//! - [`load`]: estimated load of an upstream; [`concurrency_limit`]: its AIMD limit
+//! - [`rendezvous`]: which upstreams an entry prefers, and how entries divide an upstream's rate
+//! - [`slow_start`]: rate after a start; [`rate_limit`]: rate that an upstream names itself
+//! - [`health`]: outlier ejection and backoff; [`moves`]: limit on moves of stalled requests
+//! - [`retry_budget`]: limit on retries; [`retry_schedule`]: `Retry-After` of rejected requests
+//! - [`content`]: fingerprint that identifies a request which crashes upstreams
+//! - [`core`]: a request from arrival to end; [`scanner`]: complete events of a stream
 
 pub mod action;
 pub mod arrival;
--- a/crates/hyssopfork-gateway/src/load.rs
+++ b/crates/hyssopfork-gateway/src/load.rs
@@ -1,76 +1,79 @@
-//! Estimate of an upstream's load from old reports and the process's own requests.
+//! Estimate of an upstream's load from outdated reports and the process's own requests.
 //!
-//! A process knows its own requests at once, and those of all others only with an answer of that
-//! upstream. Of many processes before many upstreams, each has a request at one of them now and then,
-//! and the last report there is older than the requests that it counts. What such an upstream has is
-//! then estimated by the average over all upstreams of its pool and model, of which a process gets many
-//! reports a second, and which follows a surge with the process's own requests.
+//! A process knows its own requests at once, but those of other processes only from responses of
+//! the upstream. With many processes and many upstreams, a process sends a request to a given
+//! upstream only now and then, and its last report is older than the requests that it counts. The
+//! load is then estimated by the average over all upstreams of the pool and model. A process
+//! receives many reports per second for that average, which follows a surge by the process's own
+//! requests.
 
 use hyssopfork_wire::clock;
 use std::time::Duration;
 
-/// Age of a report at which it counts as much as the average: about the time to a first event.
+/// Age at which a report counts as much as the average: about the time to a first event.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(250);
 
-/// Age at which a report counts half in the averages of its pool and model.
+/// Half-life of a report's weight in the averages of its pool and model.
 const AVERAGE_HALF_LIFE: Duration = Duration::from_millis(700);
 
-/// Age of the last report up to which the averages count whole.
+/// Age of the last report up to which the averages keep their full value.
 const MAX_AVERAGE_AGE: Duration = Duration::from_millis(1_500);
 
-/// Time after that in which what is left of them halves.
+/// Time in which the averages halve after that.
 const FADE_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Own requests at an upstream by which the average outweighs what they say of others' there: who has
-/// several at each upstream sees by them which are fuller.
+/// Own requests at an upstream at which they outweigh the average as an indication of other
+/// processes' requests there: a process with several requests at each upstream can tell which ones
+/// are fuller.
 const OWN_REQUEST_PRIOR: f64 = 0.5;
 
-/// Least weight of a report in the averages: several may come at the same moment.
+/// Lowest weight of a report in the averages: several may arrive at the same time.
 const MIN_REPORT_WEIGHT: f64 = 0.02;
 
-/// Requests that are added to the own ones, now and on average, before they are compared: a few more
-/// are chance, not a surge.
+/// Requests that are added to the own ones, both current and average, before the two are compared:
+/// a few more are chance, not a surge.
 const CHANCE_REQUESTS: f64 = 4.0;
 
-/// Weight of the newest sample in the average time of a request.
+/// Weight of the newest sample in the average duration of a request (EWMA).
 const DURATION_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Average time of a request before the first sample: a generation of a hundred tokens at 10 ms.
+/// Average duration of a request before the first sample: a hundred generated tokens at 10 ms.
 const INITIAL_DURATION: Duration = Duration::from_millis(1_000);
 
-/// What an upstream says of itself with an answer.
+/// Load that an upstream reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Requests that can run concurrently.
     pub slots: u32,
 }
 
 /// This process's requests at the upstreams of one pool and model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnLoad {
-    /// Requests at all of them.
+    /// Requests at all of the upstreams.
     pub requests: u32,
-    /// How many upstreams there are.
+    /// Number of upstreams.
     pub upstreams: usize,
 }
 
 impl OwnLoad {
-    /// Requests at one upstream on average.
+    /// Average number of requests at one upstream.
     pub fn mean(self) -> f64 {
         f64::from(self.requests) / self.upstreams.max(1) as f64
     }
 
-    /// The same, with [`CHANCE`].
+    /// Average number of requests at one upstream, including [`CHANCE_REQUESTS`].
     fn smoothed_mean(self) -> f64 {
         (f64::from(self.requests) + CHANCE_REQUESTS) / self.upstreams.max(1) as f64
     }
 }
 
-/// Requests at one upstream of a pool and model on average: this process's, and those of others.
+/// Average requests at one upstream of a pool and model: this process's, and those of other
+/// processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Baseline {
     own: f64,
@@ -79,12 +82,13 @@
 }
 
 impl Baseline {
-    /// The share before any report, where so many processes send: as much as each other's.
+    /// Baseline before any report: each of the `entries` sends as much as this one.
     pub fn new(entries: usize) -> Baseline {
         Baseline { own: 1.0, others: (entries.max(1) - 1) as f64, reported_at: None }
     }
 
-    /// Takes in that others had so many requests at one upstream while this process had `own`.
+    /// Adds a report that others had `others` requests at one upstream while this process had
+    /// `own`.
     pub fn update(&mut self, now: clock::Instant, own: OwnLoad, others: f64) {
         let age = self.reported_at.replace(now).map(|reported| now.since(reported));
         let weight =
@@ -93,8 +97,9 @@
         self.others += (others - self.others) * weight;
     }
 
-    /// Requests of others at one upstream, now that this process has `own`. Without new reports they
-    /// fade: a process that sends nothing since all seem full would get none.
+    /// Requests of other processes at one upstream, now that this process has `own`. They decay
+    /// without new reports: otherwise a process that sends nothing because all upstreams seem full
+    /// would never receive another report.
     pub fn others(&self, now: clock::Instant, own: OwnLoad) -> f64 {
         match self.reported_at {
             Some(reported) => {
@@ -107,16 +112,16 @@
     }
 }
 
-/// What an upstream of one pool and model has on average.
+/// Average load of the upstreams of one pool and model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Average {
     /// This process's requests at all of them.
     pub own: OwnLoad,
-    /// Requests of others at one of them.
+    /// Requests of other processes at one of them.
     pub others: f64,
 }
 
-/// What is left after `age` of something that halves in `half_life`.
+/// Remaining part after `age` of a quantity with this half-life.
 fn decay(age: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
@@ -124,11 +129,11 @@
 /// Load of one upstream.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// This process's requests there.
+    /// This process's requests.
     pub own_requests: u32,
-    /// Requests of others there, when they were last reported.
+    /// Requests of other processes at the last report.
     others: f64,
-    /// This process's requests at an upstream of its kind then, on average.
+    /// This process's average requests per upstream of the pool and model at the last report.
     own_mean: f64,
     reported_at: Option<clock::Instant>,
     slots: u32,
@@ -136,7 +141,7 @@
 }
 
 impl Load {
-    /// An upstream of so many slots of which nothing is known.
+    /// Load of an upstream with this number of slots, without any report.
     pub fn new(slots: u32) -> Load {
         Load {
             own_requests: 0,
@@ -148,7 +153,7 @@
         }
     }
 
-    /// Takes a report that came while this process had `own` requests.
+    /// Adds a report that arrived while this process had `own` requests.
     pub fn on_report(&mut self, now: clock::Instant, report: Report, own: OwnLoad) {
         self.own_mean = own.smoothed_mean();
         let total = f64::from(report.running + report.waiting);
@@ -159,33 +164,34 @@
         }
     }
 
-    /// Takes in how long a request took.
+    /// Adds the duration of a request to the average.
     pub fn record_duration(&mut self, time: Duration) {
         self.mean_duration += (time.as_secs_f64() - self.mean_duration) * DURATION_SAMPLE_WEIGHT;
     }
 
-    /// Requests of others there, when they were last reported.
+    /// Requests of other processes at the last report.
     pub fn others(&self) -> f64 {
         self.others
     }
 
-    /// Requests there now. Others' requests are taken to have grown since the last report as this
-    /// process's own have.
+    /// Estimated current requests. Other processes' requests are assumed to have grown since the
+    /// last report like this process's own.
     pub fn estimate(&self, now: clock::Instant, average: Average) -> f64 {
-        let fresh = self.freshness(now);
+        let freshness = self.freshness(now);
         let reported = self.others * average.own.smoothed_mean() / self.own_mean;
         let own = f64::from(self.own_requests);
-        let likely =
+        let expected =
             average.others * (own + OWN_REQUEST_PRIOR) / (average.own.mean() + OWN_REQUEST_PRIOR);
-        own + reported * fresh + likely * (1.0 - fresh)
+        own + reported * freshness + expected * (1.0 - freshness)
     }
 
-    /// How much the estimate may be wrong: others' requests vary about the average as arrivals do.
+    /// Standard deviation of the estimate: other processes' requests vary around the average like
+    /// random arrivals.
     pub fn deviation(&self, now: clock::Instant, average: Average) -> f64 {
         (average.others.max(0.0) * (1.0 - self.freshness(now))).sqrt()
     }
 
-    /// Weight of the last report: 1 when it has just come, 0 where there was none.
+    /// Weight of the last report: 1 if it has just arrived, 0 if there is none.
     pub fn freshness(&self, now: clock::Instant) -> f64 {
         self.report_age(now).map_or(0.0, |age| decay(age, REPORT_HALF_LIFE))
     }
@@ -195,12 +201,12 @@
         self.reported_at.map(|reported| now.since(reported))
     }
 
-    /// Requests that can run at once.
+    /// Requests that can run concurrently.
     pub fn slots(&self) -> f64 {
         f64::from(self.slots.max(1))
     }
 
-    /// Requests that it ends in a second when it is full.
+    /// Requests that the upstream completes per second when it is full.
     pub fn throughput(&self) -> f64 {
         self.slots() / self.mean_duration.max(0.001)
     }
--- a/crates/hyssopfork-gateway/src/measurement.rs
+++ b/crates/hyssopfork-gateway/src/measurement.rs
@@ -1,4 +1,4 @@
-//! Measurements of requests that ended.
+//! Measurements of finished requests.
 
 use crate::action;
 use hyssopfork_wire::{configuration, name};
@@ -7,24 +7,24 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With the upstream's whole answer; the time to its first bytes.
+    /// With a complete response; the time to its first bytes.
     Completed(Duration),
-    /// With a refusal.
+    /// With a rejection.
     Rejected(action::Reason),
-    /// With an answer that was broken off.
+    /// With an aborted response.
     Aborted,
 }
 
-/// A measurement.
+/// Measurement of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Measurement {
-    /// Team of the caller; `None` where the route needs no key, or none matched.
+    /// Team of the client; `None` if the route requires no key or no route matched.
     pub team: Option<name::Team>,
-    /// Class of the work; `None` when no route matched.
+    /// Class of the work; `None` if no route matched.
     pub class: Option<configuration::Class>,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// Attempts made.
+    /// Number of attempts.
     pub attempts: u32,
     /// Time from arrival to the end.
     pub total_time: Duration,
--- a/crates/hyssopfork-gateway/src/moves.rs
+++ b/crates/hyssopfork-gateway/src/moves.rs
@@ -1,17 +1,17 @@
-//! Bound on moves of requests that are suspected to stand still.
+//! Token bucket that limits how many stalled requests move to another upstream.
 //!
-//! A process with few requests at an overloaded upstream can't tell it from a dead one. A request that
-//! is moved gives up its place in the queue and has its prompt read again elsewhere, so moves without a
-//! bound keep an overload going after its cause has passed. Each answer therefore earns a part of a
-//! move.
+//! A process with few requests at an overloaded upstream can't tell it from a dead one. A request
+//! that moves gives up its place in the queue and has its prompt processed again at the new
+//! upstream, so that unlimited moves would sustain an overload after its cause has passed. Each
+//! response therefore adds part of a token, and each move takes one.
 
-/// Moves that an answer earns.
+/// Tokens that a response adds.
 const TOKENS_PER_RESPONSE: f64 = 0.1;
 
-/// Most moves that are saved up: about the requests that one process has at one upstream.
+/// Capacity of the bucket: about the requests that one process has at one upstream.
 const MAX_TOKENS: f64 = 4.0;
 
-/// Moves that may be made.
+/// Tokens that are available for moves.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket(f64);
 
@@ -22,17 +22,17 @@
 }
 
 impl Bucket {
-    /// Takes in that an upstream answered a request.
+    /// Adds the tokens for a response.
     pub fn add_for_response(&mut self) {
         self.0 = (self.0 + TOKENS_PER_RESPONSE).min(MAX_TOKENS);
     }
 
-    /// Whether a request may be moved now.
+    /// Whether a request may move now.
     pub fn has_token(&self) -> bool {
         self.0 >= 1.0
     }
 
-    /// Takes in that a request was moved.
+    /// Takes the token for a move.
     pub fn take_token(&mut self) {
         self.0 -= 1.0;
     }
--- a/crates/hyssopfork-gateway/src/rendezvous.rs
+++ b/crates/hyssopfork-gateway/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing: an order of the entries for each key, the same at every entry.
 //!
-//! An entry that joins or leaves moves only its own places, so entries whose views differ by one
-//! entry agree on all others.
+//! An entry that joins or leaves changes only its own ranks, so that entries whose views differ by
+//! one entry agree on all others.
 
 use std::net;
 
@@ -9,8 +9,8 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Weight of the entry for the key. The same in every release: entries of two releases serve
-/// together during an upgrade.
+/// Weight of the entry for the key. It must be the same in every release, since entries of two
+/// releases serve together during an upgrade.
 pub fn weight(entry: net::SocketAddr, key: &[u8]) -> u64 {
     let host = match entry.ip() {
         net::IpAddr::V4(ip) => ip.to_ipv6_mapped().octets(),
@@ -23,7 +23,7 @@
     mix(hash)
 }
 
-/// Place of the entry among all for the key; 0 is the first.
+/// Rank of the entry among all entries for the key; 0 is the first.
 pub fn rank<'a>(
     entry: net::SocketAddr,
     entries: impl IntoIterator<Item = &'a net::SocketAddr>,
@@ -34,7 +34,7 @@
     others.filter(|other| (weight(**other, key), **other) > own).count()
 }
 
-/// Spreads the hash over all bits: FNV leaves its upper bits alike for inputs that end alike.
+/// Mixes all bits of the hash: the upper bits of FNV are similar for inputs with a common end.
 fn mix(mut hash: u64) -> u64 {
     hash ^= hash >> 33;
     hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/hyssopfork-gateway/src/request.rs
+++ b/crates/hyssopfork-gateway/src/request.rs
@@ -5,73 +5,73 @@
 use hyssopfork_wire::{clock, configuration, name};
 use std::time::Duration;
 
-/// The attempt that is under way.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Upstream.
     pub instance: name::Instance,
     /// Process and group that the request was sent to.
     pub incarnation: target::Incarnation,
-    /// When it was started.
+    /// When the attempt started.
     pub started_at: clock::Instant,
-    /// Requests that the upstream was believed to have then.
+    /// Estimated requests at the upstream when the attempt started.
     pub load_at_start: f64,
-    /// When bytes last came.
+    /// When the last bytes arrived.
     pub last_bytes_at: Option<clock::Instant>,
 }
 
 /// A request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The caller's identifier of it.
+    /// Identifier that the client assigned.
     pub identifier: String,
     /// Route.
     pub route: name::Route,
     /// Team.
     pub team: Option<name::Team>,
-    /// What it asks for.
+    /// Host, path, query and body.
     pub content: content::Content,
-    /// Pool that does the work.
+    /// Pool of the upstreams.
     pub pool: name::Pool,
     /// Model.
     pub model: Option<name::Model>,
-    /// How often the work may run.
+    /// Whether the work may run more than once.
     pub repetition: declaration::Repetition,
-    /// Upstreams that may run it, at most.
+    /// Most upstreams that may run the request.
     pub max_attempts: u32,
-    /// Time to the answer within which it is on time.
+    /// Target time to the first bytes of the response.
     pub objective: Duration,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: clock::Instant,
-    /// When its answer must have begun to be in time.
+    /// Time until which a response that begins meets the objective.
     pub on_time_until: clock::Instant,
-    /// Whether it was queued once for lack of an upstream.
+    /// Whether the request was queued for lack of an upstream; this happens once at most.
     pub was_queued: bool,
-    /// When its time is over.
+    /// Deadline.
     pub deadline: clock::Instant,
-    /// Upstreams that may have run it.
+    /// Upstreams that may have run the request.
     pub possible_runs: u32,
-    /// Attempts made.
+    /// Attempts so far.
     pub attempt_count: u32,
-    /// Upstreams that it was sent to.
+    /// Upstreams that the request has been sent to.
     pub excluded: Vec<name::Instance>,
-    /// The attempt that is under way.
+    /// The attempt in flight.
     pub attempt: Option<Attempt>,
-    /// Whether the head of the answer has gone to the caller.
+    /// Whether the head of the response has been forwarded to the client.
     pub head_forwarded: bool,
-    /// Last event that the caller has.
+    /// Last event that the client has received.
     pub last_event: Option<u64>,
-    /// When the first bytes came.
+    /// When the first bytes of the response arrived.
     pub first_bytes_at: Option<clock::Instant>,
 }
 
 impl Request {
-    /// Fingerprint of the work, the same for each repeat of it.
+    /// Fingerprint of the request, the same for each repetition.
     pub fn fingerprint(&self) -> quarantine::Fingerprint {
         self.content.fingerprint(self.team.as_ref())
     }
 
-    /// How it stands among others; `again` when it was accepted before.
+    /// Priority over other requests; `is_retry` if the request has been accepted before.
     pub fn priority(&self, now: clock::Instant, is_retry: bool) -> selection::Priority {
         if is_retry {
             selection::Priority::Retry
--- a/crates/hyssopfork-gateway/src/response.rs
+++ b/crates/hyssopfork-gateway/src/response.rs
@@ -1,44 +1,45 @@
-//! What an upstream's answer is worth.
+//! Validation of an upstream's response.
 
 use crate::{event, load};
 use hyssopfork_fleet::rate;
 use std::time::Duration;
 
-/// Head of an answer, as far as it decides anything.
+/// Parts of a response's head that decisions depend on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status code.
     pub status: u16,
-    /// Whether the upstream says that it has not run the request.
+    /// Whether the upstream states that it has not run the request.
     pub not_run: bool,
-    /// Whether the upstream says that it is another than the one that was meant.
+    /// Whether the upstream states that it is not the instance that the request was sent to.
     pub wrong_instance: bool,
-    /// Whether it carries the upstream's proof.
+    /// Whether the response carries the upstream's signature.
     pub signed: bool,
-    /// Identifier of the request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub identifier: Option<String>,
-    /// Whether its body is encoded, although nobody asked for that.
+    /// Whether the body has a content encoding, which no request asks for.
     pub encoded: bool,
-    /// Whether its body is a stream of events.
+    /// Whether the body is an event stream.
     pub is_event_stream: bool,
-    /// What the upstream says of its load.
+    /// Load that the upstream reports.
     pub load: Option<load::Report>,
-    /// Rate that the upstream takes of the whole fleet; `None` where it names none.
+    /// Rate limit that the upstream names for the whole fleet; `None` if it names none.
     pub rate: Option<rate::Rate>,
-    /// How long the upstream keeps the connection when it is idle.
+    /// Time for which the upstream keeps the connection open when it is idle.
     pub keep_alive: Option<Duration>,
 }
 
 impl Response {
-    /// What is wrong with it as an answer to the request `identifier`.
+    /// Checks whether this is a valid response to the request `identifier`.
     ///
-    /// An answer of another request can come where this one's is expected, when an upstream answers
-    /// twice. A success without proof, or with an encoded body, is not the upstream's.
+    /// A response to another request can arrive in place of the expected one if an upstream
+    /// responds twice. A success that is unsigned or has an encoded body does not come from the
+    /// upstream.
     pub fn fault(&self, identifier: &str) -> Option<event::Fault> {
         let success = (200..300).contains(&self.status);
-        let named = self.identifier.as_deref();
-        let other = named.is_some_and(|named| named != identifier);
-        if other || success && (named.is_none() || !self.signed || self.encoded) {
+        let identified = self.identifier.as_deref();
+        let is_other = identified.is_some_and(|it| it != identifier);
+        if is_other || success && (identified.is_none() || !self.signed || self.encoded) {
             return Some(event::Fault::InvalidResponse);
         }
         if self.wrong_instance {
@@ -47,7 +48,7 @@
         self.not_run.then_some(event::Fault::NotRun)
     }
 
-    /// The head as the entry's core takes it.
+    /// Converts to the head that the entry's core handles.
     pub fn head(&self) -> event::Head {
         event::Head { status: self.status, load: self.load, rate: self.rate }
     }
--- a/crates/hyssopfork-gateway/src/retry_budget.rs
+++ b/crates/hyssopfork-gateway/src/retry_budget.rs
@@ -1,23 +1,20 @@
-//! How often work may be sent again, over all processes.
+//! Retry budget over all processes.
 //!
-//! *Pattern.* Upstreams fail or vanish with dozens of streams each; each is sent again, at the
-//! moment with the least room for it.
-//!
-//! *Without it.* Sends beyond the first add to an overload that they come from.
-//!
-//! *Rule.* In each window, sends beyond the first stay below a share of the requests and an extra
-//! that all processes divide evenly. Requests fall on processes unevenly, so the share is counted
-//! on a process's own; no process can spend what another did not use.
+//! When upstreams fail, each loses dozens of streams, which are retried at the moment with the
+//! least spare capacity; without a budget the retries amplify the overload that causes them. In
+//! each window, the retries stay below a share of the requests plus an extra that is divided evenly
+//! among the processes. Requests are spread unevenly over processes, so each process counts the
+//! share of its own requests only; no process can spend what another leaves unused.
 
 use hyssopfork_wire::clock;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the budget that is used: windows of whoever counts begin at other moments than ours, and
-/// a process that is new is counted by the others only after a moment.
+/// Part of the budget that is used: windows of other observers begin at other moments, and the
+/// other processes count a new process only after a delay.
 const USABLE_RATIO: f64 = 0.8;
 
-/// Length of the buckets that a window is counted in.
+/// Length of the buckets that a window is divided into.
 const BUCKET_LENGTH: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
@@ -27,40 +24,41 @@
     retries: u32,
 }
 
-/// The budget of one pool in one process.
+/// Retry budget of one pool in one process.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     buckets: VecDeque<Bucket>,
 }
 
-/// What bounds a budget.
+/// Limits of a budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Sends beyond the first for each request.
+    /// Retries per request.
     pub retry_ratio: f64,
-    /// Sends beyond the first besides, for this process.
+    /// Additional retries of this process.
     pub retry_extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
 impl Budget {
-    /// Counts a request.
+    /// Counts the first attempt of a request.
     pub fn count_request(&mut self, now: clock::Instant, policy: Policy) {
         self.current_bucket(now, policy).requests += 1;
     }
 
-    /// Whether work may be sent again now; counts it when it may.
+    /// Returns whether a retry is within the budget, and counts it if so.
     pub fn try_retry(&mut self, now: clock::Instant, policy: Policy) -> bool {
         self.current_bucket(now, policy);
-        let first: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let again: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
-        let most = (f64::from(first) * policy.retry_ratio + policy.retry_extra) * USABLE_RATIO;
-        let may = f64::from(again) + 1.0 <= most;
-        if may {
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let max_retries =
+            (f64::from(requests) * policy.retry_ratio + policy.retry_extra) * USABLE_RATIO;
+        let is_allowed = f64::from(retries) + 1.0 <= max_retries;
+        if is_allowed {
             self.current_bucket(now, policy).retries += 1;
         }
-        may
+        is_allowed
     }
 
     fn current_bucket(&mut self, now: clock::Instant, policy: Policy) -> &mut Bucket {
--- a/crates/hyssopfork-gateway/src/routing.rs
+++ b/crates/hyssopfork-gateway/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routes and keys of the declaration in force, ready to be looked up.
+//! Routing: lookup of a request's route and team in the current declaration.
 
 use crate::arrival;
 use hyssopfork_fleet::declaration;
@@ -6,47 +6,47 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The table.
+/// Routes and keys of a declaration, indexed for lookup.
 #[derive(Clone, Debug)]
 pub struct Table {
     declaration: Arc<declaration::Declaration>,
-    /// Place of each route in the declaration, by host and prefix.
+    /// Index of each route in the declaration, by host and prefix.
     route_indices: HashMap<String, HashMap<String, usize>>,
-    /// Place of each key's team in the declaration.
+    /// Index of each key's team in the declaration.
     team_indices: HashMap<String, usize>,
 }
 
-/// Why a request has no place.
+/// Why a request has no match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No route covers its host and path.
+    /// No route matches the host and path.
     RouteNotFound,
-    /// Its route needs a key, and it shows none that is known.
+    /// The route requires a key, and the request has none or an unknown one.
     KeyNotFound,
 }
 
-/// Where a request belongs.
+/// Route and team of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Match<'a> {
-    /// Its route.
+    /// Route.
     pub route: &'a declaration::Route,
-    /// Its team; `None` where the route needs no key.
+    /// Team; `None` if the route requires no key.
     pub team: Option<&'a declaration::Team>,
 }
 
 impl Table {
-    /// The table of a declaration.
+    /// Indexes a declaration.
     pub fn new(declaration: Arc<declaration::Declaration>) -> Table {
-        let mut places: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        for (place, route) in declaration.routes.iter().enumerate() {
+        let mut route_indices: HashMap<String, HashMap<String, usize>> = HashMap::new();
+        for (index, route) in declaration.routes.iter().enumerate() {
             let host = route.host.to_ascii_lowercase();
-            places.entry(host).or_default().insert(route.prefix.clone(), place);
+            route_indices.entry(host).or_default().insert(route.prefix.clone(), index);
         }
-        let mut keys = HashMap::new();
-        for (place, team) in declaration.teams.iter().enumerate() {
-            keys.extend(team.keys.iter().map(|key| (key.clone(), place)));
+        let mut team_indices = HashMap::new();
+        for (index, team) in declaration.teams.iter().enumerate() {
+            team_indices.extend(team.keys.iter().map(|key| (key.clone(), index)));
         }
-        Table { declaration, route_indices: places, team_indices: keys }
+        Table { declaration, route_indices, team_indices }
     }
 
     /// The declaration.
@@ -54,46 +54,46 @@
         &self.declaration
     }
 
-    /// Finds where a request belongs.
+    /// Looks up the route and team of a request.
     pub fn find(&self, arrival: &arrival::Arrival) -> Result<Match<'_>, Error> {
         let route =
             self.route(&arrival.content.host, &arrival.content.path).ok_or(Error::RouteNotFound)?;
         if route.anonymous || self.declaration.teams.is_empty() {
             return Ok(Match { route, team: None });
         }
-        let place = arrival
+        let index = arrival
             .key
             .as_ref()
             .and_then(|key| self.team_indices.get(key))
             .ok_or(Error::KeyNotFound)?;
-        Ok(Match { route, team: Some(&self.declaration.teams[*place]) })
+        Ok(Match { route, team: Some(&self.declaration.teams[*index]) })
     }
 
-    /// Engines of a pool; `None` for a plain service.
+    /// Engine settings of a pool; `None` for a plain service.
     pub fn engine(&self, pool: &name::Pool) -> Option<&declaration::Engine> {
         self.declaration.pools.get(pool)?.engine.as_ref()
     }
 
-    /// Requests a second that a cold upstream of the pool bears; `None` for any number.
+    /// Requests per second that a cold upstream of the pool can take; `None` for no limit.
     pub fn cold_rate(&self, pool: &name::Pool) -> Option<f64> {
         Some(self.declaration.pools.get(pool)?.cold?.per_second)
     }
 
-    /// The route of the longest prefix. Prefixes end with a slash, so only the path's parts up to
-    /// each of its slashes can be one.
+    /// The route with the longest matching prefix. Prefixes end with a slash, so only the parts of
+    /// the path up to each of its slashes can match.
     fn route(&self, host: &str, path: &str) -> Option<&declaration::Route> {
         let prefixes = self.route_indices.get(&host.to_ascii_lowercase())?;
         let ends = path.char_indices().rev().filter(|(_, letter)| *letter == '/');
         let mut parts = ends.map(|(end, _)| &path[..=end]);
-        let place = parts.find_map(|part| prefixes.get(part))?;
-        Some(&self.declaration.routes[*place])
+        let index = parts.find_map(|part| prefixes.get(part))?;
+        Some(&self.declaration.routes[*index])
     }
 }
 
-/// The pool that a draw between 0 and 1 falls on, by the route's weights.
-pub fn pick_pool(route: &declaration::Route, draw: f64) -> Option<&name::Pool> {
+/// Picks the pool that a fraction between 0 and 1 selects, by the route's weights.
+pub fn pick_pool(route: &declaration::Route, fraction: f64) -> Option<&name::Pool> {
     let total: u32 = route.targets.iter().map(|(_, weight)| weight).sum();
-    let mut left = draw * f64::from(total);
+    let mut left = fraction * f64::from(total);
     let mut last = None;
     for (pool, weight) in route.targets.iter().filter(|(_, weight)| *weight > 0) {
         last = Some(pool);
--- a/crates/hyssopfork-gateway/src/scanner.rs
+++ b/crates/hyssopfork-gateway/src/scanner.rs
@@ -1,20 +1,20 @@
-//! Whole events of a stream, in order.
+//! Splits a stream into complete events and checks their order.
 //!
-//! Only whole events go to the caller, each once and none left out: a stream that breaks off can
-//! then go on at another upstream after the last one.
+//! Only complete events are forwarded to the client, each once and without gaps, so that a stream
+//! whose connection is lost can resume at another upstream after the last forwarded event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Why a stream's bytes are none of this stream.
+/// An event identifier that does not follow the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutOfOrder {
-    /// Identifier that came.
+    /// Received identifier.
     pub received: u64,
-    /// Last identifier before it.
+    /// Identifier before it.
     pub previous: u64,
 }
 
-/// Tells whole events apart and follows their identifiers.
+/// Splits the bytes of a stream into events and tracks their identifiers.
 #[derive(Clone, Debug, Default)]
 pub struct Scanner {
     buffer: BytesMut,
@@ -22,55 +22,56 @@
 }
 
 impl Scanner {
-    /// A scanner of a stream of which the caller has all up to event `last`.
+    /// Creates a scanner for a stream of which the client has received all events up to
+    /// `last_event`.
     pub fn new(last_event: Option<u64>) -> Scanner {
         Scanner { buffer: BytesMut::new(), last_event }
     }
 
-    /// Takes the next bytes and gives the events that are whole by now.
+    /// Takes the next bytes and returns the events that are now complete.
     ///
     /// # Errors
     ///
-    /// [`OutOfOrder`] when an identifier does not follow the one before it: the bytes of two runs
+    /// [`OutOfOrder`] if an identifier does not follow the previous one: the output of two runs
     /// would be joined with a gap or a repetition.
     pub fn feed(&mut self, data: &[u8]) -> Result<Bytes, OutOfOrder> {
         let mut scanned = self.buffer.len().saturating_sub(3);
         self.buffer.extend_from_slice(data);
-        let mut whole = 0;
-        while let Some(end) = event_end(&self.buffer, scanned.max(whole)) {
-            self.check_order(whole, end)?;
-            whole = end;
+        let mut complete = 0;
+        while let Some(end) = event_end(&self.buffer, scanned.max(complete)) {
+            self.check_order(complete, end)?;
+            complete = end;
             scanned = end;
         }
-        Ok(self.buffer.split_to(whole).freeze())
+        Ok(self.buffer.split_to(complete).freeze())
     }
 
-    /// Last event that was given out.
+    /// Last event that was returned.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Whether the bytes so far end with a whole event.
+    /// Whether the bytes so far end with a complete event.
     pub fn is_at_event_boundary(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Drops the beginning of an event whose rest will not come.
+    /// Discards the beginning of an event whose rest will not arrive.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
     fn check_order(&mut self, from: usize, to: usize) -> Result<(), OutOfOrder> {
-        let Some(came) = event_identifier(&self.buffer[from..to]) else { return Ok(()) };
-        if let Some(last) = self.last_event.filter(|last| came != last + 1) {
-            return Err(OutOfOrder { received: came, previous: last });
+        let Some(received) = event_identifier(&self.buffer[from..to]) else { return Ok(()) };
+        if let Some(previous) = self.last_event.filter(|previous| received != previous + 1) {
+            return Err(OutOfOrder { received, previous });
         }
-        self.last_event = Some(came);
+        self.last_event = Some(received);
         Ok(())
     }
 }
 
-/// End of the first event whose end, an empty line, lies at or after `from`.
+/// End of the first event whose terminating empty line begins at or after `from`.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|index| {
         let rest = &bytes[index..];
@@ -84,7 +85,7 @@
     })
 }
 
-/// The event's identifier, where it has a number for one.
+/// Identifier of the event, if it is a number.
 fn event_identifier(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| matches!(byte, b'\n' | b'\r'));
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/hyssopfork-gateway/src/selection.rs
+++ b/crates/hyssopfork-gateway/src/selection.rs
@@ -1,9 +1,10 @@
-//! Choice of an upstream for a request, or of rejection.
+//! Load balancing: selects an upstream for a request, or rejects it.
 //!
-//! Of the upstreams with room, the request goes to the one with the smallest part of its
-//! [`limit`](crate::limit) taken, one of the own zone or one that this process prefers among equals. Late
-//! requests leave room for those that can be in time: otherwise requests queue at upstreams until all
-//! are served late. Where no upstream has room, the request is rejected at once with a `Retry-After`.
+//! Of the upstreams with capacity, the request goes to the one that uses the smallest part of its
+//! [`limit`](crate::concurrency_limit); among equals, to one of the own zone or one that this
+//! process prefers. Requests that are already late leave capacity for those that can be on time:
+//! otherwise requests queue at upstreams until all are late. If no upstream has capacity, the
+//! request is rejected at once with a `Retry-After`.
 
 use crate::{load, target};
 use hyssopfork_fleet::view;
@@ -11,31 +12,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Part of its slots beyond its limit that an upstream takes of requests that were accepted before
-/// and lost their upstream: to refuse them would break off what their callers have.
+/// Part of its slots by which an upstream may exceed its limit for requests that were accepted
+/// before and lost their upstream: rejecting them would abort responses that clients already
+/// receive.
 const RETRY_OVERSHOOT: f64 = 0.5;
 
-/// Part of its limit that an upstream reserves for requests that can still be answered on time.
-/// Otherwise retries of rejected requests, which are late already, displace these.
+/// Part of its limit that an upstream reserves for requests that can still be on time. Otherwise
+/// retries of rejected requests, which are late already, displace these.
 const RESERVED_FOR_ON_TIME: f64 = 0.25;
 
-/// Deviations of the estimate that are kept free: what is sent to an upstream that is fuller than it
-/// seems waits there until it is late.
+/// Standard deviations of the load estimate that are kept free: a request that is sent to an
+/// upstream that is fuller than estimated waits there until it is late.
 const UNCERTAINTY_FACTOR: f64 = 0.3;
 
-/// Part of its slots by which an upstream of another zone must be emptier to go first: traffic
-/// between zones costs, but less than a late answer.
+/// Part of its limit by which an upstream of another zone must be emptier to be preferred: traffic
+/// between zones has a cost, but a lower one than a late response.
 const ZONE_PREFERENCE: f64 = 0.06;
 
-/// Part of its slots by which an upstream of which nothing is known must be emptier to go first, where
-/// it is last in this process's order of preference. Each process prefers different ones: it gets their
-/// reports again and again, and has connections to them.
+/// Part of its limit by which an upstream without reports must be emptier to be preferred if it is
+/// last in this process's order of preference. Each process prefers different upstreams: it
+/// receives their reports frequently and has open connections to them.
 const AFFINITY: f64 = 1.0;
 
-/// Time for which an upstream that the leader doesn't hear counts as good after it has answered.
+/// Time after a successful response during which an upstream is used even though the leader doesn't
+/// receive its heartbeats.
 const RECENT_RESPONSE_TIME: Duration = Duration::from_secs(2);
 
-/// What a request asks for.
+/// Requirements of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
     /// Pool.
@@ -44,52 +47,52 @@
     pub model: Option<&'a name::Model>,
     /// Zone of this process.
     pub zone: &'a name::Zone,
-    /// Upstreams that it was sent to before.
+    /// Upstreams that the request has been sent to.
     pub excluded: &'a [name::Instance],
-    /// How it stands.
+    /// Priority over other requests.
     pub priority: Priority,
 }
 
-/// How a request stands, which decides how much room must be left for others.
+/// Priority of a request, which decides how much capacity must be left for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Priority {
-    /// Its answer can still begin in time.
+    /// The response can still begin on time.
     #[strum(serialize = "in_time")]
     OnTime,
-    /// Its answer will be late: it is a retry of a rejected request.
+    /// The response will be late: the request is a retry of a rejected one.
     Late,
-    /// It was accepted before and goes on elsewhere.
+    /// The request was accepted before and is retried elsewhere.
     #[strum(serialize = "again")]
     Retry,
 }
 
-/// What bounds the choice for all requests.
+/// Constraints that are independent of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Constraints<'a> {
     /// Zones that are out.
     pub excluded_zones: &'a BTreeSet<name::Zone>,
-    /// What the upstreams of the pool and model have on average.
+    /// Average load of the upstreams of the pool and model.
     pub average: load::Average,
 }
 
-/// The choice.
+/// Result of a selection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Selection {
     /// This upstream.
     Selected(name::Instance),
-    /// None has room.
+    /// No upstream has capacity.
     Full {
-        /// When one will.
+        /// Time until one will have capacity.
         wait: Duration,
-        /// The one that came closest; `None` where none could be asked at all.
+        /// Upstream that is closest to having capacity; `None` if none is available.
         best: Option<name::Instance>,
     },
-    /// There is none.
+    /// No upstream matches.
     NoUpstream,
 }
 
-/// Preference among upstreams that may be taken: each class before the next.
+/// Condition of an upstream. Upstreams in a better condition, listed first, are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Condition {
     Healthy,
@@ -97,59 +100,59 @@
     Stalled,
 }
 
-/// Chooses among the targets.
+/// Selects one of the targets.
 pub fn select(
     now: clock::Instant,
     targets: &BTreeMap<name::Instance, target::Target>,
     query: Query<'_>,
     constraints: Constraints<'_>,
 ) -> Selection {
-    let fits = |(instance, target): &(&name::Instance, &target::Target)| {
+    let matches = |(instance, target): &(&name::Instance, &target::Target)| {
         target.pool == *query.pool
             && target.model.as_ref() == query.model
             && !query.excluded.contains(instance)
             && !constraints.excluded_zones.contains(&target.zone)
             && target.standing != view::Standing::Leaving
     };
-    let open = |(_, target): &(&name::Instance, &target::Target)| {
-        let silent = target.standing == view::Standing::Silent;
+    let is_available = |(_, target): &(&name::Instance, &target::Target)| {
+        let is_silent = target.standing == view::Standing::Silent;
         !target.health.is_backing_off(now)
-            && (!silent || target.health.has_responded_within(now, RECENT_RESPONSE_TIME))
+            && (!is_silent || target.health.has_responded_within(now, RECENT_RESPONSE_TIME))
     };
-    let candidates: Vec<_> = targets.iter().filter(fits).collect();
+    let candidates: Vec<_> = targets.iter().filter(matches).collect();
     let usable: Vec<Candidate<'_>> = candidates
         .iter()
-        .filter(|candidate| open(candidate))
+        .filter(|candidate| is_available(candidate))
         .filter(|(_, target)| is_within_rate(now, target))
         .map(|(instance, target)| Candidate::new(now, instance, target, query, constraints))
         .collect();
-    let class = usable.iter().map(|candidate| candidate.condition).min();
-    let wanted = usable.iter().filter(|candidate| Some(candidate.condition) == class);
-    let free = wanted.clone().filter(|candidate| candidate.excess <= 0.0);
-    let first = free.min_by(|left, right| left.score.total_cmp(&right.score));
-    if let Some(candidate) = first {
+    let best_condition = usable.iter().map(|candidate| candidate.condition).min();
+    let preferred = usable.iter().filter(|candidate| Some(candidate.condition) == best_condition);
+    let with_capacity = preferred.clone().filter(|candidate| candidate.excess <= 0.0);
+    let lowest = with_capacity.min_by(|left, right| left.score.total_cmp(&right.score));
+    if let Some(candidate) = lowest {
         return Selection::Selected(candidate.instance.clone());
     }
     if candidates.is_empty() {
         return Selection::NoUpstream;
     }
-    let best = wanted.min_by_key(|candidate| candidate.wait);
-    let limited = candidates.iter().filter(|candidate| open(candidate));
-    let limited = limited.map(|(_, target)| target.rate_limit_delay(now)).min();
+    let best = preferred.min_by_key(|candidate| candidate.wait);
+    let rate_limited = candidates.iter().filter(|candidate| is_available(candidate));
+    let rate_limited = rate_limited.map(|(_, target)| target.rate_limit_delay(now)).min();
     Selection::Full {
-        wait: best.map_or(limited.unwrap_or_default(), |candidate| candidate.wait),
+        wait: best.map_or(rate_limited.unwrap_or_default(), |candidate| candidate.wait),
         best: best.map(|candidate| candidate.instance.clone()),
     }
 }
 
-/// An upstream that can be asked.
+/// An available upstream.
 struct Candidate<'a> {
     instance: &'a name::Instance,
     condition: Condition,
     score: f64,
-    /// Requests that it would have beyond what it may have.
+    /// Requests beyond its capacity if it took this one.
     excess: f64,
-    /// Time until it has room.
+    /// Time until it has capacity.
     wait: Duration,
 }
 
@@ -162,13 +165,13 @@
         constraints: Constraints<'_>,
     ) -> Candidate<'a> {
         let load = target.load.estimate(now, constraints.average);
-        let room = match query.priority {
+        let allowance = match query.priority {
             Priority::OnTime => 0.0,
             Priority::Late => -target.limit.get() * RESERVED_FOR_ON_TIME,
             Priority::Retry => target.load.slots() * RETRY_OVERSHOOT,
         };
-        let doubt = target.load.deviation(now, constraints.average) * UNCERTAINTY_FACTOR;
-        let excess = load + 1.0 + doubt - target.limit.get() - room;
+        let margin = target.load.deviation(now, constraints.average) * UNCERTAINTY_FACTOR;
+        let excess = load + 1.0 + margin - target.limit.get() - allowance;
         Candidate {
             instance,
             condition: condition(now, target),
@@ -179,10 +182,11 @@
     }
 }
 
-/// Whether the upstream bears another request now.
+/// Whether slow start and the rate limit allow another request now.
 fn is_within_rate(now: clock::Instant, target: &target::Target) -> bool {
-    let warm = target.slow_start_share.is_none_or(|part| target.recent_sends.has_room(now, part));
-    warm && target.rate_limit_delay(now).is_zero()
+    let within_slow_start =
+        target.slow_start_share.is_none_or(|share| target.recent_sends.has_room(now, share));
+    within_slow_start && target.rate_limit_delay(now).is_zero()
 }
 
 fn condition(now: clock::Instant, target: &target::Target) -> Condition {
@@ -195,7 +199,7 @@
     }
 }
 
-/// Part of the limit that is taken, with what makes the upstream less welcome than others.
+/// Used part of the limit, plus penalties that make the upstream less preferred.
 fn score(
     now: clock::Instant,
     target: &target::Target,
@@ -203,8 +207,8 @@
     zone: &name::Zone,
     constraints: Constraints<'_>,
 ) -> f64 {
-    let elsewhere = if target.zone == *zone { 0.0 } else { ZONE_PREFERENCE };
-    // Who has several requests at each upstream knows all of them.
-    let unknown = (1.0 - target.load.freshness(now)) / (1.0 + constraints.average.own.mean());
-    load / target.limit.get() + elsewhere + target.preference * unknown * AFFINITY
+    let zone_penalty = if target.zone == *zone { 0.0 } else { ZONE_PREFERENCE };
+    // A process with several requests at each upstream has recent information about all of them.
+    let uncertainty = (1.0 - target.load.freshness(now)) / (1.0 + constraints.average.own.mean());
+    load / target.limit.get() + zone_penalty + target.preference * uncertainty * AFFINITY
 }
--- a/crates/hyssopfork-gateway/src/settings.rs
+++ b/crates/hyssopfork-gateway/src/settings.rs
@@ -7,14 +7,14 @@
 /// Settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address of this process among the entries.
+    /// Address of this process, which identifies the entry.
     pub address: net::SocketAddr,
     /// Availability zone of this process.
     pub zone: name::Zone,
-    /// Sends beyond a request's first for each request of a window, over all processes.
+    /// Retries per request within a window, over all processes.
     pub retry_ratio: f64,
-    /// Sends beyond a request's first in a window besides, over all processes.
+    /// Additional retries within a window, over all processes.
     pub retry_extra: f64,
-    /// The window.
+    /// Window of the retry budget.
     pub retry_window: Duration,
 }
--- a/crates/hyssopfork-gateway/src/target.rs
+++ b/crates/hyssopfork-gateway/src/target.rs
@@ -1,4 +1,4 @@
-//! An upstream that requests can be sent to.
+//! Upstreams that requests can be sent to.
 
 use crate::{concurrency_limit, health, load, rate_limit, slow_start};
 use hyssopfork_fleet::{rate, view};
@@ -6,99 +6,103 @@
 use std::net;
 use std::time::Duration;
 
-/// Silence on all streams of an upstream, in the middle of them, after which it stands still. A step
-/// of a full batch takes 10 ms to 60 ms and an event five of them.
+/// Time without bytes on any stream of an upstream, with streams in progress, after which it counts
+/// as stalled. One step of a full batch takes 10 ms to 60 ms, and an event takes five steps.
 pub const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence on all streams of an upstream after which the leader is told, so that it asks whether the
-/// upstream lives while its requests still wait; nothing else follows from it. Twice the time between
-/// the events of a full batch; long prompts reach it now and then, which costs a few questions.
+/// Time without bytes on any stream of an upstream after which the leader is notified, so that it
+/// checks the upstream while its requests still wait; nothing else follows from it. Twice the
+/// interval between the events of a full batch; long prompts exceed it now and then, which costs a
+/// few checks.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Silence after which a request leaves an upstream whose group is known to be lost: an event that
-/// was on its way has come by then.
+/// Time without bytes after which a request moves away from a group that is known to be lost: an
+/// event in transit has arrived by then.
 pub const LOST_GROUP_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time between two looks at a request for which nothing comes.
+/// Interval between checks of a request that receives no bytes.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Silence before the first event of any stream after which an upstream stands still: a prompt may
-/// wait for a slot and for others' prompts.
+/// Time without bytes before the first event of any stream after which an upstream counts as
+/// stalled: a prompt may wait for a slot and for other prompts.
 pub const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time after which an upstream that stood still is tried again.
+/// Time after which a stalled upstream is tried again.
 const STALL_BACKOFF: Duration = Duration::from_millis(1_500);
 
-/// What a target was when its record began: another of these starts without a record.
+/// Process and group that a target's state belongs to. If one of the fields changes, the target
+/// starts without state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     /// Start of its process.
     pub born: u64,
     /// Epoch of its group; 0 for a plain service.
     pub epoch: u64,
-    /// Where it listens.
+    /// Address.
     pub address: net::SocketAddr,
 }
 
-/// A target.
+/// An upstream that requests can be sent to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Which process and group this record is of.
+    /// Process and group that this state belongs to.
     pub incarnation: Incarnation,
     /// Pool.
     pub pool: name::Pool,
-    /// Model of the group that it heads; `None` for a plain service.
+    /// Model of the group that it leads as head; `None` for a plain service.
     pub model: Option<name::Model>,
     /// Availability zone.
     pub zone: name::Zone,
-    /// How it stands.
+    /// Presence as the leader published it.
     pub standing: view::Standing,
-    /// How full it is.
+    /// Estimated load.
     pub load: load::Load,
-    /// How full it may be.
+    /// Concurrency limit.
     pub limit: concurrency_limit::Limit,
-    /// Whether it answers.
+    /// Failure ratio and connection backoff.
     pub health: health::Health,
-    /// Sends in the last second.
+    /// Requests of this entry in the last second.
     pub recent_sends: slow_start::Sends,
-    /// Place of this entry among all in the upstream's order of them, between 0, the first, and 1.
+    /// Relative rank of this entry in the upstream's order of entries, from 0 for the first towards
+    /// 1.
     pub preference: f64,
-    /// Requests in a second that this entry may send while it is cold; `None` for any number.
+    /// Requests per second that this entry may send while the upstream is cold; `None` for no
+    /// limit.
     pub slow_start_share: Option<usize>,
-    /// Rate that it named last, for all entries together.
+    /// Rate that it last named, for all entries together.
     pub named_rate: rate_limit::NamedRate,
-    /// The rate as the leader published it last.
+    /// Rate that the leader last published.
     pub published_rate: Option<rate::Rate>,
-    /// This entry's part of the rate; `None` where it names none.
+    /// Limiter of this entry's share of the rate; `None` if no rate is named.
     pub rate_limiter: Option<rate_limit::Limiter>,
-    /// When bytes last came of any of its streams.
+    /// When bytes last arrived on any of its streams.
     pub last_bytes_at: clock::Instant,
-    /// Whether it has been silent for [`SUSPECT`].
+    /// Whether no bytes have arrived for [`SUSPECT_TIMEOUT`].
     pub suspected: bool,
-    /// Since when it stands still.
+    /// Since when it has been stalled.
     pub stalled_since: Option<clock::Instant>,
 }
 
 impl Target {
-    /// Whether it stood still just now.
+    /// Whether it stalled within the last [`STALL_BACKOFF`].
     pub fn is_stalled(&self, now: clock::Instant) -> bool {
         self.stalled_since.is_some_and(|since| now.since(since) < STALL_BACKOFF)
     }
 
-    /// Takes the part of the named rate for the entry at `rank` of `entries`.
+    /// Takes the share of the named rate for the entry at `rank` of `entries`.
     pub fn update_rate_share(&mut self, rank: usize, entries: usize) {
-        let before = self.rate_limiter.take();
+        let previous = self.rate_limiter.take();
         let limiter =
             self.named_rate.rate.map(|rate| rate_limit::Limiter::new(rate, rank, entries));
-        self.rate_limiter = limiter.map(|limiter| limiter.with_history_of(before));
+        self.rate_limiter = limiter.map(|limiter| limiter.with_history_of(previous));
     }
 
-    /// Time until this entry may send it another request; zero for now.
+    /// Time until the rate limit allows another request of this entry; zero for now.
     pub fn rate_limit_delay(&self, now: clock::Instant) -> Duration {
         self.rate_limiter.as_ref().map_or(Duration::ZERO, |limiter| limiter.delay(now))
     }
 
-    /// Bytes came of it.
+    /// Records that bytes arrived.
     pub fn on_bytes(&mut self, now: clock::Instant) {
         self.last_bytes_at = now;
         self.suspected = false;
