--- a/crates/hyssopfork-gateway/tests/gateway/concurrency_limit.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/concurrency_limit.rs
@@ -1,14 +1,14 @@
-//! How many requests an upstream may have.
+//! AIMD concurrency limit of an upstream.
 
 use hyssopfork_gateway::concurrency_limit::Limit;
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(300);
 const LATE: Duration = Duration::from_millis(500);
-const SOON: Duration = Duration::from_millis(100);
+const ON_TIME: Duration = Duration::from_millis(100);
 
 #[test]
-fn late_answers_of_a_full_upstream_lower_it() {
+fn late_responses_of_a_full_upstream_decrease_the_limit() {
     let mut limit = Limit::new(34);
 
     (0..10).for_each(|_| limit.on_response(LATE, OBJECTIVE, 33.0));
@@ -17,19 +17,19 @@
 }
 
 #[test]
-fn answers_in_time_raise_it_again_to_a_little_over_the_slots() {
+fn responses_on_time_increase_the_limit_to_slightly_above_the_slots() {
     let mut limit = Limit::new(34);
     (0..10).for_each(|_| limit.on_response(LATE, OBJECTIVE, 33.0));
 
-    (0..200).for_each(|_| limit.on_response(SOON, OBJECTIVE, 10.0));
+    (0..200).for_each(|_| limit.on_response(ON_TIME, OBJECTIVE, 10.0));
 
     assert!((37.0..38.0).contains(&limit.get()), "{}", limit.get());
 }
 
-/// A long prompt is answered late by an upstream that is nearly empty: fewer requests there would
-/// change nothing.
+/// Guards against a lower limit after a long prompt at a nearly empty upstream, where fewer
+/// requests would change nothing.
 #[test]
-fn a_late_answer_of_an_upstream_that_is_far_from_full_changes_nothing() {
+fn a_late_response_of_an_upstream_far_from_full_changes_nothing() {
     let mut limit = Limit::new(34);
 
     limit.on_response(LATE, OBJECTIVE, 3.0);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn some_requests_always_get_through() {
+fn the_limit_never_drops_below_one() {
     let mut limit = Limit::new(2);
 
     (0..100).for_each(|_| limit.on_response(LATE, OBJECTIVE, 9.0));
--- a/crates/hyssopfork-gateway/tests/gateway/fixture.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/fixture.rs
@@ -1,4 +1,4 @@
-//! An entry before one model with groups and one plain service.
+//! Test fixture: an entry, one model with groups and one plain service.
 
 use hyssopfork_fleet::{announcement, declaration, quarantine, view};
 use hyssopfork_gateway::{action, arrival, content, core, event, settings, target};
@@ -117,7 +117,7 @@
     }
 }
 
-/// So many groups of the model, with heads of the entry's zone and of another in turn.
+/// This many groups of the model, with heads alternately in the entry's zone and in another.
 pub fn view_of_groups(count: u8) -> view::Update {
     let named = |number: u8| format!("e{}", char::from(b'A' + number));
     let upstreams = (0..count).map(|number| upstream(&named(number), "engines"));
@@ -125,7 +125,7 @@
     view::Update { upstreams: upstreams.collect(), groups: groups.collect(), ..view() }
 }
 
-/// So many entries, of which the first is the one of this module.
+/// This many entries, of which the first is the fixture's.
 pub fn entries(count: u32) -> Vec<(net::SocketAddr, Option<()>)> {
     (0..count).map(|number| (entry_address(number), Some(()))).collect()
 }
@@ -158,19 +158,19 @@
 pub struct Entry {
     pub core: core::Core,
     pub now: clock::Instant,
-    pub told: Vec<hyssopfork_fleet::peer::Evidence>,
+    pub reports: Vec<hyssopfork_fleet::peer::Evidence>,
     pub probes: Vec<quarantine::Process>,
     count: u64,
 }
 
 impl Entry {
-    /// An entry that knows nothing yet.
-    pub fn blank() -> Entry {
-        Entry::at(0)
+    /// An entry without a declaration or view.
+    pub fn new() -> Entry {
+        Entry::numbered(0)
     }
 
-    /// The entry of this number, that knows nothing yet.
-    pub fn at(number: u32) -> Entry {
+    /// The entry with this number, without a declaration or view.
+    pub fn numbered(number: u32) -> Entry {
         let settings = settings::Settings {
             address: entry_address(number),
             zone: name::Zone::from("z1"),
@@ -182,47 +182,47 @@
         Entry {
             core: core::Core::new(settings, 1, now),
             now,
-            told: Vec::new(),
+            reports: Vec::new(),
             probes: Vec::new(),
             count: 0,
         }
     }
 
-    /// An entry that knows the fleet of this module.
-    pub fn ready() -> Entry {
-        let mut entry = Entry::blank();
-        entry.see(view());
+    /// An entry that has received the fixture's view.
+    pub fn with_fleet() -> Entry {
+        let mut entry = Entry::new();
+        entry.update_view(view());
         entry
     }
 
-    /// So many entries that know the fleet of this module.
-    pub fn all_of(count: u32) -> Vec<Entry> {
-        Entry::all_before(count, &view())
+    /// This many entries that have received the fixture's view.
+    pub fn fleet_of(count: u32) -> Vec<Entry> {
+        Entry::fleet_with_view(count, &view())
     }
 
-    /// So many entries that were given this view.
-    pub fn all_before(count: u32, update: &view::Update) -> Vec<Entry> {
-        Entry::all_between(0, count, update)
+    /// This many entries that have received this view.
+    pub fn fleet_with_view(count: u32, update: &view::Update) -> Vec<Entry> {
+        Entry::fleet_range_with_view(0, count, update)
     }
 
-    /// The entries of these numbers, which were given this view.
-    pub fn all_between(first: u32, end: u32, update: &view::Update) -> Vec<Entry> {
-        let members: Vec<_> =
+    /// The entries with these numbers, which have received this view.
+    pub fn fleet_range_with_view(first: u32, end: u32, update: &view::Update) -> Vec<Entry> {
+        let entries: Vec<_> =
             (first..end).map(|number| (entry_address(number), Some(()))).collect();
-        let ready = |number| {
-            let mut entry = Entry::at(number);
-            entry.see(view::Update { entries: members.clone(), ..update.clone() });
+        let with_view = |number| {
+            let mut entry = Entry::numbered(number);
+            entry.update_view(view::Update { entries: entries.clone(), ..update.clone() });
             entry
         };
-        (first..end).map(ready).collect()
+        (first..end).map(with_view).collect()
     }
 
-    pub fn see(&mut self, update: view::Update) {
+    pub fn update_view(&mut self, update: view::Update) {
         let declaration = Some(Arc::new(declaration()));
         self.step(event::Event::ViewUpdated(Box::new(update), declaration));
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
     }
 
@@ -231,7 +231,7 @@
         for action in self.core.step(self.now, event) {
             match action {
                 action::Action::Decide(_, decided) => decision = Some(decided),
-                action::Action::Report(evidence) => self.told.push(evidence),
+                action::Action::Report(evidence) => self.reports.push(evidence),
                 action::Action::Probe(process, _) => self.probes.push(process),
                 action::Action::Notice(_) | action::Action::Measure(_) => {}
             }
@@ -239,8 +239,8 @@
         decision
     }
 
-    /// The requests that are started at the event.
-    pub fn decided(&mut self, event: event::Event) -> Vec<u64> {
+    /// Requests that the event starts.
+    pub fn started_by(&mut self, event: event::Event) -> Vec<u64> {
         let started = |action| match action {
             action::Action::Decide(number, action::Decision::Start(_)) => Some(number),
             _ => None,
@@ -248,26 +248,26 @@
         self.core.step(self.now, event).into_iter().filter_map(started).collect()
     }
 
-    /// A request arrives; its number and what is decided.
+    /// Lets a request arrive; returns its number and the decision.
     pub fn arrive(&mut self, arrival: arrival::Arrival) -> (u64, action::Decision) {
         self.count += 1;
         let arrived = event::Event::Arrived(self.count, Box::new(arrival));
-        (self.count, self.step(arrived).expect("each arrival is decided"))
+        (self.count, self.step(arrived).expect("each arrival leads to a decision"))
     }
 
-    /// A request that was sent; its number and upstream.
-    pub fn sent(&mut self, route: &str) -> (u64, name::Instance) {
+    /// Lets a request arrive that must be sent; returns its number and upstream.
+    pub fn send(&mut self, route: &str) -> (u64, name::Instance) {
         let (number, decision) = self.arrive(arrival(route));
         (number, started(&decision).instance.clone())
     }
 
-    /// Whether a request that arrives is sent.
+    /// Whether an arriving request is sent.
     pub fn is_sent(&mut self, route: &str) -> bool {
         matches!(self.arrive(arrival(route)).1, action::Decision::Start(_))
     }
 
-    /// The first event of a stream comes, and is forwarded.
-    pub fn begin(&mut self, number: u64) {
+    /// Receives the head and the first event of a stream, which must be forwarded.
+    pub fn begin_stream(&mut self, number: u64) {
         let head = event::Head { status: 200, load: None, rate: None };
         assert_eq!(
             self.step(event::Event::HeadReceived(number, head)),
@@ -280,16 +280,16 @@
 pub fn started(decision: &action::Decision) -> &action::Start {
     match decision {
         action::Decision::Start(start) => start,
-        other => panic!("not started: {other:?}"),
+        other => panic!("expected a start, got {other:?}"),
     }
 }
 
-pub fn refused(decision: &action::Decision) -> action::Rejection {
+pub fn rejection(decision: &action::Decision) -> action::Rejection {
     match decision {
-        action::Decision::Reject(refusal) => *refusal,
-        other => panic!("not refused: {other:?}"),
+        action::Decision::Reject(rejected) => *rejected,
+        other => panic!("expected a rejection, got {other:?}"),
     }
 }
 
-/// Silence after which the tests ask what to do with a stream that had begun.
+/// Time without bytes after which the tests report an idle timeout of a stream that has begun.
 pub const STALL_MS: u64 = target::STREAM_STALL_TIMEOUT.as_millis() as u64;
--- a/crates/hyssopfork-gateway/tests/gateway/health.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/health.rs
@@ -1,10 +1,10 @@
-//! Whether an upstream answers.
+//! Outlier ejection and connection backoff.
 
 use crate::fixture::at;
 use hyssopfork_gateway::health::Health;
 
 #[test]
-fn failures_in_a_row_make_sick_and_time_heals() {
+fn consecutive_failures_eject_until_the_ratio_decays() {
     let mut health = Health::default();
     health.on_failure(at(0));
     assert!(!health.is_outlier(at(0)));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn one_that_cannot_be_reached_is_left_alone_longer_each_time() {
+fn the_backoff_of_an_unreachable_upstream_doubles() {
     let mut health = Health::default();
     health.on_unreachable(at(0));
     assert!(health.is_backing_off(at(299)) && !health.is_backing_off(at(301)));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_answer_ends_the_wait() {
+fn a_success_ends_the_backoff() {
     let mut health = Health::default();
     health.on_unreachable(at(0));
 
--- a/crates/hyssopfork-gateway/tests/gateway/main.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions, driven without network or clock.
+//! Decisions of the entry, tested without network or clock.
 
 mod concurrency_limit;
 mod crash;
--- a/crates/hyssopfork-gateway/tests/gateway/overload.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/overload.rs
@@ -1,8 +1,9 @@
-//! More work than the groups can take, judged by what clients get.
+//! Overload of the groups, judged by the results that clients see.
 //!
-//! The load is that of a day on which a zone of three is out: groups with slots for half of what
-//! arrives. A toy group ends each request after a second when its slots suffice, and lets what is
-//! over wait; the objective is 0.3 s to the first event, of which a free slot needs 0.1 s.
+//! The load is that of a day with one zone of three out: the groups have slots for half of the
+//! arriving requests. A simulated group completes each request after a second if it has a free
+//! slot, and queues the others; the objective is 0.3 s to the first event, of which a request with
+//! a free slot needs 0.1 s.
 
 use crate::fixture::{self, Entry, arrival};
 use hyssopfork_gateway::{action, arrival::Arrival, event, load};
@@ -12,13 +13,13 @@
 use std::time::Duration;
 
 /// Time that a request runs.
-const RUN: u64 = 1_000;
-/// Time to the first event where a slot is free.
-const FIRST: u64 = 100;
-/// Time between arrivals at an overload: 40 a second before 16 slots.
-const BETWEEN: u64 = 25;
+const RUN_MS: u64 = 1_000;
+/// Time from the start to the first event.
+const FIRST_EVENT_MS: u64 = 100;
+/// Interval between arrivals under overload: 40 per second for 16 slots.
+const ARRIVAL_INTERVAL_MS: u64 = 25;
 
-/// A request: the process that sent it, and its number there.
+/// A request: the index of the entry that sent it, and its number there.
 type Key = (usize, u64);
 
 #[derive(Default)]
@@ -36,50 +37,53 @@
         }
     }
 
-    /// Ends what has run, and starts what waits; gives what ended and whose first event comes now.
-    fn pass(&mut self, now: u64) -> (Vec<Key>, Vec<Key>) {
-        let ended = self.running.extract_if(.., |(_, at)| *at + RUN <= now).map(|it| it.0);
+    /// Completes requests and starts waiting ones; returns the completed requests, and those whose
+    /// first event is due now.
+    fn advance(&mut self, now: u64) -> (Vec<Key>, Vec<Key>) {
+        let ended = self.running.extract_if(.., |(_, at)| *at + RUN_MS <= now).map(|it| it.0);
         let ended = ended.collect();
         while self.running.len() < fixture::SLOTS as usize {
             let Some(key) = self.waiting.pop_front() else { break };
             self.running.push((key, now));
         }
-        let begin = self.running.iter().filter(|(_, at)| *at + FIRST == now).map(|it| it.0);
+        let begin =
+            self.running.iter().filter(|(_, at)| *at + FIRST_EVENT_MS == now).map(|it| it.0);
         (ended, begin.collect())
     }
 }
 
 #[derive(Default)]
-struct Seen {
-    in_time: u32,
+struct Outcome {
+    on_time: u32,
     late: u32,
-    refused: u32,
-    returns: Vec<Duration>,
+    rejected: u32,
+    retry_times: Vec<Duration>,
 }
 
-/// Lets so many milliseconds pass before `processes` entries that share two groups; `between` gives
-/// the time between two arrivals, which go to the entries in turn.
-fn run(millis: u64, processes: usize, between: impl Fn(u64) -> u64) -> Seen {
-    let entries = Entry::all_of(processes as u32);
-    play(millis, entries, |now, _| now + between(now), |count| count % processes)
+/// Simulates this many milliseconds with `processes` entries that share two groups. `between`
+/// returns the interval to the next arrival; arrivals go to the entries in turn.
+fn simulate_entries(millis: u64, processes: usize, between: impl Fn(u64) -> u64) -> Outcome {
+    let entries = Entry::fleet_of(processes as u32);
+    simulate(millis, entries, |now, _| now + between(now), |count| count % processes)
 }
 
-/// Lets so many milliseconds pass before these entries. `next` gives the time of the arrival after one
-/// at a time, and `process` the entry that gets an arrival, both by the arrivals before it.
-fn play(
+/// Simulates this many milliseconds with these entries. `next_arrival` returns the time of the
+/// arrival after the current one, and `choose_entry` the entry that receives an arrival, both given
+/// the number of arrivals before it.
+fn simulate(
     millis: u64,
     mut entries: Vec<Entry>,
-    mut following: impl FnMut(u64, usize) -> u64,
-    mut place: impl FnMut(usize) -> usize,
-) -> Seen {
+    mut next_arrival: impl FnMut(u64, usize) -> u64,
+    mut choose_entry: impl FnMut(usize) -> usize,
+) -> Outcome {
     let mut groups: BTreeMap<name::Instance, Group> = BTreeMap::new();
     let mut arrived = BTreeMap::new();
-    let mut seen = Seen::default();
+    let mut outcome = Outcome::default();
     let mut next = 0;
     for now in 0..millis {
-        entries.iter_mut().for_each(|entry| entry.pass(1));
+        entries.iter_mut().for_each(|entry| entry.advance(1));
         for group in groups.values_mut() {
-            let (ended, begin) = group.pass(now);
+            let (ended, begin) = group.advance(now);
             for (process, number) in ended {
                 entries[process].step(event::Event::StreamCompleted(number));
             }
@@ -87,14 +91,14 @@
                 let head = event::Head { status: 200, load: Some(group.report()), rate: None };
                 entries[process].step(event::Event::HeadReceived(number, head));
                 let first = now - arrived[&(process, number)];
-                if first <= 300 { seen.in_time += 1 } else { seen.late += 1 }
+                if first <= 300 { outcome.on_time += 1 } else { outcome.late += 1 }
             }
         }
         if now < next {
             continue;
         }
-        next = following(now, arrived.len());
-        let process = place(arrived.len());
+        next = next_arrival(now, arrived.len());
+        let process = choose_entry(arrived.len());
         let (number, decision) = entries[process].arrive(arrival("stream"));
         arrived.insert((process, number), now);
         match decision {
@@ -102,131 +106,148 @@
                 let group = groups.entry(start.instance.clone()).or_default();
                 group.waiting.push_back((process, number));
             }
-            action::Decision::Reject(refusal) => {
-                seen.refused += 1;
-                seen.returns.extend(refusal.retry_after);
+            action::Decision::Reject(rejected) => {
+                outcome.rejected += 1;
+                outcome.retry_times.extend(rejected.retry_after);
             }
             other => panic!("{other:?}"),
         }
     }
-    seen
+    outcome
 }
 
-/// Twice the load that the groups bear: those that are admitted begin in time, in place of all
+/// At twice the groups' capacity, admitted requests must begin on time, instead of all requests
 /// waiting until each is late.
 #[test]
-fn what_is_admitted_under_overload_is_served_in_time() {
-    let seen = run(20_000, 1, |_| BETWEEN);
-
-    let served = seen.in_time + seen.late;
-    assert!(f64::from(seen.in_time) > 0.8 * f64::from(served), "{} of {served}", seen.in_time);
-    // Sixteen slots end sixteen requests a second.
+fn admitted_requests_are_on_time_under_overload() {
+    let outcome = simulate_entries(20_000, 1, |_| ARRIVAL_INTERVAL_MS);
+
+    let served = outcome.on_time + outcome.late;
+    assert!(
+        f64::from(outcome.on_time) > 0.8 * f64::from(served),
+        "{} of {served}",
+        outcome.on_time
+    );
+    // Sixteen slots complete sixteen requests per second.
     assert!(served >= 14 * 20, "{served} served in 20 s");
 }
 
-/// Refused callers are told times that follow one another, not all the same one.
+/// Guards against clients that all retry at the same time.
 #[test]
-fn refused_callers_are_not_sent_back_all_at_once() {
-    let seen = run(5_000, 1, |_| BETWEEN);
+fn rejected_clients_receive_different_retry_times() {
+    let outcome = simulate_entries(5_000, 1, |_| ARRIVAL_INTERVAL_MS);
 
-    let mut distinct = seen.returns.clone();
+    let mut distinct = outcome.retry_times.clone();
     distinct.sort();
     distinct.dedup();
-    assert!(seen.refused > 20);
+    assert!(outcome.rejected > 20);
     assert!(distinct.len() > 5, "{distinct:?}");
 }
 
-/// Eight processes share two groups. Half of a zone's callers turn to them at once, four times what
-/// they had: each process hears of the groups only with its own answers, half a second apart, and
-/// what it heard of the others' requests is from before. Counted as what it was, the groups look
-/// half empty to everybody for a second, and everybody who is taken then waits until it is late.
+/// Eight processes share two groups, and receive four times as many requests as before when half of
+/// a zone's clients move to them. Each process learns of the groups' load only from its own
+/// responses, half a second apart, and what they say of the other processes' requests predates the
+/// surge.
+///
+/// Guards against taking that for the current load: the groups would seem half empty to every
+/// process for a second, and each admitted request would wait until it is late.
 #[test]
-fn a_surge_at_many_processes_does_not_swamp_the_groups() {
+fn a_surge_at_many_processes_does_not_overload_the_groups() {
     let calm_then_surge = |now: u64| if now < 6_000 { 100 } else { 16 };
-    let before = run(6_000, 8, calm_then_surge);
+    let before = simulate_entries(6_000, 8, calm_then_surge);
 
-    let seen = run(9_000, 8, calm_then_surge);
+    let outcome = simulate_entries(9_000, 8, calm_then_surge);
 
-    let (in_time, late) = (seen.in_time - before.in_time, seen.late - before.late);
-    assert!(late * 3 < in_time * 2, "{late} late, {in_time} in time");
-    assert!(in_time >= 28, "{in_time} served in time by sixteen slots in three seconds");
+    let (on_time, late) = (outcome.on_time - before.on_time, outcome.late - before.late);
+    assert!(late * 3 < on_time * 2, "{late} late, {on_time} on time");
+    assert!(on_time >= 28, "{on_time} served on time by sixteen slots in three seconds");
 }
 
-/// Guards against a surge that eight processes bear only where their addresses happen to prefer the groups
-/// evenly.
+/// Guards against a surge that eight processes handle only if their addresses happen to prefer the
+/// groups evenly.
 #[test]
 fn a_surge_does_not_swamp_the_groups_whatever_the_addresses() {
     for first in [0, 0x100, 0x1_0000, 0x2_0000, 0x3_0007] {
         let surge = |now: u64, _| now + if now < 6_000 { 100 } else { 16 };
-        let entries = || Entry::all_between(first, first + 8, &fixture::view());
-        let before = play(6_000, entries(), surge, |count| count % 8);
+        let entries = || Entry::fleet_range_with_view(first, first + 8, &fixture::view());
+        let before = simulate(6_000, entries(), surge, |count| count % 8);
 
-        let seen = play(9_000, entries(), surge, |count| count % 8);
+        let outcome = simulate(9_000, entries(), surge, |count| count % 8);
 
-        let (in_time, late) = (seen.in_time - before.in_time, seen.late - before.late);
-        assert!(late * 3 < in_time * 2, "from {first:#x}: {late} late, {in_time} in time");
+        let (on_time, late) = (outcome.on_time - before.on_time, outcome.late - before.late);
+        assert!(late * 3 < on_time * 2, "from {first:#x}: {late} late, {on_time} in time");
     }
 }
 
-/// Forty entries before twenty groups, of which five eighths are taken. Each entry has a request at a
-/// group now and then, and the last report of one is older than the requests that it counted.
+/// Forty entries share twenty groups, five eighths of whose slots are taken. Each entry sends a
+/// request to a given group only now and then, and its last report of the group is older than the
+/// requests that it counted.
 ///
-/// Guards against work that piles up at some groups, and is rejected at entries, while others have room.
+/// Guards against requests that queue at some groups, and are rejected at entries, while other
+/// groups have capacity.
 #[test]
 fn many_entries_fill_many_groups_evenly() {
-    let entries = Entry::all_before(40, &fixture::view_of_groups(20));
+    let entries = Entry::fleet_with_view(40, &fixture::view_of_groups(20));
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(1);
 
-    // The balancer divides clients unevenly: half of the entries get twice what the others do.
-    let seen = play(20_000, entries, |now, _| now + 10, |_| random.random_range(0..60) % 40);
-
-    let missed = seen.late + seen.refused;
-    assert!(missed * 20 < seen.in_time + missed, "{} late, {} refused", seen.late, seen.refused);
+    // The load balancer divides clients unevenly: half of the entries receive twice as many as the
+    // others.
+    let outcome = simulate(20_000, entries, |now, _| now + 10, |_| random.random_range(0..60) % 40);
+
+    let not_on_time = outcome.late + outcome.rejected;
+    assert!(
+        not_on_time * 20 < outcome.on_time + not_on_time,
+        "{} late, {} rejected",
+        outcome.late,
+        outcome.rejected
+    );
 }
 
-/// Guards against a limit that stays up because the slowest requests never count: their clients give up
-/// before the first event.
+/// Guards against a limit that stays high because the slowest requests never count: their clients
+/// disconnect before the first event.
 #[test]
-fn clients_that_give_up_lower_the_limit() {
-    let mut entry = Entry::ready();
-    let sent: Vec<u64> = (0..2 * fixture::SLOTS).map(|_| entry.sent("stream").0).collect();
-    entry.pass(2_000);
+fn abandoned_requests_decrease_the_limit() {
+    let mut entry = Entry::with_fleet();
+    let sent: Vec<u64> = (0..2 * fixture::SLOTS).map(|_| entry.send("stream").0).collect();
+    entry.advance(2_000);
     for number in sent {
         entry.step(event::Event::ClientDisconnected(number));
     }
 
     let decisions = (0..2 * fixture::SLOTS).map(|_| entry.arrive(arrival("stream")).1);
 
-    let taken = decisions.filter(|it| matches!(it, action::Decision::Start(_))).count();
-    assert!(taken <= 12, "{taken} were taken");
+    let admitted = decisions.filter(|it| matches!(it, action::Decision::Start(_))).count();
+    assert!(admitted <= 12, "{admitted} were admitted");
 }
 
-/// Groups that are nearly full get a new caller and one that was refused two seconds ago and has come
-/// back. The one that came back is late whatever happens. Were it taken, the next new caller would be
-/// refused in its place, and come back late in turn: of two that are served, none would be in time.
+/// Groups that are nearly full receive a new request and a retry of one that was rejected two
+/// seconds ago. The retry is late in any case.
+///
+/// Guards against admitting it: the next new request would be rejected in its place and return late
+/// in turn, so that of two requests served, none would be on time.
 #[test]
-fn the_last_places_are_kept_for_callers_that_can_be_served_in_time() {
-    let mut entry = Entry::ready();
-    let places = 2 * fixture::SLOTS;
-    for _ in 0..places - 3 {
-        entry.sent("stream");
+fn the_last_slots_are_reserved_for_requests_that_can_be_on_time() {
+    let mut entry = Entry::with_fleet();
+    let slots = 2 * fixture::SLOTS;
+    for _ in 0..slots - 3 {
+        entry.send("stream");
     }
 
-    let returning = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
-    let (_, late) = entry.arrive(returning);
-    let (_, in_time) = entry.arrive(arrival("stream"));
+    let retry = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
+    let (_, late) = entry.arrive(retry);
+    let (_, on_time) = entry.arrive(arrival("stream"));
 
-    assert_eq!(fixture::refused(&late).reason, action::Reason::Overloaded);
-    fixture::started(&in_time);
+    assert_eq!(fixture::rejection(&late).reason, action::Reason::Overloaded);
+    fixture::started(&on_time);
 }
 
-/// Guards against rejecting first attempts of clients that wait a little less than the route's timeout:
-/// they were taken for retries, and kept out of the last quarter of the places.
+/// Guards against rejecting first attempts of clients whose timeout is a little shorter than the
+/// route's: taken for retries, they would be excluded from the last quarter of the slots.
 #[test]
-fn an_impatient_first_attempt_is_not_taken_for_a_retry() {
-    let mut entry = Entry::ready();
+fn a_first_attempt_with_a_shorter_timeout_is_not_taken_for_a_retry() {
+    let mut entry = Entry::with_fleet();
     for _ in 0..2 * fixture::SLOTS - 3 {
-        entry.sent("stream");
+        entry.send("stream");
     }
 
     let impatient = Arrival { timeout: Some(Duration::from_millis(3_400)), ..arrival("stream") };
@@ -235,13 +256,13 @@
     fixture::started(&decision);
 }
 
-/// Guards against an entry that rejects everything for good: all upstreams were full when it last heard
-/// of them, and it hears of them only with answers.
+/// Guards against an entry that rejects all requests for good: all upstreams were full at their
+/// last report, and reports arrive only with responses.
 #[test]
-fn upstreams_that_were_full_are_tried_again() {
-    let mut entry = Entry::ready();
+fn full_upstreams_are_tried_again() {
+    let mut entry = Entry::with_fleet();
     let report = load::Report { running: fixture::SLOTS, waiting: 8, slots: fixture::SLOTS };
-    let (number, _) = entry.sent("stream");
+    let (number, _) = entry.send("stream");
     entry.step(event::Event::HeadReceived(
         number,
         event::Head { status: 200, load: Some(report), rate: None },
@@ -249,21 +270,20 @@
     entry.step(event::Event::StreamCompleted(number));
     let (_, full) = entry.arrive(arrival("stream"));
 
-    entry.pass(5_000);
+    entry.advance(5_000);
     let (_, decision) = entry.arrive(arrival("stream"));
 
-    fixture::refused(&full);
+    fixture::rejection(&full);
     fixture::started(&decision);
 }
 
-/// Groups have room: a caller that has come back is served like any other.
 #[test]
-fn a_caller_that_came_back_is_served_where_there_is_room() {
-    let mut entry = Entry::ready();
-    entry.sent("stream");
+fn a_retry_is_served_if_there_is_capacity() {
+    let mut entry = Entry::with_fleet();
+    entry.send("stream");
 
-    let returning = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
-    let (_, late) = entry.arrive(returning);
+    let retry = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
+    let (_, late) = entry.arrive(retry);
 
     fixture::started(&late);
 }
--- a/crates/hyssopfork-gateway/tests/gateway/queue.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/queue.rs
@@ -1,45 +1,46 @@
 //! Requests that arrive while no upstream is available.
 
-use crate::fixture::{self, Entry, arrival, refused, started};
+use crate::fixture::{self, Entry, arrival, rejection, started};
 use hyssopfork_fleet::view;
 use hyssopfork_gateway::{action, arrival::Arrival, event};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The view of the fixture without its groups.
+/// The fixture's view without its groups.
 fn without_groups() -> view::Update {
     view::Update { groups: Vec::new(), ..fixture::view() }
 }
 
-fn groups_serve() -> event::Event {
-    groups(fixture::view())
+fn groups_serving() -> event::Event {
+    view_updated(fixture::view())
 }
 
-fn groups(update: view::Update) -> event::Event {
+fn view_updated(update: view::Update) -> event::Event {
     event::Event::ViewUpdated(Box::new(update), Some(Arc::new(fixture::declaration())))
 }
 
 /// A retry with two seconds left.
-fn returning() -> Arrival {
+fn retry() -> Arrival {
     Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") }
 }
 
-fn held_for(decision: &action::Decision) -> Duration {
+fn queue_timeout(decision: &action::Decision) -> Duration {
     match decision {
         action::Decision::Queue(time) => *time,
-        other => panic!("not held: {other:?}"),
+        other => panic!("expected a queued request, got {other:?}"),
     }
 }
 
-/// Guards against rejecting retries at a process that knows the fleet half a second later.
+/// Guards against rejecting retries at a process that receives the fleet's view half a second
+/// later.
 #[test]
-fn callers_of_a_process_that_starts_are_served_once_it_knows_the_fleet() {
-    let mut entry = Entry::blank();
-    let (_, decision) = entry.arrive(returning());
-    held_for(&decision);
+fn queued_requests_are_sent_once_a_starting_process_knows_the_fleet() {
+    let mut entry = Entry::new();
+    let (_, decision) = entry.arrive(retry());
+    queue_timeout(&decision);
 
-    entry.pass(500);
-    let decision = entry.step(groups_serve()).expect("it is decided");
+    entry.advance(500);
+    let decision = entry.step(groups_serving()).expect("a decision follows");
 
     let left = started(&decision).deadline.since(entry.now);
     assert_eq!(left, Duration::from_millis(1_500));
@@ -47,86 +48,88 @@
 
 /// Guards against rejecting requests during the second that the repair of a group takes.
 #[test]
-fn callers_are_held_until_a_group_serves() {
-    let mut entry = Entry::blank();
-    entry.see(without_groups());
-    let (_, decision) = entry.arrive(returning());
-    assert!(held_for(&decision) <= Duration::from_millis(500), "a part of what is left");
+fn requests_are_queued_until_a_group_serves() {
+    let mut entry = Entry::new();
+    entry.update_view(without_groups());
+    let (_, decision) = entry.arrive(retry());
+    assert!(queue_timeout(&decision) <= Duration::from_millis(500), "a part of the remaining time");
 
-    entry.pass(300);
-    let decision = entry.step(groups_serve()).expect("it is decided");
+    entry.advance(300);
+    let decision = entry.step(groups_serving()).expect("a decision follows");
 
     started(&decision);
 }
 
-/// Guards against rejecting all that the first group has no room for, while the next ones open.
+/// Guards against rejecting all requests beyond the capacity of the first group while the next ones
+/// open.
 #[test]
-fn requests_are_held_until_a_group_has_room() {
-    let mut entry = Entry::blank();
-    entry.see(without_groups());
-    let held: Vec<u64> =
+fn requests_are_queued_until_a_group_has_capacity() {
+    let mut entry = Entry::new();
+    entry.update_view(without_groups());
+    let queued: Vec<u64> =
         (0..fixture::SLOTS + 2).map(|_| entry.arrive(arrival("stream")).0).collect();
     let one = view::Update { groups: vec![fixture::group("g1", "e1", 1)], ..fixture::view() };
 
-    let first = entry.decided(groups(one));
-    let second = entry.decided(groups_serve());
+    let first = entry.started_by(view_updated(one));
+    let second = entry.started_by(groups_serving());
 
-    assert_eq!(first, held[..fixture::SLOTS as usize]);
-    assert_eq!(second, held[fixture::SLOTS as usize..]);
+    assert_eq!(first, queued[..fixture::SLOTS as usize]);
+    assert_eq!(second, queued[fixture::SLOTS as usize..]);
 }
 
-/// Guards against a second decision to wait, which makes the first decision to send go unheard.
+/// Guards against a second decision to wait, after which the decision to send would be missed.
 #[test]
-fn a_caller_that_is_held_gets_one_decision() {
-    let mut entry = Entry::blank();
-    entry.arrive(returning());
+fn a_queued_request_receives_one_decision() {
+    let mut entry = Entry::new();
+    entry.arrive(retry());
 
     let declared = event::Event::ViewUpdated(
         Box::new(without_groups()),
         Some(Arc::new(fixture::declaration())),
     );
     assert_eq!(entry.step(declared), None);
-    let decision = entry.step(groups_serve()).expect("it is decided");
+    let decision = entry.step(groups_serving()).expect("a decision follows");
 
     started(&decision);
 }
 
-/// Guards against a rejection that claims the request may have run or names no time to retry.
+/// Guards against a rejection that claims that the request may have run, or that has no
+/// `Retry-After`.
 #[test]
-fn a_caller_for_whom_nobody_came_is_refused() {
-    let mut entry = Entry::blank();
-    entry.see(without_groups());
-    let (number, _) = entry.arrive(returning());
+fn a_queue_timeout_rejects_the_request() {
+    let mut entry = Entry::new();
+    entry.update_view(without_groups());
+    let (number, _) = entry.arrive(retry());
 
-    let decision = entry.step(event::Event::QueueTimeout(number)).expect("it is decided");
+    let decision = entry.step(event::Event::QueueTimeout(number)).expect("a decision follows");
 
-    let refusal = refused(&decision);
-    assert_eq!(refusal.reason, action::Reason::NoUpstream);
-    assert!(refusal.retry_after.is_some());
+    let rejected = rejection(&decision);
+    assert_eq!(rejected.reason, action::Reason::NoUpstream);
+    assert!(rejected.retry_after.is_some());
 }
 
 /// Guards against work for a client that has disconnected.
 #[test]
-fn a_caller_that_left_is_not_started() {
-    let mut entry = Entry::blank();
-    let (number, _) = entry.arrive(returning());
+fn a_queued_request_of_a_disconnected_client_is_not_sent() {
+    let mut entry = Entry::new();
+    let (number, _) = entry.arrive(retry());
 
     entry.step(event::Event::ClientDisconnected(number));
 
-    assert_eq!(entry.step(groups_serve()), None);
+    assert_eq!(entry.step(groups_serving()), None);
     assert_eq!(entry.core.open_requests(), 0);
 }
 
-/// Guards against a queue without bound.
+/// Guards against an unbounded queue.
 #[test]
-fn the_number_of_held_callers_is_bounded() {
-    let mut entry = Entry::blank();
+fn the_queue_is_bounded() {
+    let mut entry = Entry::new();
 
-    let decisions: Vec<_> = (0..1_000).map(|_| entry.arrive(returning()).1).collect();
+    let decisions: Vec<_> = (0..1_000).map(|_| entry.arrive(retry()).1).collect();
 
-    let held = decisions.iter().filter(|it| matches!(it, action::Decision::Queue(_))).count();
-    assert!(held < 200, "{held}");
-    refused(decisions.last().expect("there are some"));
+    let queued = decisions.iter().filter(|it| matches!(it, action::Decision::Queue(_))).count();
+    assert!(queued < 200, "{queued}");
+    rejection(decisions.last().expect("requests arrived"));
 }
 
 /// An arrival on a route that the fixture's declaration lacks.
@@ -134,45 +137,48 @@
     arrival("added")
 }
 
-/// Guards against a 404 for a route whose declaration has been accepted and is on its way here.
+/// Guards against a 404 for a route whose declaration has been accepted but not yet received.
 #[test]
-fn a_route_of_a_newer_declaration_is_waited_for() {
-    let mut entry = Entry::blank();
-    entry.see(view::Update { declared: fixture::declaration().version + 1, ..fixture::view() });
+fn a_request_for_a_route_of_a_newer_declaration_is_queued() {
+    let mut entry = Entry::new();
+    entry.update_view(view::Update {
+        declared: fixture::declaration().version + 1,
+        ..fixture::view()
+    });
 
     let (number, decision) = entry.arrive(unrouted());
 
-    held_for(&decision);
-    let decision = entry.step(event::Event::QueueTimeout(number)).expect("it is decided");
-    assert_eq!(refused(&decision).reason, action::Reason::NotReady);
-    assert!(refused(&decision).retry_after.is_some());
+    queue_timeout(&decision);
+    let decision = entry.step(event::Event::QueueTimeout(number)).expect("a decision follows");
+    assert_eq!(rejection(&decision).reason, action::Reason::NotReady);
+    assert!(rejection(&decision).retry_after.is_some());
 }
 
-/// Guards against a 404 of an entry that is cut off from every leader and holds an old declaration.
+/// Guards against a 404 from an entry that can't reach any leader and holds an old declaration.
 #[test]
-fn an_entry_without_a_recent_view_denies_no_route() {
-    let mut entry = Entry::blank();
-    entry.see(fixture::view());
+fn an_entry_with_a_stale_view_rejects_no_unknown_route() {
+    let mut entry = Entry::new();
+    entry.update_view(fixture::view());
     let (_, decision) = entry.arrive(unrouted());
-    assert_eq!(refused(&decision).reason, action::Reason::NoRoute);
+    assert_eq!(rejection(&decision).reason, action::Reason::NoRoute);
 
-    entry.pass(2_000);
+    entry.advance(2_000);
     let (_, decision) = entry.arrive(unrouted());
 
-    held_for(&decision);
+    queue_timeout(&decision);
 }
 
 #[test]
-fn a_held_arrival_is_denied_once_the_newest_declaration_lacks_its_route() {
-    let mut entry = Entry::blank();
+fn a_queued_arrival_is_rejected_once_the_newest_declaration_lacks_its_route() {
+    let mut entry = Entry::new();
     let version = fixture::declaration().version;
-    entry.see(view::Update { declared: version, ..fixture::view() });
-    entry.pass(2_000);
+    entry.update_view(view::Update { declared: version, ..fixture::view() });
+    entry.advance(2_000);
     entry.arrive(unrouted());
 
     let update = view::Update { declared: version, ..fixture::view() };
-    let seen = event::Event::ViewUpdated(Box::new(update), None);
-    let decision = entry.step(seen).expect("it is decided");
+    let updated = event::Event::ViewUpdated(Box::new(update), None);
+    let decision = entry.step(updated).expect("a decision follows");
 
-    assert_eq!(refused(&decision).reason, action::Reason::NoRoute);
+    assert_eq!(rejection(&decision).reason, action::Reason::NoRoute);
 }
--- a/crates/hyssopfork-gateway/tests/gateway/retry_schedule.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/retry_schedule.rs
@@ -1,11 +1,11 @@
-//! When refused callers come back.
+//! Schedule of `Retry-After` times.
 
 use crate::fixture::at;
 use hyssopfork_gateway::retry_schedule::Schedule;
 use std::time::Duration;
 
 #[test]
-fn returns_follow_one_another() {
+fn retry_times_are_spaced() {
     let mut returns = Schedule::default();
     let spacing = Duration::from_millis(50);
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_was_booked_long_ago_holds_nobody_back() {
+fn old_reservations_delay_no_retry() {
     let mut returns = Schedule::default();
     returns.reserve(at(0), Duration::ZERO, Duration::from_millis(50));
 
--- a/crates/hyssopfork-gateway/tests/gateway/routing.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/routing.rs
@@ -1,4 +1,4 @@
-//! Where requests belong.
+//! Lookup of routes and teams.
 
 use crate::fixture::{self, arrival};
 use hyssopfork_gateway::routing::{self, Error, Table};
@@ -14,21 +14,21 @@
     Table::new(Arc::new(declaration))
 }
 
-fn route_of(path: &str) -> Result<String, Error> {
+fn find_route(path: &str) -> Result<String, Error> {
     let arrival = fixture::arrival_at(path);
-    table().find(&arrival).map(|place| place.route.name.to_string())
+    table().find(&arrival).map(|matched| matched.route.name.to_string())
 }
 
 #[test]
 fn the_longest_prefix_wins() {
-    assert_eq!(route_of("/status/inner/x"), Ok("inner".to_owned()));
-    assert_eq!(route_of("/status/inner"), Ok("status".to_owned()));
-    assert_eq!(route_of("/status"), Err(Error::RouteNotFound));
-    assert_eq!(route_of("/statuses/x"), Err(Error::RouteNotFound));
+    assert_eq!(find_route("/status/inner/x"), Ok("inner".to_owned()));
+    assert_eq!(find_route("/status/inner"), Ok("status".to_owned()));
+    assert_eq!(find_route("/status"), Err(Error::RouteNotFound));
+    assert_eq!(find_route("/statuses/x"), Err(Error::RouteNotFound));
 }
 
 #[test]
-fn hosts_are_told_apart_without_regard_to_case() {
+fn hosts_are_matched_case_insensitively() {
     let mut other = arrival("status");
     other.content.host = "HOST".to_owned();
     assert!(table().find(&other).is_ok());
@@ -38,17 +38,17 @@
 }
 
 #[test]
-fn an_open_route_needs_no_key() {
-    let mut stranger = arrival("open");
-    stranger.key = None;
-    assert!(table().find(&stranger).is_ok_and(|place| place.team.is_none()));
-    stranger.content.path = "/status/x".to_owned();
+fn an_anonymous_route_needs_no_key() {
+    let mut without_key = arrival("open");
+    without_key.key = None;
+    assert!(table().find(&without_key).is_ok_and(|matched| matched.team.is_none()));
+    without_key.content.path = "/status/x".to_owned();
 
-    assert_eq!(table().find(&stranger).err(), Some(Error::KeyNotFound));
+    assert_eq!(table().find(&without_key).err(), Some(Error::KeyNotFound));
 }
 
 #[test]
-fn weights_split_the_work() {
+fn weights_divide_requests_among_pools() {
     let mut route = fixture::declaration().routes[0].clone();
     route.targets = vec![(name::Pool::from("a"), 90), (name::Pool::from("b"), 10)];
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_pool_without_weight_gets_nothing() {
+fn a_pool_without_weight_receives_nothing() {
     let mut route = fixture::declaration().routes[0].clone();
     route.targets = vec![(name::Pool::from("a"), 0), (name::Pool::from("b"), 1)];
 
--- a/crates/hyssopfork-gateway/tests/gateway/scanner.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/scanner.rs
@@ -1,4 +1,4 @@
-//! Whole events, each once and none left out.
+//! Complete events, each once and without gaps.
 
 use hyssopfork_gateway::scanner::{OutOfOrder, Scanner};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_beginning_of_an_event_waits_for_its_rest() {
+fn a_partial_event_is_withheld_until_complete() {
     let mut scanner = Scanner::new(None);
     assert_eq!(scanner.feed(b"id: 1\ndata: a\n\nid: 2\nda"), Ok("id: 1\ndata: a\n\n".into()));
     assert!(!scanner.is_at_event_boundary());
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn an_event_that_does_not_follow_is_refused() {
+fn an_event_out_of_order_is_an_error() {
     let mut scanner = Scanner::new(Some(4));
 
     assert_eq!(scanner.feed(event(6).as_bytes()), Err(OutOfOrder { received: 6, previous: 4 }));
 }
 
 #[test]
-fn a_stream_goes_on_after_a_break_where_it_stopped() {
+fn a_stream_resumes_after_its_last_complete_event() {
     let mut scanner = Scanner::new(None);
     scanner.feed(b"id: 1\ndata: a\n\nid: 2\nda").expect("in order");
     scanner.discard_partial();
@@ -35,7 +35,7 @@
 
 proptest! {
     #[test]
-    fn any_cutting_of_the_bytes_gives_the_same_events(
+    fn any_split_of_the_bytes_gives_the_same_events(
         count in 1_u64..12,
         cuts in prop::collection::vec(1_usize..9, 1..80),
     ) {
@@ -45,7 +45,7 @@
         let mut rest = whole.as_bytes();
         let mut sizes = cuts.iter().cycle();
         while !rest.is_empty() {
-            let size = (*sizes.next().expect("it cycles")).min(rest.len());
+            let size = (*sizes.next().expect("the iterator is endless")).min(rest.len());
             let (part, left) = rest.split_at(size);
             out.extend_from_slice(&scanner.feed(part).expect("in order"));
             rest = left;
@@ -56,7 +56,7 @@
     }
 
     #[test]
-    fn bytes_that_are_no_events_harm_nothing(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _whatever = Scanner::new(None).feed(&bytes);
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let _result = Scanner::new(None).feed(&bytes);
     }
 }
--- a/crates/hyssopfork-gateway/tests/gateway/selection.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/selection.rs
@@ -1,34 +1,35 @@
-//! Which upstream is taken.
+//! Load balancing.
 
-use crate::fixture::{self, Entry, arrival, refused, started};
+use crate::fixture::{self, Entry, arrival, rejection, started};
 use hyssopfork_fleet::view;
 use hyssopfork_gateway::{action, event};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[test]
-fn work_spreads_over_the_groups_of_a_model() {
-    let mut entry = Entry::ready();
+fn requests_are_balanced_over_the_groups_of_a_model() {
+    let mut entry = Entry::with_fleet();
     let mut counts = BTreeMap::new();
 
     for _ in 0..10 {
-        let (_, instance) = entry.sent("stream");
+        let (_, instance) = entry.send("stream");
         *counts.entry(instance).or_insert(0) += 1;
     }
 
     assert!(counts.values().all(|count| (4..=6).contains(count)), "{counts:?}");
 }
 
-/// After a zone's return its upstreams are cold and empty, and everybody would send there first.
+/// Guards against an overload when a zone returns: its upstreams are cold and empty, and every
+/// entry would prefer them.
 #[test]
-fn a_cold_upstream_gets_no_more_than_it_bears() {
-    let mut entry = Entry::ready();
+fn a_cold_upstream_receives_no_more_than_its_rate() {
+    let mut entry = Entry::with_fleet();
     let mut update = fixture::view();
     for (_, upstream) in update.upstreams.iter_mut().take(2) {
-        upstream.as_mut().expect("it is there").announcement.cold = Duration::from_secs(3);
+        upstream.as_mut().expect("it exists").announcement.cold = Duration::from_secs(3);
     }
     update.entries = fixture::entries(2);
-    entry.see(update);
+    entry.update_view(update);
 
     let sent = (0..12).filter(|_| {
         let (_, decision) = entry.arrive(arrival("stream"));
@@ -40,22 +41,23 @@
 }
 
 #[test]
-fn an_upstream_that_cannot_be_reached_is_left_alone_for_a_while() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("status");
+fn an_unreachable_upstream_is_not_used_during_its_backoff() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("status");
     entry.step(event::Event::AttemptFailed(number, event::Fault::Unreachable, None));
 
     for _ in 0..4 {
-        let (_, instance) = entry.sent("status");
+        let (_, instance) = entry.send("status");
         assert_ne!(instance, first);
     }
 }
 
-/// Guards against a head that looks empty because its group was formed anew while its streams go on.
+/// Guards against a head that seems empty because its group was formed again while its streams
+/// continue.
 #[test]
-fn streams_count_at_a_head_whose_group_was_formed_anew() {
-    let mut entry = Entry::ready();
-    let (_, first) = entry.sent("stream");
+fn streams_in_flight_count_after_a_group_is_formed_again() {
+    let mut entry = Entry::with_fleet();
+    let (_, first) = entry.send("stream");
     let update = view::Update {
         whole: false,
         upstreams: Vec::new(),
@@ -63,19 +65,20 @@
         entries: Vec::new(),
         ..fixture::view()
     };
-    entry.see(update);
+    entry.update_view(update);
 
-    let (_, second) = entry.sent("stream");
+    let (_, second) = entry.send("stream");
 
     assert_ne!(first, second);
 }
 
-/// An upstream fails half of what it gets at once; it is always the emptiest.
+/// Guards against preferring an upstream that fails half of its requests at once, and therefore
+/// always has the fewest.
 #[test]
-fn an_upstream_that_fails_much_is_used_last() {
-    let mut entry = Entry::ready();
+fn an_outlier_is_used_last() {
+    let mut entry = Entry::with_fleet();
     for _ in 0..4 {
-        let (number, instance) = entry.sent("submit");
+        let (number, instance) = entry.send("submit");
         let status = if instance == fixture::instance("p1") { 500 } else { 200 };
         entry.step(event::Event::ResponseReceived(
             number,
@@ -84,25 +87,26 @@
     }
 
     for _ in 0..4 {
-        let (_, instance) = entry.sent("submit");
+        let (_, instance) = entry.send("submit");
         assert_eq!(instance, fixture::instance("p2"));
     }
 }
 
 #[test]
-fn a_full_model_is_refused_at_once_with_a_time_to_come_back() {
-    let mut entry = Entry::ready();
-    let decision = (0..40).map(|_| entry.arrive(arrival("stream")).1).last().expect("forty came");
+fn a_request_for_a_full_model_is_rejected_with_retry_after() {
+    let mut entry = Entry::with_fleet();
+    let decision =
+        (0..40).map(|_| entry.arrive(arrival("stream")).1).last().expect("forty requests arrived");
 
-    let refusal = refused(&decision);
+    let rejected = rejection(&decision);
 
-    assert_eq!(refusal.reason, action::Reason::Overloaded);
-    assert!(refusal.retry_after.is_some_and(|time| time >= Duration::from_millis(150)));
+    assert_eq!(rejected.reason, action::Reason::Overloaded);
+    assert!(rejected.retry_after.is_some_and(|time| time >= Duration::from_millis(150)));
 }
 
 #[test]
-fn one_of_the_own_zone_goes_first_among_equals() {
-    let mut entry = Entry::ready();
+fn the_own_zone_is_preferred_among_equals() {
+    let mut entry = Entry::with_fleet();
 
     let (_, decision) = entry.arrive(arrival("stream"));
 
--- a/crates/hyssopfork-gateway/tests/gateway/serve.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/serve.rs
@@ -1,6 +1,6 @@
-//! A request's way, through failures, to one true ending.
+//! A request from arrival to its single end, through failures.
 
-use crate::fixture::{self, Entry, arrival, refused, started};
+use crate::fixture::{self, Entry, arrival, rejection, started};
 use hyssopfork_fleet::view;
 use hyssopfork_gateway::{action, event};
 use hyssopfork_wire::name;
@@ -11,72 +11,72 @@
 }
 
 #[test]
-fn a_process_without_a_declaration_says_when_to_come_back() {
-    let mut entry = Entry::blank();
+fn a_process_without_a_declaration_rejects_with_retry_after() {
+    let mut entry = Entry::new();
 
     let (number, decision) = entry.arrive(arrival("status"));
     assert!(matches!(decision, action::Decision::Queue(_)), "{decision:?}");
-    let decision = entry.step(event::Event::QueueTimeout(number)).expect("it is decided");
+    let decision = entry.step(event::Event::QueueTimeout(number)).expect("a decision follows");
 
-    let refusal = refused(&decision);
-    assert_eq!(refusal.reason, action::Reason::NotReady);
-    assert!(refusal.retry_after.is_some());
+    let rejected = rejection(&decision);
+    assert_eq!(rejected.reason, action::Reason::NotReady);
+    assert!(rejected.retry_after.is_some());
 }
 
 #[test]
-fn requests_without_a_place_are_turned_away() {
-    let mut entry = Entry::ready();
-    let stranger =
+fn requests_without_a_route_or_key_are_rejected() {
+    let mut entry = Entry::with_fleet();
+    let unknown_key =
         hyssopfork_gateway::arrival::Arrival { key: Some("?".into()), ..arrival("status") };
 
-    let (_, nowhere) = entry.arrive(arrival("nowhere"));
-    let (_, stranger) = entry.arrive(stranger);
+    let (_, unrouted) = entry.arrive(arrival("nowhere"));
+    let (_, unknown_key) = entry.arrive(unknown_key);
 
-    assert_eq!(refused(&nowhere).reason, action::Reason::NoRoute);
-    assert_eq!(refused(&stranger).reason, action::Reason::Unauthorized);
+    assert_eq!(rejection(&unrouted).reason, action::Reason::NoRoute);
+    assert_eq!(rejection(&unknown_key).reason, action::Reason::Unauthorized);
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_on_the_next_request() {
-    let mut entry = Entry::ready();
-    entry.sent("status");
+fn a_removed_key_is_rejected_on_the_next_request() {
+    let mut entry = Entry::with_fleet();
+    entry.send("status");
     let mut declaration = fixture::declaration();
     declaration.version = 2;
     declaration.teams[0].keys.clear();
-    let told = Some(std::sync::Arc::new(declaration));
-    entry.step(event::Event::ViewUpdated(Box::new(fixture::view()), told));
+    let updated = Some(std::sync::Arc::new(declaration));
+    entry.step(event::Event::ViewUpdated(Box::new(fixture::view()), updated));
 
     let (_, decision) = entry.arrive(arrival("status"));
 
-    assert_eq!(refused(&decision).reason, action::Reason::Unauthorized);
+    assert_eq!(rejection(&decision).reason, action::Reason::Unauthorized);
 }
 
-/// An upstream takes a lodgement and breaks off. It may have run: another upstream must not get it,
-/// and the caller must not be told that it has not run.
+/// Guards against running non-repeatable work twice, and against stating that it has not run: the
+/// upstream loses its connection after it has accepted the request, so that the work may have run.
 #[test]
-fn work_that_may_have_run_once_is_not_sent_again() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("submit");
+fn nonrepeatable_work_that_may_have_run_is_not_retried() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("submit");
 
     let decision =
         entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
-    assert_eq!(refused(&decision.expect("decided")).reason, action::Reason::Failed);
+    assert_eq!(rejection(&decision.expect("a decision follows")).reason, action::Reason::Failed);
 }
 
 #[test]
-fn work_that_surely_has_not_run_is_sent_elsewhere() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("submit");
+fn nonrepeatable_work_that_has_not_run_is_retried_elsewhere() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("submit");
 
     let decision = entry.step(event::Event::AttemptFailed(number, event::Fault::NotRun, None));
 
-    assert_ne!(started(&decision.expect("decided")).instance, first);
+    assert_ne!(started(&decision.expect("a decision follows")).instance, first);
 }
 
 #[test]
-fn only_a_new_connection_carries_work_that_runs_once() {
-    let mut entry = Entry::ready();
+fn nonrepeatable_work_uses_a_new_connection() {
+    let mut entry = Entry::with_fleet();
 
     let (_, once) = entry.arrive(arrival("submit"));
     let (_, many) = entry.arrive(arrival("status"));
@@ -85,54 +85,55 @@
     assert!(!started(&many).new_connection);
 }
 
-/// An upstream fails a status check with its own error. Another is asked, and the caller gets the
-/// good answer; when that one fails too, the caller gets what it said.
+/// The response of the second upstream is forwarded even if that one fails too.
 #[test]
-fn a_failed_check_is_asked_of_another_upstream() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("status");
+fn a_failed_repeatable_request_is_retried_at_another_upstream() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("status");
 
-    let again = entry.step(event::Event::ResponseReceived(number, head(500))).expect("decided");
+    let again =
+        entry.step(event::Event::ResponseReceived(number, head(500))).expect("a decision follows");
     assert_ne!(started(&again).instance, first);
     let last = entry.step(event::Event::ResponseReceived(number, head(500)));
 
     assert_eq!(last, Some(action::Decision::ForwardResponse));
 }
 
-/// An upstream answers a lodgement with 503 and does not say that it has not run it. Passed on, that
-/// status would promise "not run".
+/// Guards against a false promise: a 503 tells the client that the work has not run, but the
+/// upstream does not state that.
 #[test]
-fn an_upstreams_refusal_that_promises_nothing_is_no_promise_of_ours() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("submit");
+fn a_503_without_a_not_run_statement_is_not_forwarded() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("submit");
 
-    let decision = entry.step(event::Event::ResponseReceived(number, head(503))).expect("decided");
+    let decision =
+        entry.step(event::Event::ResponseReceived(number, head(503))).expect("a decision follows");
 
-    assert_eq!(refused(&decision).reason, action::Reason::Failed);
+    assert_eq!(rejection(&decision).reason, action::Reason::Failed);
 }
 
-/// A group dies in the middle of a stream. The stream goes on from the last event at the other
-/// group, within the same answer.
+/// Guards against a gap or a repetition when the group of a stream fails: the stream must resume
+/// after its last event, within the same response.
 #[test]
-fn a_broken_stream_goes_on_elsewhere_after_its_last_event() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("stream");
-    entry.begin(number);
+fn a_lost_stream_resumes_elsewhere_after_its_last_event() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("stream");
+    entry.begin_stream(number);
     entry.step(event::Event::EventsReceived(number, Some(7)));
 
     let decision =
         entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
-    let decision = decision.expect("decided");
+    let decision = decision.expect("a decision follows");
     assert_ne!(started(&decision).instance, first);
     assert_eq!(started(&decision).last_event, Some(7));
 }
 
 #[test]
-fn a_stream_that_breaks_twice_is_broken_off() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("stream");
-    entry.begin(number);
+fn a_stream_that_is_lost_twice_is_aborted() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("stream");
+    entry.begin_stream(number);
     entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
     let decision =
@@ -141,12 +142,13 @@
     assert_eq!(decision, Some(action::Decision::Abort));
 }
 
-/// What should go on a stream is an error page; the caller already has the first half of a stream.
+/// Guards against appending an error page to a stream of which the client has already received the
+/// first half.
 #[test]
-fn another_kind_of_answer_never_continues_a_stream() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("stream");
-    entry.begin(number);
+fn a_complete_response_never_continues_a_stream() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("stream");
+    entry.begin_stream(number);
     entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
 
     let decision = entry.step(event::Event::ResponseReceived(number, head(200)));
@@ -154,38 +156,38 @@
     assert_eq!(decision, Some(action::Decision::Abort));
 }
 
-/// A member of a group went dark: its streams stand still, no connection breaks. They go on at the
-/// other group, the leader is told, and new requests stay away.
+/// Guards against streams that hang because a member of their group fails without closing a
+/// connection. The leader must be notified, and new requests go elsewhere.
 #[test]
-fn streams_leave_an_upstream_that_stands_still() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("stream");
-    entry.begin(number);
-    entry.pass(fixture::STALL_MS);
+fn streams_move_away_from_a_stalled_upstream() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("stream");
+    entry.begin_stream(number);
+    entry.advance(fixture::STALL_MS);
 
-    let decision = entry.step(event::Event::IdleTimeout(number)).expect("decided");
+    let decision = entry.step(event::Event::IdleTimeout(number)).expect("a decision follows");
 
     assert_ne!(started(&decision).instance, first);
-    assert!(entry.told.iter().any(|told| told.stalled.contains(&first)));
-    let (_, next) = entry.sent("stream");
+    assert!(entry.reports.iter().any(|report| report.stalled.contains(&first)));
+    let (_, next) = entry.send("stream");
     assert_ne!(next, first);
 }
 
 #[test]
-fn the_leader_is_told_of_a_silence_before_streams_are_moved() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("stream");
-    entry.begin(number);
-    entry.pass(320);
+fn the_leader_is_notified_before_streams_move() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("stream");
+    entry.begin_stream(number);
+    entry.advance(320);
 
     let decision = entry.step(event::Event::IdleTimeout(number));
 
     assert!(matches!(decision, Some(action::Decision::Wait(_))));
-    assert!(entry.told.iter().any(|told| told.stalled.contains(&first)));
+    assert!(entry.reports.iter().any(|report| report.stalled.contains(&first)));
 }
 
-/// What an entry is told of the first group when its head is `head`.
-fn told_of_group(head: &name::Instance, lost: bool) -> view::Update {
+/// Update that the group with this head no longer serves.
+fn update_of_group(head: &name::Instance, lost: bool) -> view::Update {
     let name = if *head == fixture::instance("e1") { "g1" } else { "g2" };
     let epoch = if name == "g1" { 1 } else { 2 };
     let (name, group) = fixture::group(name, head.as_str(), epoch);
@@ -194,51 +196,50 @@
     view::Update { whole: false, upstreams: vec![], groups, ..fixture::view() }
 }
 
-/// The leader knows that a member died while the caller's stream has been silent for a moment only.
-/// Waiting until the silence is long enough by itself would add 0.3 s to a pause that the caller
-/// sees.
+/// Guards against waiting for the full stall timeout although the leader knows of the failure,
+/// which would add 0.3 s to a pause that the client notices.
 #[test]
-fn streams_leave_a_group_that_is_known_to_be_lost() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("stream");
-    entry.begin(number);
-    entry.pass(160);
-    entry.see(told_of_group(&first, true));
+fn streams_move_away_from_a_lost_group() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("stream");
+    entry.begin_stream(number);
+    entry.advance(160);
+    entry.update_view(update_of_group(&first, true));
 
-    let decision = entry.step(event::Event::IdleTimeout(number)).expect("decided");
+    let decision = entry.step(event::Event::IdleTimeout(number)).expect("a decision follows");
 
     assert_ne!(started(&decision).instance, first);
 }
 
-/// A member leaves on request: the group takes nothing new, and its head ends what it has. Streams
-/// that were moved meanwhile would be read again for nothing.
+/// Guards against moving streams away from a group whose member leaves on request: the head
+/// completes them, and their prompts would be processed again for nothing.
 #[test]
-fn streams_stay_at_a_group_that_ends_what_it_has() {
-    let mut entry = Entry::ready();
-    let (number, first) = entry.sent("stream");
-    entry.begin(number);
-    entry.pass(160);
-    entry.see(told_of_group(&first, false));
+fn streams_stay_at_a_draining_group() {
+    let mut entry = Entry::with_fleet();
+    let (number, first) = entry.send("stream");
+    entry.begin_stream(number);
+    entry.advance(160);
+    entry.update_view(update_of_group(&first, false));
 
     let decision = entry.step(event::Event::IdleTimeout(number));
 
     assert!(matches!(decision, Some(action::Decision::Wait(_))));
 }
 
-/// One stream pauses while others of the same group go on: the group lives, and the stream waits.
+/// Guards against taking one slow stream for a stalled group.
 #[test]
-fn a_pause_of_one_stream_among_others_that_go_on_moves_nothing() {
-    let mut entry = Entry::ready();
-    let (slow, upstream) = entry.sent("stream");
-    entry.begin(slow);
+fn a_pause_of_one_stream_moves_nothing_while_others_progress() {
+    let mut entry = Entry::with_fleet();
+    let (slow, upstream) = entry.send("stream");
+    entry.begin_stream(slow);
     let other = loop {
-        let (number, instance) = entry.sent("stream");
+        let (number, instance) = entry.send("stream");
         if instance == upstream {
             break number;
         }
     };
-    entry.begin(other);
-    entry.pass(fixture::STALL_MS);
+    entry.begin_stream(other);
+    entry.advance(fixture::STALL_MS);
     entry.step(event::Event::EventsReceived(other, Some(2)));
 
     let decision = entry.step(event::Event::IdleTimeout(slow));
@@ -247,10 +248,10 @@
 }
 
 #[test]
-fn work_that_runs_once_is_waited_for_however_silent() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("submit");
-    entry.pass(2_000);
+fn nonrepeatable_work_never_moves() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("submit");
+    entry.advance(2_000);
 
     let decision = entry.step(event::Event::IdleTimeout(number));
 
@@ -258,80 +259,80 @@
 }
 
 #[test]
-fn a_request_whose_time_is_over_while_an_upstream_has_it_may_have_run() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("submit");
-    entry.pass(4_000);
+fn a_request_that_times_out_at_an_upstream_may_have_run() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("submit");
+    entry.advance(4_000);
 
-    let decision = entry.step(event::Event::DeadlineExceeded(number)).expect("decided");
+    let decision = entry.step(event::Event::DeadlineExceeded(number)).expect("a decision follows");
 
-    let refusal = refused(&decision);
-    assert_eq!((refusal.reason, refusal.retry_after), (action::Reason::TimedOut, None));
+    let rejected = rejection(&decision);
+    assert_eq!((rejected.reason, rejected.retry_after), (action::Reason::TimedOut, None));
 }
 
 #[test]
-fn the_shorter_of_the_callers_and_the_routes_time_counts() {
-    let mut entry = Entry::ready();
-    let mut hurried = arrival("status");
-    hurried.timeout = Some(Duration::from_millis(700));
+fn the_shorter_of_client_and_route_timeout_applies() {
+    let mut entry = Entry::with_fleet();
+    let mut short = arrival("status");
+    short.timeout = Some(Duration::from_millis(700));
 
-    let (_, hurried) = entry.arrive(hurried);
-    let (_, patient) = entry.arrive(arrival("status"));
+    let (_, short) = entry.arrive(short);
+    let (_, long) = entry.arrive(arrival("status"));
 
-    assert_eq!(started(&hurried).deadline, entry.now + Duration::from_millis(700));
-    assert_eq!(started(&patient).deadline, entry.now + Duration::from_secs(4));
+    assert_eq!(started(&short).deadline, entry.now + Duration::from_millis(700));
+    assert_eq!(started(&long).deadline, entry.now + Duration::from_secs(4));
 }
 
 #[test]
-fn nothing_goes_to_a_zone_that_is_out_or_an_upstream_that_leaves() {
-    let mut entry = Entry::ready();
+fn excluded_zones_and_leaving_upstreams_receive_nothing() {
+    let mut entry = Entry::with_fleet();
     let mut update = fixture::view();
     update.out.insert(name::Zone::from("z1"));
     if let Some((_, Some(upstream))) = update.upstreams.get_mut(1) {
         upstream.standing = view::Standing::Leaving;
     }
-    entry.see(update);
+    entry.update_view(update);
 
-    let refusal = refused_after_a_wait(&mut entry, "stream");
+    let rejected = rejected_after_queueing(&mut entry, "stream");
 
-    assert_eq!(refusal.reason, action::Reason::NoUpstream);
-    assert!(refusal.retry_after.is_some());
+    assert_eq!(rejected.reason, action::Reason::NoUpstream);
+    assert!(rejected.retry_after.is_some());
 }
 
-/// The refusal of a request that is held first and finds nobody until its wait is over.
-fn refused_after_a_wait(entry: &mut Entry, route: &str) -> action::Rejection {
+/// The rejection of a request that is queued first and finds no upstream before the queue timeout.
+fn rejected_after_queueing(entry: &mut Entry, route: &str) -> action::Rejection {
     let (number, decision) = entry.arrive(arrival(route));
     assert!(matches!(decision, action::Decision::Queue(_)), "{decision:?}");
-    refused(&entry.step(event::Event::QueueTimeout(number)).expect("it is decided"))
+    rejection(&entry.step(event::Event::QueueTimeout(number)).expect("a decision follows"))
 }
 
 #[test]
-fn a_group_that_does_not_serve_gets_nothing() {
-    let mut entry = Entry::ready();
+fn a_group_that_does_not_serve_receives_nothing() {
+    let mut entry = Entry::with_fleet();
     let mut update = fixture::view();
     for (_, group) in &mut update.groups {
-        group.as_mut().expect("it is there").serving = false;
+        group.as_mut().expect("it exists").serving = false;
     }
-    entry.see(update);
+    entry.update_view(update);
 
-    let refusal = refused_after_a_wait(&mut entry, "stream");
+    let rejected = rejected_after_queueing(&mut entry, "stream");
 
-    assert_eq!(refusal.reason, action::Reason::NoUpstream);
+    assert_eq!(rejected.reason, action::Reason::NoUpstream);
 }
 
 #[test]
-fn a_stopping_process_is_not_ready_and_serves_on() {
-    let mut entry = Entry::ready();
+fn a_stopping_process_is_not_ready_but_still_serves() {
+    let mut entry = Entry::with_fleet();
     entry.step(event::Event::Stop);
 
     assert!(!entry.core.is_ready());
-    entry.sent("status");
+    entry.send("status");
 }
 
 #[test]
-fn a_caller_that_goes_away_leaves_no_trace() {
-    let mut entry = Entry::ready();
-    let (number, _) = entry.sent("stream");
+fn a_disconnected_client_leaves_no_state() {
+    let mut entry = Entry::with_fleet();
+    let (number, _) = entry.send("stream");
 
     entry.step(event::Event::ClientDisconnected(number));
 
--- a/crates/hyssopfork-gateway/tests/gateway/slow_start.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/slow_start.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_entry_sends_its_part_of_any_second() {
+fn an_entry_sends_its_share_in_any_second() {
     let mut recent = slow_start::Sends::default();
     for millis in [0, 100, 200] {
         assert!(recent.has_room(at(millis), 3));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn parts_add_up_to_the_rate() {
+fn shares_add_up_to_the_rate() {
     for entries in [1, 4, 7, 15, 16, 39, 380] {
         let parts = (0..entries).map(|rank| slow_start::entry_share(15.7, rank, entries));
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// Guards against one request of each entry, which is more than the upstream bears.
+/// Guards against one request of each entry, which together exceed the rate of the upstream.
 #[test]
-fn many_entries_send_a_cold_upstream_no_more_than_it_bears() {
+fn many_entries_together_respect_the_rate_of_a_cold_upstream() {
     let mut update = fixture::view_of_groups(20);
     for (_, upstream) in &mut update.upstreams {
-        upstream.as_mut().expect("it is there").announcement.cold = Duration::from_secs(3);
+        upstream.as_mut().expect("it exists").announcement.cold = Duration::from_secs(3);
     }
-    let mut entries = Entry::all_before(40, &update);
+    let mut entries = Entry::fleet_with_view(40, &update);
 
     let mut sent = BTreeMap::new();
     for entry in &mut entries {
@@ -49,18 +49,18 @@
     assert!(sent.values().sum::<u32>() >= 80, "{sent:?}");
 }
 
-/// Guards against full load on an upstream that turned cold again: only the leader knows of it.
+/// Guards against full load on an upstream that became cold again: only the leader knows of it.
 #[test]
-fn an_upstream_is_cold_until_the_leader_says_otherwise() {
+fn an_upstream_stays_cold_until_the_leader_says_otherwise() {
     let mut update = fixture::view();
     for (_, upstream) in update.upstreams.iter_mut().take(2) {
-        upstream.as_mut().expect("it is there").announcement.cold = Duration::from_millis(100);
+        upstream.as_mut().expect("it exists").announcement.cold = Duration::from_millis(100);
     }
-    let mut entry = Entry::all_before(1, &update).remove(0);
-    entry.pass(3_000);
+    let mut entry = Entry::fleet_with_view(1, &update).remove(0);
+    entry.advance(3_000);
 
     let cold = (0..16).filter(|_| entry.is_sent("stream")).count();
-    entry.see(fixture::view());
+    entry.update_view(fixture::view());
     let warm = (0..16).filter(|_| entry.is_sent("stream")).count();
 
     assert_eq!(cold, 12);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn one_entry_more_moves_few_places() {
+fn an_additional_entry_changes_few_ranks() {
     let before: Vec<_> = (0..39).map(fixture::entry_address).collect();
     let after: Vec<_> = (0..40).map(fixture::entry_address).collect();
     for engine in ["e1", "e2", "e3"].map(fixture::instance) {
