--- a/crates/hyssopfork-gateway/tests/gateway/crash.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/crash.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn an_upstream_is_probed_once_for_all_lost_connections() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let sent: Vec<u64> = (0..2 * fixture::SLOTS).map(|_| entry.send("stream").0).collect();
 
     for number in sent {
@@ -39,12 +39,12 @@
 /// Guards against taking a planned shutdown for a crash.
 #[test]
 fn a_leaving_upstream_is_not_probed() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, instance) = entry.send("submit");
     let mut update = fixture::view();
     for (name, upstream) in &mut update.upstreams {
         if *name == instance {
-            upstream.as_mut().expect("it exists").standing = view::Standing::Leaving;
+            upstream.as_mut().expect("the upstream exists").standing = view::Standing::Leaving;
         }
     }
     entry.update_view(update);
@@ -94,7 +94,7 @@
 
 #[test]
 fn requests_at_a_crash_are_reported_to_the_leader_at_once() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, instance) = entry.send("stream");
     entry.step(connection_lost(number));
     let before = entry.reports.len();
@@ -114,7 +114,7 @@
 /// replacing its group only after one of them has failed.
 #[test]
 fn a_crashed_upstream_receives_no_requests_and_is_reported_as_stalled() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, instance) = entry.send("stream");
     entry.step(connection_lost(number));
 
@@ -129,7 +129,7 @@
 /// Guards against taking a reset connection of a running upstream for a crash.
 #[test]
 fn an_upstream_that_accepts_connections_has_not_crashed() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("stream");
     entry.step(connection_lost(number));
     let process = entry.probes.pop().expect("the upstream is probed");
@@ -143,7 +143,7 @@
 /// Guards against one more crash with each repetition, whichever entry receives it.
 #[test]
 fn a_quarantined_request_is_rejected_with_retry_after() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.update_view(verdict_update("stream", Some(QUARANTINED)));
 
     let (_, repeat) = entry.arrive(arrival("stream"));
@@ -159,7 +159,7 @@
 /// Guards against a stream that crashes the next upstream when it resumes there.
 #[test]
 fn a_quarantined_stream_is_not_resumed() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("stream");
     entry.update_view(verdict_update("stream", Some(QUARANTINED)));
 
@@ -171,7 +171,7 @@
 /// Guards against crashes by attempts that wait at upstreams when the request is quarantined.
 #[test]
 fn a_waiting_attempt_is_recalled() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("stream");
     entry.update_view(verdict_update("stream", Some(QUARANTINED)));
 
@@ -184,7 +184,7 @@
 /// their upstream.
 #[test]
 fn a_request_that_completes_leaves_quarantine() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.update_view(verdict_update("status", Some(QUARANTINED)));
     entry.advance(15_000);
 
@@ -207,7 +207,7 @@
 /// Guards against a trial with each repetition after the first quarantine period.
 #[test]
 fn a_trial_that_crashes_restarts_the_period() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.update_view(verdict_update("status", Some(QUARANTINED)));
     entry.advance(15_000);
     let (number, trial) = entry.arrive(arrival("status"));
@@ -224,7 +224,7 @@
 /// Guards against trials of all entries at the moment when the quarantine period ends.
 #[test]
 fn entries_stagger_their_trials() {
-    let mut entries = Entry::fleet_of(40);
+    let mut entries = Entry::many(40);
     let mut trial_counts = Vec::new();
     for entry in &mut entries {
         entry.update_view(view::Update {
@@ -245,7 +245,7 @@
 
 #[test]
 fn a_verdict_keeps_its_time_across_a_change_of_leader() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.update_view(verdict_update("status", Some(QUARANTINED)));
     entry.advance(10_000);
     let next = view::Update { whole: true, ..fixture::view() };
@@ -262,7 +262,7 @@
 /// before it has received the reports of all entries.
 #[test]
 fn a_verdict_holds_until_a_new_leader_can_know_it() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.update_view(verdict_update("status", Some(QUARANTINED)));
     entry.update_view(fixture::view());
 
--- a/crates/hyssopfork-gateway/tests/gateway/fixture.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/fixture.rs
@@ -189,32 +189,32 @@
     }
 
     /// An entry that has received the fixture's view.
-    pub fn with_fleet() -> Entry {
+    pub fn with_view() -> Entry {
         let mut entry = Entry::new();
         entry.update_view(view());
         entry
     }
 
     /// This many entries that have received the fixture's view.
-    pub fn fleet_of(count: u32) -> Vec<Entry> {
-        Entry::fleet_with_view(count, &view())
+    pub fn many(count: u32) -> Vec<Entry> {
+        Entry::many_with_view(count, &view())
     }
 
     /// This many entries that have received this view.
-    pub fn fleet_with_view(count: u32, update: &view::Update) -> Vec<Entry> {
-        Entry::fleet_range_with_view(0, count, update)
+    pub fn many_with_view(count: u32, update: &view::Update) -> Vec<Entry> {
+        Entry::range_with_view(0, count, update)
     }
 
     /// The entries with these numbers, which have received this view.
-    pub fn fleet_range_with_view(first: u32, end: u32, update: &view::Update) -> Vec<Entry> {
+    pub fn range_with_view(first: u32, end: u32, update: &view::Update) -> Vec<Entry> {
         let entries: Vec<_> =
             (first..end).map(|number| (entry_address(number), Some(()))).collect();
-        let with_view = |number| {
+        let start = |number| {
             let mut entry = Entry::numbered(number);
             entry.update_view(view::Update { entries: entries.clone(), ..update.clone() });
             entry
         };
-        (first..end).map(with_view).collect()
+        (first..end).map(start).collect()
     }
 
     pub fn update_view(&mut self, update: view::Update) {
--- a/crates/hyssopfork-gateway/tests/gateway/moves.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/moves.rs
@@ -16,24 +16,24 @@
 
 #[test]
 fn responses_add_tokens_for_moves() {
-    let mut allowance = moves::Bucket::default();
-    while allowance.has_token() {
-        allowance.take_token();
+    let mut bucket = moves::Bucket::default();
+    while bucket.has_token() {
+        bucket.take_token();
     }
 
-    (0..9).for_each(|_| allowance.add_for_response());
-    let early = allowance.has_token();
-    (0..2).for_each(|_| allowance.add_for_response());
+    (0..9).for_each(|_| bucket.add_for_response());
+    let early = bucket.has_token();
+    (0..2).for_each(|_| bucket.add_for_response());
 
     assert!(!early);
-    assert!(allowance.has_token());
+    assert!(bucket.has_token());
 }
 
 /// Guards against an overload that sustains itself: each request that moves gives up its place for
 /// the end of another queue, and its prompt is processed again.
 #[test]
 fn overloaded_upstreams_keep_most_of_their_requests() {
-    let mut entry = Entry::fleet_with_view(1, &fixture::view_of_groups(6)).remove(0);
+    let mut entry = Entry::many_with_view(1, &fixture::view_of_groups(6)).remove(0);
     let numbers = send_streams(&mut entry, 24);
     entry.advance(1_000);
 
@@ -47,10 +47,10 @@
 #[test]
 fn requests_of_a_lost_group_move_without_tokens() {
     let mut update = fixture::view_of_groups(6);
-    let mut entry = Entry::fleet_with_view(1, &update).remove(0);
+    let mut entry = Entry::many_with_view(1, &update).remove(0);
     let numbers = send_streams(&mut entry, 24);
     for (_, group) in update.groups.iter_mut().take(3) {
-        group.as_mut().expect("it exists").lost = true;
+        group.as_mut().expect("the group exists").lost = true;
     }
     entry.update_view(update);
     entry.advance(200);
--- a/crates/hyssopfork-gateway/tests/gateway/overload.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/overload.rs
@@ -63,7 +63,7 @@
 /// Simulates this many milliseconds with `processes` entries that share two groups. `between`
 /// returns the interval to the next arrival; arrivals go to the entries in turn.
 fn simulate_entries(millis: u64, processes: usize, between: impl Fn(u64) -> u64) -> Outcome {
-    let entries = Entry::fleet_of(processes as u32);
+    let entries = Entry::many(processes as u32);
     simulate(millis, entries, |now, _| now + between(now), |count| count % processes)
 }
 
@@ -169,7 +169,7 @@
 fn a_surge_does_not_swamp_the_groups_whatever_the_addresses() {
     for first in [0, 0x100, 0x1_0000, 0x2_0000, 0x3_0007] {
         let surge = |now: u64, _| now + if now < 6_000 { 100 } else { 16 };
-        let entries = || Entry::fleet_range_with_view(first, first + 8, &fixture::view());
+        let entries = || Entry::range_with_view(first, first + 8, &fixture::view());
         let before = simulate(6_000, entries(), surge, |count| count % 8);
 
         let outcome = simulate(9_000, entries(), surge, |count| count % 8);
@@ -187,7 +187,7 @@
 /// groups have capacity.
 #[test]
 fn many_entries_fill_many_groups_evenly() {
-    let entries = Entry::fleet_with_view(40, &fixture::view_of_groups(20));
+    let entries = Entry::many_with_view(40, &fixture::view_of_groups(20));
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(1);
 
     // The load balancer divides clients unevenly: half of the entries receive twice as many as the
@@ -207,7 +207,7 @@
 /// disconnect before the first event.
 #[test]
 fn abandoned_requests_decrease_the_limit() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let sent: Vec<u64> = (0..2 * fixture::SLOTS).map(|_| entry.send("stream").0).collect();
     entry.advance(2_000);
     for number in sent {
@@ -227,7 +227,7 @@
 /// in turn, so that of two requests served, none would be on time.
 #[test]
 fn the_last_slots_are_reserved_for_requests_that_can_be_on_time() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let slots = 2 * fixture::SLOTS;
     for _ in 0..slots - 3 {
         entry.send("stream");
@@ -245,7 +245,7 @@
 /// route's: taken for retries, they would be excluded from the last quarter of the slots.
 #[test]
 fn a_first_attempt_with_a_shorter_timeout_is_not_taken_for_a_retry() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     for _ in 0..2 * fixture::SLOTS - 3 {
         entry.send("stream");
     }
@@ -260,7 +260,7 @@
 /// last report, and reports arrive only with responses.
 #[test]
 fn full_upstreams_are_tried_again() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let report = load::Report { running: fixture::SLOTS, waiting: 8, slots: fixture::SLOTS };
     let (number, _) = entry.send("stream");
     entry.step(event::Event::HeadReceived(
@@ -279,7 +279,7 @@
 
 #[test]
 fn a_retry_is_served_if_there_is_capacity() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.send("stream");
 
     let retry = Arrival { timeout: Some(Duration::from_secs(2)), ..arrival("stream") };
--- a/crates/hyssopfork-gateway/tests/gateway/rate_limit.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/rate_limit.rs
@@ -16,7 +16,7 @@
 fn limited_view(groups: u8, per_second: f64) -> view::Update {
     let mut update = fixture::view_of_groups(groups);
     for (_, upstream) in &mut update.upstreams {
-        upstream.as_mut().expect("it exists").rate = Some(rate(per_second));
+        upstream.as_mut().expect("the upstream exists").rate = Some(rate(per_second));
     }
     update
 }
@@ -57,7 +57,7 @@
 #[test]
 fn all_entries_together_respect_a_named_rate() {
     for (count, per_second) in [(1, 3.7), (5, 2.0), (7, 3.7), (20, 2.0), (40, 3.7), (40, 0.5)] {
-        let mut entries = Entry::fleet_with_view(count, &limited_view(4, per_second));
+        let mut entries = Entry::many_with_view(count, &limited_view(4, per_second));
 
         let sent = sends_by_tenth(&mut entries, 24);
 
@@ -76,7 +76,7 @@
 /// goes unnoticed.
 #[test]
 fn an_upstream_with_rate_zero_is_tried_occasionally() {
-    let mut entries = Entry::fleet_with_view(5, &limited_view(1, 0.0));
+    let mut entries = Entry::many_with_view(5, &limited_view(1, 0.0));
 
     let sent: usize = sends_by_tenth(&mut entries, 60).values().map(Vec::len).sum();
 
@@ -87,7 +87,7 @@
 /// the response.
 #[test]
 fn a_named_rate_is_reported_to_the_leader_at_once() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, instance) = entry.send("status");
     let before = entry.reports.len();
 
@@ -101,7 +101,7 @@
 
 #[test]
 fn an_entry_applies_a_rate_before_the_leader_knows_it() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let numbers: Vec<u64> = (0..2).map(|_| entry.send("status").0).collect();
     for number in numbers {
         respond(&mut entry, number, Some(0.5));
@@ -115,7 +115,7 @@
 /// Guards against a limit that remains after responses no longer name it.
 #[test]
 fn a_response_without_a_rate_removes_the_limit() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.update_view(limited_plain(1.0));
     entry.advance(1_000);
     let (number, instance) = entry.send("status");
@@ -130,7 +130,7 @@
 /// Guards against a report for each response of an upstream that names a different rate each time.
 #[test]
 fn a_rate_that_changes_with_each_response_is_reported_a_few_times_per_second() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let mut report_count = 0;
     for count in 0..100_u32 {
         let (number, _) = entry.send("status");
@@ -146,7 +146,7 @@
 /// Guards against clients that retry at once at an entry whose upstreams don't accept requests yet.
 #[test]
 fn a_request_beyond_the_rate_is_rejected_with_the_delay() {
-    let mut entry = Entry::fleet_with_view(1, &limited_view(2, 0.5)).remove(0);
+    let mut entry = Entry::many_with_view(1, &limited_view(2, 0.5)).remove(0);
     (0..4).for_each(|_| drop(entry.send("stream")));
 
     let (_, decision) = entry.arrive(arrival("stream"));
@@ -159,7 +159,7 @@
 fn limited_plain(per_second: f64) -> view::Update {
     let mut update = fixture::view();
     for (_, upstream) in &mut update.upstreams {
-        upstream.as_mut().expect("it exists").rate = Some(rate(per_second));
+        upstream.as_mut().expect("the upstream exists").rate = Some(rate(per_second));
     }
     update
 }
@@ -194,10 +194,10 @@
     for (per_second, in_the_first_second) in [(0.5, 2), (100.0, 6)] {
         let mut update = limited_view(1, per_second);
         for (_, upstream) in &mut update.upstreams {
-            let upstream = upstream.as_mut().expect("it exists");
+            let upstream = upstream.as_mut().expect("the upstream exists");
             upstream.announcement.cold = Duration::from_secs(3);
         }
-        let mut entries = Entry::fleet_with_view(4, &update);
+        let mut entries = Entry::many_with_view(4, &update);
 
         let sent: usize = sends_by_tenth(&mut entries, 1).values().map(Vec::len).sum();
 
@@ -208,7 +208,7 @@
 /// Guards against resuming all streams of a lost upstream at one that names a rate limit.
 #[test]
 fn resumed_streams_count_against_the_rate() {
-    let mut entry = Entry::fleet_with_view(1, &limited_view(2, 0.5)).remove(0);
+    let mut entry = Entry::many_with_view(1, &limited_view(2, 0.5)).remove(0);
     let numbers: Vec<u64> = (0..2).map(|_| entry.send("stream").0).collect();
     entry.send("stream");
     entry.send("stream");
--- a/crates/hyssopfork-gateway/tests/gateway/retry_budget.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/retry_budget.rs
@@ -16,7 +16,7 @@
     let mut budget = Budget::default();
     (0..100).for_each(|_| budget.count_request(at(0), POLICY));
 
-    // 0.8 of 0.2 times 100 and 10.
+    // 0.8 of the sum of 0.2 times 100 and 10.
     assert_eq!(granted_retries(&mut budget, 10, 1_000), 24);
 }
 
--- a/crates/hyssopfork-gateway/tests/gateway/selection.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/selection.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn requests_are_balanced_over_the_groups_of_a_model() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let mut counts = BTreeMap::new();
 
     for _ in 0..10 {
@@ -23,10 +23,10 @@
 /// entry would prefer them.
 #[test]
 fn a_cold_upstream_receives_no_more_than_its_rate() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let mut update = fixture::view();
     for (_, upstream) in update.upstreams.iter_mut().take(2) {
-        upstream.as_mut().expect("it exists").announcement.cold = Duration::from_secs(3);
+        upstream.as_mut().expect("the upstream exists").announcement.cold = Duration::from_secs(3);
     }
     update.entries = fixture::entries(2);
     entry.update_view(update);
@@ -36,13 +36,13 @@
         matches!(decision, action::Decision::Start(_))
     });
 
-    // Six a second each, of which this process may send half, to two upstreams.
+    // Two upstreams take six per second each, of which this entry may send half.
     assert_eq!(sent.count(), 6);
 }
 
 #[test]
 fn an_unreachable_upstream_is_not_used_during_its_backoff() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("status");
     entry.step(event::Event::AttemptFailed(number, event::Fault::Unreachable, None));
 
@@ -56,7 +56,7 @@
 /// continue.
 #[test]
 fn streams_in_flight_count_after_a_group_is_formed_again() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (_, first) = entry.send("stream");
     let update = view::Update {
         whole: false,
@@ -76,7 +76,7 @@
 /// always has the fewest.
 #[test]
 fn an_outlier_is_used_last() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     for _ in 0..4 {
         let (number, instance) = entry.send("submit");
         let status = if instance == fixture::instance("p1") { 500 } else { 200 };
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_request_for_a_full_model_is_rejected_with_retry_after() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let decision =
         (0..40).map(|_| entry.arrive(arrival("stream")).1).last().expect("forty requests arrived");
 
@@ -106,7 +106,7 @@
 
 #[test]
 fn the_own_zone_is_preferred_among_equals() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
 
     let (_, decision) = entry.arrive(arrival("stream"));
 
--- a/crates/hyssopfork-gateway/tests/gateway/serve.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/serve.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn requests_without_a_route_or_key_are_rejected() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let unknown_key =
         hyssopfork_gateway::arrival::Arrival { key: Some("?".into()), ..arrival("status") };
 
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_removed_key_is_rejected_on_the_next_request() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.send("status");
     let mut declaration = fixture::declaration();
     declaration.version = 2;
@@ -55,7 +55,7 @@
 /// upstream loses its connection after it has accepted the request, so that the work may have run.
 #[test]
 fn nonrepeatable_work_that_may_have_run_is_not_retried() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("submit");
 
     let decision =
@@ -66,7 +66,7 @@
 
 #[test]
 fn nonrepeatable_work_that_has_not_run_is_retried_elsewhere() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("submit");
 
     let decision = entry.step(event::Event::AttemptFailed(number, event::Fault::NotRun, None));
@@ -76,7 +76,7 @@
 
 #[test]
 fn nonrepeatable_work_uses_a_new_connection() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
 
     let (_, once) = entry.arrive(arrival("submit"));
     let (_, many) = entry.arrive(arrival("status"));
@@ -88,7 +88,7 @@
 /// The response of the second upstream is forwarded even if that one fails too.
 #[test]
 fn a_failed_repeatable_request_is_retried_at_another_upstream() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("status");
 
     let again =
@@ -103,7 +103,7 @@
 /// upstream does not state that.
 #[test]
 fn a_503_without_a_not_run_statement_is_not_forwarded() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("submit");
 
     let decision =
@@ -116,7 +116,7 @@
 /// after its last event, within the same response.
 #[test]
 fn a_lost_stream_resumes_elsewhere_after_its_last_event() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("stream");
     entry.begin_stream(number);
     entry.step(event::Event::EventsReceived(number, Some(7)));
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_stream_that_is_lost_twice_is_aborted() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("stream");
     entry.begin_stream(number);
     entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
@@ -146,7 +146,7 @@
 /// first half.
 #[test]
 fn a_complete_response_never_continues_a_stream() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("stream");
     entry.begin_stream(number);
     entry.step(event::Event::AttemptFailed(number, event::Fault::ConnectionLost, None));
@@ -160,7 +160,7 @@
 /// connection. The leader must be notified, and new requests go elsewhere.
 #[test]
 fn streams_move_away_from_a_stalled_upstream() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("stream");
     entry.begin_stream(number);
     entry.advance(fixture::STALL_MS);
@@ -175,7 +175,7 @@
 
 #[test]
 fn the_leader_is_notified_before_streams_move() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("stream");
     entry.begin_stream(number);
     entry.advance(320);
@@ -200,7 +200,7 @@
 /// which would add 0.3 s to a pause that the client notices.
 #[test]
 fn streams_move_away_from_a_lost_group() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("stream");
     entry.begin_stream(number);
     entry.advance(160);
@@ -215,7 +215,7 @@
 /// completes them, and their prompts would be processed again for nothing.
 #[test]
 fn streams_stay_at_a_draining_group() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, first) = entry.send("stream");
     entry.begin_stream(number);
     entry.advance(160);
@@ -229,7 +229,7 @@
 /// Guards against taking one slow stream for a stalled group.
 #[test]
 fn a_pause_of_one_stream_moves_nothing_while_others_progress() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (slow, upstream) = entry.send("stream");
     entry.begin_stream(slow);
     let other = loop {
@@ -249,7 +249,7 @@
 
 #[test]
 fn nonrepeatable_work_never_moves() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("submit");
     entry.advance(2_000);
 
@@ -260,7 +260,7 @@
 
 #[test]
 fn a_request_that_times_out_at_an_upstream_may_have_run() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("submit");
     entry.advance(4_000);
 
@@ -272,7 +272,7 @@
 
 #[test]
 fn the_shorter_of_client_and_route_timeout_applies() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let mut short = arrival("status");
     short.timeout = Some(Duration::from_millis(700));
 
@@ -285,7 +285,7 @@
 
 #[test]
 fn excluded_zones_and_leaving_upstreams_receive_nothing() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let mut update = fixture::view();
     update.out.insert(name::Zone::from("z1"));
     if let Some((_, Some(upstream))) = update.upstreams.get_mut(1) {
@@ -308,10 +308,10 @@
 
 #[test]
 fn a_group_that_does_not_serve_receives_nothing() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let mut update = fixture::view();
     for (_, group) in &mut update.groups {
-        group.as_mut().expect("it exists").serving = false;
+        group.as_mut().expect("the group exists").serving = false;
     }
     entry.update_view(update);
 
@@ -322,7 +322,7 @@
 
 #[test]
 fn a_stopping_process_is_not_ready_but_still_serves() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     entry.step(event::Event::Stop);
 
     assert!(!entry.core.is_ready());
@@ -331,7 +331,7 @@
 
 #[test]
 fn a_disconnected_client_leaves_no_state() {
-    let mut entry = Entry::with_fleet();
+    let mut entry = Entry::with_view();
     let (number, _) = entry.send("stream");
 
     entry.step(event::Event::ClientDisconnected(number));
--- a/crates/hyssopfork-gateway/tests/gateway/slow_start.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/slow_start.rs
@@ -20,9 +20,9 @@
 #[test]
 fn shares_add_up_to_the_rate() {
     for entries in [1, 4, 7, 15, 16, 39, 380] {
-        let parts = (0..entries).map(|rank| slow_start::entry_share(15.7, rank, entries));
+        let shares = (0..entries).map(|rank| slow_start::entry_share(15.7, rank, entries));
 
-        assert_eq!(parts.sum::<usize>(), 15, "{entries} entries");
+        assert_eq!(shares.sum::<usize>(), 15, "{entries} entries");
     }
 }
 
@@ -31,9 +31,9 @@
 fn many_entries_together_respect_the_rate_of_a_cold_upstream() {
     let mut update = fixture::view_of_groups(20);
     for (_, upstream) in &mut update.upstreams {
-        upstream.as_mut().expect("it exists").announcement.cold = Duration::from_secs(3);
+        upstream.as_mut().expect("the upstream exists").announcement.cold = Duration::from_secs(3);
     }
-    let mut entries = Entry::fleet_with_view(40, &update);
+    let mut entries = Entry::many_with_view(40, &update);
 
     let mut sent = BTreeMap::new();
     for entry in &mut entries {
@@ -54,9 +54,10 @@
 fn an_upstream_stays_cold_until_the_leader_says_otherwise() {
     let mut update = fixture::view();
     for (_, upstream) in update.upstreams.iter_mut().take(2) {
-        upstream.as_mut().expect("it exists").announcement.cold = Duration::from_millis(100);
+        upstream.as_mut().expect("the upstream exists").announcement.cold =
+            Duration::from_millis(100);
     }
-    let mut entry = Entry::fleet_with_view(1, &update).remove(0);
+    let mut entry = Entry::many_with_view(1, &update).remove(0);
     entry.advance(3_000);
 
     let cold = (0..16).filter(|_| entry.is_sent("stream")).count();
