--- a/crates/hyssopfork-gateway/src/core.rs
+++ b/crates/hyssopfork-gateway/src/core.rs
@@ -21,8 +21,8 @@
 use std::net;
 use std::time::Duration;
 
-/// Time for which the leader is told when bytes last arrived from an upstream; it judges the
-/// upstream by that age.
+/// Age up to which the time of an upstream's last bytes is reported to the leader, which judges the
+/// upstream by it.
 const ACTIVITY_REPORT_TIME: Duration = Duration::from_secs(2);
 
 /// The entry.
--- a/crates/hyssopfork-gateway/src/target.rs
+++ b/crates/hyssopfork-gateway/src/target.rs
@@ -11,9 +11,9 @@
 pub const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time without bytes on any stream of an upstream after which the leader is notified, so that it
-/// checks the upstream while its requests still wait; nothing else follows from it. Twice the
-/// interval between the events of a full batch; long prompts exceed it now and then, which costs a
-/// few checks.
+/// checks the upstream while its requests still wait. New requests prefer other upstreams
+/// meanwhile; requests in flight stay. Twice the interval between the events of a full batch; long
+/// prompts exceed it now and then, which costs a few checks.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time without bytes after which a request moves away from a group that is known to be lost: an
