--- a/crates/hyssopfork-fleet/benches/review.rs
+++ b/crates/hyssopfork-fleet/benches/review.rs
@@ -1,5 +1,6 @@
-//! What a leader's review costs, by the number of engines: while all groups form, when nothing has
-//! changed, and after the loss of a member. Run by `cargo bench -p hyssopfork-fleet --bench review`.
+//! Benchmark of a leader's reconciliation pass by the number of engines: while all groups form, when
+//! nothing has changed, and after the loss of a member. Run by
+//! `cargo bench -p hyssopfork-fleet --bench review`.
 
 use hyssopfork_fleet::announcement::{Announcement, Membership, State};
 use hyssopfork_fleet::groups::{self, order};
@@ -9,14 +10,18 @@
 use std::net;
 use std::time::{Duration, Instant};
 
-const DOMAIN: u32 = 19;
-const QUIET_REVIEWS: u32 = 50;
+/// Engines of one domain.
+const DOMAIN_SIZE: u32 = 19;
+/// Measured passes without a change.
+const QUIET_PASSES: u32 = 50;
+/// Measured losses of a member.
 const LOSSES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(20);
-/// Longest simulated time until all groups serve.
-const MAX_REVIEWS: u32 = 500;
+/// Simulated time between two passes.
+const PASS_INTERVAL: Duration = Duration::from_millis(20);
+/// Most passes until all groups serve.
+const MAX_PASSES: u32 = 500;
 
-fn declared() -> declaration::Declaration {
+fn declaration() -> declaration::Declaration {
     let model = |name: &str, size| declaration::Model {
         name: name::Model::from(name),
         size,
@@ -45,8 +50,8 @@
         instance: name::Instance::new(format!("engine-{number:05}")),
         pool: name::Pool::from("engines"),
         address: net::SocketAddr::from((host, 8_000)),
-        zone: name::Zone::new(format!("z{}", number / DOMAIN % 5)),
-        domain: name::Domain::new(format!("d{:04}", number / DOMAIN)),
+        zone: name::Zone::new(format!("z{}", number / DOMAIN_SIZE % 5)),
+        domain: name::Domain::new(format!("d{:04}", number / DOMAIN_SIZE)),
         slots: 28,
         draining: false,
         cold: Duration::ZERO,
@@ -58,7 +63,7 @@
     }
 }
 
-/// A leader and its engines, which carry out orders at once.
+/// A leader and its engines, which carry out orders immediately.
 struct Fleet {
     declaration: declaration::Declaration,
     registry: registry::Registry,
@@ -72,7 +77,7 @@
     fn new(engines: u32) -> Fleet {
         let now = clock::Instant::from_millis(10_000);
         let mut fleet = Fleet {
-            declaration: declared(),
+            declaration: declaration(),
             registry: registry::Registry::new(Duration::from_secs(3_600)),
             groups: groups::Groups::new(now, number::Term(1), false),
             board: board::Board::new(number::Term(1), None),
@@ -80,54 +85,54 @@
             now,
         };
         for number in 0..engines {
-            let told = announcement(number);
-            fleet.engines.insert(told.instance.clone(), told.clone());
-            fleet.registry.announce(now, told);
+            let announcement = announcement(number);
+            fleet.engines.insert(announcement.instance.clone(), announcement.clone());
+            fleet.registry.announce(now, announcement);
         }
         fleet
     }
 
-    /// One review with its publication; its time and how many orders it gave.
-    fn review(&mut self) -> (Duration, usize) {
-        self.now = self.now + PAUSE;
-        let nowhere = BTreeSet::new();
-        let began = Instant::now();
-        let commands = self.groups.look(
+    /// Makes one pass with its publication; returns its duration and the number of its commands.
+    fn reconcile(&mut self) -> (Duration, usize) {
+        self.now = self.now + PASS_INTERVAL;
+        let no_zones = BTreeSet::new();
+        let start = Instant::now();
+        let commands = self.groups.reconcile(
             self.now,
             &self.registry,
             &self.declaration,
             &BTreeSet::new(),
-            &nowhere,
+            &no_zones,
         );
         let upstreams = self.registry.published(self.now);
-        self.board.publish(board::Rest::default(), upstreams, &self.groups.published());
-        let spent = began.elapsed();
-        let orders = commands.len();
+        self.board.publish(board::Rest::default(), upstreams, &self.groups.to_views());
+        let elapsed = start.elapsed();
+        let command_count = commands.len();
         for command in commands {
             self.carry_out(command);
         }
-        (spent, orders)
+        (elapsed, command_count)
     }
 
     fn carry_out(&mut self, command: groups::Command) {
         match command {
             groups::Command::Order(order) => {
-                self.obey(&order);
+                self.handle_order(&order);
                 let accepted = order::Outcome::Accepted;
-                self.groups.ordered(order.ticket, accepted, &mut self.registry);
+                self.groups.on_order_outcome(order.id, accepted, &mut self.registry);
             }
-            groups::Command::Ask(instance, _) => {
+            groups::Command::RequestReport(instance, _) => {
                 let membership = self.engines[&instance].membership.clone();
-                let report = order::Report { orders: 0, membership };
-                self.groups.reported(self.now, &instance, &report, &mut self.registry);
+                let report = order::Report { accepted_orders: 0, membership };
+                self.groups.on_report(self.now, &instance, &report, &mut self.registry);
             }
             _ => {}
         }
     }
 
-    fn obey(&mut self, order: &order::Order) {
-        let Some(told) = self.engines.get_mut(&order.instance) else { return };
-        let member = |rank: usize, state| Membership {
+    fn handle_order(&mut self, order: &order::Order) {
+        let Some(announcement) = self.engines.get_mut(&order.instance) else { return };
+        let membership = |rank: usize, state| Membership {
             group: order.group.clone(),
             epoch: order.epoch,
             rank: rank as u32,
@@ -136,21 +141,21 @@
         match &order.task {
             order::Task::Join { model, members } => {
                 let rank = members.iter().position(|it| *it == order.instance).unwrap_or(0);
-                told.loaded = Some(model.clone());
-                told.membership = Some(member(rank, State::Ready));
+                announcement.loaded = Some(model.clone());
+                announcement.membership = Some(membership(rank, State::Ready));
             }
-            order::Task::Open => told.membership = Some(member(0, State::Open)),
-            order::Task::Close => told.membership = Some(member(0, State::Ready)),
-            order::Task::Leave => told.membership = None,
-            order::Task::Stage(model) => told.staged.push(model.clone()),
+            order::Task::Open => announcement.membership = Some(membership(0, State::Open)),
+            order::Task::Close => announcement.membership = Some(membership(0, State::Ready)),
+            order::Task::Leave => announcement.membership = None,
+            order::Task::Stage(model) => announcement.staged.push(model.clone()),
         }
-        told.sequence += 1;
-        let told = told.clone();
-        self.registry.announce(self.now, told);
+        announcement.sequence += 1;
+        let announcement = announcement.clone();
+        self.registry.announce(self.now, announcement);
     }
 
-    fn serving(&self) -> usize {
-        self.groups.published().values().filter(|group| group.serving).count()
+    fn count_serving_groups(&self) -> usize {
+        self.groups.to_views().values().filter(|group| group.serving).count()
     }
 }
 
@@ -159,33 +164,33 @@
     for engines in [30, 300, 1_000, 3_000] {
         let mut fleet = Fleet::new(engines);
         let mut forming = Duration::ZERO;
-        let mut idle = 0;
-        for _ in 0..MAX_REVIEWS {
-            let (spent, orders) = fleet.review();
-            forming += spent;
-            idle = if orders == 0 { idle + 1 } else { 0 };
-            if idle > 40 {
+        let mut idle_passes = 0;
+        for _ in 0..MAX_PASSES {
+            let (elapsed, command_count) = fleet.reconcile();
+            forming += elapsed;
+            idle_passes = if command_count == 0 { idle_passes + 1 } else { 0 };
+            if idle_passes > 40 {
                 break;
             }
         }
         let from = net::SocketAddr::from(([10, 0, 0, 1], 7_000));
         let evidence = peer::Evidence { traffic: true, ..peer::Evidence::default() };
-        fleet.groups.saw(fleet.now, from, &evidence);
-        for _ in 0..MAX_REVIEWS {
-            fleet.review();
+        fleet.groups.on_evidence(fleet.now, from, &evidence);
+        for _ in 0..MAX_PASSES {
+            fleet.reconcile();
         }
-        let quiet: Duration = (0..QUIET_REVIEWS).map(|_| fleet.review().0).sum();
+        let quiet: Duration = (0..QUIET_PASSES).map(|_| fleet.reconcile().0).sum();
         let mut loss = Duration::ZERO;
         for number in 0..LOSSES {
             let lost = announcement(number * 7 % engines).instance;
             fleet.registry.bury(&lost);
-            loss += (0..5).map(|_| fleet.review().0).sum::<Duration>();
+            loss += (0..5).map(|_| fleet.reconcile().0).sum::<Duration>();
         }
         println!(
             "{engines:>8} {:>8} {:>14?} {:>14?} {:>14?}",
-            fleet.serving(),
+            fleet.count_serving_groups(),
             forming,
-            quiet / QUIET_REVIEWS,
+            quiet / QUIET_PASSES,
             loss / LOSSES,
         );
     }
