--- /dev/null
+++ b/crates/hyssopfork-gateway/src/core/fleet_view.rs
@@ -0,0 +1,164 @@
+//! Updates of the fleet's view.
+
+use super::Core;
+use crate::{
+    concurrency_limit, health, load, notice, rendezvous, request, routing, slow_start, target,
+};
+use hyssopfork_fleet::{declaration, view};
+use hyssopfork_wire::{clock, name};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Age from which the view may lack a declaration that should be in force here: the leader is heard
+/// from every 0.4 s, and a change is in force everywhere two seconds after its acknowledgement.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(1_500);
+
+impl Core {
+    /// Whether a newer declaration than the local one may be in force. A client must not be told
+    /// that something doesn't exist because the local declaration lacks it.
+    pub(super) fn may_be_stale(&self) -> bool {
+        let version = self.table.as_ref().map_or(0, |table| table.declaration().version);
+        version < self.newest_version || self.now.since(self.viewed_at) >= MAX_VIEW_AGE
+    }
+
+    pub(super) fn on_view_updated(
+        &mut self,
+        update: view::Update,
+        declaration: Option<Arc<declaration::Declaration>>,
+    ) {
+        let has_new_declaration = declaration.is_some();
+        if let Some(declaration) = declaration {
+            self.log(notice::Notice::InForce(declaration.version));
+            self.table = Some(routing::Table::new(declaration));
+        }
+        self.newest_version = self.newest_version.max(update.declared);
+        self.viewed_at = self.now;
+        let rebuild_all = update.whole || has_new_declaration;
+        if update.whole {
+            self.upstreams.clear();
+            self.groups.clear();
+            self.groups_by_head.clear();
+            self.entries.clear();
+        }
+        self.quarantine.on_published(self.now, update.whole, update.quarantine);
+        let entries_changed = !update.entries.is_empty();
+        view::merge(&mut self.entries, update.entries);
+        self.excluded_zones = update.out;
+        let mut changed = self.apply_groups(update.groups);
+        changed.extend(self.apply_upstreams(update.upstreams));
+        if rebuild_all {
+            changed.extend(self.upstreams.keys().chain(self.targets.keys()).cloned());
+        }
+        if entries_changed {
+            changed.extend(self.targets.keys().cloned());
+        }
+        for instance in &changed {
+            self.rebuild_target(instance);
+        }
+        self.retry_queued();
+    }
+
+    /// Applies changes of groups and returns their heads.
+    fn apply_groups(
+        &mut self,
+        changes: Vec<(name::Group, Option<view::Group>)>,
+    ) -> BTreeSet<name::Instance> {
+        let mut changed = BTreeSet::new();
+        for (name, group) in changes {
+            if let Some(head) = self.groups.get(&name).and_then(view::Group::head) {
+                changed.insert(head.clone());
+                if self.groups_by_head.get(head) == Some(&name) {
+                    self.groups_by_head.remove(head);
+                }
+            }
+            let serving = group.as_ref().filter(|group| group.serving);
+            if let Some(head) = serving.and_then(view::Group::head) {
+                changed.insert(head.clone());
+                self.groups_by_head.insert(head.clone(), name.clone());
+            }
+            view::merge(&mut self.groups, [(name, group)]);
+        }
+        changed
+    }
+
+    /// Applies changes of upstreams and returns their names.
+    fn apply_upstreams(
+        &mut self,
+        changes: Vec<(name::Instance, Option<view::Upstream>)>,
+    ) -> Vec<name::Instance> {
+        let changed = changes.iter().map(|(instance, _)| instance.clone()).collect();
+        view::merge(&mut self.upstreams, changes);
+        changed
+    }
+
+    /// Rebuilds the target of an upstream. It keeps its state if process and group are the same.
+    fn rebuild_target(&mut self, instance: &name::Instance) {
+        let previous = self.targets.remove(instance);
+        let (Some(table), Some(upstream)) = (&self.table, self.upstreams.get(instance)) else {
+            return;
+        };
+        let announcement = &upstream.announcement;
+        let group = self.groups_by_head.get(instance).and_then(|group| self.groups.get(group));
+        let engine = table.engine(&announcement.pool);
+        if engine.is_some() && group.is_none() {
+            return;
+        }
+        let incarnation = target::Incarnation {
+            born: announcement.born,
+            epoch: group.map_or(0, |group| group.epoch),
+            address: announcement.address,
+        };
+        let retained = previous.filter(|it| it.incarnation == incarnation);
+        let slots = engine.map_or(announcement.slots, |engine| engine.slots);
+        let mut target = retained.unwrap_or_else(|| new_target(incarnation, slots, announcement));
+        target.model = group.map(|group| group.model.clone());
+        target.standing = upstream.standing;
+        let key = instance.as_str().as_bytes();
+        let rank = rendezvous::rank(self.settings.address, self.entries.keys(), key);
+        let entries = self.entry_count();
+        target.preference = rank as f64 / entries as f64;
+        // The upstream stays cold until the leader says otherwise: it may become cold again
+        // meanwhile.
+        let rate = table.cold_rate(&announcement.pool).filter(|_| !announcement.cold.is_zero());
+        target.slow_start_share = rate.map(|rate| slow_start::entry_share(rate, rank, entries));
+        if target.published_rate != upstream.rate {
+            target.published_rate = upstream.rate;
+            target.named_rate.on_published(self.now, upstream.rate);
+        }
+        target.update_rate_share(rank, entries);
+        // Requests that were sent before the target was removed, or before its group was formed
+        // again, are still in flight.
+        let runs = |request: &&request::Request| {
+            request.attempt.as_ref().is_some_and(|attempt| attempt.instance == *instance)
+        };
+        target.load.own_requests = self.requests.values().filter(runs).count() as u32;
+        self.targets.insert(instance.clone(), target);
+    }
+}
+
+fn new_target(
+    incarnation: target::Incarnation,
+    slots: u32,
+    announcement: &hyssopfork_fleet::announcement::Announcement,
+) -> target::Target {
+    target::Target {
+        incarnation,
+        pool: announcement.pool.clone(),
+        model: None,
+        zone: announcement.zone.clone(),
+        standing: view::Standing::Present,
+        load: load::Load::new(slots),
+        limit: concurrency_limit::Limit::new(slots),
+        health: health::Health::default(),
+        recent_sends: Default::default(),
+        slow_start_share: None,
+        preference: 0.0,
+        named_rate: Default::default(),
+        published_rate: None,
+        rate_limiter: None,
+        last_bytes_at: clock::Instant::ORIGIN,
+        suspected: false,
+        stalled_since: None,
+    }
+}
