--- a/crates/hyssopfork-daemon/src/edge/control.rs
+++ b/crates/hyssopfork-daemon/src/edge/control.rs
@@ -66,11 +66,11 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
-        mailbox::drain(&mut self, inputs, action::TICK).await;
+        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 
     fn step(&mut self, event: event::Event) {
-        let failed = matches!(event, event::Event::Failed);
+        let failed = matches!(event, event::Event::FolderFailed);
         for action in self.core.step(clock::now(), event) {
             self.act(action);
         }
@@ -95,23 +95,25 @@
             }
             action::Action::Greet(to, hello) => {
                 let peers = self.peers.clone();
-                self.later(async move { peers.greet(to, hello).await.map(event::Event::Greeted) });
+                self.later(async move {
+                    peers.greet(to, hello).await.map(event::Event::GreetingAnswered)
+                });
             }
             action::Action::Watch(to, watch) => {
                 let peers = self.peers.clone();
                 self.later(async move {
                     let answer = peers.watch(to, *watch).await;
-                    Some(event::Event::Watched { from: to, answer })
+                    Some(event::Event::WatchAnswered { from: to, answer })
                 });
             }
             action::Action::Relay { call, to, registration } => {
                 let peers = self.peers.clone();
                 self.later(async move {
-                    let taken = peers.register(to, registration).await;
-                    Some(event::Event::Relayed { call, taken })
+                    let accepted = peers.register(to, registration).await;
+                    Some(event::Event::RelayAnswered { call, accepted })
                 });
             }
-            action::Action::Tell(to, seen) => {
+            action::Action::SendEvidence(to, seen) => {
                 let (peers, own) = (self.peers.clone(), self.own);
                 self.later(async move {
                     peers.note(to, own, seen).await;
@@ -120,21 +122,21 @@
             }
             action::Action::Order(order) => self.later(async move {
                 let outcome = engine::order(&order).await;
-                Some(event::Event::Ordered(order.ticket, outcome))
+                Some(event::Event::OrderAnswered(order.ticket, outcome))
             }),
             action::Action::Probe(instance, to) => self.later(async move {
                 let sign = engine::probe(to).await;
                 Some(event::Event::Probed(instance, sign))
             }),
-            action::Action::Ask(instance, to) => self.later(async move {
+            action::Action::RequestReport(instance, to) => self.later(async move {
                 let report = engine::report(&instance, to).await?;
                 Some(event::Event::Reported(instance, report))
             }),
-            action::Action::AskPeer { peer, instance, address } => {
+            action::Action::ProbeViaPeer { peer, instance, address } => {
                 let peers = self.peers.clone();
                 self.later(async move {
                     let alive = peers.probe(peer, address).await;
-                    Some(event::Event::Vouched(peer, instance, alive))
+                    Some(event::Event::PeerProbed(peer, instance, alive))
                 });
             }
             action::Action::Publish(update, declaration) => {
@@ -179,7 +181,7 @@
     fn tick(&mut self) {
         self.step(event::Event::Tick);
         if let Some((term, committed)) = self.core.progress() {
-            self.registry.consensus(term, committed, self.core.leads());
+            self.registry.consensus(term, committed, self.core.is_active_leader());
         }
         let closed: Vec<u64> = self
             .calls
--- a/crates/hyssopfork-daemon/src/edge/folder.rs
+++ b/crates/hyssopfork-daemon/src/edge/folder.rs
@@ -73,7 +73,7 @@
             let Some(error) = self.write_all(&mut journal) else { return };
             drop(journal);
             self.tell(&error);
-            self.post(event::Event::Failed);
+            self.post(event::Event::FolderFailed);
             // What still comes belongs to the part in the log that has just ended.
             loop {
                 match self.tasks.recv() {
@@ -91,7 +91,11 @@
             match journal::Journal::open(&self.folder) {
                 Ok((journal, durable, folder)) => {
                     let seed = rand::random();
-                    self.post(event::Event::Opened { folder, durable: Box::new(durable), seed });
+                    self.post(event::Event::FolderOpened {
+                        folder,
+                        durable: Box::new(durable),
+                        seed,
+                    });
                     return journal;
                 }
                 Err(error) => self.tell(&error),
--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -42,7 +42,7 @@
 
     /// Asks the leader for what is new.
     pub async fn watch(&self, to: net::SocketAddr, watch: peer::Watch) -> Option<peer::Answer> {
-        let limit = action::WATCH_LIMIT;
+        let limit = action::WATCH_TIMEOUT;
         let (number, client) = self.client(to).await?;
         let call = client.watch(link::until(limit), envelope::Envelope::new(watch));
         self.0.settle(to, number, link::within(limit, call).await)
@@ -140,7 +140,7 @@
         evidence: envelope::Envelope<peer::Evidence>,
     ) {
         if let Ok(evidence) = evidence.open() {
-            self.post(event::Event::Seen(from, evidence));
+            self.post(event::Event::EvidenceReported(from, evidence));
         }
     }
 
@@ -159,7 +159,7 @@
         registration: envelope::Envelope<peer::Registration>,
     ) -> bool {
         let Ok(registration) = registration.open() else { return false };
-        let reply = self.call(event::Request::Relayed(registration)).await;
+        let reply = self.call(event::Request::RegisterRelayed(registration)).await;
         matches!(reply, Some(action::Reply::Registered(_)))
     }
 }
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -91,7 +91,7 @@
             *text = now;
             let seeds = settings.peer_seeds();
             log::notice(&notice::Notice::Reloaded(format!("seeds={seeds:?}")));
-            let event = event::Event::Seeds(seeds);
+            let event = event::Event::SeedsChanged(seeds);
             mailbox.post(control::Input::Event(Box::new(event)));
         }
         Ok(_) if told => log::notice(&notice::Notice::Reloaded("nothing has changed".to_owned())),
@@ -150,8 +150,8 @@
             seeds: settings.peer_seeds(),
             first_start: settings.first_start,
             has_folder: settings.data_folder.is_some(),
-            tolerated: settings.tolerated_losses,
-            heartbeat: settings.heartbeat,
+            tolerated_losses: settings.tolerated_losses,
+            heartbeat_interval: settings.heartbeat,
         };
         let core = core::Core::new(core_settings, operator::known, clock::now());
         let folder = match &settings.data_folder {
--- a/crates/hyssopfork-fleet/benches/review.rs
+++ b/crates/hyssopfork-fleet/benches/review.rs
@@ -3,7 +3,7 @@
 
 use hyssopfork_fleet::announcement::{Announcement, Membership, State};
 use hyssopfork_fleet::groups::{self, order};
-use hyssopfork_fleet::{board, declaration, peer, registry};
+use hyssopfork_fleet::{declaration, peer, publication, registry};
 use hyssopfork_wire::{clock, name, number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net;
@@ -50,7 +50,7 @@
         slots: 28,
         draining: false,
         cold: Duration::ZERO,
-        born: 1,
+        start_time_ms: 1,
         sequence: 1,
         loaded: None,
         staged: vec![name::Model::from("large"), name::Model::from("small")],
@@ -63,7 +63,7 @@
     declaration: declaration::Declaration,
     registry: registry::Registry,
     groups: groups::Groups,
-    board: board::Board,
+    board: publication::Publisher,
     engines: BTreeMap<name::Instance, Announcement>,
     now: clock::Instant,
 }
@@ -75,7 +75,7 @@
             declaration: declared(),
             registry: registry::Registry::new(Duration::from_secs(3_600)),
             groups: groups::Groups::new(now, number::Term(1), false),
-            board: board::Board::new(number::Term(1), None),
+            board: publication::Publisher::new(number::Term(1), None),
             engines: BTreeMap::new(),
             now,
         };
@@ -100,7 +100,7 @@
             &nowhere,
         );
         let upstreams = self.registry.published(self.now);
-        self.board.publish(board::Rest::default(), upstreams, &self.groups.published());
+        self.board.publish(publication::FleetState::default(), upstreams, &self.groups.published());
         let spent = began.elapsed();
         let orders = commands.len();
         for command in commands {
@@ -178,7 +178,7 @@
         let mut loss = Duration::ZERO;
         for number in 0..LOSSES {
             let lost = announcement(number * 7 % engines).instance;
-            fleet.registry.bury(&lost);
+            fleet.registry.mark_dead(&lost);
             loss += (0..5).map(|_| fleet.review().0).sum::<Duration>();
         }
         println!(
--- a/crates/hyssopfork-fleet/src/action.rs
+++ b/crates/hyssopfork-fleet/src/action.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 /// Longest time between two ticks: the replicated log's rules ask for it.
-pub const TICK: Duration = Duration::from_millis(20);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Longest time for which a watch is held. Its answer also tells that the leader is alive.
-pub const HOLD: Duration = Duration::from_millis(400);
+pub const MAX_WATCH_HOLD: Duration = Duration::from_millis(400);
 
 /// Time after which an unanswered watch has failed: the leader or the connection is lost.
-pub const WATCH_LIMIT: Duration = Duration::from_millis(900);
+pub const WATCH_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Reply to a call.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
     /// It is done and will last.
     Done,
     /// It is not done here; who leads, as far as is known.
-    Elsewhere(Option<net::SocketAddr>),
+    NotLeader(Option<net::SocketAddr>),
     /// Whether it is done is not known: ask again.
     Unknown,
     /// It is too large for the log.
@@ -72,15 +72,15 @@
         registration: peer::Registration,
     },
     /// Tell the leader what this process's entry saw.
-    Tell(net::SocketAddr, peer::Evidence),
+    SendEvidence(net::SocketAddr, peer::Evidence),
     /// Give an order to an upstream.
     Order(groups::order::Order),
     /// Ask an upstream for a sign of life.
     Probe(name::Instance, net::SocketAddr),
     /// Ask an engine for its report.
-    Ask(name::Instance, net::SocketAddr),
+    RequestReport(name::Instance, net::SocketAddr),
     /// Have a peer ask an upstream for a sign of life.
-    AskPeer {
+    ProbeViaPeer {
         /// The peer.
         peer: net::SocketAddr,
         /// The upstream.
--- a/crates/hyssopfork-fleet/src/announcement.rs
+++ b/crates/hyssopfork-fleet/src/announcement.rs
@@ -26,7 +26,7 @@
     pub cold: Duration,
     /// When its process started, in milliseconds of its own clock; tells one process from the next
     /// under the same name.
-    pub born: u64,
+    pub start_time_ms: u64,
     /// Counts the announcements of one process: one that overtook another is told from it.
     pub sequence: u64,
     /// Model whose weights it runs, or ran in its last group.
@@ -70,7 +70,7 @@
 
 impl Announcement {
     /// Whether `other` says the same but for its number and the time that has passed.
-    pub fn says_the_same(&self, other: &Announcement) -> bool {
+    pub fn is_equivalent(&self, other: &Announcement) -> bool {
         let Announcement {
             instance,
             pool,
@@ -80,13 +80,13 @@
             slots,
             draining,
             cold,
-            born,
+            start_time_ms,
             sequence: _,
             loaded,
             staged,
             membership,
         } = self;
-        *born == other.born
+        *start_time_ms == other.start_time_ms
             && *instance == other.instance
             && *membership == other.membership
             && *draining == other.draining
--- a/crates/hyssopfork-fleet/src/founding.rs
+++ b/crates/hyssopfork-fleet/src/bootstrap.rs
@@ -14,26 +14,26 @@
 
 /// Time that the first seed listens before it names a folder: the processes start within 0.3 s of
 /// each other, and a folder that is named while its process still starts would only lose time.
-const LISTEN: Duration = Duration::from_millis(350);
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(350);
 
 /// The first seed's part.
 #[derive(Clone, Debug)]
-pub struct Founding {
-    names: bool,
+pub struct Bootstrap {
+    is_first_seed: bool,
     started: clock::Instant,
     candidates: BTreeSet<net::SocketAddr>,
-    named: Option<net::SocketAddr>,
+    founder: Option<net::SocketAddr>,
 }
 
-impl Founding {
+impl Bootstrap {
     /// `names` is true at the first seed, in a first start.
-    pub fn new(names: bool, started: clock::Instant) -> Founding {
-        Founding { names, started, candidates: BTreeSet::new(), named: None }
+    pub fn new(is_first_seed: bool, started: clock::Instant) -> Bootstrap {
+        Bootstrap { is_first_seed, started, candidates: BTreeSet::new(), founder: None }
     }
 
     /// Takes in what a process says of its folder.
-    pub fn note(&mut self, hello: &peer::Hello) {
-        if self.names && hello.may_found {
+    pub fn add_candidate(&mut self, hello: &peer::Hello) {
+        if self.is_first_seed && hello.may_bootstrap {
             self.candidates.insert(hello.address);
         }
     }
@@ -41,10 +41,13 @@
     /// The folder that is to form the log.
     ///
     /// Invariant: once named, never another.
-    pub fn founder(&mut self, now: clock::Instant) -> Option<net::SocketAddr> {
-        if self.names && self.named.is_none() && now.since(self.started) >= LISTEN {
-            self.named = self.candidates.first().copied();
+    pub fn choose_founder(&mut self, now: clock::Instant) -> Option<net::SocketAddr> {
+        if self.is_first_seed
+            && self.founder.is_none()
+            && now.since(self.started) >= DISCOVERY_PERIOD
+        {
+            self.founder = self.candidates.first().copied();
         }
-        self.named
+        self.founder
     }
 }
--- a/crates/hyssopfork-fleet/src/core.rs
+++ b/crates/hyssopfork-fleet/src/core.rs
@@ -6,8 +6,8 @@
 mod watches;
 
 use crate::{
-    action, board, declaration, document, durable, event, founding, groups, notice, quarantine,
-    registry, seeking, settings, view,
+    action, bootstrap, declaration, discovery, document, durable, event, groups, notice,
+    publication, quarantine, registry, settings, view,
 };
 use hyssopfork_consensus::{action as log_action, event as log_event, node, proposals};
 use hyssopfork_wire::{clock, consensus, name, number};
@@ -19,17 +19,17 @@
 
 /// Longest gap between two events after which this process counts as having been held up: twenty
 /// ticks and more that did not come.
-const GAP_LIMIT: Duration = Duration::from_millis(500);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(500);
 
 /// Entries applied between two snapshots.
-const SNAPSHOT_ENTRIES: u64 = 1_024;
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1_024;
 
 /// Bytes of commands applied between two snapshots, at which one is taken earlier: a process of 160 MB
 /// in all holds the log in memory, and its disk holds 64 MB.
-const SNAPSHOT_BYTES: usize = 4 << 20;
+const SNAPSHOT_INTERVAL_BYTES: usize = 4 << 20;
 
 /// Entries kept in memory before a snapshot, for followers that are a little behind.
-const KEPT_ENTRIES: u64 = 64;
+const RETAINED_LOG_ENTRIES: u64 = 64;
 
 /// Least silence of the leader after which a voter stands for election: four heartbeats, and more
 /// than an instance whose share of its processor is used up stands still (0.1 s). A leader's loss
@@ -45,14 +45,14 @@
 /// Time after which a call is told that its end is unknown. Callers take a second without an answer
 /// for a loss and ask again; an election takes less than this, so what is still waiting then was
 /// lost with its leader.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Reads a declaration out of an operator's document; `None` when it can't be read.
 pub type Decode = fn(&[u8]) -> Option<declaration::Declaration>;
 
 /// What a process last knew of the fleet, whoever led.
 #[derive(Clone, Debug, Default)]
-struct Copy {
+struct LocalView {
     upstreams: BTreeMap<name::Instance, view::Upstream>,
     groups: BTreeMap<name::Group, view::Group>,
     entries: BTreeMap<net::SocketAddr, ()>,
@@ -74,18 +74,18 @@
     registry: registry::Registry,
     groups: groups::Groups,
     ledger: quarantine::Ledger,
-    board: board::Board,
+    publisher: publication::Publisher,
     watches: watches::Watches,
     /// Whether something may have changed that followers are to be told.
     dirty: bool,
-    looked: clock::Instant,
+    last_review: clock::Instant,
     /// When the board was last brought up to date.
-    posted: clock::Instant,
+    last_publication: clock::Instant,
     /// Whether there was a review since then.
-    reviewed: bool,
+    publication_pending: bool,
     /// When this process's own entry was last told.
-    published: clock::Instant,
-    seats: lead::VoterReview,
+    last_local_update: clock::Instant,
+    voter_review: lead::VoterReview,
 }
 
 /// The control of a process.
@@ -103,9 +103,9 @@
     bytes_since_snapshot: usize,
     /// Calls that wait for their commands to be applied.
     proposals: proposals::Proposals<u64>,
-    seeking: seeking::Seeking,
-    founding: founding::Founding,
-    copy: Copy,
+    discovery: discovery::Discovery,
+    bootstrap: bootstrap::Bootstrap,
+    local_view: LocalView,
     declaration: Option<Arc<declaration::Declaration>>,
     leadership: Option<Leadership>,
     /// What this process's own entry saw since it was last told.
@@ -115,7 +115,7 @@
     actions: Vec<action::Action>,
 }
 
-impl Copy {
+impl LocalView {
     /// Version of the declaration that this process's entry holds; 0 for none.
     fn version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
@@ -125,10 +125,11 @@
 impl Core {
     /// The control of a process that started at `now`.
     pub fn new(settings: settings::Settings, decode: Decode, now: clock::Instant) -> Core {
-        let names = settings.first_start && settings.seeds.first() == Some(&settings.address);
-        let mut seeking = seeking::Seeking::new(settings.address, settings.seeds.clone());
+        let is_first_seed =
+            settings.first_start && settings.seeds.first() == Some(&settings.address);
+        let mut discovery = discovery::Discovery::new(settings.address, settings.seeds.clone());
         if settings.has_folder {
-            seeking.learn([settings.address]);
+            discovery.add_controls([settings.address]);
         }
         Core {
             decode,
@@ -139,9 +140,9 @@
             applied_since_snapshot: 0,
             bytes_since_snapshot: 0,
             proposals: proposals::Proposals::default(),
-            seeking,
-            founding: founding::Founding::new(names, now),
-            copy: Copy::default(),
+            discovery,
+            bootstrap: bootstrap::Bootstrap::new(is_first_seed, now),
+            local_view: LocalView::default(),
             declaration: None,
             leadership: None,
             evidence: crate::peer::Evidence::default(),
@@ -154,14 +155,14 @@
 
     /// Takes an event and gives the actions that answer it, to be carried out in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
-        let before = self.now;
-        self.now = before.max(now);
-        self.note_gap(before);
-        self.take(event);
-        self.drive();
-        self.follow_leadership();
-        self.attend();
-        self.drive();
+        let previous = self.now;
+        self.now = previous.max(now);
+        self.detect_pause(previous);
+        self.handle_event(event);
+        self.run_log();
+        self.update_leadership();
+        self.run_leader_duties();
+        self.run_log();
         mem::take(&mut self.actions)
     }
 
@@ -170,7 +171,7 @@
     /// A leader that was cut off believes to lead until it hears otherwise; its quorum lease lapses
     /// before any other can commit. And a new leader knows all that was ever accepted only once it
     /// has applied an entry of its own term.
-    pub fn leads(&self) -> bool {
+    pub fn is_active_leader(&self) -> bool {
         self.node.as_ref().is_some_and(|node| {
             node.is_leader()
                 && node.quorum_lease(self.now).is_some()
@@ -180,7 +181,7 @@
 
     /// Who leads, as far as is known.
     pub fn leader(&self) -> Option<net::SocketAddr> {
-        self.seeking.leader()
+        self.discovery.leader()
     }
 
     /// Term and committed index of this process's part of the log, for metrics.
@@ -188,58 +189,66 @@
         self.node.as_ref().map(|node| (node.term(), node.committed()))
     }
 
-    fn take(&mut self, event: event::Event) {
+    fn handle_event(&mut self, event: event::Event) {
         match event {
             event::Event::Tick => self.tick(),
-            event::Event::Opened { folder, durable, seed } => self.opened(folder, *durable, seed),
-            event::Event::Failed => self.folder_failed(),
-            event::Event::Persisted(mark) => self.tell(log_event::Event::Persisted(mark)),
-            event::Event::Received(packet) => self.tell(log_event::Event::Received(packet)),
-            event::Event::Called { call, request } => self.called(call, request),
-            event::Event::Abandoned(call) => self.abandoned(call),
-            event::Event::Greeted(greeting) => self.greeted(&greeting),
-            event::Event::Watched { from, answer } => self.watched(from, answer),
-            event::Event::Relayed { call, taken } => self.relayed(call, taken),
-            event::Event::Seen(from, evidence) => self.seen(from, evidence),
-            event::Event::Ordered(ticket, outcome) => self.ordered(ticket, outcome),
-            event::Event::Probed(instance, sign) => self.probed(&instance, sign),
-            event::Event::Reported(instance, report) => self.reported(&instance, report),
-            event::Event::Vouched(from, instance, alive) => self.vouched(from, &instance, alive),
-            event::Event::Seeds(seeds) => self.seeking.set_seeds(seeds),
-            event::Event::Stop => self.tell(log_event::Event::Resign),
+            event::Event::FolderOpened { folder, durable, seed } => {
+                self.on_folder_opened(folder, *durable, seed)
+            }
+            event::Event::FolderFailed => self.on_folder_failed(),
+            event::Event::Persisted(mark) => self.push_log_event(log_event::Event::Persisted(mark)),
+            event::Event::Received(packet) => {
+                self.push_log_event(log_event::Event::Received(packet))
+            }
+            event::Event::Called { call, request } => self.on_call(call, request),
+            event::Event::Abandoned(call) => self.on_abandoned(call),
+            event::Event::GreetingAnswered(greeting) => self.on_greeting(&greeting),
+            event::Event::WatchAnswered { from, answer } => self.on_watch_answered(from, answer),
+            event::Event::RelayAnswered { call, accepted } => {
+                self.on_relay_answered(call, accepted)
+            }
+            event::Event::EvidenceReported(from, evidence) => self.on_evidence(from, evidence),
+            event::Event::OrderAnswered(ticket, outcome) => self.on_order_answered(ticket, outcome),
+            event::Event::Probed(instance, sign) => self.on_probed(&instance, sign),
+            event::Event::Reported(instance, report) => self.on_report(&instance, report),
+            event::Event::PeerProbed(from, instance, alive) => {
+                self.on_peer_probed(from, &instance, alive)
+            }
+            event::Event::SeedsChanged(seeds) => self.discovery.set_seeds(seeds),
+            event::Event::Stop => self.push_log_event(log_event::Event::Resign),
         }
     }
 
     fn tick(&mut self) {
-        self.tell(log_event::Event::Tick);
-        for call in self.proposals.overdue(self.now, PATIENCE) {
+        self.push_log_event(log_event::Event::Tick);
+        for call in self.proposals.overdue(self.now, PROPOSAL_TIMEOUT) {
             self.reply(call, action::Reply::Unknown);
         }
         let own = self.hello();
-        self.founding.note(&own);
-        if self.founding.founder(self.now) == Some(self.settings.address) {
-            self.found();
+        self.bootstrap.add_candidate(&own);
+        if self.bootstrap.choose_founder(self.now) == Some(self.settings.address) {
+            self.bootstrap_log();
         }
-        self.seek();
+        self.follow_leader();
     }
 
-    fn note_gap(&mut self, before: clock::Instant) {
-        let gap = self.now.since(before);
-        if gap < GAP_LIMIT {
+    fn detect_pause(&mut self, previous: clock::Instant) {
+        let gap = self.now.since(previous);
+        if gap < MAX_EVENT_GAP {
             return;
         }
-        self.notice(notice::Notice::Paused(gap.as_millis() as u64));
+        self.push_notice(notice::Notice::Paused(gap.as_millis() as u64));
         if let Some(leadership) = &mut self.leadership {
-            leadership.registry.forgive(self.now);
+            leadership.registry.reset_silence(self.now);
         }
     }
 
-    fn opened(&mut self, folder: u64, durable: node::Durable, seed: u64) {
+    fn on_folder_opened(&mut self, folder: u64, durable: node::Durable, seed: u64) {
         let identity = consensus::Voter { instance: instance_of(self.settings.address), folder };
         let options = node::Settings {
-            voters: self.listed(),
+            voters: self.listed_instances(),
             formation: node::Formation::Named,
-            kept_entries: KEPT_ENTRIES,
+            kept_entries: RETAINED_LOG_ENTRIES,
             election_timeout: ELECTION_TIMEOUT,
             election_spread: ELECTION_SPREAD,
             quorum_lease: QUORUM_LEASE,
@@ -248,28 +257,28 @@
         self.state = durable::State::default();
         self.applied = (number::Index(0), number::Term(0));
         self.node = Some(node::Node::new(identity, durable, options, seed, self.now));
-        self.notice(notice::Notice::FolderOpened);
+        self.push_notice(notice::Notice::FolderOpened);
     }
 
     /// Goes on without the log: its volatile part is lost as in a restart, so nothing is told that
     /// rests on what may not be on disk.
-    fn folder_failed(&mut self) {
+    fn on_folder_failed(&mut self) {
         self.node = None;
         self.node_leader = None;
         self.inbox.clear();
-        self.cease();
-        self.seeking.lose(self.settings.address, None);
-        self.notice(notice::Notice::FolderFailed);
+        self.end_leadership();
+        self.discovery.forget_leader(self.settings.address, None);
+        self.push_notice(notice::Notice::FolderFailed);
     }
 
     /// Forms the log, if this process's folder is blank and the system starts for the first time.
-    fn found(&mut self) {
-        if self.may_found() {
-            self.tell(log_event::Event::Form);
+    fn bootstrap_log(&mut self) {
+        if self.may_bootstrap() {
+            self.push_log_event(log_event::Event::Form);
         }
     }
 
-    fn may_found(&self) -> bool {
+    fn may_bootstrap(&self) -> bool {
         let blank = self.node.as_ref().is_some_and(node::Node::is_blank);
         self.settings.first_start && blank
     }
@@ -279,53 +288,53 @@
         crate::peer::Hello {
             address: self.settings.address,
             has_folder: self.settings.has_folder,
-            may_found: self.may_found(),
+            may_bootstrap: self.may_bootstrap(),
         }
     }
 
     /// Instances that may hold a voter's folder.
-    fn listed(&self) -> Vec<name::Instance> {
-        self.seeking.controls().iter().copied().map(instance_of).collect()
+    fn listed_instances(&self) -> Vec<name::Instance> {
+        self.discovery.controls().iter().copied().map(instance_of).collect()
     }
 
-    fn tell(&mut self, event: log_event::Event) {
+    fn push_log_event(&mut self, event: log_event::Event) {
         if self.node.is_some() {
             self.inbox.push_back(event);
         }
     }
 
     /// Hands waiting events to the log and carries out what it asks, until nothing waits.
-    fn drive(&mut self) {
+    fn run_log(&mut self) {
         while let Some(event) = self.inbox.pop_front() {
             let Some(node) = &mut self.node else { return };
             for action in node.step(self.now, event) {
-                self.carry_out(action);
+                self.handle_log_action(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: log_action::Action) {
+    fn handle_log_action(&mut self, action: log_action::Action) {
         match action {
-            log_action::Action::Send(packet) => self.act(action::Action::Send(packet)),
-            log_action::Action::Persist(write) => self.act(action::Action::Persist(write)),
+            log_action::Action::Send(packet) => self.push_action(action::Action::Send(packet)),
+            log_action::Action::Persist(write) => self.push_action(action::Action::Persist(write)),
             log_action::Action::Apply(entry) => self.apply(entry),
             log_action::Action::Restore(snapshot) => match durable::State::decode(&snapshot.data) {
                 Ok(state) => {
                     self.state = state;
                     self.applied = (snapshot.index, snapshot.term);
                 }
-                Err(error) => self.unreadable(&error),
+                Err(error) => self.on_unreadable_log(&error),
             },
             log_action::Action::Proposed { ticket, index, term } => {
                 self.proposals.append(ticket, index, term);
             }
             log_action::Action::Rejected { ticket, .. } => {
                 if let Some(call) = self.proposals.reject(ticket) {
-                    let leader = self.elsewhere();
-                    self.reply(call, action::Reply::Elsewhere(leader));
+                    let leader = self.other_leader();
+                    self.reply(call, action::Reply::NotLeader(leader));
                 }
             }
-            log_action::Action::Notice(inner) => self.notice(notice::Notice::Log(inner)),
+            log_action::Action::Notice(inner) => self.push_notice(notice::Notice::Log(inner)),
         }
     }
 
@@ -338,7 +347,7 @@
         if let consensus::Payload::Command(bytes) = &entry.payload {
             match durable::Command::decode(bytes) {
                 Ok(command) => applied = self.execute(command),
-                Err(error) => return self.unreadable(&error),
+                Err(error) => return self.on_unreadable_log(&error),
             }
             self.bytes_since_snapshot += bytes.len();
         }
@@ -350,11 +359,11 @@
             self.reply(call, reply);
         }
         self.applied_since_snapshot += 1;
-        self.snapshot_when_due();
+        self.snapshot_if_due();
     }
 
     fn execute(&mut self, command: durable::Command) -> durable::Applied {
-        let told = match &command {
+        let notice = match &command {
             durable::Command::Declare(document) => notice::Notice::Declared(document.version),
             durable::Command::DeclarePart(part) => notice::Notice::Declared(part.version),
             durable::Command::TakeOut(zone) => notice::Notice::TakenOut(zone.clone()),
@@ -362,7 +371,7 @@
         };
         let applied = self.state.apply(command);
         if applied == durable::Applied::Changed {
-            self.notice(told);
+            self.push_notice(notice);
         }
         if let Some(leadership) = &mut self.leadership {
             leadership.dirty = true;
@@ -370,43 +379,46 @@
         applied
     }
 
-    fn snapshot_when_due(&mut self) {
-        let due = self.applied_since_snapshot >= SNAPSHOT_ENTRIES
-            || self.bytes_since_snapshot >= SNAPSHOT_BYTES;
-        if !due || !self.state.is_whole() {
+    fn snapshot_if_due(&mut self) {
+        let due = self.applied_since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES
+            || self.bytes_since_snapshot >= SNAPSHOT_INTERVAL_BYTES;
+        if !due || !self.state.is_complete() {
             return;
         }
         self.applied_since_snapshot = 0;
         self.bytes_since_snapshot = 0;
         let (index, data) = (self.applied.0, self.state.encode());
-        self.tell(log_event::Event::Snapshotted { index, data });
+        self.push_log_event(log_event::Event::Snapshotted { index, data });
     }
 
     /// The log holds what this release can't read: to go on would be to forget what was accepted.
-    fn unreadable(&mut self, error: &durable::Error) {
-        self.notice(notice::Notice::Unreadable(error.to_string()));
-        self.folder_failed();
+    fn on_unreadable_log(&mut self, error: &durable::Error) {
+        self.push_notice(notice::Notice::Unreadable(error.to_string()));
+        self.on_folder_failed();
     }
 
-    fn act(&mut self, action: action::Action) {
+    fn push_action(&mut self, action: action::Action) {
         self.actions.push(action);
     }
 
-    fn notice(&mut self, notice: notice::Notice) {
-        self.act(action::Action::Notice(notice));
+    fn push_notice(&mut self, notice: notice::Notice) {
+        self.push_action(action::Action::Notice(notice));
     }
 
     fn reply(&mut self, call: u64, reply: action::Reply) {
-        self.act(action::Action::Reply(call, reply));
+        self.push_action(action::Action::Reply(call, reply));
     }
 
     /// Who leads in this process's place, as far as is known.
-    fn elsewhere(&self) -> Option<net::SocketAddr> {
-        self.seeking.leader().filter(|leader| *leader != self.settings.address)
+    fn other_leader(&self) -> Option<net::SocketAddr> {
+        self.discovery.leader().filter(|leader| *leader != self.settings.address)
     }
 
     /// The declaration that `document` holds, read once for each version.
-    fn declared(&mut self, document: &document::Document) -> Option<Arc<declaration::Declaration>> {
+    fn decode_declaration(
+        &mut self,
+        document: &document::Document,
+    ) -> Option<Arc<declaration::Declaration>> {
         let known = self.declaration.as_ref();
         if known.is_none_or(|known| known.version != document.version) {
             self.declaration = (self.decode)(&document.bytes).map(Arc::new);
--- a/crates/hyssopfork-fleet/src/core/calls.rs
+++ b/crates/hyssopfork-fleet/src/core/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of operators, upstreams and peers.
 
 use super::Core;
-use crate::{action, declaration, document, durable, event, notice, peer, registry, seeking};
+use crate::{action, declaration, discovery, document, durable, event, notice, peer, registry};
 use hyssopfork_consensus::event as log_event;
 use hyssopfork_wire::name;
 use std::net;
@@ -9,48 +9,52 @@
 
 /// Time at the start of a leader's term in which it waits for as many voters as the loss of some
 /// needs, before it acknowledges anything: at the first start they join within a second.
-const GATHERING: Duration = Duration::from_secs(3);
+const VOTER_JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Ticket of proposals that no call waits for.
-const UNTRACKED: u64 = 0;
+const UNTRACKED_TICKET: u64 = 0;
 
 impl Core {
-    pub(super) fn called(&mut self, call: u64, request: event::Request) {
+    pub(super) fn on_call(&mut self, call: u64, request: event::Request) {
         match request {
-            event::Request::Greet(hello) => self.greet(call, &hello),
-            event::Request::Watch(watch) => self.watch(call, *watch),
-            event::Request::Register(registration) => self.register(call, registration, true),
-            event::Request::Relayed(registration) => self.register(call, registration, false),
-            event::Request::Read => self.read(call),
+            event::Request::Greet(hello) => self.on_hello(call, &hello),
+            event::Request::Watch(watch) => self.on_watch(call, *watch),
+            event::Request::Register(registration) => {
+                self.on_registration(call, registration, true)
+            }
+            event::Request::RegisterRelayed(registration) => {
+                self.on_registration(call, registration, false)
+            }
+            event::Request::Read => self.on_read(call),
             event::Request::Declare(declaration, document) => {
-                self.declare(call, &declaration, document);
+                self.on_declare(call, &declaration, document);
             }
             event::Request::TakeOut(zone) => {
-                self.commit(call, vec![durable::Command::TakeOut(zone)])
+                self.propose(call, vec![durable::Command::TakeOut(zone)])
             }
             event::Request::BringIn(zone) => {
-                self.commit(call, vec![durable::Command::BringIn(zone)])
+                self.propose(call, vec![durable::Command::BringIn(zone)])
             }
         }
     }
 
-    fn greet(&mut self, call: u64, hello: &peer::Hello) {
+    fn on_hello(&mut self, call: u64, hello: &peer::Hello) {
         if hello.has_folder {
-            self.learn([hello.address]);
+            self.add_controls([hello.address]);
         }
-        self.founding.note(hello);
-        let founder = self.founding.founder(self.now);
+        self.bootstrap.add_candidate(hello);
+        let founder = self.bootstrap.choose_founder(self.now);
         // A leader that can't show a quorum names nobody: its followers look for the next one.
-        let own = self.leads().then_some(self.settings.address);
-        let leader = own.or_else(|| self.elsewhere());
-        let greeting = seeking::greeting(&self.seeking, leader, founder);
+        let own = self.is_active_leader().then_some(self.settings.address);
+        let leader = own.or_else(|| self.other_leader());
+        let greeting = discovery::greeting(&self.discovery, leader, founder);
         self.reply(call, action::Reply::Greeting(greeting));
     }
 
-    fn read(&mut self, call: u64) {
-        if !self.leads() {
-            let leader = self.elsewhere();
-            return self.reply(call, action::Reply::Elsewhere(leader));
+    fn on_read(&mut self, call: u64) {
+        if !self.is_active_leader() {
+            let leader = self.other_leader();
+            return self.reply(call, action::Reply::NotLeader(leader));
         }
         let reply = match &self.state.document {
             Some(document) => action::Reply::Document(document.clone()),
@@ -61,100 +65,102 @@
 
     /// Declares. A version that is not higher changes nothing, and is acknowledged: it was accepted
     /// before, or another overtook it.
-    fn declare(
+    fn on_declare(
         &mut self,
         call: u64,
         declaration: &declaration::Declaration,
         document: document::Document,
     ) {
         debug_assert_eq!(declaration.version, document.version);
-        if self.leads() && document.version <= self.state.version() {
+        if self.is_active_leader() && document.version <= self.state.version() {
             return self.reply(call, action::Reply::Done);
         }
         if document.bytes.len() > document::MAX_BYTES {
             return self.reply(call, action::Reply::TooLarge);
         }
-        self.commit(call, durable::Command::declare(document));
+        self.propose(call, durable::Command::declare(document));
     }
 
     /// Has commands replicated; the call is answered once the last of them will last.
-    fn commit(&mut self, call: u64, commands: Vec<durable::Command>) {
-        if !self.leads() {
-            let leader = self.elsewhere();
-            return self.reply(call, action::Reply::Elsewhere(leader));
+    fn propose(&mut self, call: u64, commands: Vec<durable::Command>) {
+        if !self.is_active_leader() {
+            let leader = self.other_leader();
+            return self.reply(call, action::Reply::NotLeader(leader));
         }
-        if !self.has_enough_voters() {
+        if !self.has_required_voters() {
             return self.reply(call, action::Reply::Unknown);
         }
         let ticket = self.proposals.wait(self.now, call);
         let last = commands.len().saturating_sub(1);
         for (place, command) in commands.into_iter().enumerate() {
-            let ticket = if place == last { ticket } else { UNTRACKED };
-            self.tell(log_event::Event::Propose { ticket, command: command.encode() });
+            let ticket = if place == last { ticket } else { UNTRACKED_TICKET };
+            self.push_log_event(log_event::Event::Propose { ticket, command: command.encode() });
         }
     }
 
     /// Whether what is acknowledged now outlasts the loss of as many voters as is to be borne; after
     /// a while there are no more to wait for.
-    fn has_enough_voters(&self) -> bool {
+    fn has_required_voters(&self) -> bool {
         let voters = self.node.as_ref().map_or(0, |node| node.voters().len());
-        let since = self.leadership.as_ref().map(|it| self.now.since(it.watches.started));
-        voters >= self.settings.enough_voters() || since.is_some_and(|since| since >= GATHERING)
+        let since = self.leadership.as_ref().map(|it| self.now.since(it.watches.term_start));
+        voters >= self.settings.required_voters()
+            || since.is_some_and(|since| since >= VOTER_JOIN_TIMEOUT)
     }
 
     /// Takes an upstream's call, or passes it on to the leader.
-    fn register(&mut self, call: u64, registration: peer::Registration, relays: bool) {
-        if self.leads() && self.leadership.is_some() {
-            return self.take_registration(call, registration);
+    fn on_registration(&mut self, call: u64, registration: peer::Registration, may_relay: bool) {
+        if self.is_active_leader() && self.leadership.is_some() {
+            return self.record_registration(call, registration);
         }
-        match self.elsewhere().filter(|_| relays) {
-            Some(to) => self.act(action::Action::Relay { call, to, registration }),
-            None => self.reply(call, action::Reply::Elsewhere(None)),
+        match self.other_leader().filter(|_| may_relay) {
+            Some(to) => self.push_action(action::Action::Relay { call, to, registration }),
+            None => self.reply(call, action::Reply::NotLeader(None)),
         }
     }
 
-    fn take_registration(&mut self, call: u64, registration: peer::Registration) {
+    fn record_registration(&mut self, call: u64, registration: peer::Registration) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
         let registry = &mut leadership.registry;
-        let (news, leaves, told) = match registration {
+        let (changed, is_leaving, notice) = match registration {
             peer::Registration::Announced(told) => {
                 let (instance, leaves) = (told.instance.clone(), told.draining);
                 let taken = registry.announce(now, *told);
                 let record = registry.get(&instance);
-                let notice = record.and_then(|record| notice::Notice::of_call(taken, record));
-                (taken == registry::Taken::News, leaves, notice)
+                let notice =
+                    record.and_then(|record| notice::Notice::for_announcement(taken, record));
+                (taken == registry::Outcome::Changed, leaves, notice)
             }
             peer::Registration::Departed(instance) => {
                 let news = registry.depart(now, &instance);
                 (news, true, news.then_some(notice::Notice::Departed(instance)))
             }
         };
-        leadership.dirty |= news;
-        if news && leaves {
+        leadership.dirty |= changed;
+        if changed && is_leaving {
             leadership.watches.hold_registration(now, call);
         } else {
             let own = self.settings.address;
             self.reply(call, action::Reply::Registered(own));
         }
-        if let Some(told) = told {
-            self.notice(told);
+        if let Some(told) = notice {
+            self.push_notice(told);
         }
     }
 
-    pub(super) fn relayed(&mut self, call: u64, taken: bool) {
-        let reply = match self.elsewhere().filter(|_| taken) {
+    pub(super) fn on_relay_answered(&mut self, call: u64, accepted: bool) {
+        let reply = match self.other_leader().filter(|_| accepted) {
             Some(leader) => action::Reply::Registered(leader),
-            None => action::Reply::Elsewhere(None),
+            None => action::Reply::NotLeader(None),
         };
         self.reply(call, reply);
     }
 
-    fn watch(&mut self, call: u64, watch: peer::Watch) {
-        let leads = self.leads();
+    fn on_watch(&mut self, call: u64, watch: peer::Watch) {
+        let leads = self.is_active_leader();
         let now = self.now;
         let Some(leadership) = self.leadership.as_mut().filter(|_| leads) else {
-            let leader = self.elsewhere();
+            let leader = self.other_leader();
             return self.reply(call, action::Reply::Watched(peer::Answer::NotLeader(leader)));
         };
         if let Some(known) = watch.known {
@@ -165,44 +171,48 @@
                 leadership.groups.take_over(now, &name, group, &leadership.registry);
                 leadership.dirty = true;
             }
-            leadership.watches.learn(known.entries);
-            leadership.ledger.learn(now, known.quarantine);
-            leadership.watches.on_learned(watch.from, watch.have);
+            leadership.watches.add_known_entries(known.entries);
+            leadership.ledger.inherit(now, known.quarantine);
+            leadership.watches.on_state_received(watch.from, watch.stamp);
         }
-        leadership.watches.hold(now, call, watch.from, watch.have, watch.document);
-        self.observe(watch.from, &watch.evidence);
+        leadership.watches.hold(now, call, watch.from, watch.stamp, watch.document);
+        self.record_evidence(watch.from, &watch.evidence);
     }
 
-    pub(super) fn seen(&mut self, from: net::SocketAddr, evidence: peer::Evidence) {
+    pub(super) fn on_evidence(&mut self, from: net::SocketAddr, evidence: peer::Evidence) {
         if let Some(leadership) = &mut self.leadership {
             leadership.dirty = true;
-            return self.observe(from, &evidence);
+            return self.record_evidence(from, &evidence);
         }
         if from != self.settings.address {
             return;
         }
         if evidence.is_urgent()
-            && let Some(leader) = self.elsewhere()
+            && let Some(leader) = self.other_leader()
         {
-            self.act(action::Action::Tell(leader, evidence.clone()));
+            self.push_action(action::Action::SendEvidence(leader, evidence.clone()));
         }
         self.evidence = evidence;
     }
 
-    pub(super) fn abandoned(&mut self, call: u64) {
+    pub(super) fn on_abandoned(&mut self, call: u64) {
         if let Some(leadership) = &mut self.leadership {
             leadership.watches.abandon(call);
         }
     }
 
-    pub(super) fn ordered(&mut self, ticket: u64, outcome: crate::groups::order::Outcome) {
+    pub(super) fn on_order_answered(
+        &mut self,
+        ticket: u64,
+        outcome: crate::groups::order::Outcome,
+    ) {
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
         let commands = leadership.groups.ordered(ticket, outcome, &mut leadership.registry);
-        self.command(commands);
+        self.push_commands(commands);
     }
 
-    pub(super) fn vouched(
+    pub(super) fn on_peer_probed(
         &mut self,
         from: net::SocketAddr,
         instance: &name::Instance,
@@ -213,10 +223,10 @@
         leadership.dirty = true;
         let registry = &mut leadership.registry;
         let commands = leadership.groups.vouched(now, from, instance, alive, registry);
-        self.command(commands);
+        self.push_commands(commands);
     }
 
-    pub(super) fn reported(
+    pub(super) fn on_report(
         &mut self,
         instance: &name::Instance,
         report: crate::groups::order::Report,
@@ -225,14 +235,18 @@
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
         let commands = leadership.groups.reported(now, instance, &report, &mut leadership.registry);
-        self.command(commands);
+        self.push_commands(commands);
     }
 
-    pub(super) fn probed(&mut self, instance: &name::Instance, sign: crate::groups::order::Sign) {
+    pub(super) fn on_probed(
+        &mut self,
+        instance: &name::Instance,
+        sign: crate::groups::order::Sign,
+    ) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
         leadership.dirty = true;
         let commands = leadership.groups.probed(now, instance, sign, &mut leadership.registry);
-        self.command(commands);
+        self.push_commands(commands);
     }
 }
--- a/crates/hyssopfork-fleet/src/core/follow.rs
+++ b/crates/hyssopfork-fleet/src/core/follow.rs
@@ -8,94 +8,98 @@
 
 impl Core {
     /// Greets everybody while no leader is known, and asks the leader for what is new.
-    pub(super) fn seek(&mut self) {
-        self.follow_log();
+    pub(super) fn follow_leader(&mut self) {
+        self.update_log_leader();
         let hello = self.hello();
-        for to in self.seeking.greet(self.now) {
-            self.act(action::Action::Greet(to, hello.clone()));
+        for to in self.discovery.due_greetings(self.now) {
+            self.push_action(action::Action::Greet(to, hello.clone()));
         }
-        self.ask();
+        self.watch_leader();
     }
 
-    fn ask(&mut self) {
-        let Some((leader, tells)) = self.seeking.ask() else { return };
+    fn watch_leader(&mut self) {
+        let Some((leader, tells)) = self.discovery.start_watch() else { return };
         let watch = peer::Watch {
             from: self.settings.address,
-            have: self.copy.stamp,
-            document: self.copy.partial.held(self.copy.version()),
-            known: tells.then(|| self.known()),
+            stamp: self.local_view.stamp,
+            document: self.local_view.partial.progress(self.local_view.version()),
+            known: tells.then(|| self.known_state()),
             evidence: mem::take(&mut self.evidence),
         };
-        self.act(action::Action::Watch(leader, Box::new(watch)));
+        self.push_action(action::Action::Watch(leader, Box::new(watch)));
     }
 
-    fn known(&self) -> peer::Known {
-        peer::Known {
-            upstreams: self.copy.upstreams.values().cloned().collect(),
-            groups: self.copy.groups.clone().into_iter().collect(),
-            entries: self.copy.entries.keys().copied().collect(),
-            quarantine: self.copy.quarantine.clone().into_iter().collect(),
+    fn known_state(&self) -> peer::KnownState {
+        peer::KnownState {
+            upstreams: self.local_view.upstreams.values().cloned().collect(),
+            groups: self.local_view.groups.clone().into_iter().collect(),
+            entries: self.local_view.entries.keys().copied().collect(),
+            quarantine: self.local_view.quarantine.clone().into_iter().collect(),
         }
     }
 
     /// Takes in who leads, as this process's own part of the log knows, each time that changes.
-    fn follow_log(&mut self) {
+    fn update_log_leader(&mut self) {
         let Some(node) = &self.node else { return };
         let leader = node.leader().and_then(|voter| super::address_of(&voter.instance));
         let leads = node.is_leader();
         if leader != self.node_leader {
             self.node_leader = leader;
-            self.seeking.set_leader(leader);
+            self.discovery.set_leader(leader);
         }
-        if !leads && self.seeking.leader() == Some(self.settings.address) {
-            self.seeking.lose(self.settings.address, None);
+        if !leads && self.discovery.leader() == Some(self.settings.address) {
+            self.discovery.forget_leader(self.settings.address, None);
         }
     }
 
-    pub(super) fn greeted(&mut self, greeting: &peer::Greeting) {
-        self.learn(greeting.controls.iter().copied());
-        self.seeking.hear(greeting.leader);
+    pub(super) fn on_greeting(&mut self, greeting: &peer::Greeting) {
+        self.add_controls(greeting.controls.iter().copied());
+        self.discovery.suggest_leader(greeting.leader);
         if greeting.founder == Some(self.settings.address) {
-            self.found();
+            self.bootstrap_log();
         }
     }
 
     /// Learns of processes with a data folder, and tells the log of them.
-    pub(super) fn learn(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) {
-        if self.seeking.learn(controls) {
-            let listed = self.listed();
-            self.tell(log_event::Event::List(listed));
+    pub(super) fn add_controls(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) {
+        if self.discovery.add_controls(controls) {
+            let listed = self.listed_instances();
+            self.push_log_event(log_event::Event::List(listed));
         }
     }
 
-    pub(super) fn watched(&mut self, from: net::SocketAddr, answer: Option<peer::Answer>) {
+    pub(super) fn on_watch_answered(
+        &mut self,
+        from: net::SocketAddr,
+        answer: Option<peer::Answer>,
+    ) {
         match answer {
             Some(peer::Answer::Updated(update)) => {
-                if self.copy.stamp.term != update.stamp.term {
-                    self.notice(notice::Notice::Following(from));
+                if self.local_view.stamp.term != update.stamp.term {
+                    self.push_notice(notice::Notice::Following(from));
                 }
-                self.seeking.answered(from, &update);
-                self.learn(update.controls.clone());
-                let document = update.document.clone().and_then(|part| self.receive(part));
-                self.publish(*update, document);
+                self.discovery.on_updated(from, &update);
+                self.add_controls(update.controls.clone());
+                let document = update.document.clone().and_then(|part| self.receive_part(part));
+                self.install_update(*update, document);
             }
-            Some(peer::Answer::Inquiry) => self.seeking.on_inquiry(from),
-            Some(peer::Answer::NotLeader(hint)) => self.seeking.lose(from, hint),
+            Some(peer::Answer::StateRequested) => self.discovery.on_state_requested(from),
+            Some(peer::Answer::NotLeader(hint)) => self.discovery.forget_leader(from, hint),
             None => {
-                self.notice(notice::Notice::LeaderLost(from));
-                self.seeking.lose(from, None);
+                self.push_notice(notice::Notice::LeaderLost(from));
+                self.discovery.forget_leader(from, None);
             }
         }
-        self.ask();
+        self.watch_leader();
     }
 
     /// Takes a part of a document; gives the document once it is whole.
-    fn receive(&mut self, part: document::Part) -> Option<document::Document> {
-        let encoding = self.copy.partial.take(part)?;
-        match encoding.decode(self.copy.document.as_ref()) {
+    fn receive_part(&mut self, part: document::Part) -> Option<document::Document> {
+        let encoding = self.local_view.partial.take(part)?;
+        match encoding.decode(self.local_view.document.as_ref()) {
             Ok(document) => Some(document),
             Err(error) => {
-                self.notice(notice::Notice::DocumentDamaged(error.to_string()));
+                self.push_notice(notice::Notice::DocumentDamaged(error.to_string()));
                 None
             }
         }
@@ -104,24 +108,28 @@
     /// Takes an update into this process's copy and hands it to its entry.
     ///
     /// An answer of an earlier leader that was held up would lead back; it is dropped.
-    pub(super) fn publish(&mut self, update: view::Update, document: Option<document::Document>) {
-        if update.stamp < self.copy.stamp {
+    pub(super) fn install_update(
+        &mut self,
+        update: view::Update,
+        document: Option<document::Document>,
+    ) {
+        if update.stamp < self.local_view.stamp {
             return;
         }
-        let document = document.filter(|it| it.version > self.copy.version());
-        let declaration = document.as_ref().and_then(|document| self.declared(document));
-        self.copy.document = document.or(self.copy.document.take());
-        if update.whole {
-            self.copy.upstreams.clear();
-            self.copy.groups.clear();
-            self.copy.entries.clear();
-            self.copy.quarantine.clear();
+        let document = document.filter(|it| it.version > self.local_view.version());
+        let declaration = document.as_ref().and_then(|document| self.decode_declaration(document));
+        self.local_view.document = document.or(self.local_view.document.take());
+        if update.is_full {
+            self.local_view.upstreams.clear();
+            self.local_view.groups.clear();
+            self.local_view.entries.clear();
+            self.local_view.quarantine.clear();
         }
-        self.copy.stamp = update.stamp;
-        view::merge(&mut self.copy.upstreams, update.upstreams.iter().cloned());
-        view::merge(&mut self.copy.groups, update.groups.iter().cloned());
-        view::merge(&mut self.copy.entries, update.entries.iter().copied());
-        view::merge(&mut self.copy.quarantine, update.quarantine.iter().copied());
-        self.act(action::Action::Publish(Box::new(update), declaration));
+        self.local_view.stamp = update.stamp;
+        view::merge(&mut self.local_view.upstreams, update.upstreams.iter().cloned());
+        view::merge(&mut self.local_view.groups, update.groups.iter().cloned());
+        view::merge(&mut self.local_view.entries, update.entries.iter().copied());
+        view::merge(&mut self.local_view.quarantine, update.quarantine.iter().copied());
+        self.push_action(action::Action::Publish(Box::new(update), declaration));
     }
 }
--- a/crates/hyssopfork-fleet/src/core/watches.rs
+++ b/crates/hyssopfork-fleet/src/core/watches.rs
@@ -20,24 +20,24 @@
 
 /// Most processes that are asked whether they reach an upstream: enough that some are in every zone,
 /// few enough for a fleet of hundreds.
-const MAX_PEERS_ASKED: usize = 16;
+const MAX_PROBE_PEERS: usize = 16;
 
 /// Followers that are asked at once for what they know of the terms before.
-const MAX_INFORMANTS: usize = 2;
+const MAX_DONORS: usize = 2;
 
 /// Time after which another follower is asked in place of one that has not answered.
-const INFORMANT_TIMEOUT: Duration = Duration::from_millis(300);
+const DONOR_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Followers that are sent parts of a document at once. With the parts that voters are sent, this
 /// bounds how long a heartbeat waits at the leader's link.
 const MAX_TRANSFERS: usize = 8;
 
 #[derive(Clone, Debug)]
-struct ParkedWatch {
+struct HeldWatch {
     from: net::SocketAddr,
     have: view::Stamp,
-    document: document::Held,
-    until: clock::Instant,
+    document: document::Progress,
+    expires_at: clock::Instant,
 }
 
 /// The reply to a watch that is due.
@@ -45,9 +45,9 @@
     pub(super) call: u64,
     pub(super) have: view::Stamp,
     /// What the follower holds, where it gets a part of a document.
-    pub(super) document: Option<document::Held>,
+    pub(super) document: Option<document::Progress>,
     /// Whether the follower is asked for what it knows in place of an update.
-    pub(super) inquires: bool,
+    pub(super) requests_state: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -62,22 +62,22 @@
 #[derive(Clone, Copy, Debug)]
 struct Follower {
     /// When it last asked; the start of the term until it has.
-    seen: clock::Instant,
+    last_seen: clock::Instant,
     /// What it had then; `None` for one that followed the leader before and has not asked yet.
     have: Option<view::Stamp>,
 }
 
 /// What a leader knows of the terms before its own.
 #[derive(Clone, Copy, Debug)]
-struct Inheritance {
+struct PriorState {
     term: number::Term,
     /// Newest publication of an earlier leader that this one knows.
     newest: view::Stamp,
 }
 
-impl Inheritance {
+impl PriorState {
     /// Whether whoever stands at `have` knows what the leader doesn't.
-    fn lacks(self, have: view::Stamp) -> bool {
+    fn is_behind(self, have: view::Stamp) -> bool {
         have > self.newest && have.term < self.term
     }
 }
@@ -85,32 +85,32 @@
 /// Watches that are held, and who asked lately.
 #[derive(Clone, Debug)]
 pub(super) struct Watches {
-    pub(super) started: clock::Instant,
-    held: BTreeMap<u64, ParkedWatch>,
+    pub(super) term_start: clock::Instant,
+    watches: BTreeMap<u64, HeldWatch>,
     entries: BTreeMap<net::SocketAddr, Follower>,
     /// Followers that were sent a part of a document and have not asked since, and when.
     ///
     /// Invariant: at most [`MAX_TRANSFERS`].
     transfers: BTreeMap<net::SocketAddr, clock::Instant>,
     registrations: Vec<Registration>,
-    inheritance: Inheritance,
+    prior_state: PriorState,
     /// Followers that were asked for what they know and have not said it, and when.
     ///
     /// Invariant: at most [`MAX_INFORMANTS`].
-    informants: BTreeMap<net::SocketAddr, clock::Instant>,
+    donors: BTreeMap<net::SocketAddr, clock::Instant>,
 }
 
 impl Watches {
     /// The watches of the leader of `term`, who knows an earlier leader's publication `newest`.
     pub(super) fn new(now: clock::Instant, term: number::Term, newest: view::Stamp) -> Watches {
         Watches {
-            started: now,
-            held: BTreeMap::new(),
+            term_start: now,
+            watches: BTreeMap::new(),
             entries: BTreeMap::new(),
             transfers: BTreeMap::new(),
             registrations: Vec::new(),
-            inheritance: Inheritance { term, newest },
-            informants: BTreeMap::new(),
+            prior_state: PriorState { term, newest },
+            donors: BTreeMap::new(),
         }
     }
 
@@ -118,22 +118,22 @@
     ///
     /// Publications of one term build on one another, so whoever has the newest knows all. Told by every
     /// follower, a leader of a hundred lost its lease over reading what all of them knew.
-    fn pick_informants(&mut self, now: clock::Instant) -> BTreeSet<net::SocketAddr> {
-        self.informants.retain(|_, asked| now.since(*asked) < INFORMANT_TIMEOUT);
-        let free = MAX_INFORMANTS.saturating_sub(self.informants.len());
-        let lacking = self.held.values().filter(|held| self.inheritance.lacks(held.have));
-        let mut candidates: Vec<_> = lacking.map(|held| (held.have, held.from)).collect();
+    fn pick_donors(&mut self, now: clock::Instant) -> BTreeSet<net::SocketAddr> {
+        self.donors.retain(|_, asked| now.since(*asked) < DONOR_TIMEOUT);
+        let free = MAX_DONORS.saturating_sub(self.donors.len());
+        let behind = self.watches.values().filter(|held| self.prior_state.is_behind(held.have));
+        let mut candidates: Vec<_> = behind.map(|held| (held.have, held.from)).collect();
         candidates.sort();
         let picked: BTreeSet<_> =
             candidates.into_iter().rev().take(free).map(|(_, from)| from).collect();
-        self.informants.extend(picked.iter().map(|from| (*from, now)));
+        self.donors.extend(picked.iter().map(|from| (*from, now)));
         picked
     }
 
     /// Takes in that a follower that stood at `have` has said what it knows.
-    pub(super) fn on_learned(&mut self, from: net::SocketAddr, have: view::Stamp) {
-        self.informants.remove(&from);
-        self.inheritance.newest = self.inheritance.newest.max(have);
+    pub(super) fn on_state_received(&mut self, from: net::SocketAddr, have: view::Stamp) {
+        self.donors.remove(&from);
+        self.prior_state.newest = self.prior_state.newest.max(have);
     }
 
     /// Entries that count, this process left aside.
@@ -143,8 +143,8 @@
 
     /// Takes in entries that followed the leader before. Left out until they ask, the first ones that
     /// do would share the fleet's limits among themselves.
-    pub(super) fn learn(&mut self, known: impl IntoIterator<Item = net::SocketAddr>) {
-        let follower = Follower { seen: self.started, have: None };
+    pub(super) fn add_known_entries(&mut self, known: impl IntoIterator<Item = net::SocketAddr>) {
+        let follower = Follower { last_seen: self.term_start, have: None };
         for entry in known {
             self.entries.entry(entry).or_insert(follower);
         }
@@ -156,13 +156,16 @@
         call: u64,
         from: net::SocketAddr,
         have: view::Stamp,
-        document: document::Held,
+        document: document::Progress,
     ) {
         self.transfers.remove(&from);
-        self.entries.insert(from, Follower { seen: now, have: Some(have) });
+        self.entries.insert(from, Follower { last_seen: now, have: Some(have) });
         // A process asks once at a time: an earlier watch of it was given up.
-        self.held.retain(|_, held| held.from != from);
-        self.held.insert(call, ParkedWatch { from, have, document, until: now + action::HOLD });
+        self.watches.retain(|_, held| held.from != from);
+        self.watches.insert(
+            call,
+            HeldWatch { from, have, document, expires_at: now + action::MAX_WATCH_HOLD },
+        );
     }
 
     pub(super) fn hold_registration(&mut self, now: clock::Instant, call: u64) {
@@ -170,60 +173,65 @@
     }
 
     pub(super) fn abandon(&mut self, call: u64) {
-        self.held.remove(&call);
+        self.watches.remove(&call);
         self.registrations.retain(|held| held.call != call);
     }
 
     /// Takes the watches to be answered at `stamp`, with `version` the newest declaration. The
     /// longest held go first.
-    pub(super) fn due(
+    pub(super) fn take_due(
         &mut self,
         now: clock::Instant,
         stamp: view::Stamp,
         version: u64,
     ) -> Vec<PendingReply> {
-        let picked = self.pick_informants(now);
-        let inheritance = self.inheritance;
+        let picked = self.pick_donors(now);
+        let prior_state = self.prior_state;
         let transfers = &mut self.transfers;
-        transfers.retain(|_, sent| now.since(*sent) < action::WATCH_LIMIT);
+        transfers.retain(|_, sent| now.since(*sent) < action::WATCH_TIMEOUT);
         let mut due = Vec::new();
-        self.held.retain(|call, held| {
+        self.watches.retain(|call, held| {
             if picked.contains(&held.from) {
                 due.push(PendingReply {
                     call: *call,
                     have: held.have,
                     document: None,
-                    inquires: true,
+                    requests_state: true,
                 });
                 return false;
             }
             // The view would overwrite what the follower alone may know.
-            let lacking = inheritance.lacks(held.have);
-            let ready = !lacking || now >= held.until + action::HOLD;
-            let behind = held.document.version < version;
-            let transfer = ready && behind && transfers.len() < MAX_TRANSFERS;
-            let answer = ready && (transfer || held.have != stamp || now >= held.until);
+            let is_behind = prior_state.is_behind(held.have);
+            let may_answer = !is_behind || now >= held.expires_at + action::MAX_WATCH_HOLD;
+            let needs_document = held.document.version < version;
+            let transfer = may_answer && needs_document && transfers.len() < MAX_TRANSFERS;
+            let is_due = may_answer && (transfer || held.have != stamp || now >= held.expires_at);
             if transfer {
                 transfers.insert(held.from, now);
             }
-            if answer {
+            if is_due {
                 let document = transfer.then_some(held.document);
-                due.push(PendingReply { call: *call, have: held.have, document, inquires: false });
+                due.push(PendingReply {
+                    call: *call,
+                    have: held.have,
+                    document,
+                    requests_state: false,
+                });
             }
-            !answer
+            !is_due
         });
         due
     }
 
     /// Records that `revision` is the first to publish the pending registrations.
-    pub(super) fn published(&mut self, revision: u64) {
+    pub(super) fn on_published(&mut self, revision: u64) {
         for held in &mut self.registrations {
             held.revision.get_or_insert(revision);
         }
     }
 
     /// Takes the upstreams' calls that enough followers know of, and those that waited too long.
-    pub(super) fn replicated(
+    pub(super) fn take_replicated(
         &mut self,
         now: clock::Instant,
         stamp: view::Stamp,
@@ -234,37 +242,37 @@
             let has = |have: &&view::Stamp| have.term == stamp.term && have.revision >= revision;
             stamps.iter().filter(has).count()
         };
-        let (mut done, mut late) = (Vec::new(), Vec::new());
+        let (mut replicated, mut expired) = (Vec::new(), Vec::new());
         self.registrations.retain(|held| {
             let is_known = |revision| known(revision) >= MIN_REPLICAS.min(followers);
             if held.revision.is_some_and(is_known) {
-                done.push(held.call);
+                replicated.push(held.call);
             } else if now.since(held.since) >= REPLICATION_TIMEOUT {
-                late.push(held.call);
+                expired.push(held.call);
             } else {
                 return true;
             }
             false
         });
-        (done, late)
+        (replicated, expired)
     }
 
     /// Processes that can be asked about an upstream, spread over all addresses: those of one zone
     /// are neighbours.
-    pub(super) fn peers(&self) -> BTreeSet<net::SocketAddr> {
-        let asked = self.entries.iter().filter(|(_, follower)| follower.have.is_some());
-        let followers: Vec<net::SocketAddr> = asked.map(|(entry, _)| *entry).collect();
-        let stride = followers.len().div_ceil(MAX_PEERS_ASKED).max(1);
+    pub(super) fn probe_peers(&self) -> BTreeSet<net::SocketAddr> {
+        let followers = self.entries.iter().filter(|(_, follower)| follower.have.is_some());
+        let followers: Vec<net::SocketAddr> = followers.map(|(entry, _)| *entry).collect();
+        let stride = followers.len().div_ceil(MAX_PROBE_PEERS).max(1);
         followers.into_iter().step_by(stride).collect()
     }
 
     /// Entries that follow, with `own`.
-    pub(super) fn entries(
+    pub(super) fn live_entries(
         &mut self,
         now: clock::Instant,
         own: net::SocketAddr,
     ) -> BTreeSet<net::SocketAddr> {
-        self.entries.retain(|_, follower| now.since(follower.seen) < ENTRY_TIMEOUT);
+        self.entries.retain(|_, follower| now.since(follower.last_seen) < ENTRY_TIMEOUT);
         self.entries.keys().copied().chain([own]).collect()
     }
 }
--- a/crates/hyssopfork-fleet/src/declaration.rs
+++ b/crates/hyssopfork-fleet/src/declaration.rs
@@ -166,19 +166,19 @@
             display("route {} names pool {}, which is not declared; declare it or name another", route, pool)
         }
         /// Two routes have one host and prefix.
-        SamePlace(first: name::Route, second: name::Route) {
+        DuplicateRoute(first: name::Route, second: name::Route) {
             display("routes {} and {} have the same host and prefix; change one", first, second)
         }
         /// A route's weights add up to nothing.
-        NoWeight(route: name::Route) {
+        ZeroWeight(route: name::Route) {
             display("the weights of route {} add up to 0; give one pool a weight above 0", route)
         }
         /// A route leaves no time.
-        NoTime(route: name::Route) {
+        ZeroTimeout(route: name::Route) {
             display("the timeout of route {} is 0; give it a time", route)
         }
         /// A prefix has the wrong form.
-        Prefix(route: name::Route) {
+        InvalidPrefix(route: name::Route) {
             display("the prefix of route {} must begin and end with a slash", route)
         }
         /// Two teams share a key.
@@ -193,8 +193,8 @@
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults: Vec<Fault> =
             self.routes.iter().flat_map(|route| self.route_faults(route)).collect();
-        faults.extend(self.same_places());
-        faults.extend(self.shared_keys());
+        faults.extend(self.duplicate_routes());
+        faults.extend(self.shared_key_faults());
         faults
     }
 
@@ -209,30 +209,30 @@
         let mut faults: Vec<Fault> =
             unknown.map(|(pool, _)| Fault::UnknownPool(name(), pool.clone())).collect();
         if route.targets.iter().all(|(_, weight)| *weight == 0) {
-            faults.push(Fault::NoWeight(name()));
+            faults.push(Fault::ZeroWeight(name()));
         }
         if route.timeout.is_zero() {
-            faults.push(Fault::NoTime(name()));
+            faults.push(Fault::ZeroTimeout(name()));
         }
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-            faults.push(Fault::Prefix(name()));
+            faults.push(Fault::InvalidPrefix(name()));
         }
         faults
     }
 
-    fn same_places(&self) -> Vec<Fault> {
+    fn duplicate_routes(&self) -> Vec<Fault> {
         let mut places = BTreeMap::new();
         let mut faults = Vec::new();
         for route in &self.routes {
             let place = (route.host.as_str(), route.prefix.as_str());
             if let Some(first) = places.insert(place, &route.name) {
-                faults.push(Fault::SamePlace(first.clone(), route.name.clone()));
+                faults.push(Fault::DuplicateRoute(first.clone(), route.name.clone()));
             }
         }
         faults
     }
 
-    fn shared_keys(&self) -> Vec<Fault> {
+    fn shared_key_faults(&self) -> Vec<Fault> {
         let mut holders: BTreeMap<&str, &name::Team> = BTreeMap::new();
         let mut pairs = BTreeSet::new();
         for team in &self.teams {
--- a/crates/hyssopfork-fleet/src/seeking.rs
+++ b/crates/hyssopfork-fleet/src/discovery.rs
@@ -8,40 +8,40 @@
 
 /// Time between two greetings to everybody while no leader is known. An election takes 0.6 s to
 /// 1.5 s; a tenth of that is lost on average before the new leader is known.
-const GREET: Duration = Duration::from_millis(150);
+const GREETING_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Processes that are remembered, so that a wrong one that names others can't fill the memory.
-const CONTACTS: usize = 64;
+const MAX_CONTROLS: usize = 64;
 
 /// What a process knows of the others.
 #[derive(Clone, Debug)]
-pub struct Seeking {
-    own: net::SocketAddr,
+pub struct Discovery {
+    own_address: net::SocketAddr,
     seeds: Vec<net::SocketAddr>,
     /// Processes with a data folder.
     controls: BTreeSet<net::SocketAddr>,
     leader: Option<net::SocketAddr>,
-    greeted: Option<clock::Instant>,
+    last_greeting: Option<clock::Instant>,
     /// Leader that was asked for what is new, until it answers.
-    asked: Option<net::SocketAddr>,
+    watched: Option<net::SocketAddr>,
     /// Whether the leader is to be told all that is known.
-    tells: bool,
+    sends_known: bool,
     /// Where this process stands.
-    pub have: view::Stamp,
+    pub stamp: view::Stamp,
 }
 
-impl Seeking {
+impl Discovery {
     /// A process that knows its seeds alone.
-    pub fn new(own: net::SocketAddr, seeds: Vec<net::SocketAddr>) -> Seeking {
-        Seeking {
-            own,
+    pub fn new(own_address: net::SocketAddr, seeds: Vec<net::SocketAddr>) -> Discovery {
+        Discovery {
+            own_address,
             seeds,
             controls: BTreeSet::new(),
             leader: None,
-            greeted: None,
-            asked: None,
-            tells: false,
-            have: view::Stamp::default(),
+            last_greeting: None,
+            watched: None,
+            sends_known: false,
+            stamp: view::Stamp::default(),
         }
     }
 
@@ -61,10 +61,10 @@
     }
 
     /// Learns of processes with a data folder; returns whether any is new.
-    pub fn learn(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) -> bool {
+    pub fn add_controls(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) -> bool {
         let before = self.controls.len();
         for address in controls {
-            if self.controls.len() < CONTACTS {
+            if self.controls.len() < MAX_CONTROLS {
                 self.controls.insert(address);
             }
         }
@@ -72,7 +72,7 @@
     }
 
     /// Takes somebody's word for who leads.
-    pub fn hear(&mut self, leader: Option<net::SocketAddr>) {
+    pub fn suggest_leader(&mut self, leader: Option<net::SocketAddr>) {
         if leader.is_some() && self.leader.is_none() {
             self.leader = leader;
         }
@@ -86,55 +86,61 @@
     }
 
     /// The leader did not answer, or said that it is none.
-    pub fn lose(&mut self, leader: net::SocketAddr, hint: Option<net::SocketAddr>) {
-        self.asked = self.asked.filter(|asked| *asked != leader);
+    pub fn forget_leader(&mut self, leader: net::SocketAddr, hint: Option<net::SocketAddr>) {
+        self.watched = self.watched.filter(|asked| *asked != leader);
         if self.leader == Some(leader) {
             self.leader = hint.filter(|hint| *hint != leader);
         }
     }
 
     /// The leader lacks what this process knows.
-    pub fn on_inquiry(&mut self, leader: net::SocketAddr) {
-        self.asked = self.asked.filter(|asked| *asked != leader);
-        self.tells = true;
+    pub fn on_state_requested(&mut self, leader: net::SocketAddr) {
+        self.watched = self.watched.filter(|asked| *asked != leader);
+        self.sends_known = true;
     }
 
     /// Whom to greet now: everybody, while nobody is known to lead.
-    pub fn greet(&mut self, now: clock::Instant) -> Vec<net::SocketAddr> {
-        let due = self.greeted.is_none_or(|greeted| now.since(greeted) >= GREET);
-        if self.leader.is_some() || !due {
+    pub fn due_greetings(&mut self, now: clock::Instant) -> Vec<net::SocketAddr> {
+        let is_due =
+            self.last_greeting.is_none_or(|greeted| now.since(greeted) >= GREETING_INTERVAL);
+        if self.leader.is_some() || !is_due {
             return Vec::new();
         }
-        self.greeted = Some(now);
-        let known: BTreeSet<net::SocketAddr> =
-            self.seeds.iter().chain(&self.controls).copied().filter(|it| *it != self.own).collect();
+        self.last_greeting = Some(now);
+        let known: BTreeSet<net::SocketAddr> = self
+            .seeds
+            .iter()
+            .chain(&self.controls)
+            .copied()
+            .filter(|it| *it != self.own_address)
+            .collect();
         known.into_iter().collect()
     }
 
     /// Whom to ask for what is new, if nobody is being asked; and whether to tell it all that is known.
-    pub fn ask(&mut self) -> Option<(net::SocketAddr, bool)> {
-        let leader = self.leader.filter(|leader| *leader != self.own)?;
-        if self.asked.is_some() {
+    pub fn start_watch(&mut self) -> Option<(net::SocketAddr, bool)> {
+        let leader = self.leader.filter(|leader| *leader != self.own_address)?;
+        if self.watched.is_some() {
             return None;
         }
-        self.asked = Some(leader);
-        Some((leader, std::mem::take(&mut self.tells)))
+        self.watched = Some(leader);
+        Some((leader, std::mem::take(&mut self.sends_known)))
     }
 
     /// The leader answered.
-    pub fn answered(&mut self, leader: net::SocketAddr, update: &view::Update) {
-        self.asked = self.asked.filter(|asked| *asked != leader);
-        self.have = update.stamp;
-        self.learn(update.controls.iter().copied());
+    pub fn on_updated(&mut self, leader: net::SocketAddr, update: &view::Update) {
+        self.watched = self.watched.filter(|asked| *asked != leader);
+        self.stamp = update.stamp;
+        self.add_controls(update.controls.iter().copied());
     }
 }
 
 /// The greeting of a process.
 pub fn greeting(
-    seeking: &Seeking,
+    discovery: &Discovery,
     leader: Option<net::SocketAddr>,
     founder: Option<net::SocketAddr>,
 ) -> peer::Greeting {
-    let controls = seeking.controls.iter().copied().collect();
+    let controls = discovery.controls.iter().copied().collect();
     peer::Greeting { leader, controls, founder }
 }
--- a/crates/hyssopfork-fleet/src/document.rs
+++ b/crates/hyssopfork-fleet/src/document.rs
@@ -13,7 +13,7 @@
 use zstd::stream::{read, write};
 
 /// Most bytes of a part: 7 ms on a link of 40 Mbit/s.
-pub const PART_BYTES: usize = 32 << 10;
+pub const MAX_PART_BYTES: usize = 32 << 10;
 
 /// Most bytes of a document.
 pub const MAX_BYTES: usize = 8 << 20;
@@ -86,7 +86,7 @@
     /// The part that begins at `offset`.
     pub fn part(&self, offset: usize) -> Part {
         let begin = offset.min(self.bytes.len());
-        let end = self.bytes.len().min(begin + PART_BYTES);
+        let end = self.bytes.len().min(begin + MAX_PART_BYTES);
         Part {
             version: self.version,
             base: self.base,
@@ -98,7 +98,7 @@
 
     /// All parts, in order.
     pub fn parts(&self) -> impl Iterator<Item = Part> {
-        (0..self.bytes.len()).step_by(PART_BYTES).map(|offset| self.part(offset))
+        (0..self.bytes.len()).step_by(MAX_PART_BYTES).map(|offset| self.part(offset))
     }
 }
 
@@ -126,11 +126,11 @@
 
 /// What a follower holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Progress {
     /// Version of its newest document; 0 for none.
     pub version: u64,
     /// Version of the document that it has parts of; 0 for none.
-    pub partial: u64,
+    pub partial_version: u64,
     /// Version that those parts are encoded against; 0 for none.
     pub base: u64,
     /// Bytes that it has of the encoding.
@@ -153,9 +153,9 @@
     }
 
     /// What is held, beside a document of `version`.
-    pub fn held(&self, version: u64) -> Held {
+    pub fn progress(&self, version: u64) -> Progress {
         let offset = self.bytes.len() as u64;
-        Held { version, partial: self.version, base: self.base, offset }
+        Progress { version, partial_version: self.version, base: self.base, offset }
     }
 
     /// Takes a part; gives the encoding once it is whole. A first part replaces what there was; any
--- a/crates/hyssopfork-fleet/src/durable.rs
+++ b/crates/hyssopfork-fleet/src/durable.rs
@@ -48,7 +48,7 @@
     /// The commands that declare `document`. They rest on no other document: which one is in force
     /// when they are applied is not known before.
     pub fn declare(document: document::Document) -> Vec<Command> {
-        if document.bytes.len() <= document::PART_BYTES {
+        if document.bytes.len() <= document::MAX_PART_BYTES {
             return vec![Command::Declare(document)];
         }
         document.encode(None).parts().map(Command::DeclarePart).collect()
@@ -73,7 +73,7 @@
     /// Invariant: its version never goes down.
     pub document: Option<document::Document>,
     /// Zones that are out.
-    pub out: BTreeSet<name::Zone>,
+    pub zones_out: BTreeSet<name::Zone>,
     /// Parts of a declaration whose last part was not applied yet.
     ///
     /// Invariant: empty in a snapshot.
@@ -101,7 +101,7 @@
     }
 
     /// Whether a snapshot holds all that was applied.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.partial.is_empty()
     }
 
@@ -123,8 +123,8 @@
                     None => false,
                 }
             }
-            Command::TakeOut(zone) => self.out.insert(zone),
-            Command::BringIn(zone) => self.out.remove(&zone),
+            Command::TakeOut(zone) => self.zones_out.insert(zone),
+            Command::BringIn(zone) => self.zones_out.remove(&zone),
         };
         if changed { Applied::Changed } else { Applied::Unchanged }
     }
--- a/crates/hyssopfork-fleet/src/event.rs
+++ b/crates/hyssopfork-fleet/src/event.rs
@@ -19,7 +19,7 @@
     /// An upstream calls.
     Register(peer::Registration),
     /// A peer passes an upstream's call on.
-    Relayed(peer::Registration),
+    RegisterRelayed(peer::Registration),
     /// A peer greets.
     Greet(peer::Hello),
     /// A peer asks for what is new.
@@ -32,7 +32,7 @@
     /// Time has passed; comes at least every [`crate::action::TICK`].
     Tick,
     /// The data folder can be read and written: what it holds.
-    Opened {
+    FolderOpened {
         /// The folder's random number.
         folder: u64,
         /// What it holds.
@@ -42,7 +42,7 @@
     },
     /// The data folder can't be written any more: this process takes no part in the log until it is
     /// [`Event::Opened`] again.
-    Failed,
+    FolderFailed,
     /// Every write up to this mark is on disk.
     Persisted(u64),
     /// A message of the log arrived.
@@ -57,33 +57,33 @@
     /// The caller no longer waits.
     Abandoned(u64),
     /// A peer answered a greeting.
-    Greeted(peer::Greeting),
+    GreetingAnswered(peer::Greeting),
     /// The leader answered a watch; `None` when it failed or its time ran out.
-    Watched {
+    WatchAnswered {
         /// Who was asked.
         from: net::SocketAddr,
         /// The answer.
         answer: Option<peer::Answer>,
     },
     /// A relayed call of an upstream was answered; `false` when the leader has not got it.
-    Relayed {
+    RelayAnswered {
         /// The call.
         call: u64,
         /// Whether the leader has it.
-        taken: bool,
+        accepted: bool,
     },
     /// What an entry saw.
-    Seen(net::SocketAddr, peer::Evidence),
+    EvidenceReported(net::SocketAddr, peer::Evidence),
     /// An order was answered.
-    Ordered(u64, groups::order::Outcome),
+    OrderAnswered(u64, groups::order::Outcome),
     /// An upstream was asked for a sign of life.
     Probed(name::Instance, groups::order::Sign),
     /// An engine was asked for its report and gave it.
     Reported(name::Instance, groups::order::Report),
     /// A peer asked an upstream for a sign of life; `false` also when the peer can't be reached.
-    Vouched(net::SocketAddr, name::Instance, bool),
+    PeerProbed(net::SocketAddr, name::Instance, bool),
     /// The settings name other seeds.
-    Seeds(Vec<net::SocketAddr>),
+    SeedsChanged(Vec<net::SocketAddr>),
     /// The process is to stop.
     Stop,
 }
--- a/crates/hyssopfork-fleet/src/groups.rs
+++ b/crates/hyssopfork-fleet/src/groups.rs
@@ -240,7 +240,7 @@
             }
             inquiry::Verdict::Dead => {
                 self.inquiry.forget(instance);
-                if registry.bury(instance) {
+                if registry.mark_dead(instance) {
                     self.note(notice::Notice::Lost(instance.clone()));
                 }
             }
--- a/crates/hyssopfork-fleet/src/groups/dispatch.rs
+++ b/crates/hyssopfork-fleet/src/groups/dispatch.rs
@@ -51,7 +51,7 @@
                 }
             }
             order::Outcome::Stranger | order::Outcome::Unreachable => {
-                if registry.bury(&ticket.instance) {
+                if registry.mark_dead(&ticket.instance) {
                     self.note(notice::Notice::Lost(ticket.instance.clone()));
                 }
             }
--- a/crates/hyssopfork-fleet/src/groups/inquiry.rs
+++ b/crates/hyssopfork-fleet/src/groups/inquiry.rs
@@ -73,7 +73,7 @@
 impl Inquiry {
     /// Takes what an entry saw.
     pub fn saw(&mut self, now: clock::Instant, from: net::SocketAddr, evidence: &peer::Evidence) {
-        for (instance, age) in &evidence.moving {
+        for (instance, age) in &evidence.progressing {
             let seen = now - *age;
             let known = self.moving.entry(instance.clone()).or_insert(seen);
             *known = seen.max(*known);
--- a/crates/hyssopfork-fleet/src/groups/planning.rs
+++ b/crates/hyssopfork-fleet/src/groups/planning.rs
@@ -123,7 +123,7 @@
         let candidate = |(instance, record): (&name::Instance, &registry::Record)| Candidate {
             instance: instance.clone(),
             domain: record.announcement.domain.clone(),
-            last: record.last.clone(),
+            last: record.last_model.clone(),
             staged: record.announcement.staged.clone(),
         };
         scene.registry.iter().filter(is_free).map(candidate).collect()
@@ -138,7 +138,7 @@
     ) -> bool {
         let told = &record.announcement;
         told.pool == *scene.pool
-            && record.is_sound()
+            && record.is_healthy()
             && !scene.out.contains(&told.zone)
             && !scene.registry.is_silent(scene.now, record)
             && self.is_available(instance, told)
@@ -151,9 +151,9 @@
         for (_, record) in scene.registry.iter() {
             let told = &record.announcement;
             let reachable = told.pool == *scene.pool
-                && record.is_sound()
+                && record.is_healthy()
                 && !scene.registry.is_silent(scene.now, record);
-            if reachable && self.reports.ask(scene.now, told, !record.heard_here) {
+            if reachable && self.reports.ask(scene.now, told, !record.heard_this_term) {
                 self.commands.push(Command::Ask(told.instance.clone(), told.address));
             }
         }
@@ -216,7 +216,7 @@
 ) -> BTreeMap<name::Domain, usize> {
     let mut counts: BTreeMap<name::Domain, usize> = BTreeMap::new();
     for (_, record) in registry.iter().filter(|(_, record)| record.announcement.pool == *pool) {
-        let usable = record.is_sound()
+        let usable = record.is_healthy()
             && !registry.is_silent(now, record)
             && !out.contains(&record.announcement.zone);
         let domain = &record.announcement.domain;
--- a/crates/hyssopfork-fleet/src/groups/rebalance.rs
+++ b/crates/hyssopfork-fleet/src/groups/rebalance.rs
@@ -46,7 +46,7 @@
         let free: Vec<Candidate> = self.candidates(scene);
         let at_hand = |record: &registry::Record| {
             let told = &record.announcement;
-            record.last.as_ref() == Some(&poor.name) || told.staged.contains(&poor.name)
+            record.last_model.as_ref() == Some(&poor.name) || told.staged.contains(&poor.name)
         };
         let completes = |(name, group): (&name::Group, &super::Group)| {
             if group.pool != *scene.pool
@@ -59,7 +59,7 @@
             let here = free.iter().filter(|it| it.domain == group.domain);
             let free = here.filter(|it| it.readiness(&poor.name).is_some()).count();
             let members = group.members.iter().filter_map(|it| scene.registry.get(it));
-            let given = members.filter(|record| record.is_sound() && at_hand(record)).count();
+            let given = members.filter(|record| record.is_healthy() && at_hand(record)).count();
             (free + given >= poor.size).then(|| name.clone())
         };
         self.groups.iter().find_map(completes)
--- a/crates/hyssopfork-fleet/src/groups/reports.rs
+++ b/crates/hyssopfork-fleet/src/groups/reports.rs
@@ -63,7 +63,7 @@
 impl Announced {
     /// The place of `told`.
     pub fn of(told: &Announcement) -> Announced {
-        Announced { born: told.born, sequence: told.sequence }
+        Announced { born: told.start_time_ms, sequence: told.sequence }
     }
 
     /// The place of the announcement after this one.
@@ -98,13 +98,13 @@
         });
         if due {
             let fresh = || Entry {
-                born: told.born,
+                born: told.start_time_ms,
                 asked: now,
                 knowledge: Knowledge::Asked,
                 unanswered: None,
             };
             let entry = self.known.entry(told.instance.clone()).or_insert_with(fresh);
-            if entry.born != told.born {
+            if entry.born != told.start_time_ms {
                 *entry = fresh();
             }
             entry.asked = now;
@@ -169,6 +169,6 @@
     }
 
     fn get(&self, told: &Announcement) -> Option<&Entry> {
-        self.known.get(&told.instance).filter(|entry| entry.born == told.born)
+        self.known.get(&told.instance).filter(|entry| entry.born == told.start_time_ms)
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/reserves.rs
+++ b/crates/hyssopfork-fleet/src/groups/reserves.rs
@@ -134,13 +134,13 @@
         for (instance, record) in scene.registry.iter() {
             let told = &record.announcement;
             let counts = told.pool == *scene.pool
-                && record.is_sound()
+                && record.is_healthy()
                 && !scene.registry.is_silent(scene.now, record);
             if !counts {
                 continue;
             }
             let group = self.group_of(instance).map(|(_, group)| group);
-            let Some(model) = group.map(|group| &group.model).or(record.last.as_ref()) else {
+            let Some(model) = group.map(|group| &group.model).or(record.last_model.as_ref()) else {
                 continue;
             };
             holdings.add(&told.domain, model);
@@ -192,7 +192,7 @@
         if self.traffic {
             return self.is_free(scene, instance, record);
         }
-        record.announcement.pool == *scene.pool && record.is_sound()
+        record.announcement.pool == *scene.pool && record.is_healthy()
     }
 
     /// The model beside that of its last group which the engine's host lacks.
@@ -202,7 +202,7 @@
         instance: &name::Instance,
         record: &registry::Record,
     ) -> Option<name::Model> {
-        let last = record.last.as_ref()?;
+        let last = record.last_model.as_ref()?;
         let other = scene.models.iter().find(|model| model.name != *last)?;
         let known =
             record.announcement.staged.contains(&other.name) || self.staging.contains_key(instance);
@@ -214,7 +214,7 @@
         let loads = |group: &&super::Group| {
             let lacks = |record: &registry::Record| {
                 !record.announcement.staged.contains(&group.model)
-                    && record.last.as_ref() != Some(&group.model)
+                    && record.last_model.as_ref() != Some(&group.model)
             };
             let mut members = group.members.iter().filter_map(|it| scene.registry.get(it));
             group.stage == Stage::Preparing && members.any(lacks)
--- a/crates/hyssopfork-fleet/src/lib.rs
+++ b/crates/hyssopfork-fleet/src/lib.rs
@@ -12,19 +12,19 @@
 
 pub mod action;
 pub mod announcement;
-pub mod board;
+pub mod bootstrap;
 pub mod core;
 pub mod declaration;
+pub mod discovery;
 pub mod document;
 pub mod durable;
 pub mod event;
-pub mod founding;
 pub mod groups;
 pub mod notice;
 pub mod peer;
+pub mod publication;
 pub mod quarantine;
 pub mod rate;
 pub mod registry;
-pub mod seeking;
 pub mod settings;
 pub mod view;
--- a/crates/hyssopfork-fleet/src/notice.rs
+++ b/crates/hyssopfork-fleet/src/notice.rs
@@ -124,12 +124,12 @@
     }
 
     /// The event of an upstream's call; `None` where there is nothing to tell.
-    pub fn of_call(taken: registry::Taken, record: &registry::Record) -> Option<Notice> {
+    pub fn for_announcement(taken: registry::Outcome, record: &registry::Record) -> Option<Notice> {
         let told = &record.announcement;
         match taken {
-            registry::Taken::Known => None,
-            registry::Taken::Late => Some(Notice::LateCall(told.instance.clone())),
-            registry::Taken::News => {
+            registry::Outcome::Unchanged => None,
+            registry::Outcome::Stale => Some(Notice::LateCall(told.instance.clone())),
+            registry::Outcome::Changed => {
                 let group = told.membership.as_ref().map_or_else(String::new, |membership| {
                     format!(
                         " group={} rank={} state={}",
@@ -138,13 +138,13 @@
                 });
                 let says = format!(
                     "born={} sequence={} draining={} cold_ms={} domain={} loaded={} staged={}{group}",
-                    told.born,
+                    told.start_time_ms,
                     told.sequence,
                     told.draining,
                     told.cold.as_millis(),
                     told.domain,
                     told.loaded.as_ref().map_or("-", |model| model.as_str()),
-                    names(&told.staged)
+                    join_models(&told.staged)
                 );
                 Some(Notice::Upstream(told.instance.clone(), told.pool.clone(), says))
             }
@@ -208,7 +208,7 @@
     }
 }
 
-fn names(models: &[name::Model]) -> String {
+fn join_models(models: &[name::Model]) -> String {
     let names: Vec<&str> = models.iter().map(name::Model::as_str).collect();
     names.join(",")
 }
--- a/crates/hyssopfork-fleet/src/peer.rs
+++ b/crates/hyssopfork-fleet/src/peer.rs
@@ -15,7 +15,7 @@
     pub has_folder: bool,
     /// Whether its folder is blank and it takes part in the system's first start: it may form the
     /// log when it is named.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
 }
 
 /// Answer to a [`Hello`].
@@ -35,7 +35,7 @@
     /// Upstreams on which every request stands still, or that can't be reached.
     pub stalled: Vec<name::Instance>,
     /// Upstreams from which bytes came lately, and how long ago.
-    pub moving: Vec<(name::Instance, Duration)>,
+    pub progressing: Vec<(name::Instance, Duration)>,
     /// Upstreams with requests of this entry in flight.
     pub busy: Vec<name::Instance>,
     /// Whether requests of callers have come.
@@ -65,19 +65,19 @@
     /// Who asks.
     pub from: net::SocketAddr,
     /// Where the asker stands.
-    pub have: view::Stamp,
+    pub stamp: view::Stamp,
     /// What it holds of declarations.
-    pub document: document::Held,
+    pub document: document::Progress,
     /// All that it knows of upstreams and groups, after an [`Answer::Inquiry`]: a leader that has just
     /// started knows less than those who followed the one before.
-    pub known: Option<Known>,
+    pub known: Option<KnownState>,
     /// What it saw.
     pub evidence: Evidence,
 }
 
 /// What a follower knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownState {
     /// Upstreams.
     pub upstreams: Vec<view::Upstream>,
     /// Groups.
@@ -94,7 +94,7 @@
     /// What leads the asker on.
     Updated(Box<view::Update>),
     /// This process leads and lacks what the asker knows of the terms before: ask again and say it.
-    Inquiry,
+    StateRequested,
     /// This process doesn't lead; who does, as far as is known.
     NotLeader(Option<net::SocketAddr>),
 }
--- a/crates/hyssopfork-fleet/src/board.rs
+++ b/crates/hyssopfork-fleet/src/publication.rs
@@ -6,7 +6,7 @@
 use std::net;
 
 /// Removals that are remembered; a follower that is farther behind gets everything anew.
-const REMOVALS: usize = 1_024;
+const MAX_REMOVALS: usize = 1_024;
 
 #[derive(Clone, Debug)]
 struct Entry<T> {
@@ -33,23 +33,23 @@
         &mut self,
         revision: u64,
         next: &BTreeMap<K, T>,
-        same: impl Fn(&T, &T) -> bool,
+        is_same: impl Fn(&T, &T) -> bool,
     ) -> bool {
-        let gone: Vec<K> =
+        let removed_keys: Vec<K> =
             self.entries.keys().filter(|key| !next.contains_key(key)).cloned().collect();
-        let mut changed = !gone.is_empty();
-        for key in gone {
+        let mut changed = !removed_keys.is_empty();
+        for key in removed_keys {
             self.entries.remove(&key);
             self.removals.push_back((revision, key));
         }
         for (key, value) in next {
             let known = self.entries.get(key);
-            if known.is_none_or(|known| !same(&known.value, value)) {
+            if known.is_none_or(|known| !is_same(&known.value, value)) {
                 self.entries.insert(key.clone(), Entry { revision, value: value.clone() });
                 changed = true;
             }
         }
-        while self.removals.len() > REMOVALS {
+        while self.removals.len() > MAX_REMOVALS {
             self.floor = self.removals.pop_front().map_or(self.floor, |(revision, _)| revision);
         }
         changed
@@ -72,11 +72,11 @@
 
 /// Everything but the upstreams and groups. All but the entries and the quarantine travels whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rest {
+pub struct FleetState {
     /// The declaration in force.
     pub document: Option<document::Document>,
     /// Zones that are out.
-    pub out: BTreeSet<name::Zone>,
+    pub zones_out: BTreeSet<name::Zone>,
     /// Processes that hold or may hold the replicated log.
     pub controls: Vec<net::SocketAddr>,
     /// Entries that follow the leader.
@@ -90,12 +90,12 @@
 
 /// The board of one leader's term.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct Publisher {
     stamp: view::Stamp,
-    rest: Rest,
+    state: FleetState,
     /// Documents before the newest, the latest last. A follower completes the one that it has parts
     /// of: begun anew with each version, changes in quick succession would leave it without any.
-    before: VecDeque<document::Document>,
+    previous: VecDeque<document::Document>,
     /// Documents as they were encoded, by base and version. Most followers hold the same base.
     ///
     /// Invariant: of kept versions alone.
@@ -106,14 +106,14 @@
     quarantine: Table<quarantine::Fingerprint, quarantine::Verdict>,
 }
 
-impl Board {
+impl Publisher {
     /// An empty board of `term`. Followers that hold the document that is `known` from before it need
     /// only what has changed since.
-    pub fn new(term: number::Term, known: Option<document::Document>) -> Board {
-        Board {
+    pub fn new(term: number::Term, known: Option<document::Document>) -> Publisher {
+        Publisher {
             stamp: view::Stamp { term, revision: 0 },
-            rest: Rest::default(),
-            before: known.into_iter().collect(),
+            state: FleetState::default(),
+            previous: known.into_iter().collect(),
             encodings: BTreeMap::new(),
             upstreams: Table::new(),
             groups: Table::new(),
@@ -130,30 +130,30 @@
     /// Publishes; returns whether anything is new to followers.
     pub fn publish(
         &mut self,
-        rest: Rest,
+        state: FleetState,
         upstreams: &BTreeMap<name::Instance, view::Upstream>,
         groups: &BTreeMap<name::Group, view::Group>,
     ) -> bool {
         let revision = self.stamp.revision + 1;
-        let alike = |old: &view::Upstream, new: &view::Upstream| {
-            old.standing == new.standing
+        let is_same = |old: &view::Upstream, new: &view::Upstream| {
+            old.status == new.status
                 && old.rate == new.rate
-                && old.announcement.says_the_same(&new.announcement)
+                && old.announcement.is_equivalent(&new.announcement)
         };
-        let mut changed = self.upstreams.publish(revision, upstreams, alike);
+        let mut changed = self.upstreams.publish(revision, upstreams, is_same);
         changed |= self.groups.publish(revision, groups, |old, new| old == new);
-        let entries = rest.entries.iter().map(|entry| (*entry, ())).collect();
+        let entries = state.entries.iter().map(|entry| (*entry, ())).collect();
         changed |= self.entries.publish(revision, &entries, |_, _| true);
-        changed |= self.quarantine.publish(revision, &rest.quarantine, |old, new| old == new);
-        changed |= self.rest != rest;
-        if self.rest.document != rest.document {
-            self.before.extend(self.rest.document.take());
-            while self.before.len() > MAX_KEPT_DOCUMENTS {
-                self.before.pop_front();
+        changed |= self.quarantine.publish(revision, &state.quarantine, |old, new| old == new);
+        changed |= self.state != state;
+        if self.state.document != state.document {
+            self.previous.extend(self.state.document.take());
+            while self.previous.len() > MAX_KEPT_DOCUMENTS {
+                self.previous.pop_front();
             }
         }
-        self.rest = rest;
-        self.forget_encodings();
+        self.state = state;
+        self.drop_encodings();
         if changed {
             self.stamp.revision = revision;
         }
@@ -162,19 +162,20 @@
 
     /// Version of the newest declaration; 0 for none.
     pub fn version(&self) -> u64 {
-        self.rest.document.as_ref().map_or(0, |document| document.version)
+        self.state.document.as_ref().map_or(0, |document| document.version)
     }
 
     /// The part that a follower lacks next of a declaration newer than its own.
-    pub fn part(&mut self, held: document::Held) -> Option<document::Part> {
+    pub fn next_part(&mut self, held: document::Progress) -> Option<document::Part> {
         let newest = self.version();
         if newest <= held.version {
             return None;
         }
-        let begun = held.partial > held.version && self.document(held.partial).is_some();
-        let on_base = held.base == 0 || held.base == held.version && self.is_kept(held.base);
-        if begun && on_base {
-            let encoding = self.encoding(held.base, held.partial)?;
+        let is_started =
+            held.partial_version > held.version && self.document(held.partial_version).is_some();
+        let has_base = held.base == 0 || held.base == held.version && self.is_kept(held.base);
+        if is_started && has_base {
+            let encoding = self.encoding(held.base, held.partial_version)?;
             return Some(encoding.part(held.offset as usize));
         }
         let base = if self.is_kept(held.version) { held.version } else { 0 };
@@ -182,7 +183,7 @@
     }
 
     fn document(&self, version: u64) -> Option<&document::Document> {
-        let kept = self.before.iter().chain(&self.rest.document);
+        let kept = self.previous.iter().chain(&self.state.document);
         kept.into_iter().find(|it| it.version == version)
     }
 
@@ -199,7 +200,7 @@
         self.encodings.get(&(base, version))
     }
 
-    fn forget_encodings(&mut self) {
+    fn drop_encodings(&mut self) {
         let mut encodings = std::mem::take(&mut self.encodings);
         let kept = |version: u64| version == 0 || self.is_kept(version);
         encodings.retain(|(base, version), _| kept(*base) && kept(*version));
@@ -216,13 +217,13 @@
         let revision = if known { have.revision } else { 0 };
         view::Update {
             stamp: self.stamp,
-            whole: !known,
-            declared: self.version(),
+            is_full: !known,
+            declared_version: self.version(),
             document: None,
-            out: self.rest.out.clone(),
+            zones_out: self.state.zones_out.clone(),
             upstreams: self.upstreams.since(revision),
             groups: self.groups.since(revision),
-            controls: self.rest.controls.clone(),
+            controls: self.state.controls.clone(),
             entries: self.entries.since(revision),
             quarantine: self.quarantine.since(revision),
         }
--- a/crates/hyssopfork-fleet/src/quarantine.rs
+++ b/crates/hyssopfork-fleet/src/quarantine.rs
@@ -22,10 +22,10 @@
 const COINCIDENCE_WINDOW: Duration = Duration::from_millis(50);
 
 /// First time without an attempt.
-const QUARANTINE: Duration = Duration::from_secs(15);
+const INITIAL_QUARANTINE: Duration = Duration::from_secs(15);
 
 /// Factor by which that time grows with each attempt that crashes another upstream.
-const QUARANTINE_FACTOR: u32 = 4;
+const QUARANTINE_BACKOFF_FACTOR: u32 = 4;
 
 /// Longest time without an attempt.
 const MAX_QUARANTINE: Duration = Duration::from_secs(3_600);
@@ -34,7 +34,7 @@
 const RECORD_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Time for which it is known that a crash had a quarantined request in flight.
-const EXPLANATION_LIFETIME: Duration = Duration::from_secs(10);
+const ATTRIBUTION_LIFETIME: Duration = Duration::from_secs(10);
 
 /// Most requests that are remembered. The one with the fewest crashes is forgotten first, of equals the
 /// one whose last crash is longest ago.
@@ -65,7 +65,7 @@
     /// The upstream.
     pub instance: name::Instance,
     /// Start of the process, in milliseconds since the Unix epoch by the upstream's own clock.
-    pub born: u64,
+    pub start_time_ms: u64,
 }
 
 /// Requests that were in flight at an upstream whose process ended, as one entry saw it.
@@ -106,8 +106,8 @@
         match self {
             Verdict::Suspect => Duration::ZERO,
             Verdict::Quarantined { round } => {
-                let factor = QUARANTINE_FACTOR.saturating_pow(round.saturating_sub(1));
-                QUARANTINE.saturating_mul(factor).min(MAX_QUARANTINE)
+                let factor = QUARANTINE_BACKOFF_FACTOR.saturating_pow(round.saturating_sub(1));
+                INITIAL_QUARANTINE.saturating_mul(factor).min(MAX_QUARANTINE)
             }
         }
     }
@@ -122,7 +122,7 @@
     /// Crashes that an earlier leader counted.
     inherited: u32,
     /// Crashes up to then no longer count, or are among those inherited.
-    settled_until: Option<clock::Instant>,
+    ignored_until: Option<clock::Instant>,
     /// How often it was quarantined; 0 for never.
     round: u32,
     /// Begin of its last quarantine.
@@ -137,7 +137,7 @@
         Record {
             crashes: BTreeMap::new(),
             inherited: 0,
-            settled_until: None,
+            ignored_until: None,
             round: 0,
             quarantined_at: now,
             due_at: now,
@@ -174,8 +174,13 @@
 
     /// Takes in that it was in flight when the process ended; whether it is quarantined for it, anew or
     /// once more.
-    fn crashed(&mut self, now: clock::Instant, process: &Process, end: clock::Instant) -> bool {
-        if self.settled_until.is_some_and(|settled| end <= settled) {
+    fn record_crash(
+        &mut self,
+        now: clock::Instant,
+        process: &Process,
+        end: clock::Instant,
+    ) -> bool {
+        if self.ignored_until.is_some_and(|settled| end <= settled) {
             return false;
         }
         let due = if self.is_quarantined() {
@@ -204,17 +209,17 @@
     }
 
     /// Takes in that it completed then; whether a quarantine ends with it.
-    fn completed(&mut self, at: clock::Instant) -> bool {
+    fn record_completion(&mut self, at: clock::Instant) -> bool {
         if self.is_quarantined() && at < self.quarantined_at {
             return false;
         }
         self.crashes.retain(|_, end| *end > at);
         self.inherited = 0;
-        self.settled_until = self.settled_until.max(Some(at));
+        self.ignored_until = self.ignored_until.max(Some(at));
         std::mem::take(&mut self.round) > 0
     }
 
-    fn is_over(&self, now: clock::Instant) -> bool {
+    fn is_expired(&self, now: clock::Instant) -> bool {
         now >= self.due_at.max(self.last_crash) + RECORD_LIFETIME
     }
 }
@@ -225,7 +230,7 @@
     /// Invariant: at most [`MAX_RECORDS`].
     records: BTreeMap<Fingerprint, Record>,
     /// Processes that ended with a quarantined request in flight, and when that was known.
-    explained: BTreeMap<Process, clock::Instant>,
+    attributed: BTreeMap<Process, clock::Instant>,
     /// Verdicts of all records that have one.
     published: BTreeMap<Fingerprint, Verdict>,
 }
@@ -234,62 +239,62 @@
     /// Takes in a crash that an entry saw; gives the requests that are quarantined for it.
     ///
     /// A crash with a quarantined request in flight counts against no other.
-    pub fn record(&mut self, now: clock::Instant, crash: &Crash) -> Vec<(Fingerprint, u32)> {
+    pub fn record_crash(&mut self, now: clock::Instant, crash: &Crash) -> Vec<(Fingerprint, u32)> {
         let end = now - crash.age;
-        let culprit = |request: &Fingerprint| {
+        let is_cause = |request: &Fingerprint| {
             let record = self.records.get(request);
             record.is_some_and(|record| record.is_quarantined() && end > record.quarantined_at)
         };
-        if crash.requests.iter().any(culprit) {
-            self.explain(now, &crash.process);
+        if crash.requests.iter().any(is_cause) {
+            self.attribute(now, &crash.process);
         }
-        let explained = self.explained.contains_key(&crash.process);
+        let is_attributed = self.attributed.contains_key(&crash.process);
         let mut quarantined = Vec::new();
         for request in &crash.requests {
-            let guilty = self.records.get(request).is_some_and(Record::is_quarantined);
-            if explained && !guilty {
+            let is_quarantined = self.records.get(request).is_some_and(Record::is_quarantined);
+            if is_attributed && !is_quarantined {
                 continue;
             }
             let record = self.records.entry(*request).or_insert_with(|| Record::new(now));
-            if record.crashed(now, &crash.process, end) {
+            if record.record_crash(now, &crash.process, end) {
                 quarantined.push((*request, record.round));
             }
             self.publish(request);
         }
-        self.shrink();
+        self.evict_excess();
         quarantined
     }
 
     /// Takes in that a request completed; whether its quarantine ends with that.
-    pub fn completed(&mut self, now: clock::Instant, completion: &Completion) -> bool {
+    pub fn record_completion(&mut self, now: clock::Instant, completion: &Completion) -> bool {
         let Some(record) = self.records.get_mut(&completion.request) else { return false };
-        let ended = record.completed(now - completion.age);
+        let ended = record.record_completion(now - completion.age);
         self.publish(&completion.request);
         ended
     }
 
     /// Takes over what followers of an earlier leader knew.
-    pub fn learn(&mut self, now: clock::Instant, known: Vec<(Fingerprint, Verdict)>) {
+    pub fn inherit(&mut self, now: clock::Instant, known: Vec<(Fingerprint, Verdict)>) {
         for (request, verdict) in known {
             let record = self.records.entry(request).or_insert_with(|| Record::new(now));
             match verdict {
                 Verdict::Suspect if record.verdict().is_none() => {
                     record.inherited = CRASHES_TO_SUSPECT;
-                    record.settled_until = Some(now);
+                    record.ignored_until = Some(now);
                 }
                 Verdict::Suspect => {}
                 Verdict::Quarantined { round } => record.round = record.round.max(round),
             }
             self.publish(&request);
         }
-        self.shrink();
+        self.evict_excess();
     }
 
     /// Forgets what is old.
-    pub fn forget(&mut self, now: clock::Instant) {
-        self.explained.retain(|_, known| now.since(*known) < EXPLANATION_LIFETIME);
+    pub fn remove_expired(&mut self, now: clock::Instant) {
+        self.attributed.retain(|_, known| now.since(*known) < ATTRIBUTION_LIFETIME);
         if !self.records.is_empty() {
-            self.records.retain(|_, record| !record.is_over(now));
+            self.records.retain(|_, record| !record.is_expired(now));
             self.published.retain(|request, _| self.records.contains_key(request));
         }
     }
@@ -300,14 +305,14 @@
     }
 
     /// Pardons all others for the end of a process.
-    fn explain(&mut self, now: clock::Instant, process: &Process) {
-        if self.explained.insert(process.clone(), now).is_some() {
+    fn attribute(&mut self, now: clock::Instant, process: &Process) {
+        if self.attributed.insert(process.clone(), now).is_some() {
             return;
         }
         let others = self.records.iter_mut().filter(|(_, record)| !record.is_quarantined());
-        let pardoned =
+        let cleared =
             others.filter_map(|(request, record)| record.crashes.remove(process).map(|_| *request));
-        for request in pardoned.collect::<Vec<_>>() {
+        for request in cleared.collect::<Vec<_>>() {
             self.publish(&request);
         }
     }
@@ -321,7 +326,7 @@
 
     /// Forgets the least of too many records, a quarter at once: each record is then compared a few times
     /// only, however many come.
-    fn shrink(&mut self) {
+    fn evict_excess(&mut self) {
         if self.records.len() <= MAX_RECORDS {
             return;
         }
--- a/crates/hyssopfork-fleet/src/registry.rs
+++ b/crates/hyssopfork-fleet/src/registry.rs
@@ -11,21 +11,21 @@
 
 /// Time for which an upstream that left or fell silent is remembered, so that a late call of it is
 /// known for what it is. Calls are held up by cuts of the network, which last seconds.
-const MEMORY: Duration = Duration::from_secs(60);
+const RECORD_RETENTION: Duration = Duration::from_secs(60);
 
 /// Share of the silence limit after which a process with an earlier start may take a name over: the
 /// machine's clock was set back, and the one known before no longer calls.
-const STEPPED_BACK: u32 = 1;
+const CLOCK_STEP_SILENCES: u32 = 1;
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Outcome {
     /// It says something new.
-    News,
+    Changed,
     /// It says what was known.
-    Known,
+    Unchanged,
     /// It is older than what is known, or of a process that is gone: it changes nothing.
-    Late,
+    Stale,
 }
 
 /// What is known of an upstream.
@@ -34,18 +34,18 @@
     /// Its newest announcement.
     pub announcement: announcement::Announcement,
     /// When it was last heard of.
-    pub heard: clock::Instant,
+    pub last_heard: clock::Instant,
     /// Until when it bears little.
     pub cold_until: clock::Instant,
     /// Model of its last group in this life: it takes it up faster than any other.
-    pub last: Option<name::Model>,
+    pub last_model: Option<name::Model>,
     /// Rate that it takes of all entries together; `None` for no limit.
     pub rate: Option<rate::Rate>,
     /// When an entry heard that; `None` for what an earlier leader knew.
-    pub rate_named_at: Option<clock::Instant>,
+    pub rate_set_at: Option<clock::Instant>,
     /// Whether this leader has its own word. What a follower of an earlier leader knew may be long
     /// out of date, and an engine may have joined a group since.
-    pub heard_here: bool,
+    pub heard_this_term: bool,
     /// Whether it has said that it is gone.
     pub departed: bool,
     /// Whether it counts as dead: it answered nothing, although asked.
@@ -53,17 +53,17 @@
 }
 
 impl Record {
-    fn new(told: announcement::Announcement, now: clock::Instant) -> Record {
+    fn new(announcement: announcement::Announcement, now: clock::Instant) -> Record {
         Record {
-            heard: now,
-            cold_until: now + told.cold,
-            last: told.loaded.clone(),
+            last_heard: now,
+            cold_until: now + announcement.cold,
+            last_model: announcement.loaded.clone(),
             rate: None,
-            rate_named_at: None,
-            heard_here: true,
+            rate_set_at: None,
+            heard_this_term: true,
             departed: false,
             dead: false,
-            announcement: told,
+            announcement,
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Whether it is alive as far as is known, and stays.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         !self.dead && !self.is_leaving()
     }
 }
@@ -87,17 +87,17 @@
     /// Upstreams whose records may differ from what was published, by more than their silence.
     changed: BTreeSet<name::Instance>,
     /// Silence after which an upstream counts as silent.
-    silence: Duration,
+    silence_timeout: Duration,
 }
 
 impl Registry {
     /// An empty registry.
-    pub fn new(silence: Duration) -> Registry {
+    pub fn new(silence_timeout: Duration) -> Registry {
         Registry {
             records: BTreeMap::new(),
             published: BTreeMap::new(),
             changed: BTreeSet::new(),
-            silence,
+            silence_timeout,
         }
     }
 
@@ -122,70 +122,85 @@
     }
 
     /// Takes an upstream's announcement.
-    pub fn announce(&mut self, now: clock::Instant, told: announcement::Announcement) -> Taken {
-        if !self.is_newer(now, &told) {
-            return Taken::Late;
+    pub fn announce(
+        &mut self,
+        now: clock::Instant,
+        announcement: announcement::Announcement,
+    ) -> Outcome {
+        if !self.is_newer(now, &announcement) {
+            return Outcome::Stale;
         }
-        self.evict(&told);
-        let cold_until = now + told.cold;
-        let Some(known) = self.records.get_mut(&told.instance) else {
-            self.changed.insert(told.instance.clone());
-            self.records.insert(told.instance.clone(), Record::new(told, now));
-            return Taken::News;
+        self.evict_from_address(&announcement);
+        let cold_until = now + announcement.cold;
+        let Some(known) = self.records.get_mut(&announcement.instance) else {
+            self.changed.insert(announcement.instance.clone());
+            self.records.insert(announcement.instance.clone(), Record::new(announcement, now));
+            return Outcome::Changed;
         };
-        let reborn = known.announcement.born != told.born;
-        let same = !reborn && !known.dead && known.announcement.says_the_same(&told);
+        let restarted = known.announcement.start_time_ms != announcement.start_time_ms;
+        let unchanged =
+            !restarted && !known.dead && known.announcement.is_equivalent(&announcement);
         // After it has left, an announcement of the same process is one that was held up.
-        known.departed &= !reborn;
-        known.last = told.loaded.clone().or(known.last.take().filter(|_| !reborn));
-        known.rate = known.rate.filter(|_| !reborn);
-        known.announcement = told;
-        known.heard = now;
-        known.heard_here = true;
+        known.departed &= !restarted;
+        known.last_model =
+            announcement.loaded.clone().or(known.last_model.take().filter(|_| !restarted));
+        known.rate = known.rate.filter(|_| !restarted);
+        known.announcement = announcement;
+        known.last_heard = now;
+        known.heard_this_term = true;
         known.cold_until = cold_until;
         known.dead = false;
-        if same {
-            return Taken::Known;
+        if unchanged {
+            return Outcome::Unchanged;
         }
         let instance = known.announcement.instance.clone();
         self.changed.insert(instance);
-        Taken::News
+        Outcome::Changed
     }
 
     /// Takes an upstream's word that it leaves; returns whether that is news.
     pub fn depart(&mut self, now: clock::Instant, instance: &name::Instance) -> bool {
         let Some(record) = self.records.get_mut(instance) else { return false };
-        record.heard = now;
+        record.last_heard = now;
         self.changed.insert(instance.clone());
         !std::mem::replace(&mut record.departed, true)
     }
 
     /// Takes over what a follower of an earlier leader knew, unless more is known here.
     pub fn adopt(&mut self, now: clock::Instant, upstream: view::Upstream) -> bool {
-        let told = upstream.announcement;
-        if let Some(known) = self.records.get_mut(&told.instance)
-            && !is_later(&told, known)
+        let announcement = upstream.announcement;
+        if let Some(known) = self.records.get_mut(&announcement.instance)
+            && !is_later(&announcement, known)
         {
-            let fills = known.last.is_none() && known.announcement.born == told.born;
-            known.last = known.last.take().or(upstream.last.filter(|_| fills));
-            let alike = known.announcement.born == told.born && known.rate_named_at.is_none();
-            let rated = alike && known.rate.is_none() && upstream.rate.is_some();
-            known.rate = known.rate.or(upstream.rate.filter(|_| alike));
-            let learned = rated || fills && known.last.is_some();
-            if learned {
-                self.changed.insert(told.instance);
+            let fills_model = known.last_model.is_none()
+                && known.announcement.start_time_ms == announcement.start_time_ms;
+            known.last_model =
+                known.last_model.take().or(upstream.last_model.filter(|_| fills_model));
+            let same_process = known.announcement.start_time_ms == announcement.start_time_ms
+                && known.rate_set_at.is_none();
+            let sets_rate = same_process && known.rate.is_none() && upstream.rate.is_some();
+            known.rate = known.rate.or(upstream.rate.filter(|_| same_process));
+            let changed = sets_rate || fills_model && known.last_model.is_some();
+            if changed {
+                self.changed.insert(announcement.instance);
             }
-            return learned;
+            return changed;
         }
-        let departed = upstream.standing == view::Standing::Leaving && !told.draining;
-        let instance = told.instance.clone();
+        let departed = upstream.status == view::Status::Leaving && !announcement.draining;
+        let instance = announcement.instance.clone();
         // Who was silent is silent until it is heard of: work must not be planned on it.
-        let silent = upstream.standing == view::Standing::Silent;
-        let heard = if silent { now - self.silence } else { now };
-        let last = told.loaded.clone().or(upstream.last);
+        let silent = upstream.status == view::Status::Silent;
+        let last_heard = if silent { now - self.silence_timeout } else { now };
+        let last_model = announcement.loaded.clone().or(upstream.last_model);
         let rate = upstream.rate;
-        let record =
-            Record { heard, departed, heard_here: false, last, rate, ..Record::new(told, now) };
+        let record = Record {
+            last_heard,
+            departed,
+            heard_this_term: false,
+            last_model,
+            rate,
+            ..Record::new(announcement, now)
+        };
         self.changed.insert(instance.clone());
         self.records.insert(instance, record);
         true
@@ -194,51 +209,56 @@
     /// Takes an engine's report, where it has not called this leader yet: its next call comes when
     /// its time to wait for the leader before is over. Afterwards its calls, which come at once after
     /// a change, are newer than its reports.
-    pub fn report(&mut self, now: clock::Instant, instance: &name::Instance, told: &order::Report) {
+    pub fn report(
+        &mut self,
+        now: clock::Instant,
+        instance: &name::Instance,
+        report: &order::Report,
+    ) {
         let Some(record) = self.records.get_mut(instance) else { return };
-        if !record.heard_here {
-            record.heard = now;
-            record.announcement.membership = told.membership.clone();
+        if !record.heard_this_term {
+            record.last_heard = now;
+            record.announcement.membership = report.membership.clone();
             self.changed.insert(instance.clone());
         }
     }
 
     /// Takes in that an upstream answers nothing; returns whether that is news.
-    pub fn bury(&mut self, instance: &name::Instance) -> bool {
+    pub fn mark_dead(&mut self, instance: &name::Instance) -> bool {
         let Some(record) = self.records.get_mut(instance) else { return false };
         self.changed.insert(instance.clone());
         !std::mem::replace(&mut record.dead, true)
     }
 
     /// Takes in the rate that a process named to an entry; returns whether that is news.
-    pub fn name_rate(&mut self, now: clock::Instant, change: &rate::Change) -> bool {
+    pub fn set_rate(&mut self, now: clock::Instant, change: &rate::Change) -> bool {
         let at = now - change.age;
         let Some(record) = self.records.get_mut(&change.process.instance) else { return false };
-        let older = record.rate_named_at.is_some_and(|named| at <= named);
-        if record.announcement.born != change.process.born || older {
+        let older = record.rate_set_at.is_some_and(|named| at <= named);
+        if record.announcement.start_time_ms != change.process.start_time_ms || older {
             return false;
         }
-        record.rate_named_at = Some(at);
-        let news = std::mem::replace(&mut record.rate, change.rate) != change.rate;
-        if news {
+        record.rate_set_at = Some(at);
+        let changed = std::mem::replace(&mut record.rate, change.rate) != change.rate;
+        if changed {
             self.changed.insert(change.process.instance.clone());
         }
-        news
+        changed
     }
 
     /// Counts every upstream as heard of just now: this process was held up and could not listen.
-    pub fn forgive(&mut self, now: clock::Instant) {
-        self.records.values_mut().for_each(|record| record.heard = now);
+    pub fn reset_silence(&mut self, now: clock::Instant) {
+        self.records.values_mut().for_each(|record| record.last_heard = now);
     }
 
     /// Whether nothing was heard of an upstream for too long.
     pub fn is_silent(&self, now: clock::Instant, record: &Record) -> bool {
-        now.since(record.heard) >= self.silence
+        now.since(record.last_heard) >= self.silence_timeout
     }
 
     /// Forgets what has been gone for long.
-    pub fn forget(&mut self, now: clock::Instant) {
-        self.records.retain(|_, record| now.since(record.heard) < MEMORY);
+    pub fn remove_expired(&mut self, now: clock::Instant) {
+        self.records.retain(|_, record| now.since(record.last_heard) < RECORD_RETENTION);
     }
 
     /// The upstreams as published to followers. Only those that have changed are built anew.
@@ -246,64 +266,66 @@
         let changed = std::mem::take(&mut self.changed);
         self.published.retain(|instance, _| self.records.contains_key(instance));
         for (instance, record) in &self.records {
-            let standing = standing(record, now.since(record.heard) >= self.silence);
+            let status = status(record, now.since(record.last_heard) >= self.silence_timeout);
             let is_warm = now >= record.cold_until;
-            let holds = |known: &view::Upstream| {
-                known.standing == standing && known.announcement.cold.is_zero() == is_warm
+            let is_current = |known: &view::Upstream| {
+                known.status == status && known.announcement.cold.is_zero() == is_warm
             };
-            if !changed.contains(instance) && self.published.get(instance).is_some_and(holds) {
+            if !changed.contains(instance) && self.published.get(instance).is_some_and(is_current) {
                 continue;
             }
             let cold = now.until(record.cold_until);
             let announcement = announcement::Announcement { cold, ..record.announcement.clone() };
-            let last = record.last.clone();
-            let upstream = view::Upstream { announcement, standing, last, rate: record.rate };
+            let last_model = record.last_model.clone();
+            let upstream = view::Upstream { announcement, status, last_model, rate: record.rate };
             self.published.insert(instance.clone(), upstream);
         }
         &self.published
     }
 
-    fn is_newer(&self, now: clock::Instant, told: &announcement::Announcement) -> bool {
-        let lives = |record: &Record| {
-            now.since(record.heard) < self.silence * STEPPED_BACK && !record.departed
+    fn is_newer(&self, now: clock::Instant, announcement: &announcement::Announcement) -> bool {
+        let is_alive = |record: &Record| {
+            now.since(record.last_heard) < self.silence_timeout * CLOCK_STEP_SILENCES
+                && !record.departed
         };
-        if let Some(known) = self.records.get(&told.instance) {
-            let born = known.announcement.born;
-            return match told.born.cmp(&born) {
-                std::cmp::Ordering::Equal => told.sequence > known.announcement.sequence,
+        if let Some(known) = self.records.get(&announcement.instance) {
+            let born = known.announcement.start_time_ms;
+            return match announcement.start_time_ms.cmp(&born) {
+                std::cmp::Ordering::Equal => announcement.sequence > known.announcement.sequence,
                 std::cmp::Ordering::Greater => true,
-                std::cmp::Ordering::Less => !lives(known),
+                std::cmp::Ordering::Less => !is_alive(known),
             };
         }
-        let newer_there = |record: &Record| {
-            record.announcement.address == told.address
-                && record.announcement.born > told.born
-                && lives(record)
+        let is_newer_at_address = |record: &Record| {
+            record.announcement.address == announcement.address
+                && record.announcement.start_time_ms > announcement.start_time_ms
+                && is_alive(record)
         };
-        !self.records.values().any(newer_there)
+        !self.records.values().any(is_newer_at_address)
     }
 
     /// Drops whoever had the address before: two upstreams cannot listen there, and the older one
     /// would be sent requests that the newer one gets.
-    fn evict(&mut self, told: &announcement::Announcement) {
+    fn evict_from_address(&mut self, announcement: &announcement::Announcement) {
         self.records.retain(|instance, record| {
-            record.announcement.address != told.address || *instance == told.instance
+            record.announcement.address != announcement.address
+                || *instance == announcement.instance
         });
     }
 }
 
 /// How an upstream stands, where nothing was heard of it for too long if `silent`.
-fn standing(record: &Record, silent: bool) -> view::Standing {
+fn status(record: &Record, silent: bool) -> view::Status {
     if record.is_leaving() {
-        view::Standing::Leaving
+        view::Status::Leaving
     } else if record.dead || silent {
-        view::Standing::Silent
+        view::Status::Silent
     } else {
-        view::Standing::Present
+        view::Status::Present
     }
 }
 
-fn is_later(told: &announcement::Announcement, known: &Record) -> bool {
+fn is_later(announcement: &announcement::Announcement, known: &Record) -> bool {
     let known = &known.announcement;
-    (told.born, told.sequence) > (known.born, known.sequence)
+    (announcement.start_time_ms, announcement.sequence) > (known.start_time_ms, known.sequence)
 }
--- a/crates/hyssopfork-fleet/src/settings.rs
+++ b/crates/hyssopfork-fleet/src/settings.rs
@@ -16,20 +16,20 @@
     /// Whether this process has a data folder.
     pub has_folder: bool,
     /// Instances with a folder whose loss at the same time is to be borne.
-    pub tolerated: u32,
+    pub tolerated_losses: u32,
     /// Time between heartbeats of an upstream.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
 }
 
 impl Settings {
     /// Voters that bear the loss of [`Settings::tolerated`] of them: a majority must remain.
-    pub fn enough_voters(&self) -> usize {
-        2 * self.tolerated as usize + 1
+    pub fn required_voters(&self) -> usize {
+        2 * self.tolerated_losses as usize + 1
     }
 
     /// Silence after which an upstream counts as silent: two heartbeats that did not come, and a
     /// share of a third for the way.
-    pub fn silence(&self) -> Duration {
-        self.heartbeat * 23 / 10
+    pub fn silence_timeout(&self) -> Duration {
+        self.heartbeat_interval * 23 / 10
     }
 }
--- a/crates/hyssopfork-fleet/src/view.rs
+++ b/crates/hyssopfork-fleet/src/view.rs
@@ -21,7 +21,7 @@
 /// How an upstream stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
+pub enum Status {
     /// It sends heartbeats.
     Present,
     /// The leader hears nothing of it. It may be cut off from the leader alone, so whoever gets
@@ -37,10 +37,10 @@
     /// What it says of itself; `cold` as of when this was sent.
     pub announcement: announcement::Announcement,
     /// How it stands.
-    pub standing: Standing,
+    pub status: Status,
     /// Model of its last group in this life, which it takes up fastest. It doesn't say so itself once
     /// it has left the group: the next leader would know only what its host holds.
-    pub last: Option<name::Model>,
+    pub last_model: Option<name::Model>,
     /// Rate that it takes of all entries together, as it named it last; `None` for no limit.
     pub rate: Option<rate::Rate>,
 }
@@ -88,13 +88,13 @@
     /// Where the follower stands after it.
     pub stamp: Stamp,
     /// Whether upstreams and groups that are not named here are gone.
-    pub whole: bool,
+    pub is_full: bool,
     /// Version of the newest declaration that was accepted; 0 for none.
-    pub declared: u64,
+    pub declared_version: u64,
     /// The next part of a declaration that is newer than the follower's.
     pub document: Option<document::Part>,
     /// Zones that are out.
-    pub out: BTreeSet<name::Zone>,
+    pub zones_out: BTreeSet<name::Zone>,
     /// Upstreams that changed; `None` for one that is gone.
     pub upstreams: Vec<(name::Instance, Option<Upstream>)>,
     /// Groups that changed; `None` for one that is gone.
--- a/crates/hyssopfork-fleet/tests/fleet/declaration.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/declaration.rs
@@ -33,10 +33,10 @@
     let route = name::Route::from;
     let expected = [
         Fault::UnknownPool(route("r2"), name::Pool::from("nobody")),
-        Fault::NoWeight(route("r3")),
-        Fault::NoTime(route("r4")),
-        Fault::Prefix(route("r6")),
-        Fault::SamePlace(route("r1"), route("r5")),
+        Fault::ZeroWeight(route("r3")),
+        Fault::ZeroTimeout(route("r4")),
+        Fault::InvalidPrefix(route("r6")),
+        Fault::DuplicateRoute(route("r1"), route("r5")),
         Fault::SharedKey(name::Team::from("t1"), name::Team::from("t2")),
     ];
     assert_eq!(faults, expected);
--- a/crates/hyssopfork-fleet/tests/fleet/document.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/document.rs
@@ -17,7 +17,9 @@
 
 #[test]
 fn a_document_is_made_of_its_parts_again() {
-    for size in [0, 1, document::PART_BYTES, document::PART_BYTES + 1, 3 * document::PART_BYTES] {
+    for size in
+        [0, 1, document::MAX_PART_BYTES, document::MAX_PART_BYTES + 1, 3 * document::MAX_PART_BYTES]
+    {
         let document = document_of(size);
         let mut partial = document::Partial::default();
 
@@ -35,7 +37,7 @@
     let encoding = document_of(200_000).encode(None);
 
     assert!(encoding.parts().count() > 1);
-    assert!(encoding.parts().all(|part| part.bytes.len() <= document::PART_BYTES));
+    assert!(encoding.parts().all(|part| part.bytes.len() <= document::MAX_PART_BYTES));
 }
 
 #[test]
@@ -89,7 +91,7 @@
     fn parts_in_any_order_give_the_document_or_nothing(
         order in prop::collection::vec(0_usize..6, 1..40),
     ) {
-        let document = document_of(5 * document::PART_BYTES + 7);
+        let document = document_of(5 * document::MAX_PART_BYTES + 7);
         let encoding = document.encode(None);
         let parts: Vec<document::Part> = encoding.parts().collect();
         let mut partial = document::Partial::default();
--- a/crates/hyssopfork-fleet/tests/fleet/durable.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/durable.rs
@@ -47,7 +47,7 @@
     assert!(before.iter().all(|applied| *applied == Applied::Unchanged));
     assert_eq!(*last, Applied::Changed);
     assert_eq!(state.document, Some(document));
-    assert!(state.is_whole());
+    assert!(state.is_complete());
 }
 
 /// Guards against an acknowledgement of a declaration of which the log lacks a part.
--- a/crates/hyssopfork-fleet/tests/fleet/engine.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/engine.rs
@@ -69,9 +69,9 @@
     /// Ends this life and starts another one under the same name.
     pub fn restart(&mut self, now: clock::Instant) {
         let staged = self.told.staged.clone();
-        let (born, number) = (self.told.born + 1, self.told.address);
+        let (start_time_ms, number) = (self.told.start_time_ms + 1, self.told.address);
         let told = Announcement {
-            born,
+            start_time_ms,
             staged,
             sequence: 0,
             membership: None,
--- a/crates/hyssopfork-fleet/tests/fleet/fixture.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/fixture.rs
@@ -24,7 +24,7 @@
         slots: 8,
         draining: false,
         cold: Duration::ZERO,
-        born: 1_000,
+        start_time_ms: 1_000,
         sequence: 1,
         loaded: None,
         staged: Vec::new(),
--- a/crates/hyssopfork-fleet/tests/fleet/groups.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/groups.rs
@@ -369,7 +369,7 @@
         ..Default::default()
     };
     let core = world.processes.get_mut(&leader).and_then(|it| it.core.as_mut()).expect("it runs");
-    let _told = core.step(world.now, event::Event::Seen(fixture::address(5), evidence));
+    let _told = core.step(world.now, event::Event::EvidenceReported(fixture::address(5), evidence));
 }
 
 fn free_engines(world: &world::World, domain: &str) -> usize {
--- a/crates/hyssopfork-fleet/tests/fleet/inquiry.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/inquiry.rs
@@ -51,7 +51,7 @@
     inquiry.answered(fixture::at(100), &e1(), Sign::Missing);
     inquiry.answered(fixture::at(200), &e1(), Sign::Missing);
     let moving = peer::Evidence {
-        moving: vec![(e1(), Duration::from_millis(20))],
+        progressing: vec![(e1(), Duration::from_millis(20))],
         ..peer::Evidence::default()
     };
     inquiry.saw(fixture::at(290), fixture::address(4), &moving);
@@ -68,7 +68,7 @@
     assert!(inquiry.is_stalled(fixture::at(10), &e1()));
 
     let moving =
-        peer::Evidence { moving: vec![(e1(), Duration::ZERO)], ..peer::Evidence::default() };
+        peer::Evidence { progressing: vec![(e1(), Duration::ZERO)], ..peer::Evidence::default() };
     inquiry.saw(fixture::at(20), fixture::address(3), &moving);
 
     assert!(!inquiry.is_stalled(fixture::at(30), &e1()));
--- a/crates/hyssopfork-fleet/tests/fleet/main.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/main.rs
@@ -1,12 +1,11 @@
 //! The fleet's control, driven without network, clock or disk.
 
-mod board;
+mod bootstrap;
 mod declaration;
 mod document;
 mod durable;
 mod engine;
 mod fixture;
-mod founding;
 mod groups;
 mod histories;
 mod inquiry;
@@ -14,6 +13,7 @@
 mod large;
 mod loads;
 mod plan;
+mod publication;
 mod quarantine;
 mod random;
 mod registry;
--- a/crates/hyssopfork-fleet/tests/fleet/quarantine.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/quarantine.rs
@@ -18,7 +18,7 @@
 
 fn crash(upstream: u64, requests: &[u8]) -> Crash {
     let process =
-        Process { instance: name::Instance::new(format!("i-{upstream}")), born: upstream };
+        Process { instance: name::Instance::new(format!("i-{upstream}")), start_time_ms: upstream };
     let requests = requests.iter().copied().map(request).collect();
     Crash { process, age: Duration::ZERO, requests }
 }
@@ -31,7 +31,7 @@
 fn after(crashes: u64) -> Ledger {
     let mut ledger = Ledger::default();
     for count in 1..=crashes {
-        ledger.record(at(200 * count), &crash(count, &[DEADLY]));
+        ledger.record_crash(at(200 * count), &crash(count, &[DEADLY]));
     }
     ledger
 }
@@ -54,7 +54,7 @@
 
     for millis in [200, 450, 700, 950] {
         let age = Duration::from_millis(millis - 200);
-        ledger.record(at(millis), &Crash { age, ..crash(1, &[DEADLY]) });
+        ledger.record_crash(at(millis), &Crash { age, ..crash(1, &[DEADLY]) });
     }
 
     assert_eq!(verdict(&ledger, DEADLY), None);
@@ -67,9 +67,9 @@
     let mut ledger = Ledger::default();
 
     for count in 1..=20 {
-        ledger.record(at(200 * count), &crash(count, &[HARMLESS]));
+        ledger.record_crash(at(200 * count), &crash(count, &[HARMLESS]));
         if verdict(&ledger, HARMLESS) == Some(Verdict::Suspect) {
-            ledger.completed(at(200 * count + 50), &completion(HARMLESS));
+            ledger.record_completion(at(200 * count + 50), &completion(HARMLESS));
         }
     }
 
@@ -82,7 +82,7 @@
     let mut ledger = Ledger::default();
 
     for upstream in 0..30 {
-        ledger.record(at(200 + upstream), &crash(upstream, &[HARMLESS]));
+        ledger.record_crash(at(200 + upstream), &crash(upstream, &[HARMLESS]));
     }
 
     assert_eq!(verdict(&ledger, HARMLESS), None);
@@ -94,8 +94,8 @@
     let mut ledger = after(3);
 
     for count in 10..20 {
-        ledger.record(at(300 * count), &crash(count, &[HARMLESS]));
-        ledger.record(at(300 * count + 10), &crash(count, &[DEADLY]));
+        ledger.record_crash(at(300 * count), &crash(count, &[HARMLESS]));
+        ledger.record_crash(at(300 * count + 10), &crash(count, &[DEADLY]));
     }
 
     assert_eq!(verdict(&ledger, HARMLESS), None);
@@ -105,7 +105,7 @@
 fn an_attempt_that_completes_ends_the_quarantine() {
     let mut ledger = after(3);
 
-    let ended = ledger.completed(at(20_000), &completion(DEADLY));
+    let ended = ledger.record_completion(at(20_000), &completion(DEADLY));
 
     assert!(ended);
     assert_eq!(verdict(&ledger, DEADLY), None);
@@ -117,7 +117,7 @@
     let mut ledger = after(3);
 
     let old = Completion { age: Duration::from_millis(600), ..completion(DEADLY) };
-    ledger.completed(at(1_000), &old);
+    ledger.record_completion(at(1_000), &old);
 
     assert_eq!(verdict(&ledger, DEADLY), Some(Verdict::Quarantined { round: 1 }));
 }
@@ -133,7 +133,7 @@
         let period = verdict(&ledger, DEADLY).expect("it is quarantined").period();
         periods.push(period.as_secs());
         now = now + period;
-        ledger.record(now, &crash(upstream, &[DEADLY]));
+        ledger.record_crash(now, &crash(upstream, &[DEADLY]));
     }
 
     assert_eq!(periods, [15, 60, 240, 960]);
@@ -145,7 +145,7 @@
     let mut ledger = after(3);
 
     for upstream in 10..20 {
-        ledger.record(at(700 + 100 * upstream), &crash(upstream, &[DEADLY]));
+        ledger.record_crash(at(700 + 100 * upstream), &crash(upstream, &[DEADLY]));
     }
 
     assert_eq!(verdict(&ledger, DEADLY), Some(Verdict::Quarantined { round: 1 }));
@@ -156,8 +156,8 @@
     let known = after(3).published().clone().into_iter().collect();
     let mut next = Ledger::default();
 
-    next.learn(at(5_000), known);
-    next.record(at(6_000), &crash(30, &[DEADLY]));
+    next.inherit(at(5_000), known);
+    next.record_crash(at(6_000), &crash(30, &[DEADLY]));
 
     assert_eq!(verdict(&next, DEADLY), Some(Verdict::Quarantined { round: 2 }));
 }
@@ -167,11 +167,11 @@
 fn crashes_from_before_the_term_count_as_inherited() {
     let known = after(2).published().clone().into_iter().collect();
     let mut next = Ledger::default();
-    next.learn(at(1_000), known);
+    next.inherit(at(1_000), known);
 
-    next.record(at(1_100), &Crash { age: Duration::from_millis(700), ..crash(2, &[DEADLY]) });
+    next.record_crash(at(1_100), &Crash { age: Duration::from_millis(700), ..crash(2, &[DEADLY]) });
     let before = verdict(&next, DEADLY);
-    next.record(at(1_400), &crash(3, &[DEADLY]));
+    next.record_crash(at(1_400), &crash(3, &[DEADLY]));
 
     assert_eq!(before, Some(Verdict::Suspect));
     assert_eq!(verdict(&next, DEADLY), Some(Verdict::Quarantined { round: 1 }));
@@ -181,9 +181,9 @@
 fn what_is_long_over_is_forgotten() {
     let mut ledger = after(3);
 
-    ledger.forget(at(600_000));
+    ledger.remove_expired(at(600_000));
     let kept = ledger.published().len();
-    ledger.forget(at(700_000));
+    ledger.remove_expired(at(700_000));
 
     assert_eq!((kept, ledger.published().len()), (1, 0));
 }
@@ -202,7 +202,7 @@
                 digest: [3; 16],
             });
             let crash = Crash { requests: requests.collect(), ..crash(100 + upstream, &[]) };
-            ledger.record(at(1_000 + count as u64), &crash);
+            ledger.record_crash(at(1_000 + count as u64), &crash);
         }
 
         prop_assert!(ledger.published().len() <= 1_024);
--- a/crates/hyssopfork-fleet/tests/fleet/registry.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture;
 use hyssopfork_fleet::announcement::Announcement;
-use hyssopfork_fleet::registry::{Registry, Taken};
+use hyssopfork_fleet::registry::{Outcome, Registry};
 use hyssopfork_fleet::{quarantine, rate, view};
 use hyssopfork_wire::name;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     let late = Announcement { sequence: 2, ..fixture::announcement("e1") };
     let taken = registry.announce(fixture::at(20), late);
 
-    assert_eq!(taken, Taken::Late);
+    assert_eq!(taken, Outcome::Stale);
     assert!(registry.get(&e1()).is_some_and(|record| record.is_leaving()));
 }
 
@@ -38,11 +38,11 @@
     let mut registry = registry();
     registry.depart(fixture::at(10), &e1());
 
-    let reborn = Announcement { born: 2_000, sequence: 1, ..fixture::announcement("e1") };
+    let reborn = Announcement { start_time_ms: 2_000, sequence: 1, ..fixture::announcement("e1") };
     let taken = registry.announce(fixture::at(20), reborn);
 
-    assert_eq!(taken, Taken::News);
-    assert!(registry.get(&e1()).is_some_and(|record| record.is_sound()));
+    assert_eq!(taken, Outcome::Changed);
+    assert!(registry.get(&e1()).is_some_and(|record| record.is_healthy()));
 }
 
 /// An upstream says that it is gone; a heartbeat that it had sent before comes after that. It must
@@ -63,13 +63,13 @@
 #[test]
 fn a_late_call_of_whoever_had_the_address_before_is_dropped() {
     let mut registry = registry();
-    let heir = Announcement { born: 5_000, ..fixture::announcement("e2") };
+    let heir = Announcement { start_time_ms: 5_000, ..fixture::announcement("e2") };
     registry.announce(fixture::at(10), heir);
 
     let late = Announcement { sequence: 9, ..fixture::announcement("e1") };
     let taken = registry.announce(fixture::at(20), late);
 
-    assert_eq!(taken, Taken::Late);
+    assert_eq!(taken, Outcome::Stale);
     assert!(registry.get(&e1()).is_none());
 }
 
@@ -77,23 +77,23 @@
 fn a_silent_upstream_is_told_as_silent_and_heard_of_again_as_present() {
     let mut registry = registry();
     let later = fixture::at(3_000);
-    assert_eq!(registry.published(later)[&e1()].standing, view::Standing::Silent);
+    assert_eq!(registry.published(later)[&e1()].status, view::Status::Silent);
 
     let again = Announcement { sequence: 2, ..fixture::announcement("e1") };
     registry.announce(later, again);
 
-    assert_eq!(registry.published(later)[&e1()].standing, view::Standing::Present);
+    assert_eq!(registry.published(later)[&e1()].status, view::Status::Present);
 }
 
 #[test]
 fn a_dead_upstream_that_calls_lives() {
     let mut registry = registry();
-    registry.bury(&e1());
+    registry.mark_dead(&e1());
 
     let again = Announcement { sequence: 2, ..fixture::announcement("e1") };
     let taken = registry.announce(fixture::at(10), again);
 
-    assert_eq!(taken, Taken::News);
+    assert_eq!(taken, Outcome::Changed);
     assert!(registry.get(&e1()).is_some_and(|record| !record.dead));
 }
 
@@ -102,14 +102,14 @@
     let mut registry = registry();
     let older = view::Upstream {
         announcement: Announcement { sequence: 0, draining: true, ..fixture::announcement("e1") },
-        standing: view::Standing::Leaving,
-        last: None,
+        status: view::Status::Leaving,
+        last_model: None,
         rate: None,
     };
 
     assert!(!registry.adopt(fixture::at(10), older));
 
-    assert!(registry.get(&e1()).is_some_and(|record| record.is_sound()));
+    assert!(registry.get(&e1()).is_some_and(|record| record.is_healthy()));
 }
 
 #[test]
@@ -132,12 +132,12 @@
     registry.announce(fixture::at(10), ready);
     let left = Announcement { sequence: 3, ..fixture::announcement("e1") };
     registry.announce(fixture::at(20), left);
-    assert_eq!(registry.get(&e1()).and_then(|record| record.last.clone()), Some(large));
+    assert_eq!(registry.get(&e1()).and_then(|record| record.last_model.clone()), Some(large));
 
-    let reborn = Announcement { born: 2_000, ..fixture::announcement("e1") };
+    let reborn = Announcement { start_time_ms: 2_000, ..fixture::announcement("e1") };
     registry.announce(fixture::at(30), reborn);
 
-    assert_eq!(registry.get(&e1()).and_then(|record| record.last.clone()), None);
+    assert_eq!(registry.get(&e1()).and_then(|record| record.last_model.clone()), None);
 }
 
 /// The leader is lost while engines are between two groups. Callers of their model wait for the next
@@ -162,7 +162,10 @@
     second.adopt(fixture::at(50), known);
 
     for registry in [first, second] {
-        assert_eq!(registry.get(&e1()).and_then(|record| record.last.clone()), Some(large.clone()));
+        assert_eq!(
+            registry.get(&e1()).and_then(|record| record.last_model.clone()),
+            Some(large.clone())
+        );
     }
 }
 
@@ -189,7 +192,10 @@
 }
 
 fn change(per_second: Option<f64>, age: u64) -> rate::Change {
-    let process = quarantine::Process { instance: e1(), born: fixture::announcement("e1").born };
+    let process = quarantine::Process {
+        instance: e1(),
+        start_time_ms: fixture::announcement("e1").start_time_ms,
+    };
     let age = Duration::from_millis(age);
     rate::Change { process, rate: per_second.and_then(rate::Rate::new), age }
 }
@@ -199,8 +205,8 @@
 fn the_rate_that_was_named_last_counts() {
     let mut registry = registry();
 
-    let named = registry.name_rate(fixture::at(1_000), &change(Some(3.7), 10));
-    let older = registry.name_rate(fixture::at(1_020), &change(None, 100));
+    let named = registry.set_rate(fixture::at(1_000), &change(Some(3.7), 10));
+    let older = registry.set_rate(fixture::at(1_020), &change(None, 100));
 
     assert_eq!((named, older), (true, false));
     let published = registry.published(fixture::at(1_020))[&e1()].rate;
@@ -211,13 +217,14 @@
 #[test]
 fn a_process_that_starts_anew_has_no_limit() {
     let mut registry = registry();
-    registry.name_rate(fixture::at(1_000), &change(Some(3.7), 0));
-    let next = Announcement { born: 1_000_000, sequence: 1, ..fixture::announcement("e1") };
+    registry.set_rate(fixture::at(1_000), &change(Some(3.7), 0));
+    let next =
+        Announcement { start_time_ms: 1_000_000, sequence: 1, ..fixture::announcement("e1") };
 
     registry.announce(fixture::at(2_000), next);
 
     assert_eq!(registry.get(&e1()).and_then(|record| record.rate), None);
-    assert!(!registry.name_rate(fixture::at(2_100), &change(Some(3.7), 0)));
+    assert!(!registry.set_rate(fixture::at(2_100), &change(Some(3.7), 0)));
 }
 
 /// Guards against a new leader that publishes no limit until each upstream has named it again.
@@ -226,8 +233,8 @@
     let mut registry = registry();
     let known = view::Upstream {
         announcement: fixture::announcement("e1"),
-        standing: view::Standing::Present,
-        last: None,
+        status: view::Status::Present,
+        last_model: None,
         rate: rate::Rate::new(3.7),
     };
 
--- a/crates/hyssopfork-fleet/tests/fleet/replication.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/replication.rs
@@ -111,7 +111,7 @@
         assert!(matches!(world.replies[&call], action::Reply::Registered(_)));
         let others = world.processes.iter().filter(|(address, _)| **address != leader);
         let knows = |view: &&world::View| {
-            view.upstreams.get(instance).is_some_and(|it| it.standing == view::Standing::Leaving)
+            view.upstreams.get(instance).is_some_and(|it| it.status == view::Status::Leaving)
         };
         let knowing = others.filter_map(|(_, process)| process.view.as_ref()).filter(knows);
         assert!(knowing.count() >= 2, "{instance} is not known to leave");
@@ -196,7 +196,7 @@
     world.run(300);
 
     let reply = world.replies.get(&call);
-    assert!(matches!(reply, Some(action::Reply::Elsewhere(_))), "{reply:?}");
+    assert!(matches!(reply, Some(action::Reply::NotLeader(_))), "{reply:?}");
 }
 
 #[test]
@@ -205,7 +205,7 @@
     let leader = world.leader().expect("somebody leads");
     let other = *world.processes.keys().find(|it| **it != leader).expect("there are three");
 
-    let failed = event::Event::Failed;
+    let failed = event::Event::FolderFailed;
     let core = world.processes.get_mut(&other).and_then(|it| it.core.as_mut()).expect("it runs");
     let _told = core.step(world.now, failed);
     world.run(1_000);
@@ -233,7 +233,7 @@
 /// Evidence of an entry whose request was in flight at the crash of the upstream of this number.
 fn crashed(request: quarantine::Fingerprint, upstream: u64) -> peer::Evidence {
     let instance = name::Instance::new(format!("i-{upstream}"));
-    let process = quarantine::Process { instance, born: upstream };
+    let process = quarantine::Process { instance, start_time_ms: upstream };
     let crash = quarantine::Crash { process, age: Duration::ZERO, requests: vec![request] };
     peer::Evidence { crashes: vec![crash], ..peer::Evidence::default() }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -169,8 +169,8 @@
             seeds,
             first_start,
             has_folder: process.has_folder,
-            tolerated: 1,
-            heartbeat: HEARTBEAT,
+            tolerated_losses: 1,
+            heartbeat_interval: HEARTBEAT,
         };
         process.core = Some(core::Core::new(settings, fixture::decode, now));
         process.starts += 1;
@@ -179,7 +179,11 @@
         if process.has_folder {
             let durable = Box::new(process.durable.clone());
             let (folder, seed) = (process.folder, process.folder * 31 + process.starts);
-            self.send(address, Duration::ZERO, event::Event::Opened { folder, durable, seed });
+            self.send(
+                address,
+                Duration::ZERO,
+                event::Event::FolderOpened { folder, durable, seed },
+            );
         }
     }
 
@@ -215,7 +219,8 @@
 
     /// Who answers for the fleet.
     pub fn leader(&self) -> Option<SocketAddr> {
-        let leads = |process: &Process| process.core.as_ref().is_some_and(core::Core::leads);
+        let leads =
+            |process: &Process| process.core.as_ref().is_some_and(core::Core::is_active_leader);
         self.processes.iter().find(|(_, process)| leads(process)).map(|(address, _)| *address)
     }
 
@@ -285,7 +290,7 @@
 
     /// Hands a process what its entry saw.
     pub fn see(&mut self, address: SocketAddr, evidence: peer::Evidence) {
-        self.send(address, Duration::ZERO, event::Event::Seen(address, evidence));
+        self.send(address, Duration::ZERO, event::Event::EvidenceReported(address, evidence));
     }
 
     fn send(&mut self, to: SocketAddr, after: Duration, event: event::Event) {
@@ -343,12 +348,12 @@
                     if process.watch == number {
                         process.watch = 0;
                         let answer = Some(*answer);
-                        self.step(to, event::Event::Watched { from, answer });
+                        self.step(to, event::Event::WatchAnswered { from, answer });
                     }
                 }
                 Delivery::Overdue(number, leader) => {
                     if self.processes.get(&to).is_some_and(|process| process.watch == number) {
-                        let lost = event::Event::Watched { from: leader, answer: None };
+                        let lost = event::Event::WatchAnswered { from: leader, answer: None };
                         self.step(to, lost);
                     }
                 }
@@ -382,18 +387,18 @@
                 self.count += 1;
                 let number = self.count;
                 self.processes.get_mut(&from).expect("it acts").watch = number;
-                self.push(from, action::WATCH_LIMIT, Delivery::Overdue(number, to));
+                self.push(from, action::WATCH_TIMEOUT, Delivery::Overdue(number, to));
                 self.ask(from, to, event::Request::Watch(watch), Caller::Watch(from, number));
             }
             action::Action::Relay { call, to, registration } => {
-                let request = event::Request::Relayed(registration);
+                let request = event::Request::RegisterRelayed(registration);
                 if !self.ask(from, to, request, Caller::Relay(from, call)) {
-                    self.send(from, LOST, event::Event::Relayed { call, taken: false });
+                    self.send(from, LOST, event::Event::RelayAnswered { call, accepted: false });
                 }
             }
-            action::Action::Tell(to, evidence) => {
+            action::Action::SendEvidence(to, evidence) => {
                 if self.reaches(from, to) {
-                    self.send(to, WAY, event::Event::Seen(from, evidence));
+                    self.send(to, WAY, event::Event::EvidenceReported(from, evidence));
                 }
             }
             action::Action::Order(order) => self.carry_order(from, order),
@@ -402,17 +407,17 @@
                 let after = if sign == order::Sign::Missing { LOST } else { WAY };
                 self.send(from, after, event::Event::Probed(instance, sign));
             }
-            action::Action::Ask(instance, to) => {
+            action::Action::RequestReport(instance, to) => {
                 if self.probe(from, to) == order::Sign::Alive {
                     let report = self.engines[&instance].report();
                     self.send(from, WAY * 2, event::Event::Reported(instance, report));
                 }
             }
-            action::Action::AskPeer { peer, instance, address } => {
+            action::Action::ProbeViaPeer { peer, instance, address } => {
                 self.asked_peers.insert(peer);
                 let alive =
                     self.reaches(from, peer) && self.probe(peer, address) == order::Sign::Alive;
-                self.send(from, LOST, event::Event::Vouched(peer, instance, alive));
+                self.send(from, LOST, event::Event::PeerProbed(peer, instance, alive));
             }
             action::Action::Publish(update, declaration) => {
                 let version = declaration.map(|declaration| declaration.version);
@@ -449,7 +454,7 @@
         match (caller, reply) {
             (Some(Caller::Outside(call)), reply) => drop(self.replies.insert(call, reply)),
             (Some(Caller::Greeting(to)), action::Reply::Greeting(greeting)) => {
-                self.back(from, to, event::Event::Greeted(greeting));
+                self.back(from, to, event::Event::GreetingAnswered(greeting));
             }
             (Some(Caller::Watch(to, number)), action::Reply::Watched(answer)) => {
                 let waits = self.processes[&to].watch == number;
@@ -459,8 +464,8 @@
                 }
             }
             (Some(Caller::Relay(to, call)), reply) => {
-                let taken = matches!(reply, action::Reply::Registered(_));
-                self.back(from, to, event::Event::Relayed { call, taken });
+                let accepted = matches!(reply, action::Reply::Registered(_));
+                self.back(from, to, event::Event::RelayAnswered { call, accepted });
             }
             _ => {}
         }
@@ -480,7 +485,7 @@
             assert!(version > view.document, "no process goes back");
             view.document = version;
         }
-        if update.whole {
+        if update.is_full {
             view.upstreams.clear();
             view.groups.clear();
             view.entries.clear();
@@ -500,7 +505,7 @@
                 None => drop(view.groups.remove(&name)),
             }
         }
-        view.out = update.out;
+        view.out = update.zones_out;
         invariants::check_groups(&view.groups);
     }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn carry_order(&mut self, from: SocketAddr, order: order::Order) {
-        let ended = |outcome| event::Event::Ordered(order.ticket, outcome);
+        let ended = |outcome| event::Event::OrderAnswered(order.ticket, outcome);
         let drawn = self.order_faults.as_mut().and_then(OrderFaults::draw);
         match (self.probe(from, order.address), drawn.or(self.late_orders)) {
             (order::Sign::Missing, _) => self.send(from, LOST, ended(order::Outcome::Unknown)),
@@ -91,7 +91,7 @@
         let outcome = engine.obey(now, order);
         self.register(&instance);
         let slow = self.slow_answers.get(&order.address).copied().unwrap_or_default();
-        self.send(from, WAY + slow, event::Event::Ordered(order.ticket, outcome));
+        self.send(from, WAY + slow, event::Event::OrderAnswered(order.ticket, outcome));
     }
 
     pub(super) fn run_engines(&mut self) {
--- a/crates/hyssopfork-gateway/src/choice.rs
+++ b/crates/hyssopfork-gateway/src/choice.rs
@@ -107,10 +107,10 @@
             && target.model.as_ref() == want.model
             && !want.excluded.contains(instance)
             && !bounds.out.contains(&target.zone)
-            && target.standing != view::Standing::Leaving
+            && target.standing != view::Status::Leaving
     };
     let open = |(_, target): &(&name::Instance, &target::Target)| {
-        let silent = target.standing == view::Standing::Silent;
+        let silent = target.standing == view::Status::Silent;
         !target.health.is_away(now) && (!silent || target.health.answered_within(now, VOUCHED))
     };
     let candidates: Vec<_> = targets.iter().filter(fits).collect();
--- a/crates/hyssopfork-gateway/src/core.rs
+++ b/crates/hyssopfork-gateway/src/core.rs
@@ -147,12 +147,12 @@
             .targets
             .iter()
             .map(|(instance, target)| (instance.clone(), now.since(target.moved)));
-        let moving = ages.filter(|(_, age)| *age < MOVING).collect();
+        let progressing = ages.filter(|(_, age)| *age < MOVING).collect();
         let evidence = peer::Evidence {
             stalled: named(&|target| {
                 target.suspected || target.is_stalled(now) || target.health.is_away(now)
             }),
-            moving,
+            progressing,
             busy: named(&|target| target.load.own > 0),
             traffic: self.traffic,
             crashes: self.crashes.confirmed(now),
--- a/crates/hyssopfork-gateway/src/core/crash.rs
+++ b/crates/hyssopfork-gateway/src/core/crash.rs
@@ -103,7 +103,7 @@
     ) {
         let process = quarantine::Process {
             instance: attempt.instance.clone(),
-            born: attempt.incarnation.born,
+            start_time_ms: attempt.incarnation.born,
         };
         if self.is_leaving(&process) {
             return;
@@ -126,7 +126,9 @@
         }
         let now = self.now;
         let target = self.targets.get_mut(&process.instance);
-        if let Some(target) = target.filter(|target| target.incarnation.born == process.born) {
+        if let Some(target) =
+            target.filter(|target| target.incarnation.born == process.start_time_ms)
+        {
             target.health.unreachable(now);
         }
         let (instance, requests) = (process.instance.clone(), requests.len());
@@ -137,8 +139,8 @@
     /// Whether the process ends on request.
     fn is_leaving(&self, process: &quarantine::Process) -> bool {
         self.upstreams.get(&process.instance).is_some_and(|upstream| {
-            upstream.announcement.born == process.born
-                && upstream.standing == view::Standing::Leaving
+            upstream.announcement.start_time_ms == process.start_time_ms
+                && upstream.status == view::Status::Leaving
         })
     }
 }
--- a/crates/hyssopfork-gateway/src/core/follow.rs
+++ b/crates/hyssopfork-gateway/src/core/follow.rs
@@ -30,19 +30,19 @@
             self.note(notice::Notice::InForce(declaration.version));
             self.table = Some(table::Table::new(declaration));
         }
-        self.declared = self.declared.max(update.declared);
+        self.declared = self.declared.max(update.declared_version);
         self.viewed_at = self.now;
-        let redraws = update.whole || redeclared;
-        if update.whole {
+        let redraws = update.is_full || redeclared;
+        if update.is_full {
             self.upstreams.clear();
             self.groups.clear();
             self.heads.clear();
             self.entries.clear();
         }
-        self.quarantine.follow(self.now, update.whole, update.quarantine);
+        self.quarantine.follow(self.now, update.is_full, update.quarantine);
         let redivides = !update.entries.is_empty();
         view::merge(&mut self.entries, update.entries);
-        self.out = update.out;
+        self.out = update.zones_out;
         let mut changed = self.follow_groups(update.groups);
         changed.extend(self.follow_upstreams(update.upstreams));
         if redraws {
@@ -103,7 +103,7 @@
             return;
         }
         let incarnation = target::Incarnation {
-            born: told.born,
+            born: told.start_time_ms,
             epoch: group.map_or(0, |group| group.epoch),
             address: told.address,
         };
@@ -111,7 +111,7 @@
         let slots = engine.map_or(told.slots, |engine| engine.slots);
         let mut target = known.unwrap_or_else(|| fresh(incarnation, slots, told));
         target.model = group.map(|group| group.model.clone());
-        target.standing = upstream.standing;
+        target.standing = upstream.status;
         let key = instance.as_str().as_bytes();
         let rank = rendezvous::rank(self.settings.address, self.entries.keys(), key);
         let entries = self.entry_count();
@@ -143,7 +143,7 @@
         pool: told.pool.clone(),
         model: None,
         zone: told.zone.clone(),
-        standing: view::Standing::Present,
+        standing: view::Status::Present,
         load: load::Load::new(slots),
         limit: limit::Limit::new(slots),
         health: health::Health::default(),
--- a/crates/hyssopfork-gateway/src/core/rates.rs
+++ b/crates/hyssopfork-gateway/src/core/rates.rs
@@ -30,7 +30,7 @@
         let changes = self.targets.iter().filter_map(|(instance, target)| {
             let (rate, age) = target.named.report(now)?;
             let instance = instance.clone();
-            let process = quarantine::Process { instance, born: target.incarnation.born };
+            let process = quarantine::Process { instance, start_time_ms: target.incarnation.born };
             Some(rate::Change { process, rate, age })
         });
         changes.collect()
--- a/crates/hyssopfork-gateway/src/target.rs
+++ b/crates/hyssopfork-gateway/src/target.rs
@@ -52,7 +52,7 @@
     /// Availability zone.
     pub zone: name::Zone,
     /// How it stands.
-    pub standing: view::Standing,
+    pub standing: view::Status,
     /// How full it is.
     pub load: load::Load,
     /// How full it may be.
--- a/crates/hyssopfork-gateway/tests/gateway/choice.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/choice.rs
@@ -57,7 +57,7 @@
     let mut entry = Entry::ready();
     let (_, first) = entry.sent("stream");
     let update = view::Update {
-        whole: false,
+        is_full: false,
         upstreams: Vec::new(),
         groups: vec![fixture::group("g1", "e1", 3), fixture::group("g2", "e2", 4)],
         entries: Vec::new(),
--- a/crates/hyssopfork-gateway/tests/gateway/crash.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/crash.rs
@@ -44,7 +44,7 @@
     let mut update = fixture::view();
     for (name, upstream) in &mut update.upstreams {
         if *name == instance {
-            upstream.as_mut().expect("it is there").standing = view::Standing::Leaving;
+            upstream.as_mut().expect("it is there").status = view::Status::Leaving;
         }
     }
     entry.see(update);
@@ -72,7 +72,7 @@
 
 fn told(route: &str, verdict: Option<quarantine::Verdict>) -> view::Update {
     view::Update {
-        whole: false,
+        is_full: false,
         upstreams: Vec::new(),
         groups: Vec::new(),
         quarantine: vec![(fingerprint(route), verdict)],
@@ -238,7 +238,7 @@
     let mut entry = Entry::ready();
     entry.see(told("status", Some(ROUND)));
     entry.pass(10_000);
-    let next = view::Update { whole: true, ..fixture::view() };
+    let next = view::Update { is_full: true, ..fixture::view() };
     entry.see(view::Update { quarantine: vec![(fingerprint("status"), Some(ROUND))], ..next });
     entry.pass(5_000);
 
--- a/crates/hyssopfork-gateway/tests/gateway/fixture.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/fixture.rs
@@ -77,14 +77,18 @@
         slots: SLOTS,
         draining: false,
         cold: Duration::ZERO,
-        born: 1,
+        start_time_ms: 1,
         sequence: 1,
         loaded: None,
         staged: Vec::new(),
         membership: None,
     };
-    let upstream =
-        view::Upstream { announcement, standing: view::Standing::Present, last: None, rate: None };
+    let upstream = view::Upstream {
+        announcement,
+        status: view::Status::Present,
+        last_model: None,
+        rate: None,
+    };
     (instance(name), Some(upstream))
 }
 
@@ -104,7 +108,7 @@
 pub fn view() -> view::Update {
     view::Update {
         stamp: view::Stamp { term: number::Term(1), revision: 1 },
-        whole: true,
+        is_full: true,
         upstreams: vec![
             upstream("e1", "engines"),
             upstream("e2", "engines"),
--- a/crates/hyssopfork-gateway/tests/gateway/holds.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/holds.rs
@@ -136,7 +136,10 @@
 #[test]
 fn a_route_of_a_newer_declaration_is_waited_for() {
     let mut entry = Entry::blank();
-    entry.see(view::Update { declared: fixture::declaration().version + 1, ..fixture::view() });
+    entry.see(view::Update {
+        declared_version: fixture::declaration().version + 1,
+        ..fixture::view()
+    });
 
     let (number, decision) = entry.arrive(unrouted());
 
@@ -164,11 +167,11 @@
 fn a_held_arrival_is_denied_once_the_newest_declaration_lacks_its_route() {
     let mut entry = Entry::blank();
     let version = fixture::declaration().version;
-    entry.see(view::Update { declared: version, ..fixture::view() });
+    entry.see(view::Update { declared_version: version, ..fixture::view() });
     entry.pass(2_000);
     entry.arrive(unrouted());
 
-    let update = view::Update { declared: version, ..fixture::view() };
+    let update = view::Update { declared_version: version, ..fixture::view() };
     let seen = event::Event::Viewed(Box::new(update), None);
     let decision = entry.step(seen).expect("it is decided");
 
--- a/crates/hyssopfork-gateway/tests/gateway/serve.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/serve.rs
@@ -188,7 +188,7 @@
     let (name, group) = fixture::group(name, head.as_str(), epoch);
     let group = group.map(|group| view::Group { serving: false, lost, ..group });
     let groups = vec![(name, group)];
-    view::Update { whole: false, upstreams: vec![], groups, ..fixture::view() }
+    view::Update { is_full: false, upstreams: vec![], groups, ..fixture::view() }
 }
 
 /// The leader knows that a member died while the caller's stream has been silent for a moment only.
@@ -283,9 +283,9 @@
 fn nothing_goes_to_a_zone_that_is_out_or_an_upstream_that_leaves() {
     let mut entry = Entry::ready();
     let mut update = fixture::view();
-    update.out.insert(name::Zone::from("z1"));
+    update.zones_out.insert(name::Zone::from("z1"));
     if let Some((_, Some(upstream))) = update.upstreams.get_mut(1) {
-        upstream.standing = view::Standing::Leaving;
+        upstream.status = view::Status::Leaving;
     }
     entry.see(update);
 
