--- a/crates/hyssopfork-fleet/src/action.rs
+++ b/crates/hyssopfork-fleet/src/action.rs
@@ -1,4 +1,4 @@
-//! What a process's control does about an event.
+//! Actions that the control state machine returns.
 
 use crate::{declaration, document, groups, notice, peer, view};
 use hyssopfork_consensus::write;
@@ -7,29 +7,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time between two ticks: the replicated log's rules ask for it.
+/// Longest time between two ticks, as required by the consensus protocol.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest time for which a watch is held. Its answer also tells that the leader is alive.
+/// Longest time for which a watch is held. Its answer also shows that the leader is alive.
 pub const MAX_WATCH_HOLD: Duration = Duration::from_millis(400);
 
-/// Time after which an unanswered watch has failed: the leader or the connection is lost.
+/// Time after which an unanswered watch counts as failed, because the leader or the connection is
+/// lost.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Reply to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// It is done and will last.
+    /// The call is done and its effect is durable.
     Done,
-    /// It is not done here; who leads, as far as is known.
+    /// The call is not done, since this process is not the leader; the leader, if known.
     NotLeader(Option<net::SocketAddr>),
-    /// Whether it is done is not known: ask again.
+    /// The outcome is unknown; the client is to retry.
     Unknown,
-    /// It is too large for the log.
+    /// The declaration is too large for the log.
     TooLarge,
     /// The declaration in force.
     Document(document::Document),
-    /// Who leads; an upstream's call is done, and later ones had better go there.
+    /// The upstream's call is recorded; later calls should go to this leader.
     Registered(net::SocketAddr),
     /// Answer to a greeting.
     Greeting(peer::Greeting),
@@ -38,7 +39,7 @@
 }
 
 impl Reply {
-    /// Bytes of a declaration that it carries to a follower.
+    /// Bytes of a declaration that the reply carries to a follower.
     pub fn document_bytes(&self) -> usize {
         match self {
             Reply::Watched(peer::Answer::Updated(update)) => {
@@ -49,10 +50,10 @@
     }
 }
 
-/// An action.
+/// An action to be executed by the process.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message of the log; it may be lost.
+    /// Send a consensus message; it may be lost.
     Send(consensus::Packet),
     /// Write to the journal and sync, then report [`crate::event::Event::Persisted`].
     Persist(write::Write),
@@ -60,35 +61,35 @@
     Reply(u64, Reply),
     /// Greet a peer.
     Greet(net::SocketAddr, peer::Hello),
-    /// Ask the leader for what is new.
+    /// Send a watch to the leader.
     Watch(net::SocketAddr, Box<peer::Watch>),
-    /// Pass an upstream's call on to the leader.
+    /// Relay an upstream's call to the leader.
     Relay {
         /// The call.
         call: u64,
         /// The leader.
         to: net::SocketAddr,
-        /// What the upstream said.
+        /// The upstream's registration.
         registration: peer::Registration,
     },
-    /// Tell the leader what this process's entry saw.
+    /// Send the evidence of this process's entry to the leader.
     SendEvidence(net::SocketAddr, peer::Evidence),
-    /// Give an order to an upstream.
+    /// Send an order to an upstream.
     Order(groups::order::Order),
-    /// Ask an upstream for a sign of life.
+    /// Probe an upstream.
     Probe(name::Instance, net::SocketAddr),
-    /// Ask an engine for its report.
+    /// Request a report from an engine.
     RequestReport(name::Instance, net::SocketAddr),
-    /// Have a peer ask an upstream for a sign of life.
+    /// Have a peer probe an upstream (indirect probe).
     ProbeViaPeer {
         /// The peer.
         peer: net::SocketAddr,
         /// The upstream.
         instance: name::Instance,
-        /// Where the upstream listens.
+        /// Address of the upstream.
         address: net::SocketAddr,
     },
-    /// Hand what is new to this process's entry.
+    /// Pass an update to this process's entry.
     Publish(Box<view::Update>, Option<Arc<declaration::Declaration>>),
     /// Log a numbered event.
     Notice(notice::Notice),
--- a/crates/hyssopfork-fleet/src/announcement.rs
+++ b/crates/hyssopfork-fleet/src/announcement.rs
@@ -1,52 +1,52 @@
-//! What an upstream says of itself when it registers, and again with each heartbeat.
+//! Announcements that an upstream sends when it registers and with each heartbeat.
 
 use hyssopfork_wire::name;
 use serde::{Deserialize, Serialize};
 use std::net;
 use std::time::Duration;
 
-/// An announcement.
+/// Announcement of an upstream's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Name of the upstream; may come back after a restart.
+    /// Name of the upstream; may be reused after a restart.
     pub instance: name::Instance,
-    /// Pool that it belongs to.
+    /// Pool of the upstream.
     pub pool: name::Pool,
-    /// Where it takes requests.
+    /// Address at which it serves requests.
     pub address: net::SocketAddr,
     /// Availability zone.
     pub zone: name::Zone,
-    /// Fabric domain; instances without one share one.
+    /// Fabric domain; instances that name none share one.
     pub domain: name::Domain,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has said that it will leave.
+    /// Whether it is draining before it leaves.
     pub draining: bool,
-    /// How much longer it bears little.
+    /// Remaining time of its slow start.
     pub cold: Duration,
-    /// When its process started, in milliseconds of its own clock; tells one process from the next
-    /// under the same name.
+    /// Start time of its process, in milliseconds of its own clock; distinguishes successive
+    /// processes of one name.
     pub start_time_ms: u64,
-    /// Counts the announcements of one process: one that overtook another is told from it.
+    /// Number of the announcement within its process, so that reordered ones are detected.
     pub sequence: u64,
-    /// Model whose weights it runs, or ran in its last group.
+    /// Model whose weights are loaded, or were loaded in its last group.
     pub loaded: Option<name::Model>,
-    /// Models whose weights its host holds.
+    /// Models whose weights are staged on its host.
     pub staged: Vec<name::Model>,
-    /// Its group, if it is in one.
+    /// Its group membership, if any.
     pub membership: Option<Membership>,
 }
 
-/// What an engine says of its group.
+/// An engine's membership in a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// Group.
     pub group: name::Group,
     /// Epoch of the group's membership.
     pub epoch: u64,
-    /// Place among the members; 0 is the head, which takes the requests.
+    /// Rank among the members; 0 is the head, which accepts the group's requests.
     pub rank: u32,
-    /// State.
+    /// State of the member.
     pub state: State,
 }
 
@@ -56,20 +56,20 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
-    /// It takes up the weights.
+    /// Loading the weights.
     Joining,
-    /// It has them.
+    /// Weights loaded.
     Ready,
-    /// Head only: the group takes requests.
+    /// Head only: the group accepts requests.
     Open,
-    /// Head only: the group ends what it has.
+    /// Head only: the group completes its requests and accepts no new ones.
     Closing,
-    /// A member was lost, and the group serves no more.
+    /// A member was lost, and the group no longer serves.
     Broken,
 }
 
 impl Announcement {
-    /// Whether `other` says the same but for its number and the time that has passed.
+    /// Whether `other` differs at most in its sequence number and remaining slow-start time.
     pub fn is_equivalent(&self, other: &Announcement) -> bool {
         let Announcement {
             instance,
@@ -100,7 +100,7 @@
             && *domain == other.domain
     }
 
-    /// Whether it is in this epoch of the group.
+    /// Whether the upstream is a member of the group in this epoch.
     pub fn is_in(&self, group: &name::Group, epoch: u64) -> bool {
         self.membership.as_ref().is_some_and(|it| it.group == *group && it.epoch == epoch)
     }
--- a/crates/hyssopfork-fleet/src/core.rs
+++ b/crates/hyssopfork-fleet/src/core.rs
@@ -1,4 +1,4 @@
-//! The step function of a process's control: events in, actions out.
+//! The control state machine of one process: a step function that takes events and returns actions.
 
 mod calls;
 mod follow;
@@ -17,57 +17,59 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest gap between two events after which this process counts as having been held up: twenty
-/// ticks and more that did not come.
+/// Longest time between two events; after a longer gap (25 missed ticks) the process counts as
+/// having been paused.
 const MAX_EVENT_GAP: Duration = Duration::from_millis(500);
 
-/// Entries applied between two snapshots.
+/// Applied log entries between two snapshots.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1_024;
 
-/// Bytes of commands applied between two snapshots, at which one is taken earlier: a process of 160 MB
-/// in all holds the log in memory, and its disk holds 64 MB.
+/// Applied command bytes that trigger a snapshot before [`SNAPSHOT_INTERVAL_ENTRIES`] is reached.
+/// The log is held in memory by a process limited to 160 MB, and its disk holds 64 MB.
 const SNAPSHOT_INTERVAL_BYTES: usize = 4 << 20;
 
-/// Entries kept in memory before a snapshot, for followers that are a little behind.
+/// Log entries retained in memory before a snapshot, for followers that lag slightly.
 const RETAINED_LOG_ENTRIES: u64 = 64;
 
-/// Least silence of the leader after which a voter stands for election: four heartbeats, and more
-/// than an instance whose share of its processor is used up stands still (0.1 s). A leader's loss
-/// costs its followers this, the spread's half and a sync or two.
+/// Minimum time without a leader heartbeat after which a voter starts an election: four heartbeats,
+/// and more than the 0.1 s for which an instance is throttled when its CPU quota is used up.
+/// Failover takes this time, half of [`ELECTION_SPREAD`] on average and one or two syncs.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Span of the random addition to it: voters sync in 1 ms to 10 ms, so that two rarely stand at once.
+/// Maximum random addition to [`ELECTION_TIMEOUT`]. A sync takes a voter 1 ms to 10 ms, so two
+/// voters rarely start an election at the same time.
 const ELECTION_SPREAD: Duration = Duration::from_millis(250);
 
-/// Term of the quorum lease; shorter than [`ELECTION_TIMEOUT`] by more than clocks may differ.
+/// Duration of the quorum lease; shorter than [`ELECTION_TIMEOUT`] by more than the possible clock
+/// drift.
 const QUORUM_LEASE: Duration = Duration::from_millis(380);
 
-/// Time after which a call is told that its end is unknown. Callers take a second without an answer
-/// for a loss and ask again; an election takes less than this, so what is still waiting then was
-/// lost with its leader.
+/// Time after which a pending proposal is answered with an unknown outcome. Clients treat a second
+/// without an answer as a failure and retry. An election takes less than this timeout, so a
+/// proposal that is still pending was lost with its leader.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads a declaration out of an operator's document; `None` when it can't be read.
+/// Decodes a declaration from an operator's document; `None` if it is malformed.
 pub type Decode = fn(&[u8]) -> Option<declaration::Declaration>;
 
-/// What a process last knew of the fleet, whoever led.
+/// The last known view of the fleet, kept across changes of leader.
 #[derive(Clone, Debug, Default)]
 struct LocalView {
     upstreams: BTreeMap<name::Instance, view::Upstream>,
     groups: BTreeMap<name::Group, view::Group>,
     entries: BTreeMap<net::SocketAddr, ()>,
     quarantine: BTreeMap<quarantine::Fingerprint, quarantine::Verdict>,
-    /// Document of the declaration that this process's entry holds.
+    /// Document of the declaration that this process's entry uses.
     ///
-    /// Invariant: its version never goes down.
+    /// Invariant: its version never decreases.
     document: Option<document::Document>,
-    /// Parts of a newer document.
+    /// Parts received of a newer document.
     partial: document::Partial,
-    /// Publication that this process's entry holds.
+    /// Revision of the view that this process's entry uses.
     stamp: view::Stamp,
 }
 
-/// What a leader keeps for the time that it leads.
+/// State that a leader keeps during its term.
 #[derive(Clone, Debug)]
 struct Leadership {
     term: number::Term,
@@ -76,39 +78,39 @@
     ledger: quarantine::Ledger,
     publisher: publication::Publisher,
     watches: watches::Watches,
-    /// Whether something may have changed that followers are to be told.
+    /// Whether something may have changed since the last review.
     dirty: bool,
     last_review: clock::Instant,
-    /// When the board was last brought up to date.
+    /// When the view was last published.
     last_publication: clock::Instant,
-    /// Whether there was a review since then.
+    /// Whether a review has taken place since the last publication.
     publication_pending: bool,
-    /// When this process's own entry was last told.
+    /// When this process's own entry last received an update.
     last_local_update: clock::Instant,
     voter_review: lead::VoterReview,
 }
 
-/// The control of a process.
+/// The control state machine of a process.
 #[derive(Debug)]
 pub struct Core {
     settings: settings::Settings,
     decode: Decode,
     node: Option<node::Node>,
-    /// Leader of the log as this process's own part of it last knew.
+    /// Leader of the log as last reported by the local consensus node.
     node_leader: Option<net::SocketAddr>,
     state: durable::State,
-    /// Last applied entry.
+    /// Index and term of the last applied entry.
     applied: (number::Index, number::Term),
     applied_since_snapshot: u64,
     bytes_since_snapshot: usize,
-    /// Calls that wait for their commands to be applied.
+    /// Calls whose commands are not applied yet.
     proposals: proposals::Proposals<u64>,
     discovery: discovery::Discovery,
     bootstrap: bootstrap::Bootstrap,
     local_view: LocalView,
     declaration: Option<Arc<declaration::Declaration>>,
     leadership: Option<Leadership>,
-    /// What this process's own entry saw since it was last told.
+    /// Evidence from this process's own entry for its next watch.
     evidence: crate::peer::Evidence,
     now: clock::Instant,
     inbox: VecDeque<log_event::Event>,
@@ -116,14 +118,14 @@
 }
 
 impl LocalView {
-    /// Version of the declaration that this process's entry holds; 0 for none.
+    /// Version of the declaration that this process's entry uses; 0 for none.
     fn version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 }
 
 impl Core {
-    /// The control of a process that started at `now`.
+    /// Creates the state machine of a process that started at `now`.
     pub fn new(settings: settings::Settings, decode: Decode, now: clock::Instant) -> Core {
         let is_first_seed =
             settings.first_start && settings.seeds.first() == Some(&settings.address);
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Takes an event and gives the actions that answer it, to be carried out in order.
+    /// Handles an event and returns the resulting actions, to be executed in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         let previous = self.now;
         self.now = previous.max(now);
@@ -166,11 +168,11 @@
         mem::take(&mut self.actions)
     }
 
-    /// Whether this process may answer for the fleet now.
+    /// Whether this process leads and may answer for the fleet.
     ///
-    /// A leader that was cut off believes to lead until it hears otherwise; its quorum lease lapses
-    /// before any other can commit. And a new leader knows all that was ever accepted only once it
-    /// has applied an entry of its own term.
+    /// A partitioned leader still believes that it leads, but its quorum lease expires before
+    /// another leader can commit. A new leader is sure to have applied every committed entry only
+    /// once it has applied an entry of its own term.
     pub fn is_active_leader(&self) -> bool {
         self.node.as_ref().is_some_and(|node| {
             node.is_leader()
@@ -179,12 +181,12 @@
         })
     }
 
-    /// Who leads, as far as is known.
+    /// The leader, if known.
     pub fn leader(&self) -> Option<net::SocketAddr> {
         self.discovery.leader()
     }
 
-    /// Term and committed index of this process's part of the log, for metrics.
+    /// Term and commit index of the local consensus node, for metrics.
     pub fn progress(&self) -> Option<(number::Term, number::Index)> {
         self.node.as_ref().map(|node| (node.term(), node.committed()))
     }
@@ -260,8 +262,8 @@
         self.push_notice(notice::Notice::FolderOpened);
     }
 
-    /// Goes on without the log: its volatile part is lost as in a restart, so nothing is told that
-    /// rests on what may not be on disk.
+    /// Continues without the log. Its in-memory state is dropped as in a restart, so that nothing
+    /// is published or answered that may not be on disk.
     fn on_folder_failed(&mut self) {
         self.node = None;
         self.node_leader = None;
@@ -271,7 +273,7 @@
         self.push_notice(notice::Notice::FolderFailed);
     }
 
-    /// Forms the log, if this process's folder is blank and the system starts for the first time.
+    /// Forms the log if this process's folder is blank and this is the system's first start.
     fn bootstrap_log(&mut self) {
         if self.may_bootstrap() {
             self.push_log_event(log_event::Event::Form);
@@ -283,7 +285,7 @@
         self.settings.first_start && blank
     }
 
-    /// What this process says of itself.
+    /// The greeting that describes this process.
     fn hello(&self) -> crate::peer::Hello {
         crate::peer::Hello {
             address: self.settings.address,
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Instances that may hold a voter's folder.
+    /// Instances that may host a voter.
     fn listed_instances(&self) -> Vec<name::Instance> {
         self.discovery.controls().iter().copied().map(instance_of).collect()
     }
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Hands waiting events to the log and carries out what it asks, until nothing waits.
+    /// Passes queued events to the consensus node and handles its actions until the queue is empty.
     fn run_log(&mut self) {
         while let Some(event) = self.inbox.pop_front() {
             let Some(node) = &mut self.node else { return };
@@ -391,7 +393,8 @@
         self.push_log_event(log_event::Event::Snapshotted { index, data });
     }
 
-    /// The log holds what this release can't read: to go on would be to forget what was accepted.
+    /// Stops using the log: it holds an entry that this release can't read, and skipping the entry
+    /// would lose accepted state.
     fn on_unreadable_log(&mut self, error: &durable::Error) {
         self.push_notice(notice::Notice::Unreadable(error.to_string()));
         self.on_folder_failed();
@@ -409,12 +412,12 @@
         self.push_action(action::Action::Reply(call, reply));
     }
 
-    /// Who leads in this process's place, as far as is known.
+    /// The leader, if known and not this process.
     fn other_leader(&self) -> Option<net::SocketAddr> {
         self.discovery.leader().filter(|leader| *leader != self.settings.address)
     }
 
-    /// The declaration that `document` holds, read once for each version.
+    /// The declaration in `document`, decoded once per version.
     fn decode_declaration(
         &mut self,
         document: &document::Document,
@@ -427,12 +430,12 @@
     }
 }
 
-/// A process's name in the replicated log.
+/// Name of a process in the replicated log.
 fn instance_of(address: net::SocketAddr) -> name::Instance {
     name::Instance::new(address.to_string())
 }
 
-/// A process's address, from its name in the replicated log.
+/// Address of a process, parsed from its name in the replicated log.
 pub fn address_of(instance: &name::Instance) -> Option<net::SocketAddr> {
     instance.as_str().parse().ok()
 }
--- a/crates/hyssopfork-fleet/src/core/calls.rs
+++ b/crates/hyssopfork-fleet/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators, upstreams and peers.
+//! Handlers for calls from operators, upstreams and peers.
 
 use super::Core;
 use crate::{action, declaration, discovery, document, durable, event, notice, peer, registry};
@@ -7,11 +7,11 @@
 use std::net;
 use std::time::Duration;
 
-/// Time at the start of a leader's term in which it waits for as many voters as the loss of some
-/// needs, before it acknowledges anything: at the first start they join within a second.
+/// Time at the start of a leader's term during which it acknowledges nothing until the required
+/// voters have joined; on the first start they join within a second.
 const VOTER_JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Ticket of proposals that no call waits for.
+/// Ticket of proposals without a waiting call.
 const UNTRACKED_TICKET: u64 = 0;
 
 impl Core {
@@ -44,7 +44,8 @@
         }
         self.bootstrap.add_candidate(hello);
         let founder = self.bootstrap.choose_founder(self.now);
-        // A leader that can't show a quorum names nobody: its followers look for the next one.
+        // Without a quorum lease this process names no leader, so that followers look for the next
+        // one.
         let own = self.is_active_leader().then_some(self.settings.address);
         let leader = own.or_else(|| self.other_leader());
         let greeting = discovery::greeting(&self.discovery, leader, founder);
@@ -63,8 +64,8 @@
         self.reply(call, reply);
     }
 
-    /// Declares. A version that is not higher changes nothing, and is acknowledged: it was accepted
-    /// before, or another overtook it.
+    /// Handles an operator's declaration. A version that is not higher than the current one is
+    /// acknowledged without a change: it was accepted before or has been superseded.
     fn on_declare(
         &mut self,
         call: u64,
@@ -81,7 +82,8 @@
         self.propose(call, durable::Command::declare(document));
     }
 
-    /// Has commands replicated; the call is answered once the last of them will last.
+    /// Proposes commands to the log; the call is answered once the last of them is committed and
+    /// applied.
     fn propose(&mut self, call: u64, commands: Vec<durable::Command>) {
         if !self.is_active_leader() {
             let leader = self.other_leader();
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Whether what is acknowledged now outlasts the loss of as many voters as is to be borne; after
-    /// a while there are no more to wait for.
+    /// Whether there are enough voters for an acknowledged command to survive the tolerated losses.
+    /// After [`VOTER_JOIN_TIMEOUT`] the existing voters are taken as enough.
     fn has_required_voters(&self) -> bool {
         let voters = self.node.as_ref().map_or(0, |node| node.voters().len());
         let since = self.leadership.as_ref().map(|it| self.now.since(it.watches.term_start));
@@ -107,7 +109,7 @@
             || since.is_some_and(|since| since >= VOTER_JOIN_TIMEOUT)
     }
 
-    /// Takes an upstream's call, or passes it on to the leader.
+    /// Records an upstream's registration, or relays it to the leader.
     fn on_registration(&mut self, call: u64, registration: peer::Registration, may_relay: bool) {
         if self.is_active_leader() && self.leadership.is_some() {
             return self.record_registration(call, registration);
--- a/crates/hyssopfork-fleet/src/core/follow.rs
+++ b/crates/hyssopfork-fleet/src/core/follow.rs
@@ -1,4 +1,4 @@
-//! Finding the leader and following it.
+//! Following the leader: discovery, watches and updates of the local view.
 
 use super::Core;
 use crate::{action, document, notice, peer, view};
@@ -7,7 +7,7 @@
 use std::net;
 
 impl Core {
-    /// Greets everybody while no leader is known, and asks the leader for what is new.
+    /// Greets all known processes while no leader is known, and keeps a watch open at the leader.
     pub(super) fn follow_leader(&mut self) {
         self.update_log_leader();
         let hello = self.hello();
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in who leads, as this process's own part of the log knows, each time that changes.
+    /// Takes over the leader that the local consensus node knows, each time it changes.
     fn update_log_leader(&mut self) {
         let Some(node) = &self.node else { return };
         let leader = node.leader().and_then(|voter| super::address_of(&voter.instance));
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Learns of processes with a data folder, and tells the log of them.
+    /// Adds processes with a data folder and reports new ones to the consensus node.
     pub(super) fn add_controls(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) {
         if self.discovery.add_controls(controls) {
             let listed = self.listed_instances();
@@ -93,7 +93,7 @@
         self.watch_leader();
     }
 
-    /// Takes a part of a document; gives the document once it is whole.
+    /// Adds a part of a document and returns the document once it is complete.
     fn receive_part(&mut self, part: document::Part) -> Option<document::Document> {
         let encoding = self.local_view.partial.take(part)?;
         match encoding.decode(self.local_view.document.as_ref()) {
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Takes an update into this process's copy and hands it to its entry.
+    /// Applies an update to the local view and passes it to this process's entry.
     ///
-    /// An answer of an earlier leader that was held up would lead back; it is dropped.
+    /// A delayed answer of an earlier leader is dropped, since it would revert the view.
     pub(super) fn install_update(
         &mut self,
         update: view::Update,
--- a/crates/hyssopfork-fleet/src/core/lead.rs
+++ b/crates/hyssopfork-fleet/src/core/lead.rs
@@ -1,4 +1,4 @@
-//! What a leader does: looks after groups and voters, publishes, answers watches.
+//! Duties of the leader: reviews groups and voters, publishes the view and answers watches.
 
 use super::{Core, Leadership, LocalView, watches};
 use crate::{action, groups, notice, peer, publication, quarantine, registry, view};
@@ -8,30 +8,29 @@
 use std::net;
 use std::time::Duration;
 
-/// Time between two looks at the groups when nothing has happened.
+/// Time between two reviews of the groups when nothing has changed.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Least time between two reviews, for each upstream: 0.6 ms with 30 of them, 8 ms with 400.
+/// Minimum time between two reviews, per upstream: 0.6 ms with 30 upstreams, 8 ms with 400.
 const MIN_REVIEW_INTERVAL_PER_UPSTREAM: Duration = Duration::from_micros(20);
 
-/// Least time between two publications, for each follower that is answered: 4 ms with 7 of them, 20 ms
-/// with 40.
+/// Minimum time between two publications, per follower: 4 ms with 7 followers, 20 ms with 40.
 const MIN_PUBLICATION_INTERVAL_PER_FOLLOWER: Duration = Duration::from_micros(500);
 
-/// Longest time by which a change is published later than it is reviewed.
+/// Longest delay between the review of a change and its publication.
 const MAX_PUBLICATION_DELAY: Duration = Duration::from_millis(100);
 
-/// Silence of a voter after which its seat is given up, where enough others answer: longer than a
-/// restart.
+/// Time without an answer after which a voter is removed, provided that enough others answer;
+/// longer than a restart takes.
 const VOTER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Silence up to which a voter counts as answering.
+/// Longest time without an answer for which a voter counts as reachable.
 const MAX_VOTER_SILENCE: Duration = Duration::from_secs(1);
 
-/// Time between two looks at the voters.
+/// Time between two reviews of the voters.
 const VOTER_REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When the voters were last looked at, and since when seats are vacant.
+/// When the voters were last reviewed, and since when voters have been vacant (without a folder).
 #[derive(Clone, Debug, Default)]
 pub(super) struct VoterReview {
     last_review: Option<clock::Instant>,
@@ -39,18 +38,20 @@
 }
 
 impl Leadership {
-    /// Whether the groups are to be reviewed: soon after a change, and now and then without one.
+    /// Whether a review of the groups is due: shortly after a change, else every
+    /// [`REVIEW_INTERVAL`].
     ///
-    /// A review passes over all engines. One after each event took the processor of a leader of
-    /// hundreds of them, which then lost its lease; so changes are gathered for a time that grows with
-    /// their number.
+    /// A review iterates over all engines. One review per event used up the CPU of a leader of
+    /// hundreds of engines, which then lost its lease. Changes are therefore batched for a time
+    /// that grows with the number of upstreams.
     fn is_review_due(&self, now: clock::Instant) -> bool {
         let interval = MIN_REVIEW_INTERVAL_PER_UPSTREAM * self.registry.len() as u32;
         let since = now.since(self.last_review);
         since >= REVIEW_INTERVAL || self.dirty && since >= interval.min(REVIEW_INTERVAL)
     }
 
-    /// Whether followers may be told again: each publication answers all of them.
+    /// Whether the next publication is due. Each publication answers the watches of all followers,
+    /// so the interval grows with their number.
     fn is_publication_due(&self, now: clock::Instant) -> bool {
         let interval = MIN_PUBLICATION_INTERVAL_PER_FOLLOWER * self.watches.follower_count() as u32;
         now.since(self.last_publication) >= interval.min(MAX_PUBLICATION_DELAY)
@@ -58,7 +59,7 @@
 }
 
 impl Core {
-    /// Takes up or lays down the leader's duties.
+    /// Starts or ends this process's leadership according to the consensus node.
     pub(super) fn update_leadership(&mut self) {
         let term = self.node.as_ref().filter(|node| node.is_leader()).map(|node| node.term());
         let held_term = self.leadership.as_ref().map(|it| it.term);
@@ -80,7 +81,7 @@
     fn begin_leadership(&mut self, term: number::Term) {
         let now = self.now;
         let mut registry = registry::Registry::new(self.settings.silence_timeout());
-        // Who starts the system knows that nobody has sent yet; whoever takes over doesn't.
+        // Only the first leader of a first start knows that there has been no client traffic yet.
         let traffic = !self.settings.first_start || term.0 > 1;
         let mut groups = groups::Groups::new(now, term, traffic);
         let LocalView { upstreams, groups: known, entries, quarantine, .. } =
@@ -112,7 +113,8 @@
         self.push_notice(notice::Notice::Serving(term));
     }
 
-    /// The leader's duties; nothing is ordered or told without a quorum's word that no other leads.
+    /// Performs the leader's duties. Without a quorum lease, which excludes another leader, nothing
+    /// is ordered or published.
     pub(super) fn run_leader_duties(&mut self) {
         if !self.is_active_leader() {
             return;
@@ -150,7 +152,7 @@
         self.review_voters();
     }
 
-    /// Takes what an entry saw.
+    /// Records evidence from an entry.
     pub(super) fn record_evidence(&mut self, from: net::SocketAddr, evidence: &peer::Evidence) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Publishes what is new since the last review, to this process's own entry first.
+    /// Publishes reviewed changes, to this process's own entry first.
     fn publish_if_due(&mut self, reviewed_now: bool) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
@@ -215,7 +217,8 @@
         let groups = leadership.groups.published();
         leadership.publisher.publish(state, upstreams, &groups);
         leadership.watches.on_published(leadership.publisher.stamp().revision);
-        // Also when nothing is new: the entry tells by it that this process still leads.
+        // Updates are also sent when nothing has changed: they tell the entry that this process
+        // still leads.
         let due = now.since(leadership.last_local_update) >= action::MAX_WATCH_HOLD;
         if due || leadership.publisher.stamp() != self.local_view.stamp {
             leadership.last_local_update = now;
@@ -254,9 +257,9 @@
         }
     }
 
-    /// Gives up the seat of a voter that is gone, so that its successor's makes the quorum no
-    /// larger for good. Only where enough voters answer without it: each change of the voters
-    /// leaves fewer to lose while it lasts.
+    /// Removes a voter that is gone, so that its replacement does not enlarge the quorum
+    /// permanently. Only done while enough other voters answer, since each membership change
+    /// reduces fault tolerance while it is in progress.
     fn review_voters(&mut self) {
         let now = self.now;
         let (Some(leadership), Some(node)) = (&mut self.leadership, &self.node) else { return };
--- a/crates/hyssopfork-fleet/src/core/watches.rs
+++ b/crates/hyssopfork-fleet/src/core/watches.rs
@@ -1,4 +1,4 @@
-//! Watches that a leader holds, and what its followers know.
+//! Long-poll watches that a leader holds, and which revision each follower has.
 
 use crate::{action, document, view};
 use hyssopfork_wire::{clock, number};
@@ -6,30 +6,30 @@
 use std::net;
 use std::time::Duration;
 
-/// Time without a watch after which a process no longer counts among the entries. They ask again
-/// within [`action::HOLD`].
+/// Time without a watch after which a process is removed from the entries. Entries send the next
+/// watch within [`action::MAX_WATCH_HOLD`].
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Followers that know of an upstream's leaving before its call is answered. The leader may be lost
-/// with the answer; whoever follows it learns the news of those who had it.
+/// Followers that must have received an upstream's departure or drain before its call is answered.
+/// If the leader fails after the answer, the next leader learns of it from these followers.
 const MIN_REPLICAS: usize = 2;
 
-/// Time after which such a call is not answered with success any more: the caller turns elsewhere
-/// after a second.
+/// Time after which a departure that is not replicated is answered as failed; the client tries
+/// another process after a second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Most processes that are asked whether they reach an upstream: enough that some are in every zone,
-/// few enough for a fleet of hundreds.
+/// Maximum number of processes that probe an upstream for the leader: enough to have some in every
+/// zone, and few enough for a fleet of hundreds.
 const MAX_PROBE_PEERS: usize = 16;
 
-/// Followers that are asked at once for what they know of the terms before.
+/// Followers (donors) that are asked at the same time for the state of earlier terms.
 const MAX_DONORS: usize = 2;
 
-/// Time after which another follower is asked in place of one that has not answered.
+/// Time after which a donor that has not answered is replaced by another follower.
 const DONOR_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Followers that are sent parts of a document at once. With the parts that voters are sent, this
-/// bounds how long a heartbeat waits at the leader's link.
+/// Followers that are sent document parts at the same time. Together with the parts sent to voters,
+/// this bounds how long a heartbeat is queued on the leader's link.
 const MAX_TRANSFERS: usize = 8;
 
 #[derive(Clone, Debug)]
@@ -44,9 +44,9 @@
 pub(super) struct PendingReply {
     pub(super) call: u64,
     pub(super) have: view::Stamp,
-    /// What the follower holds, where it gets a part of a document.
+    /// The follower's document progress, if it is to be sent a part.
     pub(super) document: Option<document::Progress>,
-    /// Whether the follower is asked for what it knows in place of an update.
+    /// Whether the follower is asked for its state instead of being sent an update.
     pub(super) requests_state: bool,
 }
 
@@ -54,54 +54,57 @@
 struct Registration {
     call: u64,
     since: clock::Instant,
-    /// Revision that tells of it; `None` until the next publication.
+    /// First revision that contains it; `None` until the next publication.
     revision: Option<u64>,
 }
 
-/// An entry, as its leader knows it.
+/// What the leader knows of an entry.
 #[derive(Clone, Copy, Debug)]
 struct Follower {
-    /// When it last asked; the start of the term until it has.
+    /// Time of its last watch; the start of the term before the first one.
     last_seen: clock::Instant,
-    /// What it had then; `None` for one that followed the leader before and has not asked yet.
+    /// Its revision at that time; `None` for an entry known from an earlier leader that has sent no
+    /// watch yet.
     have: Option<view::Stamp>,
 }
 
-/// What a leader knows of the terms before its own.
+/// How much a leader knows of the terms before its own.
 #[derive(Clone, Copy, Debug)]
 struct PriorState {
     term: number::Term,
-    /// Newest publication of an earlier leader that this one knows.
+    /// Newest revision of an earlier leader that this leader knows.
     newest: view::Stamp,
 }
 
 impl PriorState {
-    /// Whether whoever stands at `have` knows what the leader doesn't.
+    /// Whether a follower at `have` knows state of earlier terms that this leader lacks.
     fn is_behind(self, have: view::Stamp) -> bool {
         have > self.newest && have.term < self.term
     }
 }
 
-/// Watches that are held, and who asked lately.
+/// Held watches and the entries that have sent watches recently.
 #[derive(Clone, Debug)]
 pub(super) struct Watches {
     pub(super) term_start: clock::Instant,
     watches: BTreeMap<u64, HeldWatch>,
     entries: BTreeMap<net::SocketAddr, Follower>,
-    /// Followers that were sent a part of a document and have not asked since, and when.
+    /// Followers that were sent a document part and have sent no watch since, with the time of
+    /// sending.
     ///
     /// Invariant: at most [`MAX_TRANSFERS`].
     transfers: BTreeMap<net::SocketAddr, clock::Instant>,
     registrations: Vec<Registration>,
     prior_state: PriorState,
-    /// Followers that were asked for what they know and have not said it, and when.
+    /// Followers that were asked for their state and have not answered, with the time of the
+    /// request.
     ///
-    /// Invariant: at most [`MAX_INFORMANTS`].
+    /// Invariant: at most [`MAX_DONORS`].
     donors: BTreeMap<net::SocketAddr, clock::Instant>,
 }
 
 impl Watches {
-    /// The watches of the leader of `term`, who knows an earlier leader's publication `newest`.
+    /// Creates the watches of the leader of `term`, which knows `newest` of an earlier leader.
     pub(super) fn new(now: clock::Instant, term: number::Term, newest: view::Stamp) -> Watches {
         Watches {
             term_start: now,
@@ -114,10 +117,11 @@
         }
     }
 
-    /// Picks followers to ask for what they know: the ones with the newest publications.
+    /// Picks the followers with the newest revisions as donors.
     ///
-    /// Publications of one term build on one another, so whoever has the newest knows all. Told by every
-    /// follower, a leader of a hundred lost its lease over reading what all of them knew.
+    /// Revisions of one term build on each other, so a follower with the newest one has the
+    /// complete state. A leader of a hundred followers that received the state from all of them
+    /// lost its lease while decoding it.
     fn pick_donors(&mut self, now: clock::Instant) -> BTreeSet<net::SocketAddr> {
         self.donors.retain(|_, asked| now.since(*asked) < DONOR_TIMEOUT);
         let free = MAX_DONORS.saturating_sub(self.donors.len());
@@ -130,19 +134,19 @@
         picked
     }
 
-    /// Takes in that a follower that stood at `have` has said what it knows.
+    /// Records that a follower at `have` has sent its state.
     pub(super) fn on_state_received(&mut self, from: net::SocketAddr, have: view::Stamp) {
         self.donors.remove(&from);
         self.prior_state.newest = self.prior_state.newest.max(have);
     }
 
-    /// Entries that count, this process left aside.
+    /// Number of entries, without this process.
     pub(super) fn follower_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Takes in entries that followed the leader before. Left out until they ask, the first ones that
-    /// do would share the fleet's limits among themselves.
+    /// Adds entries that followed an earlier leader. If they counted only from their first watch
+    /// on, the first entries to send one would divide the fleet-wide limits among themselves.
     pub(super) fn add_known_entries(&mut self, known: impl IntoIterator<Item = net::SocketAddr>) {
         let follower = Follower { last_seen: self.term_start, have: None };
         for entry in known {
@@ -160,7 +164,7 @@
     ) {
         self.transfers.remove(&from);
         self.entries.insert(from, Follower { last_seen: now, have: Some(have) });
-        // A process asks once at a time: an earlier watch of it was given up.
+        // A process has one watch at a time, so an earlier one has been abandoned.
         self.watches.retain(|_, held| held.from != from);
         self.watches.insert(
             call,
@@ -177,8 +181,8 @@
         self.registrations.retain(|held| held.call != call);
     }
 
-    /// Takes the watches to be answered at `stamp`, with `version` the newest declaration. The
-    /// longest held go first.
+    /// Removes and returns the watches to answer at `stamp`, where `version` is the newest
+    /// declaration. The ones held longest come first.
     pub(super) fn take_due(
         &mut self,
         now: clock::Instant,
@@ -200,7 +204,7 @@
                 });
                 return false;
             }
-            // The view would overwrite what the follower alone may know.
+            // An update would overwrite state that only this follower may have.
             let is_behind = prior_state.is_behind(held.have);
             let may_answer = !is_behind || now >= held.expires_at + action::MAX_WATCH_HOLD;
             let needs_document = held.document.version < version;
@@ -230,7 +234,8 @@
         }
     }
 
-    /// Takes the upstreams' calls that enough followers know of, and those that waited too long.
+    /// Removes and returns the departures that enough followers have received, and the expired
+    /// ones.
     pub(super) fn take_replicated(
         &mut self,
         now: clock::Instant,
@@ -257,8 +262,8 @@
         (replicated, expired)
     }
 
-    /// Processes that can be asked about an upstream, spread over all addresses: those of one zone
-    /// are neighbours.
+    /// Processes that can probe an upstream for the leader. They are picked at equal distances from
+    /// the sorted addresses, because processes of one zone have adjacent addresses.
     pub(super) fn probe_peers(&self) -> BTreeSet<net::SocketAddr> {
         let followers = self.entries.iter().filter(|(_, follower)| follower.have.is_some());
         let followers: Vec<net::SocketAddr> = followers.map(|(entry, _)| *entry).collect();
@@ -266,7 +271,7 @@
         followers.into_iter().step_by(stride).collect()
     }
 
-    /// Entries that follow, with `own`.
+    /// Entries that follow the leader, including `own`.
     pub(super) fn live_entries(
         &mut self,
         now: clock::Instant,
--- a/crates/hyssopfork-fleet/src/declaration.rs
+++ b/crates/hyssopfork-fleet/src/declaration.rs
@@ -1,46 +1,46 @@
-//! What operators declare: routes, pools of upstreams, teams and limits, as a whole and under one
-//! version.
+//! Declarations: the routes, pools of upstreams, teams and limits that operators submit together
+//! under one version.
 
 use hyssopfork_wire::name;
 use quick_error::quick_error;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A whole declaration.
+/// A complete declaration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Declaration {
-    /// Version; the highest one is in force.
+    /// Version; the highest accepted one is in force.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Pools of upstreams, by name.
     pub pools: BTreeMap<name::Pool, Pool>,
-    /// What callers may send.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// Teams; empty where callers need no key.
+    /// Teams; empty if clients need no key.
     pub teams: Vec<Team>,
 }
 
-/// How often the work of a route may run.
+/// How often a request of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repetition {
     /// Any number of times.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     Once,
-    /// A stream of events that another upstream can continue after any event.
+    /// An event stream that another upstream can resume after any event.
     Resumable,
-    /// A stream of events that runs once at most.
+    /// An event stream that runs at most once.
     Stream,
 }
 
 impl Repetition {
-    /// Whether work that may have run may be sent again.
+    /// Whether a request that may have run may be retried.
     pub fn may_repeat(self) -> bool {
         matches!(self, Repetition::Idempotent | Repetition::Resumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub fn streams(self) -> bool {
         matches!(self, Repetition::Resumable | Repetition::Stream)
     }
@@ -51,58 +51,58 @@
 pub struct Route {
     /// Name.
     pub name: name::Route,
-    /// Host that callers name.
+    /// Host of the client's request.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// How often the work may run.
+    /// How often a request may run.
     pub repetition: Repetition,
-    /// Longest time that a caller is kept waiting for the whole answer.
+    /// Timeout for the complete response.
     pub timeout: Duration,
-    /// Time to the answer (of a stream: to its first event) within which it is on time.
+    /// Latency objective for the response, or for the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between events of a stream that is on time.
+    /// Latency objective between two events of a stream.
     pub pause: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Pools that do the work, with their weights.
+    /// Pools that serve the route, with their weights.
     pub targets: Vec<(name::Pool, u32)>,
-    /// Upstreams that may run one request, at most.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Whether callers need no key.
+    /// Whether clients need no key.
     pub anonymous: bool,
 }
 
-/// A pool of like upstreams.
+/// A pool of equivalent upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
-    /// Connections that one upstream takes from all processes together.
+    /// Maximum connections to one upstream from all processes together.
     pub connections: u32,
-    /// What an upstream bears just after its start; `None` where it bears everything.
+    /// Slow-start limit of an upstream; `None` for no limit.
     pub cold: Option<Cold>,
-    /// Its engines; `None` for a plain service.
+    /// Engine settings; `None` for a plain service.
     pub engine: Option<Engine>,
 }
 
-/// What a cold upstream bears.
+/// Limit of an upstream during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cold {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
 }
 
-/// Model engines that serve in groups.
+/// Settings of model engines, which serve in groups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Requests that one group runs at once.
+    /// Maximum number of requests that one group runs concurrently.
     pub slots: u32,
     /// Models.
     pub models: Vec<Model>,
-    /// Loads of weights that may start in a second, over all instances.
+    /// Maximum number of weight loads started per second, over all instances.
     pub loads_per_second: f64,
-    /// Loads of weights at once that don't slow each other down.
+    /// Maximum number of concurrent weight loads that don't slow each other down.
     pub loads_at_once: u32,
-    /// Time that a whole group takes to open.
+    /// Time that a complete group takes to open.
     pub formation: Duration,
 }
 
@@ -111,31 +111,31 @@
 pub struct Model {
     /// Name.
     pub name: name::Model,
-    /// Instances of one group; at least 1.
+    /// Number of instances in a group; at least 1.
     pub size: u32,
-    /// Share of the pool's instances that the model's work takes, from 0 to 1.
+    /// Share of the pool's instances that the model's requests need, from 0 to 1.
     pub share: f64,
     /// Time to load the weights from the store.
     pub load: Duration,
-    /// Time to take up weights that the host holds.
+    /// Time to load weights that are staged on the host.
     pub warmup: Duration,
 }
 
-/// What callers may send.
+/// Limits on client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request's head.
     pub head_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// Time to send a head.
+    /// Timeout for receiving a request's head.
     pub head_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Limits before any declaration is known: those that common HTTP servers start with.
+    /// Limits before a declaration is known: usual defaults of HTTP servers.
     fn default() -> Limits {
         Limits {
             head_bytes: 16 << 10,
@@ -151,33 +151,33 @@
 pub struct Team {
     /// Name.
     pub name: name::Team,
-    /// Keys that its callers show. They are secrets: never logged.
+    /// API keys of its clients. They are secrets and must never be logged.
     pub keys: Vec<String>,
-    /// Rank; 0 is the most urgent. Goes before the route's.
+    /// Priority; 0 is the highest. Takes precedence over the route's.
     pub priority: Option<u32>,
 }
 
 quick_error! {
-    /// Why a declaration cannot be taken.
+    /// Why a declaration is invalid.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Fault {
-        /// A route names a pool that is not declared.
+        /// A route refers to a pool that is not declared.
         UnknownPool(route: name::Route, pool: name::Pool) {
             display("route {} names pool {}, which is not declared; declare it or name another", route, pool)
         }
-        /// Two routes have one host and prefix.
+        /// Two routes have the same host and prefix.
         DuplicateRoute(first: name::Route, second: name::Route) {
             display("routes {} and {} have the same host and prefix; change one", first, second)
         }
-        /// A route's weights add up to nothing.
+        /// All weights of a route are 0.
         ZeroWeight(route: name::Route) {
             display("the weights of route {} add up to 0; give one pool a weight above 0", route)
         }
-        /// A route leaves no time.
+        /// The timeout of a route is 0.
         ZeroTimeout(route: name::Route) {
             display("the timeout of route {} is 0; give it a time", route)
         }
-        /// A prefix has the wrong form.
+        /// The prefix of a route does not begin and end with a slash.
         InvalidPrefix(route: name::Route) {
             display("the prefix of route {} must begin and end with a slash", route)
         }
@@ -189,7 +189,7 @@
 }
 
 impl Declaration {
-    /// Everything that is wrong with the declaration; empty when it may be taken.
+    /// All faults of the declaration; empty if it is valid.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults: Vec<Fault> =
             self.routes.iter().flat_map(|route| self.route_faults(route)).collect();
--- a/crates/hyssopfork-fleet/src/discovery.rs
+++ b/crates/hyssopfork-fleet/src/discovery.rs
@@ -1,4 +1,4 @@
-//! How a process finds the leader of the replicated log and follows it.
+//! Leader discovery: how a process finds the leader of the replicated log and follows it.
 
 use crate::{peer, view};
 use hyssopfork_wire::clock;
@@ -6,14 +6,15 @@
 use std::net;
 use std::time::Duration;
 
-/// Time between two greetings to everybody while no leader is known. An election takes 0.6 s to
-/// 1.5 s; a tenth of that is lost on average before the new leader is known.
+/// Time between two rounds of greetings while no leader is known. An election takes 0.6 s to 1.5 s;
+/// on average this interval adds a tenth of that until the new leader is known.
 const GREETING_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Processes that are remembered, so that a wrong one that names others can't fill the memory.
+/// Maximum number of remembered processes with a data folder, so that a faulty process that names
+/// many addresses can't exhaust memory.
 const MAX_CONTROLS: usize = 64;
 
-/// What a process knows of the others.
+/// What a process knows of the leader and the other processes.
 #[derive(Clone, Debug)]
 pub struct Discovery {
     own_address: net::SocketAddr,
@@ -22,16 +23,16 @@
     controls: BTreeSet<net::SocketAddr>,
     leader: Option<net::SocketAddr>,
     last_greeting: Option<clock::Instant>,
-    /// Leader that was asked for what is new, until it answers.
+    /// Leader with a pending watch of this process.
     watched: Option<net::SocketAddr>,
-    /// Whether the leader is to be told all that is known.
+    /// Whether the next watch includes the state that this process knows.
     sends_known: bool,
-    /// Where this process stands.
+    /// Newest revision that this process has received.
     pub stamp: view::Stamp,
 }
 
 impl Discovery {
-    /// A process that knows its seeds alone.
+    /// Creates the state of a process that knows only its seeds.
     pub fn new(own_address: net::SocketAddr, seeds: Vec<net::SocketAddr>) -> Discovery {
         Discovery {
             own_address,
@@ -45,22 +46,22 @@
         }
     }
 
-    /// Takes other seeds; what was learned of others stays.
+    /// Replaces the seeds; other known processes are kept.
     pub fn set_seeds(&mut self, seeds: Vec<net::SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Who leads, as far as is known.
+    /// The leader, if known.
     pub fn leader(&self) -> Option<net::SocketAddr> {
         self.leader
     }
 
-    /// Processes with a data folder that are known.
+    /// Known processes with a data folder.
     pub fn controls(&self) -> &BTreeSet<net::SocketAddr> {
         &self.controls
     }
 
-    /// Learns of processes with a data folder; returns whether any is new.
+    /// Adds processes with a data folder; returns whether any was not known.
     pub fn add_controls(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) -> bool {
         let before = self.controls.len();
         for address in controls {
@@ -71,21 +72,21 @@
         self.controls.len() > before
     }
 
-    /// Takes somebody's word for who leads.
+    /// Takes over the leader that another process named, if none is known.
     pub fn suggest_leader(&mut self, leader: Option<net::SocketAddr>) {
         if leader.is_some() && self.leader.is_none() {
             self.leader = leader;
         }
     }
 
-    /// Takes in who leads, as this process's own part of the log knows.
+    /// Takes over the leader that the local consensus node knows, if any.
     pub fn set_leader(&mut self, leader: Option<net::SocketAddr>) {
         if leader.is_some() {
             self.leader = leader;
         }
     }
 
-    /// The leader did not answer, or said that it is none.
+    /// Forgets a leader that did not answer or no longer leads; `hint` is the leader that it named.
     pub fn forget_leader(&mut self, leader: net::SocketAddr, hint: Option<net::SocketAddr>) {
         self.watched = self.watched.filter(|asked| *asked != leader);
         if self.leader == Some(leader) {
@@ -93,13 +94,13 @@
         }
     }
 
-    /// The leader lacks what this process knows.
+    /// Handles the leader's request for the state that this process knows.
     pub fn on_state_requested(&mut self, leader: net::SocketAddr) {
         self.watched = self.watched.filter(|asked| *asked != leader);
         self.sends_known = true;
     }
 
-    /// Whom to greet now: everybody, while nobody is known to lead.
+    /// Processes to greet now: all known ones, at each greeting interval while no leader is known.
     pub fn due_greetings(&mut self, now: clock::Instant) -> Vec<net::SocketAddr> {
         let is_due =
             self.last_greeting.is_none_or(|greeted| now.since(greeted) >= GREETING_INTERVAL);
@@ -117,7 +118,8 @@
         known.into_iter().collect()
     }
 
-    /// Whom to ask for what is new, if nobody is being asked; and whether to tell it all that is known.
+    /// Starts a watch if none is pending; returns the leader and whether to include the known
+    /// state.
     pub fn start_watch(&mut self) -> Option<(net::SocketAddr, bool)> {
         let leader = self.leader.filter(|leader| *leader != self.own_address)?;
         if self.watched.is_some() {
@@ -127,7 +129,7 @@
         Some((leader, std::mem::take(&mut self.sends_known)))
     }
 
-    /// The leader answered.
+    /// Handles an update from the leader.
     pub fn on_updated(&mut self, leader: net::SocketAddr, update: &view::Update) {
         self.watched = self.watched.filter(|asked| *asked != leader);
         self.stamp = update.stamp;
@@ -135,7 +137,7 @@
     }
 }
 
-/// The greeting of a process.
+/// Builds the answer to a greeting.
 pub fn greeting(
     discovery: &Discovery,
     leader: Option<net::SocketAddr>,
--- a/crates/hyssopfork-fleet/src/document.rs
+++ b/crates/hyssopfork-fleet/src/document.rs
@@ -1,9 +1,10 @@
-//! Declarations as operators sent them, and the parts in which they travel between processes.
+//! Declarations as operators sent them, with delta encoding and chunking for transfer between
+//! processes.
 //!
-//! A document sent in one message keeps a link busy for as long as it takes. Heartbeats behind it are
-//! late, leaders lose their quorum, and whoever waited for it starts over. So a document is encoded
-//! against one that the receiver holds, which leaves what has changed, and travels in parts: each is
-//! a message of its own with a deadline of its own, and what has arrived is kept across a change of
+//! A large document sent in one message occupies the link: heartbeats queued behind it are late,
+//! leaders lose their quorum, and receivers whose transfer is aborted start over. Documents are
+//! therefore encoded as a difference from one that the receiver has, and sent in parts. Each part
+//! is a separate message with its own deadline, and received parts are kept across a change of
 //! leader.
 
 use bytes::Bytes;
@@ -12,31 +13,31 @@
 use std::io::{self, Read, Write};
 use zstd::stream::{read, write};
 
-/// Most bytes of a part: 7 ms on a link of 40 Mbit/s.
+/// Maximum size of a part: 7 ms on a 40 Mbit/s link.
 pub const MAX_PART_BYTES: usize = 32 << 10;
 
-/// Most bytes of a document.
+/// Maximum size of a document.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// Level of compression: the fastest one, since the processes that lead have a third of a processor.
+/// Compression level: the fastest one, since leader processes have a third of a CPU core.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// Least window of the encoder, as a power of two.
+/// Base-2 logarithm of the encoder's minimum window.
 const MIN_WINDOW_LOG: u32 = 17;
 
 quick_error! {
-    /// Why an encoding can't be read.
+    /// Error when decoding a document.
     #[derive(Debug)]
     pub enum Error {
-        /// Its bytes are damaged, or encoded against another document.
+        /// The bytes are damaged, or encoded against another document.
         Damaged(cause: io::Error) {
             from()
             source(cause)
-            display("the parts of a declaration don't make one and are fetched anew: {}", cause)
+            display("could not decode the parts of a declaration, fetching them again: {}", cause)
         }
-        /// It is encoded against a document that isn't held.
+        /// The base document is not available.
         NoBase(version: u64) {
-            display("a declaration rests on version {}, which isn't held; it is fetched whole", version)
+            display("a declaration is encoded against version {}, which is not available; fetching it in full", version)
         }
     }
 }
@@ -46,12 +47,12 @@
 pub struct Document {
     /// Version.
     pub version: u64,
-    /// The bytes as they came: read back, they are the same.
+    /// The bytes as received; they are read back unchanged.
     pub bytes: Bytes,
 }
 
 impl Document {
-    /// Encodes the document for a receiver that holds `base`.
+    /// Encodes the document for a receiver that has `base`.
     pub fn encode(&self, base: Option<&Document>) -> Encoding {
         let bytes = compress(&self.bytes, base.map_or(&[], |base| &base.bytes));
         Encoding {
@@ -62,7 +63,7 @@
     }
 }
 
-/// A document, encoded.
+/// An encoded document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Encoding {
     /// Version of the document.
@@ -73,7 +74,7 @@
 }
 
 impl Encoding {
-    /// Reads the document; `held` is the one that the reader holds.
+    /// Decodes the document; `held` is the document that the receiver has.
     pub fn decode(&self, held: Option<&Document>) -> Result<Document, Error> {
         let base = held.filter(|held| held.version == self.base);
         if self.base != 0 && base.is_none() {
@@ -111,33 +112,33 @@
     pub base: u64,
     /// Bytes of the whole encoding.
     pub size: u64,
-    /// Place of the part's first byte in it.
+    /// Offset of the part in the encoding.
     pub offset: u64,
-    /// The part.
+    /// Bytes of the part.
     pub bytes: Bytes,
 }
 
 impl Part {
-    /// Whether it is the last one.
+    /// Whether this is the last part.
     pub fn is_last(&self) -> bool {
         self.offset + self.bytes.len() as u64 >= self.size
     }
 }
 
-/// What a follower holds.
+/// How far a follower has received documents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// Version of its newest document; 0 for none.
     pub version: u64,
-    /// Version of the document that it has parts of; 0 for none.
+    /// Version of the document that it is receiving; 0 for none.
     pub partial_version: u64,
-    /// Version that those parts are encoded against; 0 for none.
+    /// Version that the parts are encoded against; 0 for none.
     pub base: u64,
-    /// Bytes that it has of the encoding.
+    /// Bytes of the encoding that it has received.
     pub offset: u64,
 }
 
-/// The first parts of an encoding.
+/// An incomplete encoding: its first parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Partial {
     version: u64,
@@ -152,14 +153,14 @@
         self.bytes.is_empty()
     }
 
-    /// What is held, beside a document of `version`.
+    /// The progress of a follower whose newest complete document is `version`.
     pub fn progress(&self, version: u64) -> Progress {
         let offset = self.bytes.len() as u64;
         Progress { version, partial_version: self.version, base: self.base, offset }
     }
 
-    /// Takes a part; gives the encoding once it is whole. A first part replaces what there was; any
-    /// other counts only when it continues it.
+    /// Adds a part and returns the encoding once it is complete. A first part discards all earlier
+    /// parts; any other is ignored unless it continues them.
     pub fn take(&mut self, part: Part) -> Option<Encoding> {
         if part.size > MAX_BYTES as u64 {
             return None;
@@ -188,7 +189,7 @@
 }
 
 fn compress(bytes: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
-    // The window must reach back over the whole base.
+    // The window must cover the whole base.
     let reach = (bytes.len() + base.len()).next_power_of_two().ilog2();
     let mut encoder = write::Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
     encoder.window_log(reach.max(MIN_WINDOW_LOG))?;
@@ -204,7 +205,10 @@
     let limit = MAX_BYTES as u64 + 1;
     read::Decoder::with_ref_prefix(bytes, base)?.take(limit).read_to_end(&mut document)?;
     if document.len() > MAX_BYTES {
-        return Err(io::Error::new(io::ErrorKind::FileTooLarge, "it is too long"));
+        return Err(io::Error::new(
+            io::ErrorKind::FileTooLarge,
+            "document exceeds the maximum size",
+        ));
     }
     Ok(document)
 }
--- a/crates/hyssopfork-fleet/src/durable.rs
+++ b/crates/hyssopfork-fleet/src/durable.rs
@@ -1,4 +1,4 @@
-//! The replicated state: what was acknowledged to operators and must never be lost.
+//! The replicated state machine: state that was acknowledged to operators and must never be lost.
 
 use crate::document;
 use hyssopfork_wire::name;
@@ -7,14 +7,14 @@
 use std::collections::BTreeSet;
 
 quick_error! {
-    /// Why the log's content cannot be read.
+    /// Error when decoding a command or snapshot of the log.
     #[derive(Debug)]
     pub enum Error {
-        /// It was written by a release with another format.
+        /// The data has the format of another release.
         Format(cause: bincode::Error) {
             from()
             source(cause)
-            display("the replicated log holds what this release cannot read: {}", cause)
+            display("the replicated log holds data that this release cannot read: {}", cause)
         }
     }
 }
@@ -22,31 +22,32 @@
 /// A command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Declares; changes nothing unless its version is the highest so far.
+    /// Puts a declaration in force if its version is the highest so far.
     Declare(document::Document),
     /// Takes a zone out.
     TakeOut(name::Zone),
-    /// Takes a zone back in.
+    /// Brings a zone back in.
     BringIn(name::Zone),
-    /// A part of a declaration that is longer than one part; the last one declares. A leader appends
-    /// all parts of one declaration one after the other.
+    /// Adds a part of a declaration that is longer than one part; the last part puts it in force. A
+    /// leader appends all parts of a declaration consecutively.
     DeclarePart(document::Part),
 }
 
-/// What applying a command has changed.
+/// Result of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The state.
+    /// The state changed.
     Changed,
-    /// Nothing: it held already, or a part of a declaration waits for the others.
+    /// The state did not change: the command had no effect, or more parts of a declaration are
+    /// needed.
     Unchanged,
-    /// Nothing, and it never will: the declaration's parts in the log don't make a whole.
+    /// The declaration was dropped, since its parts in the log are not complete.
     Incomplete,
 }
 
 impl Command {
-    /// The commands that declare `document`. They rest on no other document: which one is in force
-    /// when they are applied is not known before.
+    /// The commands that declare `document`. It is not encoded against another document, because it
+    /// is not known which one will be in force when the commands are applied.
     pub fn declare(document: document::Document) -> Vec<Command> {
         if document.bytes.len() <= document::MAX_PART_BYTES {
             return vec![Command::Declare(document)];
@@ -54,27 +55,27 @@
         document.encode(None).parts().map(Command::DeclarePart).collect()
     }
 
-    /// The command as the log carries it.
+    /// Encodes the command for the log.
     pub fn encode(&self) -> Vec<u8> {
         bincode::serialize(self).expect("commands are plain data")
     }
 
-    /// Reads a command of the log.
+    /// Decodes a command of the log.
     pub fn decode(bytes: &[u8]) -> Result<Command, Error> {
         Ok(bincode::deserialize(bytes)?)
     }
 }
 
-/// The state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// The declaration in force.
     ///
-    /// Invariant: its version never goes down.
+    /// Invariant: its version never decreases.
     pub document: Option<document::Document>,
     /// Zones that are out.
     pub zones_out: BTreeSet<name::Zone>,
-    /// Parts of a declaration whose last part was not applied yet.
+    /// Parts of a declaration whose last part has not been applied yet.
     ///
     /// Invariant: empty in a snapshot.
     #[serde(skip)]
@@ -82,7 +83,7 @@
 }
 
 impl State {
-    /// Reads a snapshot; an empty one is the state before the first command.
+    /// Decodes a snapshot; an empty one is the state before the first command.
     pub fn decode(bytes: &[u8]) -> Result<State, Error> {
         if bytes.is_empty() {
             return Ok(State::default());
@@ -90,22 +91,22 @@
         Ok(bincode::deserialize(bytes)?)
     }
 
-    /// The state as a snapshot.
+    /// Encodes the state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         bincode::serialize(self).expect("the state is plain data")
     }
 
-    /// Version in force; 0 before the first.
+    /// Version of the declaration in force; 0 for none.
     pub fn version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// Whether a snapshot holds all that was applied.
+    /// Whether a snapshot would contain everything that was applied, with no declaration in parts.
     pub fn is_complete(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Drops the parts of a declaration that an earlier leader did not complete.
+    /// Drops the parts of a declaration that an earlier leader left incomplete.
     pub fn drop_partial(&mut self) {
         self.partial = document::Partial::default();
     }
--- a/crates/hyssopfork-fleet/src/event.rs
+++ b/crates/hyssopfork-fleet/src/event.rs
@@ -1,94 +1,94 @@
-//! What happens to a process's control.
+//! Events that the control state machine handles.
 
 use crate::{announcement, declaration, document, groups, peer};
 use hyssopfork_consensus::node;
 use hyssopfork_wire::{consensus, name};
 use std::net;
 
-/// A call from outside or from a peer.
+/// A call from an operator, an upstream or a peer.
 #[derive(Clone, Debug)]
 pub enum Request {
-    /// An operator declares.
+    /// An operator submits a declaration.
     Declare(Box<declaration::Declaration>, document::Document),
-    /// An operator asks for the declaration in force.
+    /// An operator reads the declaration in force.
     Read,
     /// An operator takes a zone out.
     TakeOut(name::Zone),
-    /// An operator takes a zone back in.
+    /// An operator brings a zone back in.
     BringIn(name::Zone),
-    /// An upstream calls.
+    /// An upstream registers or leaves.
     Register(peer::Registration),
-    /// A peer passes an upstream's call on.
+    /// A peer relays an upstream's call.
     RegisterRelayed(peer::Registration),
-    /// A peer greets.
+    /// A peer sends a greeting.
     Greet(peer::Hello),
-    /// A peer asks for what is new.
+    /// A peer sends a watch.
     Watch(Box<peer::Watch>),
 }
 
-/// An event.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; comes at least every [`crate::action::TICK`].
+    /// Time has passed; sent at least every [`crate::action::TICK_INTERVAL`].
     Tick,
-    /// The data folder can be read and written: what it holds.
+    /// The data folder is open and writable.
     FolderOpened {
-        /// The folder's random number.
+        /// Random identifier of the folder.
         folder: u64,
-        /// What it holds.
+        /// Contents of the folder.
         durable: Box<node::Durable>,
-        /// Seed of the log's random numbers.
+        /// Seed of the consensus node's random numbers.
         seed: u64,
     },
-    /// The data folder can't be written any more: this process takes no part in the log until it is
-    /// [`Event::Opened`] again.
+    /// The data folder can no longer be written. This process does not take part in the log until
+    /// the next [`Event::FolderOpened`].
     FolderFailed,
-    /// Every write up to this mark is on disk.
+    /// All writes up to this mark are synced to disk.
     Persisted(u64),
-    /// A message of the log arrived.
+    /// A consensus message arrived.
     Received(consensus::Packet),
-    /// A call came.
+    /// A call arrived.
     Called {
-        /// Number of the call, for the reply.
+        /// Number of the call, used in the reply.
         call: u64,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
-    /// The caller no longer waits.
+    /// The client of a call no longer waits for the reply.
     Abandoned(u64),
     /// A peer answered a greeting.
     GreetingAnswered(peer::Greeting),
-    /// The leader answered a watch; `None` when it failed or its time ran out.
+    /// A watch was answered, failed or timed out.
     WatchAnswered {
-        /// Who was asked.
+        /// The process that was watched.
         from: net::SocketAddr,
-        /// The answer.
+        /// The answer; `None` after a failure or timeout.
         answer: Option<peer::Answer>,
     },
-    /// A relayed call of an upstream was answered; `false` when the leader has not got it.
+    /// A relayed call of an upstream was answered or failed.
     RelayAnswered {
         /// The call.
         call: u64,
-        /// Whether the leader has it.
+        /// Whether the leader has recorded it.
         accepted: bool,
     },
-    /// What an entry saw.
+    /// An entry reported evidence.
     EvidenceReported(net::SocketAddr, peer::Evidence),
-    /// An order was answered.
+    /// An order was answered or failed.
     OrderAnswered(u64, groups::order::Outcome),
-    /// An upstream was asked for a sign of life.
+    /// A probe of an upstream has ended.
     Probed(name::Instance, groups::order::Sign),
-    /// An engine was asked for its report and gave it.
+    /// An engine sent the requested report.
     Reported(name::Instance, groups::order::Report),
-    /// A peer asked an upstream for a sign of life; `false` also when the peer can't be reached.
+    /// A peer probed an upstream; `false` also if the peer can't be reached.
     PeerProbed(net::SocketAddr, name::Instance, bool),
-    /// The settings name other seeds.
+    /// The seeds in the settings changed.
     SeedsChanged(Vec<net::SocketAddr>),
-    /// The process is to stop.
+    /// The process is about to stop.
     Stop,
 }
 
-/// An announcement as an event's request.
+/// Wraps an announcement in a [`Request`].
 pub fn announced(announcement: announcement::Announcement) -> Request {
     Request::Register(peer::Registration::Announced(Box::new(announcement)))
 }
--- a/crates/hyssopfork-fleet/src/lib.rs
+++ b/crates/hyssopfork-fleet/src/lib.rs
@@ -1,14 +1,18 @@
 //! Control of a fleet whose upstreams register themselves.
 //!
-//! Every process of the system holds a [`core::Core`]. Those with a data folder keep a replicated
-//! log of what must survive (the declaration in force, zones taken out); the leader of that log
-//! also keeps what can be learned anew (registered upstreams, serving groups) and publishes all of
-//! it as one versioned [`view`], which the others follow.
+//! Every process of the system runs a [`core::Core`]. Processes with a data folder replicate a log
+//! of the state that must survive restarts: the declaration in force and the zones taken out. The
+//! leader of that log also holds the state that upstreams report again after a restart (registered
+//! upstreams, serving groups) and publishes everything as one versioned [`view`], which the other
+//! processes follow.
 //!
-//! Where each decision stands: [`declaration`] (what operators may declare), [`durable`] (the
-//! replicated state), [`registry`] (which call of an upstream counts), [`groups`] (which serving
-//! groups there are and where), [`board`] (who is told what), [`seeking`] (how a process finds the
-//! leader), [`founding`] (which folder forms the log).
+//! - [`declaration`]: what operators may declare
+//! - [`durable`]: the replicated state
+//! - [`registry`]: which upstream calls are applied and which are stale
+//! - [`groups`]: which serving groups exist and where
+//! - [`publication`]: which changes each follower is sent
+//! - [`discovery`]: how a process finds the leader
+//! - [`bootstrap`]: which data folder forms the log on the first start
 
 pub mod action;
 pub mod announcement;
--- a/crates/hyssopfork-fleet/src/notice.rs
+++ b/crates/hyssopfork-fleet/src/notice.rs
@@ -1,4 +1,4 @@
-//! Numbered events of the control of a self-registering fleet, 5000 to 5199.
+//! Numbered log events of the fleet's control, 5000 to 5199.
 
 use crate::{groups::group, groups::order, quarantine, registry};
 use hyssopfork_consensus::notice as log;
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::net;
 
-/// A numbered event.
+/// A numbered log event.
 #[derive(Clone, Debug, PartialEq, Eq, strum::EnumDiscriminants)]
 #[strum_discriminants(
     name(Kind),
@@ -14,56 +14,56 @@
     doc = "Kind of a notice."
 )]
 pub enum Notice {
-    /// An event of the replicated log.
+    /// An event of the consensus node.
     Log(log::Notice),
-    /// This process answers for the fleet.
+    /// This process became the leader of the fleet.
     Serving(number::Term),
-    /// It no longer does.
+    /// This process is no longer the leader.
     Ceased(number::Term),
     /// This process follows a leader.
     Following(net::SocketAddr),
-    /// Its leader does not answer any more.
+    /// The followed leader does not answer.
     LeaderLost(net::SocketAddr),
     /// The data folder is open.
     FolderOpened,
-    /// The data folder can't be written; the process goes on without it.
+    /// The data folder can't be written; the process continues without it.
     FolderFailed,
-    /// The process did not run for a while.
+    /// The process was paused for this many milliseconds.
     Paused(u64),
     /// A declaration came into force.
     Declared(u64),
     /// A zone was taken out.
     TakenOut(name::Zone),
-    /// A zone was taken back in.
+    /// A zone was brought back in.
     BroughtIn(name::Zone),
-    /// An upstream is known that was not, or says something new.
+    /// An upstream registered or announced a change; the announced fields.
     Upstream(name::Instance, name::Pool, String),
-    /// An upstream's call was older than what is known.
+    /// A stale call of an upstream was dropped.
     LateCall(name::Instance),
-    /// An upstream said that it is gone.
+    /// An upstream departed.
     Departed(name::Instance),
-    /// An upstream answers nothing and counts as dead.
+    /// An upstream does not answer and counts as dead.
     Lost(name::Instance),
-    /// A request is kept from all upstreams, after crashes or an attempt that crashed another one; how
-    /// often it was.
+    /// A request was quarantined after crashes, or again after an attempt that crashed an upstream;
+    /// the round of its quarantine.
     Quarantined(quarantine::Fingerprint, u32),
-    /// A quarantined request completed and is no longer kept from upstreams.
+    /// A quarantined request completed, which ended its quarantine.
     Released(quarantine::Fingerprint),
-    /// A group was formed, or an instance put in reserve.
+    /// A group was formed, or an instance was put in reserve.
     Formed(name::Group, name::Model, Vec<name::Instance>, group::Stage),
     /// A group of an earlier leader was taken over.
     Adopted(name::Group, group::Stage),
-    /// A group moved on.
+    /// A group entered another stage.
     Turned(name::Group, group::Stage),
     /// A group ended; its members are free.
     Ended(name::Group),
-    /// An order was answered, or not.
+    /// An order was answered or failed.
     Ordered(name::Instance, name::Group, order::Outcome),
-    /// The log's content can't be read by this release.
+    /// The log holds data that this release can't read.
     Unreadable(String),
-    /// A vacant or silent seat of the log is given up.
+    /// A vacant or silent voter is removed from the log.
     SeatRemoved(name::Instance),
-    /// The parts of a declaration don't make one.
+    /// The received parts of a declaration can't be decoded.
     DocumentDamaged(String),
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Severity of the event.
     pub const fn level(&self) -> level::Level {
         match self {
             Notice::Log(inner) => inner.level(),
@@ -123,30 +123,35 @@
         }
     }
 
-    /// The event of an upstream's call; `None` where there is nothing to tell.
+    /// The event of an upstream's announcement; `None` if it repeated what was known.
     pub fn for_announcement(taken: registry::Outcome, record: &registry::Record) -> Option<Notice> {
-        let told = &record.announcement;
+        let announcement = &record.announcement;
         match taken {
             registry::Outcome::Unchanged => None,
-            registry::Outcome::Stale => Some(Notice::LateCall(told.instance.clone())),
+            registry::Outcome::Stale => Some(Notice::LateCall(announcement.instance.clone())),
             registry::Outcome::Changed => {
-                let group = told.membership.as_ref().map_or_else(String::new, |membership| {
-                    format!(
-                        " group={} rank={} state={}",
-                        membership.group, membership.rank, membership.state
-                    )
-                });
-                let says = format!(
+                let group =
+                    announcement.membership.as_ref().map_or_else(String::new, |membership| {
+                        format!(
+                            " group={} rank={} state={}",
+                            membership.group, membership.rank, membership.state
+                        )
+                    });
+                let fields = format!(
                     "born={} sequence={} draining={} cold_ms={} domain={} loaded={} staged={}{group}",
-                    told.start_time_ms,
-                    told.sequence,
-                    told.draining,
-                    told.cold.as_millis(),
-                    told.domain,
-                    told.loaded.as_ref().map_or("-", |model| model.as_str()),
-                    join_models(&told.staged)
+                    announcement.start_time_ms,
+                    announcement.sequence,
+                    announcement.draining,
+                    announcement.cold.as_millis(),
+                    announcement.domain,
+                    announcement.loaded.as_ref().map_or("-", |model| model.as_str()),
+                    join_models(&announcement.staged)
                 );
-                Some(Notice::Upstream(told.instance.clone(), told.pool.clone(), says))
+                Some(Notice::Upstream(
+                    announcement.instance.clone(),
+                    announcement.pool.clone(),
+                    fields,
+                ))
             }
         }
     }
@@ -156,41 +161,43 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Notice::Log(inner) => inner.fmt(formatter),
-            Notice::Serving(term) => write!(formatter, "answers for the fleet in term {term}"),
-            Notice::Ceased(term) => write!(formatter, "no longer answers in term {term}"),
-            Notice::Following(leader) => write!(formatter, "follows {leader}"),
-            Notice::LeaderLost(leader) => write!(formatter, "no answer of the leader {leader}"),
-            Notice::FolderOpened => write!(formatter, "the data folder is open"),
+            Notice::Serving(term) => write!(formatter, "process leads the fleet in term {term}"),
+            Notice::Ceased(term) => {
+                write!(formatter, "process no longer leads the fleet in term {term}")
+            }
+            Notice::Following(leader) => write!(formatter, "process follows leader {leader}"),
+            Notice::LeaderLost(leader) => write!(formatter, "leader {leader} does not answer"),
+            Notice::FolderOpened => write!(formatter, "data folder opened"),
             Notice::FolderFailed => write!(
                 formatter,
-                "the data folder can't be written; this process takes no part in the log until it can: free space or replace the disk"
+                "data folder can't be written; process takes no part in the log until it can: free disk space or replace the disk"
             ),
-            Notice::Paused(millis) => write!(formatter, "did not run for {millis} ms"),
+            Notice::Paused(millis) => write!(formatter, "process was paused for {millis} ms"),
             Notice::Declared(version) => write!(formatter, "declaration {version} is in force"),
-            Notice::TakenOut(zone) => write!(formatter, "zone {zone} is out"),
-            Notice::BroughtIn(zone) => write!(formatter, "zone {zone} is back in"),
-            Notice::Upstream(instance, pool, says) => {
-                write!(formatter, "upstream {instance} of {pool}: {says}")
+            Notice::TakenOut(zone) => write!(formatter, "zone {zone} was taken out"),
+            Notice::BroughtIn(zone) => write!(formatter, "zone {zone} was brought back in"),
+            Notice::Upstream(instance, pool, fields) => {
+                write!(formatter, "upstream {instance} of pool {pool} announced: {fields}")
             }
             Notice::LateCall(instance) => {
-                write!(formatter, "a late call of {instance} counts for nothing")
+                write!(formatter, "stale call of {instance} was dropped")
             }
-            Notice::Departed(instance) => write!(formatter, "{instance} left"),
+            Notice::Departed(instance) => write!(formatter, "{instance} departed"),
             Notice::Lost(instance) => {
-                write!(formatter, "{instance} answers nothing and counts as dead")
+                write!(formatter, "{instance} does not answer and counts as dead")
             }
             Notice::Quarantined(request, round) => {
                 write!(formatter, "request {request} is quarantined after crashes round={round}")
             }
             Notice::Released(request) => {
-                write!(formatter, "request {request} completed; no longer quarantined")
+                write!(formatter, "request {request} completed and is no longer quarantined")
             }
             Notice::Formed(group, model, members, stage) => {
                 let members: Vec<&str> = members.iter().map(name::Instance::as_str).collect();
                 write!(formatter, "group {group} of {model} is {stage}: {}", members.join(" "))
             }
             Notice::Adopted(group, stage) => {
-                write!(formatter, "group {group} taken over as {stage}")
+                write!(formatter, "group {group} was taken over as {stage}")
             }
             Notice::Turned(group, stage) => write!(formatter, "group {group} is {stage}"),
             Notice::Ended(group) => write!(formatter, "group {group} ended"),
@@ -201,7 +208,7 @@
                 write!(formatter, "{reason}; run a release that can read the log")
             }
             Notice::SeatRemoved(instance) => {
-                write!(formatter, "{instance} gave no sign and loses its seat in the log")
+                write!(formatter, "voter {instance} does not answer and is removed from the log")
             }
             Notice::DocumentDamaged(reason) => formatter.write_str(reason),
         }
--- a/crates/hyssopfork-fleet/src/peer.rs
+++ b/crates/hyssopfork-fleet/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between the system's own processes.
+//! Calls between processes of the system.
 
 use crate::{announcement, document, quarantine, rate, view};
 use hyssopfork_wire::{consensus, envelope, name};
@@ -6,51 +6,51 @@
 use std::net;
 use std::time::Duration;
 
-/// A process makes itself known and asks who leads.
+/// Greeting: a process introduces itself and asks for the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Where it takes peers' calls.
+    /// Address at which it serves peers.
     pub address: net::SocketAddr,
-    /// Whether it has a data folder and can hold the replicated log.
+    /// Whether it has a data folder and can become a voter.
     pub has_folder: bool,
-    /// Whether its folder is blank and it takes part in the system's first start: it may form the
-    /// log when it is named.
+    /// Whether it may form the log: its folder is blank and this is the system's first start.
     pub may_bootstrap: bool,
 }
 
 /// Answer to a [`Hello`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
-    /// Who leads, as far as is known.
+    /// The leader, if known.
     pub leader: Option<net::SocketAddr>,
-    /// Processes that hold or may hold the replicated log.
+    /// Processes that are voters of the replicated log or may become voters.
     pub controls: Vec<net::SocketAddr>,
-    /// The process that is to form the log; named by one process alone, and never two.
+    /// The process that is to form the log. Only the first seed names one, and never two.
     pub founder: Option<net::SocketAddr>,
 }
 
-/// What an entry saw of the upstreams since it last told.
+/// What an entry observed of the upstreams since it last reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Upstreams on which every request stands still, or that can't be reached.
+    /// Upstreams on which all requests are stalled, or that can't be reached.
     pub stalled: Vec<name::Instance>,
-    /// Upstreams from which bytes came lately, and how long ago.
+    /// Upstreams that sent bytes recently, and the time since.
     pub progressing: Vec<(name::Instance, Duration)>,
     /// Upstreams with requests of this entry in flight.
     pub busy: Vec<name::Instance>,
-    /// Whether requests of callers have come.
+    /// Whether requests of clients have arrived.
     pub traffic: bool,
-    /// Processes that ended lately under requests of this entry. Told more than once: a message may be
-    /// lost.
+    /// Processes that crashed recently with requests of this entry in flight. Reported more than
+    /// once, since a message may be lost.
     pub crashes: Vec<quarantine::Crash>,
-    /// Requests that completed lately though others of the same content were in flight at crashes.
+    /// Requests that completed recently although others of the same content were in flight at
+    /// crashes.
     pub completions: Vec<quarantine::Completion>,
-    /// Rate limits that upstreams named lately to this entry.
+    /// Rate limits that upstreams recently set at this entry.
     pub rates: Vec<rate::Change>,
 }
 
 impl Evidence {
-    /// Whether the leader had better know at once.
+    /// Whether to send it to the leader without waiting for the next watch.
     pub fn is_urgent(&self) -> bool {
         !self.stalled.is_empty()
             || !self.crashes.is_empty()
@@ -59,23 +59,24 @@
     }
 }
 
-/// Asks for what is new; held until something is, or a while has passed.
+/// Long poll for an update: held until there is one or [`crate::action::MAX_WATCH_HOLD`] has
+/// passed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watch {
-    /// Who asks.
+    /// The follower.
     pub from: net::SocketAddr,
-    /// Where the asker stands.
+    /// Revision that the follower has.
     pub stamp: view::Stamp,
-    /// What it holds of declarations.
+    /// Its progress in receiving declarations.
     pub document: document::Progress,
-    /// All that it knows of upstreams and groups, after an [`Answer::Inquiry`]: a leader that has just
-    /// started knows less than those who followed the one before.
+    /// All that it knows of upstreams and groups, sent after [`Answer::StateRequested`]: a new
+    /// leader knows less than the followers of the leader before.
     pub known: Option<KnownState>,
-    /// What it saw.
+    /// What its entry observed.
     pub evidence: Evidence,
 }
 
-/// What a follower knows.
+/// State that a follower knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownState {
     /// Upstreams.
@@ -84,44 +85,44 @@
     pub groups: Vec<(name::Group, view::Group)>,
     /// Entries.
     pub entries: Vec<net::SocketAddr>,
-    /// Requests that are suspected or quarantined.
+    /// Suspected and quarantined requests.
     pub quarantine: Vec<(quarantine::Fingerprint, quarantine::Verdict)>,
 }
 
 /// Answer to a [`Watch`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// What leads the asker on.
+    /// An update from the follower's revision.
     Updated(Box<view::Update>),
-    /// This process leads and lacks what the asker knows of the terms before: ask again and say it.
+    /// This process leads and lacks state of earlier terms that the follower has; the next watch is
+    /// to include it.
     StateRequested,
-    /// This process doesn't lead; who does, as far as is known.
+    /// This process is not the leader; the leader, if known.
     NotLeader(Option<net::SocketAddr>),
 }
 
-/// A call of an upstream that another process took.
+/// A call of an upstream, received by any process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Registration {
     /// It announced itself.
     Announced(Box<announcement::Announcement>),
-    /// It left.
+    /// It departed.
     Departed(name::Instance),
 }
 
-/// Service of every process.
+/// RPC service of every process.
 #[tarpc::service]
 pub trait Peer {
-    /// Delivers a message of the replicated log; the answer only says that it arrived.
+    /// Delivers a consensus message; the answer only confirms that it arrived.
     async fn deliver(message: envelope::Envelope<consensus::Packet>);
-    /// Takes a process's greeting.
+    /// Answers a process's greeting.
     async fn greet(hello: envelope::Envelope<Hello>) -> Greeting;
-    /// Tells what is new.
+    /// Answers a watch with an update.
     async fn watch(watch: envelope::Envelope<Watch>) -> Answer;
-    /// Takes what an entry saw, without waiting for its next watch.
+    /// Delivers an entry's evidence without waiting for its next watch.
     async fn note(from: net::SocketAddr, evidence: envelope::Envelope<Evidence>);
-    /// Asks an upstream for a sign of life, in the place of a leader that gets none; whether it gave
-    /// one.
+    /// Probes an upstream for a leader that gets no answer from it; returns whether it answered.
     async fn probe(address: envelope::Envelope<net::SocketAddr>) -> bool;
-    /// Takes an upstream's call in the leader's place; whether the leader has it.
+    /// Relays an upstream's call; returns whether the leader has recorded it.
     async fn register(registration: envelope::Envelope<Registration>) -> bool;
 }
--- a/crates/hyssopfork-fleet/src/publication.rs
+++ b/crates/hyssopfork-fleet/src/publication.rs
@@ -1,11 +1,11 @@
-//! What the leader has published, and what each follower lacks of it.
+//! Versioned publication of the leader's state, and the differences that each follower lacks.
 
 use crate::{document, quarantine, view};
 use hyssopfork_wire::{name, number};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net;
 
-/// Removals that are remembered; a follower that is farther behind gets everything anew.
+/// Removals remembered per table; a follower that is further behind is sent the full state.
 const MAX_REMOVALS: usize = 1_024;
 
 #[derive(Clone, Debug)]
@@ -14,12 +14,12 @@
     value: T,
 }
 
-/// A published table: each entry with the revision that last changed it.
+/// A published table; each entry carries the revision that last changed it.
 #[derive(Clone, Debug)]
 struct Table<K, T> {
     entries: BTreeMap<K, Entry<T>>,
     removals: VecDeque<(u64, K)>,
-    /// Newest revision whose removals are forgotten.
+    /// Newest revision whose removals are no longer remembered.
     floor: u64,
 }
 
@@ -70,35 +70,37 @@
     }
 }
 
-/// Everything but the upstreams and groups. All but the entries and the quarantine travels whole.
+/// Published state other than upstreams and groups. Entries and quarantine are sent as differences,
+/// the rest in full.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetState {
     /// The declaration in force.
     pub document: Option<document::Document>,
     /// Zones that are out.
     pub zones_out: BTreeSet<name::Zone>,
-    /// Processes that hold or may hold the replicated log.
+    /// Processes that are voters of the replicated log or may become voters.
     pub controls: Vec<net::SocketAddr>,
     /// Entries that follow the leader.
     pub entries: BTreeSet<net::SocketAddr>,
-    /// Requests that are suspected or quarantined.
+    /// Suspected and quarantined requests.
     pub quarantine: BTreeMap<quarantine::Fingerprint, quarantine::Verdict>,
 }
 
-/// Documents before the newest that followers may still be receiving.
+/// Documents older than the newest that are kept because followers may still be receiving them.
 const MAX_KEPT_DOCUMENTS: usize = 3;
 
-/// The board of one leader's term.
+/// Publisher of one leader's term.
 #[derive(Clone, Debug)]
 pub struct Publisher {
     stamp: view::Stamp,
     state: FleetState,
-    /// Documents before the newest, the latest last. A follower completes the one that it has parts
-    /// of: begun anew with each version, changes in quick succession would leave it without any.
+    /// Documents older than the newest, in ascending order. A follower completes the document that
+    /// it has parts of. If it restarted with each new version, changes in quick succession would
+    /// leave it without any complete document.
     previous: VecDeque<document::Document>,
-    /// Documents as they were encoded, by base and version. Most followers hold the same base.
+    /// Encoded documents by base and version, cached because most followers have the same base.
     ///
-    /// Invariant: of kept versions alone.
+    /// Invariant: only versions that are kept.
     encodings: BTreeMap<(u64, u64), document::Encoding>,
     upstreams: Table<name::Instance, view::Upstream>,
     groups: Table<name::Group, view::Group>,
@@ -107,8 +109,8 @@
 }
 
 impl Publisher {
-    /// An empty board of `term`. Followers that hold the document that is `known` from before it need
-    /// only what has changed since.
+    /// Creates the publisher of `term`. `known` is the document from before the term; followers
+    /// that have it are sent only the changes since.
     pub fn new(term: number::Term, known: Option<document::Document>) -> Publisher {
         Publisher {
             stamp: view::Stamp { term, revision: 0 },
@@ -122,12 +124,12 @@
         }
     }
 
-    /// Newest publication.
+    /// Stamp of the newest revision.
     pub fn stamp(&self) -> view::Stamp {
         self.stamp
     }
 
-    /// Publishes; returns whether anything is new to followers.
+    /// Publishes the state; returns whether it differs from the last publication.
     pub fn publish(
         &mut self,
         state: FleetState,
@@ -165,7 +167,7 @@
         self.state.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// The part that a follower lacks next of a declaration newer than its own.
+    /// The next part of a newer declaration that the follower needs.
     pub fn next_part(&mut self, held: document::Progress) -> Option<document::Part> {
         let newest = self.version();
         if newest <= held.version {
@@ -191,7 +193,7 @@
         self.document(version).is_some()
     }
 
-    /// The document of `version`, encoded against that of version `base`; 0 for none.
+    /// The document of `version`, encoded against the one of version `base` (0 for none).
     fn encoding(&mut self, base: u64, version: u64) -> Option<&document::Encoding> {
         if !self.encodings.contains_key(&(base, version)) {
             let encoding = self.document(version)?.encode(self.document(base));
@@ -207,7 +209,7 @@
         self.encodings = encodings;
     }
 
-    /// What a follower lacks that stands at `have`, declarations left aside.
+    /// The update for a follower at `have`, without declarations.
     pub fn since(&self, have: view::Stamp) -> view::Update {
         let floor = self.upstreams.floor.max(self.groups.floor).max(self.entries.floor);
         let floor = floor.max(self.quarantine.floor);
--- a/crates/hyssopfork-fleet/src/quarantine.rs
+++ b/crates/hyssopfork-fleet/src/quarantine.rs
@@ -1,10 +1,10 @@
 //! Quarantine of requests that crash the upstreams that run them (query of death).
 //!
-//! A request that was in flight at [`CRASHES_TO_QUARANTINE`] crashes and completed nowhere in between is
-//! quarantined in the whole fleet. It may have been there by chance, so entries let one attempt through
-//! now and then, after a time that grows with each crash that follows; an attempt that completes ends the
-//! quarantine. The ledger is kept in memory, by the leader: a new one learns it from its followers, and
-//! a restart of all processes forgets it.
+//! A request that was in flight at [`CRASHES_TO_QUARANTINE`] crashes and completed nowhere in
+//! between is quarantined in the whole fleet. It may have been in flight by coincidence, so entries
+//! let a trial attempt through after a backoff that grows with each further crash; an attempt that
+//! completes ends the quarantine. The leader keeps the ledger in memory. A new leader takes it over
+//! from its followers, and a restart of all processes loses it.
 
 use hyssopfork_wire::{clock, name};
 use serde::{Deserialize, Serialize};
@@ -18,35 +18,35 @@
 /// Crashes after which entries report when the request completes.
 const CRASHES_TO_SUSPECT: u32 = 2;
 
-/// Time within which crashes of several upstreams count as one: they have a common cause.
+/// Time within which crashes of several upstreams count as one, since they have a common cause.
 const COINCIDENCE_WINDOW: Duration = Duration::from_millis(50);
 
-/// First time without an attempt.
+/// Time without an attempt in the first round of a quarantine.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(15);
 
-/// Factor by which that time grows with each attempt that crashes another upstream.
+/// Factor by which that time grows with each attempt that crashes an upstream.
 const QUARANTINE_BACKOFF_FACTOR: u32 = 4;
 
 /// Longest time without an attempt.
 const MAX_QUARANTINE: Duration = Duration::from_secs(3_600);
 
-/// Time after the last crash, and after the end of a quarantine, at which a request is forgotten.
+/// Time after the last crash and after the end of the last backoff at which a record expires.
 const RECORD_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Time for which it is known that a crash had a quarantined request in flight.
+/// Time for which a crash stays attributed to a quarantined request that was in flight.
 const ATTRIBUTION_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Most requests that are remembered. The one with the fewest crashes is forgotten first, of equals the
-/// one whose last crash is longest ago.
+/// Maximum number of requests with a record. Records with the fewest rounds and crashes are evicted
+/// first, and among equals those whose last crash is oldest.
 const MAX_RECORDS: usize = 1_024;
 
-/// Most crashes that are remembered of one request.
+/// Maximum number of crashes recorded for one request.
 const MAX_CRASHES_PER_RECORD: usize = 16;
 
-/// What a request asks for, the same for each repeat of it: a hash of its team, path and body.
+/// Hash of a request's team, path and body; the same for each repetition of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// Bytes of the body. It is compared first, so that few requests need to be hashed.
+    /// Bytes of the body. The length is compared first, so that few requests need to be hashed.
     pub length: u64,
     /// Start of the SHA-256 hash.
     pub digest: [u8; 16],
@@ -59,7 +59,7 @@
     }
 }
 
-/// One process of an upstream; the next one at the same address is another.
+/// One process of an upstream; a restart at the same address is another process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Process {
     /// The upstream.
@@ -68,40 +68,40 @@
     pub start_time_ms: u64,
 }
 
-/// Requests that were in flight at an upstream whose process ended, as one entry saw it.
+/// Crash of an upstream's process, as observed by one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The process.
+    /// The process that ended.
     pub process: Process,
     /// Time since its end.
     pub age: Duration,
-    /// The requests.
+    /// Requests of the entry that were in flight there.
     pub requests: Vec<Fingerprint>,
 }
 
-/// A request that completed though it was suspected.
+/// Completion of a request that was suspected or quarantined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
     /// The request.
     pub request: Fingerprint,
-    /// Time since then.
+    /// Time since its completion.
     pub age: Duration,
 }
 
-/// What is published of a request.
+/// Published verdict on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Entries report when it completes.
+    /// Entries report its completion.
     Suspect,
     /// Entries reject it.
     Quarantined {
-        /// How often it was quarantined, 1 at first.
+        /// How often it has been quarantined, starting at 1.
         round: u32,
     },
 }
 
 impl Verdict {
-    /// Time without an attempt.
+    /// Backoff: time without an attempt.
     pub fn period(self) -> Duration {
         match self {
             Verdict::Suspect => Duration::ZERO,
@@ -115,19 +115,20 @@
 
 #[derive(Clone, Debug)]
 struct Record {
-    /// When each process ended, of those that count.
+    /// Processes whose crashes count, with the time of each crash.
     ///
     /// Invariant: at most [`MAX_CRASHES_PER_RECORD`].
     crashes: BTreeMap<Process, clock::Instant>,
-    /// Crashes that an earlier leader counted.
+    /// Crashes counted by an earlier leader.
     inherited: u32,
-    /// Crashes up to then no longer count, or are among those inherited.
+    /// Crashes up to this time are ignored: they were followed by a completion or are inherited.
     ignored_until: Option<clock::Instant>,
-    /// How often it was quarantined; 0 for never.
+    /// How often it has been quarantined; 0 if never.
     round: u32,
-    /// Begin of its last quarantine.
+    /// Start of its last quarantine.
     quarantined_at: clock::Instant,
-    /// When entries may send an attempt again; a crash from then on quarantines it once more.
+    /// When entries may send an attempt again; a crash after this time quarantines it for another
+    /// round.
     due_at: clock::Instant,
     last_crash: clock::Instant,
 }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Crashes, those that coincide counted once.
+    /// Number of crashes; coinciding ones count once.
     fn count(&self) -> u32 {
         let mut ends: Vec<clock::Instant> = self.crashes.values().copied().collect();
         ends.sort();
@@ -172,8 +173,8 @@
         self.round > 0
     }
 
-    /// Takes in that it was in flight when the process ended; whether it is quarantined for it, anew or
-    /// once more.
+    /// Records that it was in flight when the process ended; returns whether this starts another
+    /// round of quarantine.
     fn record_crash(
         &mut self,
         now: clock::Instant,
@@ -184,7 +185,7 @@
             return false;
         }
         let due = if self.is_quarantined() {
-            // Attempts that were in flight before the quarantine say nothing new.
+            // A crash before this time comes from an attempt that was sent before the quarantine.
             end >= self.due_at
         } else {
             self.crashes.entry(process.clone()).or_insert(end);
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Takes in that it completed then; whether a quarantine ends with it.
+    /// Records its completion; returns whether that ends a quarantine.
     fn record_completion(&mut self, at: clock::Instant) -> bool {
         if self.is_quarantined() && at < self.quarantined_at {
             return false;
@@ -224,21 +225,23 @@
     }
 }
 
-/// The leader's record of crashes.
+/// Crash records and verdicts, kept by the leader.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// Invariant: at most [`MAX_RECORDS`].
     records: BTreeMap<Fingerprint, Record>,
-    /// Processes that ended with a quarantined request in flight, and when that was known.
+    /// Crashed processes that had a quarantined request in flight, and when that became known.
     attributed: BTreeMap<Process, clock::Instant>,
     /// Verdicts of all records that have one.
     published: BTreeMap<Fingerprint, Verdict>,
 }
 
 impl Ledger {
-    /// Takes in a crash that an entry saw; gives the requests that are quarantined for it.
+    /// Records a crash that an entry observed; returns the requests that it puts in quarantine,
+    /// with their rounds.
     ///
-    /// A crash with a quarantined request in flight counts against no other.
+    /// A crash with a quarantined request in flight is attributed to that request and counts
+    /// against no other.
     pub fn record_crash(&mut self, now: clock::Instant, crash: &Crash) -> Vec<(Fingerprint, u32)> {
         let end = now - crash.age;
         let is_cause = |request: &Fingerprint| {
@@ -265,7 +268,7 @@
         quarantined
     }
 
-    /// Takes in that a request completed; whether its quarantine ends with that.
+    /// Records the completion of a request; returns whether that ends its quarantine.
     pub fn record_completion(&mut self, now: clock::Instant, completion: &Completion) -> bool {
         let Some(record) = self.records.get_mut(&completion.request) else { return false };
         let ended = record.record_completion(now - completion.age);
@@ -273,7 +276,7 @@
         ended
     }
 
-    /// Takes over what followers of an earlier leader knew.
+    /// Takes over the verdicts that followers of an earlier leader know.
     pub fn inherit(&mut self, now: clock::Instant, known: Vec<(Fingerprint, Verdict)>) {
         for (request, verdict) in known {
             let record = self.records.entry(request).or_insert_with(|| Record::new(now));
@@ -290,7 +293,7 @@
         self.evict_excess();
     }
 
-    /// Forgets what is old.
+    /// Removes expired records.
     pub fn remove_expired(&mut self, now: clock::Instant) {
         self.attributed.retain(|_, known| now.since(*known) < ATTRIBUTION_LIFETIME);
         if !self.records.is_empty() {
@@ -299,12 +302,13 @@
         }
     }
 
-    /// What entries are to know.
+    /// The verdicts to publish to entries.
     pub fn published(&self) -> &BTreeMap<Fingerprint, Verdict> {
         &self.published
     }
 
-    /// Pardons all others for the end of a process.
+    /// Attributes a crash to a quarantined request and removes it from the records of all other
+    /// requests.
     fn attribute(&mut self, now: clock::Instant, process: &Process) {
         if self.attributed.insert(process.clone(), now).is_some() {
             return;
@@ -324,8 +328,8 @@
         };
     }
 
-    /// Forgets the least of too many records, a quarter at once: each record is then compared a few times
-    /// only, however many come.
+    /// Evicts the lowest-ranked quarter when there are too many records. Evicting a quarter at once
+    /// keeps the amortized cost of ranking low, however many records are added.
     fn evict_excess(&mut self) {
         if self.records.len() <= MAX_RECORDS {
             return;
--- a/crates/hyssopfork-fleet/src/registry.rs
+++ b/crates/hyssopfork-fleet/src/registry.rs
@@ -1,54 +1,54 @@
-//! Upstreams as their own calls tell of them.
+//! Registry of upstreams, built from the calls that they send.
 //!
-//! Calls come late, twice and out of order, from processes that are gone and from others that took
-//! their names or addresses. A call counts only when it tells something newer of its process, and a
-//! process only when it started after the one that was known before.
+//! Calls arrive late, more than once and out of order, and may come from processes that have ended
+//! or from ones that reuse a name or an address. A call is applied only if it is newer than the
+//! last one of its process, and a process replaces another only if it started later.
 
 use crate::{announcement, groups::order, rate, view};
 use hyssopfork_wire::{clock, name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time for which an upstream that left or fell silent is remembered, so that a late call of it is
-/// known for what it is. Calls are held up by cuts of the network, which last seconds.
+/// Time for which the record of a departed or silent upstream is kept, so that a late call of it is
+/// recognized as stale. Network partitions delay calls by seconds.
 const RECORD_RETENTION: Duration = Duration::from_secs(60);
 
-/// Share of the silence limit after which a process with an earlier start may take a name over: the
-/// machine's clock was set back, and the one known before no longer calls.
+/// Silence timeouts after which a process with an earlier start time may take over a name: the
+/// machine's clock was set back, and the process known before no longer calls.
 const CLOCK_STEP_SILENCES: u32 = 1;
 
-/// What became of a call.
+/// Result of handling an upstream's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It says something new.
+    /// It changed the record.
     Changed,
-    /// It says what was known.
+    /// It repeated what was known.
     Unchanged,
-    /// It is older than what is known, or of a process that is gone: it changes nothing.
+    /// It was older than the record, or from a process that has ended, and was dropped.
     Stale,
 }
 
-/// What is known of an upstream.
+/// Record of an upstream.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// Its newest announcement.
     pub announcement: announcement::Announcement,
-    /// When it was last heard of.
+    /// When the upstream was last heard from.
     pub last_heard: clock::Instant,
-    /// Until when it bears little.
+    /// End of its slow start.
     pub cold_until: clock::Instant,
-    /// Model of its last group in this life: it takes it up faster than any other.
+    /// Model of the last group that its process was in; it loads this one faster than any other.
     pub last_model: Option<name::Model>,
-    /// Rate that it takes of all entries together; `None` for no limit.
+    /// Rate limit that it set for all entries together; `None` for no limit.
     pub rate: Option<rate::Rate>,
-    /// When an entry heard that; `None` for what an earlier leader knew.
+    /// When an entry received the limit; `None` if it was known to an earlier leader.
     pub rate_set_at: Option<clock::Instant>,
-    /// Whether this leader has its own word. What a follower of an earlier leader knew may be long
-    /// out of date, and an engine may have joined a group since.
+    /// Whether it has called during this leader's term. What a follower of an earlier leader knew
+    /// may be stale: an engine may have joined a group since.
     pub heard_this_term: bool,
-    /// Whether it has said that it is gone.
+    /// Whether it has announced its departure.
     pub departed: bool,
-    /// Whether it counts as dead: it answered nothing, although asked.
+    /// Whether it is considered dead because it did not answer probes.
     pub dead: bool,
 }
 
@@ -67,26 +67,26 @@
         }
     }
 
-    /// Whether it may be given new duties.
+    /// Whether it is draining or has departed, and must get no new work.
     pub fn is_leaving(&self) -> bool {
         self.departed || self.announcement.draining
     }
 
-    /// Whether it is alive as far as is known, and stays.
+    /// Whether it is neither dead nor leaving, as far as is known.
     pub fn is_healthy(&self) -> bool {
         !self.dead && !self.is_leaving()
     }
 }
 
-/// The upstreams.
+/// Records of all upstreams.
 #[derive(Clone, Debug)]
 pub struct Registry {
     records: BTreeMap<name::Instance, Record>,
     /// The upstreams as last published.
     published: BTreeMap<name::Instance, view::Upstream>,
-    /// Upstreams whose records may differ from what was published, by more than their silence.
+    /// Upstreams whose records may differ from the published ones in more than silence.
     changed: BTreeSet<name::Instance>,
-    /// Silence after which an upstream counts as silent.
+    /// Time without a call after which an upstream is published as silent.
     silence_timeout: Duration,
 }
 
@@ -121,7 +121,7 @@
         self.records.iter()
     }
 
-    /// Takes an upstream's announcement.
+    /// Records an upstream's announcement.
     pub fn announce(
         &mut self,
         now: clock::Instant,
@@ -140,7 +140,7 @@
         let restarted = known.announcement.start_time_ms != announcement.start_time_ms;
         let unchanged =
             !restarted && !known.dead && known.announcement.is_equivalent(&announcement);
-        // After it has left, an announcement of the same process is one that was held up.
+        // A departed process does not return, so a later announcement of it was delayed.
         known.departed &= !restarted;
         known.last_model =
             announcement.loaded.clone().or(known.last_model.take().filter(|_| !restarted));
@@ -158,7 +158,7 @@
         Outcome::Changed
     }
 
-    /// Takes an upstream's word that it leaves; returns whether that is news.
+    /// Records an upstream's departure; returns whether it was not known before.
     pub fn depart(&mut self, now: clock::Instant, instance: &name::Instance) -> bool {
         let Some(record) = self.records.get_mut(instance) else { return false };
         record.last_heard = now;
@@ -166,7 +166,8 @@
         !std::mem::replace(&mut record.departed, true)
     }
 
-    /// Takes over what a follower of an earlier leader knew, unless more is known here.
+    /// Takes over what a follower of an earlier leader knew, unless the record is newer; returns
+    /// whether anything changed.
     pub fn adopt(&mut self, now: clock::Instant, upstream: view::Upstream) -> bool {
         let announcement = upstream.announcement;
         if let Some(known) = self.records.get_mut(&announcement.instance)
@@ -188,7 +189,7 @@
         }
         let departed = upstream.status == view::Status::Leaving && !announcement.draining;
         let instance = announcement.instance.clone();
-        // Who was silent is silent until it is heard of: work must not be planned on it.
+        // A silent upstream stays silent until it calls, so that no work is planned on it.
         let silent = upstream.status == view::Status::Silent;
         let last_heard = if silent { now - self.silence_timeout } else { now };
         let last_model = announcement.loaded.clone().or(upstream.last_model);
@@ -206,9 +207,9 @@
         true
     }
 
-    /// Takes an engine's report, where it has not called this leader yet: its next call comes when
-    /// its time to wait for the leader before is over. Afterwards its calls, which come at once after
-    /// a change, are newer than its reports.
+    /// Records an engine's report if the engine has not called this leader yet. Its next call comes
+    /// only when its call to the leader before has timed out. From then on its calls are newer than
+    /// its reports, because an engine calls immediately after a change.
     pub fn report(
         &mut self,
         now: clock::Instant,
@@ -223,14 +224,14 @@
         }
     }
 
-    /// Takes in that an upstream answers nothing; returns whether that is news.
+    /// Marks an upstream that answers no probe as dead; returns whether it was not yet.
     pub fn mark_dead(&mut self, instance: &name::Instance) -> bool {
         let Some(record) = self.records.get_mut(instance) else { return false };
         self.changed.insert(instance.clone());
         !std::mem::replace(&mut record.dead, true)
     }
 
-    /// Takes in the rate that a process named to an entry; returns whether that is news.
+    /// Records the rate limit that a process sent to an entry; returns whether it changed.
     pub fn set_rate(&mut self, now: clock::Instant, change: &rate::Change) -> bool {
         let at = now - change.age;
         let Some(record) = self.records.get_mut(&change.process.instance) else { return false };
@@ -246,22 +247,23 @@
         changed
     }
 
-    /// Counts every upstream as heard of just now: this process was held up and could not listen.
+    /// Restarts the silence timeout of every upstream, after this process was paused and could not
+    /// receive calls.
     pub fn reset_silence(&mut self, now: clock::Instant) {
         self.records.values_mut().for_each(|record| record.last_heard = now);
     }
 
-    /// Whether nothing was heard of an upstream for too long.
+    /// Whether an upstream has not been heard from within the silence timeout.
     pub fn is_silent(&self, now: clock::Instant, record: &Record) -> bool {
         now.since(record.last_heard) >= self.silence_timeout
     }
 
-    /// Forgets what has been gone for long.
+    /// Removes the records of upstreams not heard from within the retention period.
     pub fn remove_expired(&mut self, now: clock::Instant) {
         self.records.retain(|_, record| now.since(record.last_heard) < RECORD_RETENTION);
     }
 
-    /// The upstreams as published to followers. Only those that have changed are built anew.
+    /// The upstreams as published to followers. Only the changed ones are rebuilt.
     pub fn published(&mut self, now: clock::Instant) -> &BTreeMap<name::Instance, view::Upstream> {
         let changed = std::mem::take(&mut self.changed);
         self.published.retain(|instance, _| self.records.contains_key(instance));
@@ -304,8 +306,8 @@
         !self.records.values().any(is_newer_at_address)
     }
 
-    /// Drops whoever had the address before: two upstreams cannot listen there, and the older one
-    /// would be sent requests that the newer one gets.
+    /// Removes other upstreams with the same address: only one can listen there, and requests meant
+    /// for the older one would reach the newer one.
     fn evict_from_address(&mut self, announcement: &announcement::Announcement) {
         self.records.retain(|instance, record| {
             record.announcement.address != announcement.address
@@ -314,7 +316,7 @@
     }
 }
 
-/// How an upstream stands, where nothing was heard of it for too long if `silent`.
+/// Published status of an upstream; `silent` if it has exceeded the silence timeout.
 fn status(record: &Record, silent: bool) -> view::Status {
     if record.is_leaving() {
         view::Status::Leaving
--- a/crates/hyssopfork-fleet/src/view.rs
+++ b/crates/hyssopfork-fleet/src/view.rs
@@ -1,5 +1,5 @@
-//! What every process follows: the declaration in force, the zones that are out, the upstreams and
-//! the serving groups; and the differences that lead from one revision to the next.
+//! The view that every process follows: the declaration in force, the zones that are out, the
+//! upstreams and the serving groups; and the updates from one revision to the next.
 
 use crate::{announcement, document, quarantine, rate};
 use hyssopfork_wire::{name, number};
@@ -7,41 +7,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net;
 
-/// Place in the leader's sequence of publications.
+/// Position in the leader's sequence of publications.
 ///
-/// Invariant: revisions of different terms say nothing of each other.
+/// Invariant: revisions of different terms are not comparable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
     /// Term of the leader.
     pub term: number::Term,
-    /// Counts the leader's publications.
+    /// Number of the publication within the term.
     pub revision: u64,
 }
 
-/// How an upstream stands.
+/// Status of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Status {
     /// It sends heartbeats.
     Present,
-    /// The leader hears nothing of it. It may be cut off from the leader alone, so whoever gets
-    /// answers of it goes on.
+    /// The leader does not hear from it. It may be partitioned only from the leader, so processes
+    /// that get answers from it keep using it.
     Silent,
-    /// It leaves: no new work.
+    /// It is leaving and gets no new work.
     Leaving,
 }
 
 /// An upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// What it says of itself; `cold` as of when this was sent.
+    /// Its announcement; `cold` is relative to the time of publication.
     pub announcement: announcement::Announcement,
-    /// How it stands.
+    /// Its status.
     pub status: Status,
-    /// Model of its last group in this life, which it takes up fastest. It doesn't say so itself once
-    /// it has left the group: the next leader would know only what its host holds.
+    /// Model of the last group that its process was in, which it loads fastest. It is published
+    /// because an upstream that has left its group no longer announces it, and a new leader would
+    /// know only the weights that its host has.
     pub last_model: Option<name::Model>,
-    /// Rate that it takes of all entries together, as it named it last; `None` for no limit.
+    /// Rate limit that it last set for all entries together; `None` for no limit.
     pub rate: Option<rate::Rate>,
 }
 
@@ -54,22 +55,22 @@
     pub model: name::Model,
     /// Members; the first is the head.
     pub members: Vec<name::Instance>,
-    /// Epoch of this membership; no other membership of any group has it.
+    /// Epoch of this membership, unique among the memberships of all groups.
     pub epoch: u64,
     /// Whether requests may be sent to its head.
     pub serving: bool,
-    /// Whether a member is lost, so that what runs there will not go on.
+    /// Whether a member is lost, so that requests running there will not complete.
     pub lost: bool,
 }
 
 impl Group {
-    /// The member that takes the requests.
+    /// The member that accepts the group's requests.
     pub fn head(&self) -> Option<&name::Instance> {
         self.members.first()
     }
 }
 
-/// Takes changes into a table; `None` is for what is gone.
+/// Applies changes to a table; `None` removes the key.
 pub fn merge<K: Ord, T>(
     table: &mut BTreeMap<K, T>,
     changes: impl IntoIterator<Item = (K, Option<T>)>,
@@ -82,28 +83,28 @@
     }
 }
 
-/// What leads a follower on.
+/// An update for a follower: the full view, or the difference from the follower's revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Where the follower stands after it.
+    /// Revision of the follower after this update.
     pub stamp: Stamp,
-    /// Whether upstreams and groups that are not named here are gone.
+    /// Whether this is the full view, so that everything not contained is to be removed.
     pub is_full: bool,
-    /// Version of the newest declaration that was accepted; 0 for none.
+    /// Version of the newest accepted declaration; 0 for none.
     pub declared_version: u64,
-    /// The next part of a declaration that is newer than the follower's.
+    /// The next part of a declaration newer than the follower's.
     pub document: Option<document::Part>,
     /// Zones that are out.
     pub zones_out: BTreeSet<name::Zone>,
-    /// Upstreams that changed; `None` for one that is gone.
+    /// Changed upstreams; `None` for a removed one.
     pub upstreams: Vec<(name::Instance, Option<Upstream>)>,
-    /// Groups that changed; `None` for one that is gone.
+    /// Changed groups; `None` for a removed one.
     pub groups: Vec<(name::Group, Option<Group>)>,
-    /// Processes that hold or may hold the replicated log.
+    /// Processes that are voters of the replicated log or may become voters.
     pub controls: Vec<net::SocketAddr>,
-    /// Entries that follow the leader, itself included, that are new; `None` for one that is gone.
-    /// Limits of the whole fleet are divided among them.
+    /// New entries that follow the leader, which is itself an entry; `None` for a removed one.
+    /// Fleet-wide limits are divided among the entries.
     pub entries: Vec<(net::SocketAddr, Option<()>)>,
-    /// Requests whose verdict changed; `None` for one that is free of suspicion.
+    /// Requests whose verdict changed; `None` for one that is no longer suspected.
     pub quarantine: Vec<(quarantine::Fingerprint, Option<quarantine::Verdict>)>,
 }
