--- a/crates/hyssopfork-fleet/benches/review.rs
+++ b/crates/hyssopfork-fleet/benches/review.rs
@@ -82,7 +82,7 @@
         for number in 0..engines {
             let told = announcement(number);
             fleet.engines.insert(told.instance.clone(), told.clone());
-            fleet.registry.announce(now, told);
+            fleet.registry.record_announcement(now, told);
         }
         fleet
     }
@@ -146,7 +146,7 @@
         }
         told.sequence += 1;
         let told = told.clone();
-        self.registry.announce(self.now, told);
+        self.registry.record_announcement(self.now, told);
     }
 
     fn serving(&self) -> usize {
--- a/crates/hyssopfork-fleet/src/bootstrap.rs
+++ b/crates/hyssopfork-fleet/src/bootstrap.rs
@@ -16,7 +16,7 @@
 /// Time for which the first seed collects candidates before it names a folder. The processes start
 /// within 0.3 s of each other, and naming a folder whose process is still starting would only delay
 /// the start.
-const DISCOVERY_PERIOD: Duration = Duration::from_millis(350);
+const CANDIDATE_PERIOD: Duration = Duration::from_millis(350);
 
 /// Selection of the folder that forms the log.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
     pub fn choose_founder(&mut self, now: clock::Instant) -> Option<net::SocketAddr> {
         if self.is_first_seed
             && self.founder.is_none()
-            && now.since(self.started) >= DISCOVERY_PERIOD
+            && now.since(self.started) >= CANDIDATE_PERIOD
         {
             self.founder = self.candidates.first().copied();
         }
--- a/crates/hyssopfork-fleet/src/core/calls.rs
+++ b/crates/hyssopfork-fleet/src/core/calls.rs
@@ -125,17 +125,17 @@
         let Some(leadership) = &mut self.leadership else { return };
         let registry = &mut leadership.registry;
         let (changed, is_leaving, notice) = match registration {
-            peer::Registration::Announced(told) => {
-                let (instance, leaves) = (told.instance.clone(), told.draining);
-                let taken = registry.announce(now, *told);
+            peer::Registration::Announced(announcement) => {
+                let (instance, draining) = (announcement.instance.clone(), announcement.draining);
+                let outcome = registry.record_announcement(now, *announcement);
                 let record = registry.get(&instance);
                 let notice =
-                    record.and_then(|record| notice::Notice::for_announcement(taken, record));
-                (taken == registry::Outcome::Changed, leaves, notice)
+                    record.and_then(|record| notice::Notice::for_announcement(outcome, record));
+                (outcome == registry::Outcome::Changed, draining, notice)
             }
             peer::Registration::Departed(instance) => {
-                let news = registry.depart(now, &instance);
-                (news, true, news.then_some(notice::Notice::Departed(instance)))
+                let changed = registry.record_departure(now, &instance);
+                (changed, true, changed.then_some(notice::Notice::Departed(instance)))
             }
         };
         leadership.dirty |= changed;
@@ -145,8 +145,8 @@
             let own = self.settings.address;
             self.reply(call, action::Reply::Registered(own));
         }
-        if let Some(told) = notice {
-            self.push_notice(told);
+        if let Some(notice) = notice {
+            self.push_notice(notice);
         }
     }
 
@@ -159,9 +159,9 @@
     }
 
     fn on_watch(&mut self, call: u64, watch: peer::Watch) {
-        let leads = self.is_active_leader();
+        let is_leader = self.is_active_leader();
         let now = self.now;
-        let Some(leadership) = self.leadership.as_mut().filter(|_| leads) else {
+        let Some(leadership) = self.leadership.as_mut().filter(|_| is_leader) else {
             let leader = self.other_leader();
             return self.reply(call, action::Reply::Watched(peer::Answer::NotLeader(leader)));
         };
@@ -177,7 +177,7 @@
             leadership.ledger.inherit(now, known.quarantine);
             leadership.watches.on_state_received(watch.from, watch.stamp);
         }
-        leadership.watches.hold(now, call, watch.from, watch.stamp, watch.document);
+        leadership.watches.hold(now, call, watch.from, watch.stamp, watch.document_progress);
         self.record_evidence(watch.from, &watch.evidence);
     }
 
--- a/crates/hyssopfork-fleet/src/core/follow.rs
+++ b/crates/hyssopfork-fleet/src/core/follow.rs
@@ -18,12 +18,12 @@
     }
 
     fn watch_leader(&mut self) {
-        let Some((leader, tells)) = self.discovery.start_watch() else { return };
+        let Some((leader, sends_state)) = self.discovery.start_watch() else { return };
         let watch = peer::Watch {
             from: self.settings.address,
             stamp: self.local_view.stamp,
-            document: self.local_view.partial.progress(self.local_view.version()),
-            known: tells.then(|| self.known_state()),
+            document_progress: self.local_view.partial.progress(self.local_view.version()),
+            known: sends_state.then(|| self.known_state()),
             evidence: mem::take(&mut self.evidence),
         };
         self.push_action(action::Action::Watch(leader, Box::new(watch)));
@@ -95,7 +95,7 @@
 
     /// Adds a part of a document and returns the document once it is complete.
     fn receive_part(&mut self, part: document::Part) -> Option<document::Document> {
-        let encoding = self.local_view.partial.take(part)?;
+        let encoding = self.local_view.partial.add(part)?;
         match encoding.decode(self.local_view.document.as_ref()) {
             Ok(document) => Some(document),
             Err(error) => {
--- a/crates/hyssopfork-fleet/src/core/lead.rs
+++ b/crates/hyssopfork-fleet/src/core/lead.rs
@@ -240,9 +240,11 @@
                 if due.requests_state {
                     return (due.call, peer::Answer::StateRequested);
                 }
-                let part = due.document.and_then(|held| leadership.publisher.next_part(held));
+                let part = due
+                    .document_progress
+                    .and_then(|progress| leadership.publisher.next_part(progress));
                 let update =
-                    view::Update { document: part, ..leadership.publisher.since(due.have) };
+                    view::Update { document: part, ..leadership.publisher.since(due.known_stamp) };
                 (due.call, peer::Answer::Updated(Box::new(update)))
             })
             .collect();
@@ -264,7 +266,9 @@
         let now = self.now;
         let (Some(leadership), Some(node)) = (&mut self.leadership, &self.node) else { return };
         let voter_review = &mut leadership.voter_review;
-        if voter_review.last_review.is_some_and(|looked| now.since(looked) < VOTER_REVIEW_INTERVAL)
+        if voter_review
+            .last_review
+            .is_some_and(|last_review| now.since(last_review) < VOTER_REVIEW_INTERVAL)
         {
             return;
         }
--- a/crates/hyssopfork-fleet/src/core/watches.rs
+++ b/crates/hyssopfork-fleet/src/core/watches.rs
@@ -35,23 +35,23 @@
 #[derive(Clone, Debug)]
 struct HeldWatch {
     from: net::SocketAddr,
-    have: view::Stamp,
-    document: document::Progress,
+    known_stamp: view::Stamp,
+    document_progress: document::Progress,
     expires_at: clock::Instant,
 }
 
 /// The reply to a watch that is due.
 pub(super) struct PendingReply {
     pub(super) call: u64,
-    pub(super) have: view::Stamp,
+    pub(super) known_stamp: view::Stamp,
     /// The follower's document progress, if it is to be sent a part.
-    pub(super) document: Option<document::Progress>,
+    pub(super) document_progress: Option<document::Progress>,
     /// Whether the follower is asked for its state instead of being sent an update.
     pub(super) requests_state: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Registration {
+struct HeldRegistration {
     call: u64,
     since: clock::Instant,
     /// First revision that contains it; `None` until the next publication.
@@ -65,7 +65,7 @@
     last_seen: clock::Instant,
     /// Its revision at that time; `None` for an entry known from an earlier leader that has sent no
     /// watch yet.
-    have: Option<view::Stamp>,
+    known_stamp: Option<view::Stamp>,
 }
 
 /// How much a leader knows of the terms before its own.
@@ -78,8 +78,8 @@
 
 impl PriorState {
     /// Whether a follower at `have` knows state of earlier terms that this leader lacks.
-    fn is_behind(self, have: view::Stamp) -> bool {
-        have > self.newest && have.term < self.term
+    fn is_behind(self, known_stamp: view::Stamp) -> bool {
+        known_stamp > self.newest && known_stamp.term < self.term
     }
 }
 
@@ -94,7 +94,7 @@
     ///
     /// Invariant: at most [`MAX_TRANSFERS`].
     transfers: BTreeMap<net::SocketAddr, clock::Instant>,
-    registrations: Vec<Registration>,
+    registrations: Vec<HeldRegistration>,
     prior_state: PriorState,
     /// Followers that were asked for their state and have not answered, with the time of the
     /// request.
@@ -123,10 +123,11 @@
     /// complete state. A leader of a hundred followers that received the state from all of them
     /// lost its lease while decoding it.
     fn pick_donors(&mut self, now: clock::Instant) -> BTreeSet<net::SocketAddr> {
-        self.donors.retain(|_, asked| now.since(*asked) < DONOR_TIMEOUT);
+        self.donors.retain(|_, asked_at| now.since(*asked_at) < DONOR_TIMEOUT);
         let free = MAX_DONORS.saturating_sub(self.donors.len());
-        let behind = self.watches.values().filter(|held| self.prior_state.is_behind(held.have));
-        let mut candidates: Vec<_> = behind.map(|held| (held.have, held.from)).collect();
+        let behind =
+            self.watches.values().filter(|watch| self.prior_state.is_behind(watch.known_stamp));
+        let mut candidates: Vec<_> = behind.map(|watch| (watch.known_stamp, watch.from)).collect();
         candidates.sort();
         let picked: BTreeSet<_> =
             candidates.into_iter().rev().take(free).map(|(_, from)| from).collect();
@@ -135,9 +136,9 @@
     }
 
     /// Records that a follower at `have` has sent its state.
-    pub(super) fn on_state_received(&mut self, from: net::SocketAddr, have: view::Stamp) {
+    pub(super) fn on_state_received(&mut self, from: net::SocketAddr, known_stamp: view::Stamp) {
         self.donors.remove(&from);
-        self.prior_state.newest = self.prior_state.newest.max(have);
+        self.prior_state.newest = self.prior_state.newest.max(known_stamp);
     }
 
     /// Number of entries, without this process.
@@ -148,7 +149,7 @@
     /// Adds entries that followed an earlier leader. If they counted only from their first watch
     /// on, the first entries to send one would divide the fleet-wide limits among themselves.
     pub(super) fn add_known_entries(&mut self, known: impl IntoIterator<Item = net::SocketAddr>) {
-        let follower = Follower { last_seen: self.term_start, have: None };
+        let follower = Follower { last_seen: self.term_start, known_stamp: None };
         for entry in known {
             self.entries.entry(entry).or_insert(follower);
         }
@@ -159,26 +160,31 @@
         now: clock::Instant,
         call: u64,
         from: net::SocketAddr,
-        have: view::Stamp,
-        document: document::Progress,
+        known_stamp: view::Stamp,
+        document_progress: document::Progress,
     ) {
         self.transfers.remove(&from);
-        self.entries.insert(from, Follower { last_seen: now, have: Some(have) });
+        self.entries.insert(from, Follower { last_seen: now, known_stamp: Some(known_stamp) });
         // A process has one watch at a time, so an earlier one has been abandoned.
-        self.watches.retain(|_, held| held.from != from);
+        self.watches.retain(|_, watch| watch.from != from);
         self.watches.insert(
             call,
-            HeldWatch { from, have, document, expires_at: now + action::MAX_WATCH_HOLD },
+            HeldWatch {
+                from,
+                known_stamp,
+                document_progress,
+                expires_at: now + action::MAX_WATCH_HOLD,
+            },
         );
     }
 
     pub(super) fn hold_registration(&mut self, now: clock::Instant, call: u64) {
-        self.registrations.push(Registration { call, since: now, revision: None });
+        self.registrations.push(HeldRegistration { call, since: now, revision: None });
     }
 
     pub(super) fn abandon(&mut self, call: u64) {
         self.watches.remove(&call);
-        self.registrations.retain(|held| held.call != call);
+        self.registrations.retain(|registration| registration.call != call);
     }
 
     /// Removes and returns the watches to answer at `stamp`, where `version` is the newest
@@ -192,33 +198,34 @@
         let picked = self.pick_donors(now);
         let prior_state = self.prior_state;
         let transfers = &mut self.transfers;
-        transfers.retain(|_, sent| now.since(*sent) < action::WATCH_TIMEOUT);
+        transfers.retain(|_, sent_at| now.since(*sent_at) < action::WATCH_TIMEOUT);
         let mut due = Vec::new();
-        self.watches.retain(|call, held| {
-            if picked.contains(&held.from) {
+        self.watches.retain(|call, watch| {
+            if picked.contains(&watch.from) {
                 due.push(PendingReply {
                     call: *call,
-                    have: held.have,
-                    document: None,
+                    known_stamp: watch.known_stamp,
+                    document_progress: None,
                     requests_state: true,
                 });
                 return false;
             }
             // An update would overwrite state that only this follower may have.
-            let is_behind = prior_state.is_behind(held.have);
-            let may_answer = !is_behind || now >= held.expires_at + action::MAX_WATCH_HOLD;
-            let needs_document = held.document.version < version;
+            let is_behind = prior_state.is_behind(watch.known_stamp);
+            let may_answer = !is_behind || now >= watch.expires_at + action::MAX_WATCH_HOLD;
+            let needs_document = watch.document_progress.version < version;
             let transfer = may_answer && needs_document && transfers.len() < MAX_TRANSFERS;
-            let is_due = may_answer && (transfer || held.have != stamp || now >= held.expires_at);
+            let is_due =
+                may_answer && (transfer || watch.known_stamp != stamp || now >= watch.expires_at);
             if transfer {
-                transfers.insert(held.from, now);
+                transfers.insert(watch.from, now);
             }
             if is_due {
-                let document = transfer.then_some(held.document);
+                let document_progress = transfer.then_some(watch.document_progress);
                 due.push(PendingReply {
                     call: *call,
-                    have: held.have,
-                    document,
+                    known_stamp: watch.known_stamp,
+                    document_progress,
                     requests_state: false,
                 });
             }
@@ -229,8 +236,8 @@
 
     /// Records that `revision` is the first to publish the pending registrations.
     pub(super) fn on_published(&mut self, revision: u64) {
-        for held in &mut self.registrations {
-            held.revision.get_or_insert(revision);
+        for registration in &mut self.registrations {
+            registration.revision.get_or_insert(revision);
         }
     }
 
@@ -241,19 +248,22 @@
         now: clock::Instant,
         stamp: view::Stamp,
     ) -> (Vec<u64>, Vec<u64>) {
-        let stamps: Vec<view::Stamp> = self.entries.values().filter_map(|it| it.have).collect();
+        let stamps: Vec<view::Stamp> =
+            self.entries.values().filter_map(|it| it.known_stamp).collect();
         let followers = stamps.len();
         let known = |revision: u64| {
-            let has = |have: &&view::Stamp| have.term == stamp.term && have.revision >= revision;
+            let has = |known_stamp: &&view::Stamp| {
+                known_stamp.term == stamp.term && known_stamp.revision >= revision
+            };
             stamps.iter().filter(has).count()
         };
         let (mut replicated, mut expired) = (Vec::new(), Vec::new());
-        self.registrations.retain(|held| {
+        self.registrations.retain(|registration| {
             let is_known = |revision| known(revision) >= MIN_REPLICAS.min(followers);
-            if held.revision.is_some_and(is_known) {
-                replicated.push(held.call);
-            } else if now.since(held.since) >= REPLICATION_TIMEOUT {
-                expired.push(held.call);
+            if registration.revision.is_some_and(is_known) {
+                replicated.push(registration.call);
+            } else if now.since(registration.since) >= REPLICATION_TIMEOUT {
+                expired.push(registration.call);
             } else {
                 return true;
             }
@@ -265,7 +275,7 @@
     /// Processes that can probe an upstream for the leader. They are picked at equal distances from
     /// the sorted addresses, because processes of one zone have adjacent addresses.
     pub(super) fn probe_peers(&self) -> BTreeSet<net::SocketAddr> {
-        let followers = self.entries.iter().filter(|(_, follower)| follower.have.is_some());
+        let followers = self.entries.iter().filter(|(_, follower)| follower.known_stamp.is_some());
         let followers: Vec<net::SocketAddr> = followers.map(|(entry, _)| *entry).collect();
         let stride = followers.len().div_ceil(MAX_PROBE_PEERS).max(1);
         followers.into_iter().step_by(stride).collect()
--- a/crates/hyssopfork-fleet/src/discovery.rs
+++ b/crates/hyssopfork-fleet/src/discovery.rs
@@ -26,7 +26,7 @@
     /// Leader with a pending watch of this process.
     watched: Option<net::SocketAddr>,
     /// Whether the next watch includes the state that this process knows.
-    sends_known: bool,
+    sends_state: bool,
     /// Newest revision that this process has received.
     pub stamp: view::Stamp,
 }
@@ -41,7 +41,7 @@
             leader: None,
             last_greeting: None,
             watched: None,
-            sends_known: false,
+            sends_state: false,
             stamp: view::Stamp::default(),
         }
     }
@@ -97,13 +97,12 @@
     /// Handles the leader's request for the state that this process knows.
     pub fn on_state_requested(&mut self, leader: net::SocketAddr) {
         self.watched = self.watched.filter(|asked| *asked != leader);
-        self.sends_known = true;
+        self.sends_state = true;
     }
 
     /// Processes to greet now: all known ones, at each greeting interval while no leader is known.
     pub fn due_greetings(&mut self, now: clock::Instant) -> Vec<net::SocketAddr> {
-        let is_due =
-            self.last_greeting.is_none_or(|greeted| now.since(greeted) >= GREETING_INTERVAL);
+        let is_due = self.last_greeting.is_none_or(|last| now.since(last) >= GREETING_INTERVAL);
         if self.leader.is_some() || !is_due {
             return Vec::new();
         }
@@ -126,7 +125,7 @@
             return None;
         }
         self.watched = Some(leader);
-        Some((leader, std::mem::take(&mut self.sends_known)))
+        Some((leader, std::mem::take(&mut self.sends_state)))
     }
 
     /// Handles an update from the leader.
--- a/crates/hyssopfork-fleet/src/document.rs
+++ b/crates/hyssopfork-fleet/src/document.rs
@@ -74,9 +74,9 @@
 }
 
 impl Encoding {
-    /// Decodes the document; `held` is the document that the receiver has.
-    pub fn decode(&self, held: Option<&Document>) -> Result<Document, Error> {
-        let base = held.filter(|held| held.version == self.base);
+    /// Decodes the document; `base_document` is the document that the receiver has.
+    pub fn decode(&self, base_document: Option<&Document>) -> Result<Document, Error> {
+        let base = base_document.filter(|document| document.version == self.base);
         if self.base != 0 && base.is_none() {
             return Err(Error::NoBase(self.base));
         }
@@ -161,7 +161,7 @@
 
     /// Adds a part and returns the encoding once it is complete. A first part discards all earlier
     /// parts; any other is ignored unless it continues them.
-    pub fn take(&mut self, part: Part) -> Option<Encoding> {
+    pub fn add(&mut self, part: Part) -> Option<Encoding> {
         if part.size > MAX_BYTES as u64 {
             return None;
         }
@@ -182,9 +182,9 @@
         if !part.is_last() {
             return None;
         }
-        let whole = std::mem::take(self);
-        let bytes = Bytes::from(whole.bytes);
-        Some(Encoding { version: whole.version, base: whole.base, bytes })
+        let complete = std::mem::take(self);
+        let bytes = Bytes::from(complete.bytes);
+        Some(Encoding { version: complete.version, base: complete.base, bytes })
     }
 }
 
--- a/crates/hyssopfork-fleet/src/durable.rs
+++ b/crates/hyssopfork-fleet/src/durable.rs
@@ -117,8 +117,8 @@
             Command::Declare(document) => self.declare(document),
             Command::DeclarePart(part) => {
                 let last = part.is_last();
-                let whole = self.partial.take(part);
-                match whole.and_then(|encoding| encoding.decode(None).ok()) {
+                let encoding = self.partial.add(part);
+                match encoding.and_then(|encoding| encoding.decode(None).ok()) {
                     Some(document) => self.declare(document),
                     None if last => return Applied::Incomplete,
                     None => false,
--- a/crates/hyssopfork-fleet/src/groups.rs
+++ b/crates/hyssopfork-fleet/src/groups.rs
@@ -197,7 +197,7 @@
         registry: &mut registry::Registry,
     ) -> Vec<Command> {
         self.reports.record_report(instance, report);
-        registry.report(now, instance, report);
+        registry.record_report(now, instance, report);
         self.take_commands()
     }
 
--- a/crates/hyssopfork-fleet/src/notice.rs
+++ b/crates/hyssopfork-fleet/src/notice.rs
@@ -124,9 +124,12 @@
     }
 
     /// The event of an upstream's announcement; `None` if it repeated what was known.
-    pub fn for_announcement(taken: registry::Outcome, record: &registry::Record) -> Option<Notice> {
+    pub fn for_announcement(
+        outcome: registry::Outcome,
+        record: &registry::Record,
+    ) -> Option<Notice> {
         let announcement = &record.announcement;
-        match taken {
+        match outcome {
             registry::Outcome::Unchanged => None,
             registry::Outcome::Stale => Some(Notice::LateCall(announcement.instance.clone())),
             registry::Outcome::Changed => {
--- a/crates/hyssopfork-fleet/src/peer.rs
+++ b/crates/hyssopfork-fleet/src/peer.rs
@@ -68,7 +68,7 @@
     /// Revision that the follower has.
     pub stamp: view::Stamp,
     /// Its progress in receiving declarations.
-    pub document: document::Progress,
+    pub document_progress: document::Progress,
     /// All that it knows of upstreams and groups, sent after [`Answer::StateRequested`]: a new
     /// leader knows less than the followers of the leader before.
     pub known: Option<KnownState>,
--- a/crates/hyssopfork-fleet/src/publication.rs
+++ b/crates/hyssopfork-fleet/src/publication.rs
@@ -168,19 +168,20 @@
     }
 
     /// The next part of a newer declaration that the follower needs.
-    pub fn next_part(&mut self, held: document::Progress) -> Option<document::Part> {
+    pub fn next_part(&mut self, progress: document::Progress) -> Option<document::Part> {
         let newest = self.version();
-        if newest <= held.version {
+        if newest <= progress.version {
             return None;
         }
-        let is_started =
-            held.partial_version > held.version && self.document(held.partial_version).is_some();
-        let has_base = held.base == 0 || held.base == held.version && self.is_kept(held.base);
+        let is_started = progress.partial_version > progress.version
+            && self.document(progress.partial_version).is_some();
+        let has_base =
+            progress.base == 0 || progress.base == progress.version && self.is_kept(progress.base);
         if is_started && has_base {
-            let encoding = self.encoding(held.base, held.partial_version)?;
-            return Some(encoding.part(held.offset as usize));
+            let encoding = self.encoding(progress.base, progress.partial_version)?;
+            return Some(encoding.part(progress.offset as usize));
         }
-        let base = if self.is_kept(held.version) { held.version } else { 0 };
+        let base = if self.is_kept(progress.version) { progress.version } else { 0 };
         Some(self.encoding(base, newest)?.part(0))
     }
 
@@ -210,16 +211,16 @@
     }
 
     /// The update for a follower at `have`, without declarations.
-    pub fn since(&self, have: view::Stamp) -> view::Update {
+    pub fn since(&self, known_stamp: view::Stamp) -> view::Update {
         let floor = self.upstreams.floor.max(self.groups.floor).max(self.entries.floor);
         let floor = floor.max(self.quarantine.floor);
-        let known = have.term == self.stamp.term
-            && have.revision >= floor
-            && have.revision <= self.stamp.revision;
-        let revision = if known { have.revision } else { 0 };
+        let is_known = known_stamp.term == self.stamp.term
+            && known_stamp.revision >= floor
+            && known_stamp.revision <= self.stamp.revision;
+        let revision = if is_known { known_stamp.revision } else { 0 };
         view::Update {
             stamp: self.stamp,
-            is_full: !known,
+            is_full: !is_known,
             declared_version: self.version(),
             document: None,
             zones_out: self.state.zones_out.clone(),
--- a/crates/hyssopfork-fleet/src/quarantine.rs
+++ b/crates/hyssopfork-fleet/src/quarantine.rs
@@ -181,7 +181,7 @@
         process: &Process,
         end: clock::Instant,
     ) -> bool {
-        if self.ignored_until.is_some_and(|settled| end <= settled) {
+        if self.ignored_until.is_some_and(|until| end <= until) {
             return false;
         }
         let due = if self.is_quarantined() {
--- a/crates/hyssopfork-fleet/src/registry.rs
+++ b/crates/hyssopfork-fleet/src/registry.rs
@@ -122,7 +122,7 @@
     }
 
     /// Records an upstream's announcement.
-    pub fn announce(
+    pub fn record_announcement(
         &mut self,
         now: clock::Instant,
         announcement: announcement::Announcement,
@@ -159,7 +159,7 @@
     }
 
     /// Records an upstream's departure; returns whether it was not known before.
-    pub fn depart(&mut self, now: clock::Instant, instance: &name::Instance) -> bool {
+    pub fn record_departure(&mut self, now: clock::Instant, instance: &name::Instance) -> bool {
         let Some(record) = self.records.get_mut(instance) else { return false };
         record.last_heard = now;
         self.changed.insert(instance.clone());
@@ -210,7 +210,7 @@
     /// Records an engine's report if the engine has not called this leader yet. Its next call comes
     /// only when its call to the leader before has timed out. From then on its calls are newer than
     /// its reports, because an engine calls immediately after a change.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         now: clock::Instant,
         instance: &name::Instance,
@@ -235,8 +235,8 @@
     pub fn set_rate(&mut self, now: clock::Instant, change: &rate::Change) -> bool {
         let at = now - change.age;
         let Some(record) = self.records.get_mut(&change.process.instance) else { return false };
-        let older = record.rate_set_at.is_some_and(|named| at <= named);
-        if record.announcement.start_time_ms != change.process.start_time_ms || older {
+        let is_older = record.rate_set_at.is_some_and(|set_at| at <= set_at);
+        if record.announcement.start_time_ms != change.process.start_time_ms || is_older {
             return false;
         }
         record.rate_set_at = Some(at);
@@ -291,8 +291,8 @@
                 && !record.departed
         };
         if let Some(known) = self.records.get(&announcement.instance) {
-            let born = known.announcement.start_time_ms;
-            return match announcement.start_time_ms.cmp(&born) {
+            let known_start_ms = known.announcement.start_time_ms;
+            return match announcement.start_time_ms.cmp(&known_start_ms) {
                 std::cmp::Ordering::Equal => announcement.sequence > known.announcement.sequence,
                 std::cmp::Ordering::Greater => true,
                 std::cmp::Ordering::Less => !is_alive(known),
--- a/crates/hyssopfork-fleet/tests/fleet/document.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/document.rs
@@ -24,7 +24,7 @@
         let mut partial = document::Partial::default();
 
         let encoding = document.encode(None);
-        let made: Vec<_> = encoding.parts().map(|part| partial.take(part)).collect();
+        let made: Vec<_> = encoding.parts().map(|part| partial.add(part)).collect();
 
         let whole = made.into_iter().last().flatten().expect("the last part completes it");
         assert_eq!(whole.decode(None).expect("it was just encoded"), document, "size {size}");
@@ -47,7 +47,7 @@
     let part = document::Part { version: 1, base: 0, size, offset: 0, bytes };
     let mut partial = document::Partial::default();
 
-    assert_eq!(partial.take(part), None);
+    assert_eq!(partial.add(part), None);
 
     assert!(partial.is_empty());
 }
@@ -97,7 +97,7 @@
         let mut partial = document::Partial::default();
 
         for place in order {
-            let made = partial.take(parts[place].clone());
+            let made = partial.add(parts[place].clone());
 
             prop_assert!(made.is_none_or(|made| made == encoding));
         }
--- a/crates/hyssopfork-fleet/tests/fleet/registry.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/registry.rs
@@ -11,7 +11,7 @@
 
 fn registry() -> Registry {
     let mut registry = Registry::new(SILENCE);
-    registry.announce(fixture::at(0), fixture::announcement("e1"));
+    registry.record_announcement(fixture::at(0), fixture::announcement("e1"));
     registry
 }
 
@@ -24,10 +24,10 @@
 fn a_call_that_was_overtaken_changes_nothing() {
     let mut registry = registry();
     let draining = Announcement { sequence: 3, draining: true, ..fixture::announcement("e1") };
-    registry.announce(fixture::at(10), draining);
+    registry.record_announcement(fixture::at(10), draining);
 
     let late = Announcement { sequence: 2, ..fixture::announcement("e1") };
-    let taken = registry.announce(fixture::at(20), late);
+    let taken = registry.record_announcement(fixture::at(20), late);
 
     assert_eq!(taken, Outcome::Stale);
     assert!(registry.get(&e1()).is_some_and(|record| record.is_leaving()));
@@ -36,10 +36,10 @@
 #[test]
 fn a_new_process_under_the_same_name_counts_anew() {
     let mut registry = registry();
-    registry.depart(fixture::at(10), &e1());
+    registry.record_departure(fixture::at(10), &e1());
 
     let reborn = Announcement { start_time_ms: 2_000, sequence: 1, ..fixture::announcement("e1") };
-    let taken = registry.announce(fixture::at(20), reborn);
+    let taken = registry.record_announcement(fixture::at(20), reborn);
 
     assert_eq!(taken, Outcome::Changed);
     assert!(registry.get(&e1()).is_some_and(|record| record.is_healthy()));
@@ -50,10 +50,10 @@
 #[test]
 fn an_upstream_that_left_stays_gone() {
     let mut registry = registry();
-    registry.depart(fixture::at(10), &e1());
+    registry.record_departure(fixture::at(10), &e1());
 
     let held_up = Announcement { sequence: 2, ..fixture::announcement("e1") };
-    registry.announce(fixture::at(20), held_up);
+    registry.record_announcement(fixture::at(20), held_up);
 
     assert!(registry.get(&e1()).is_some_and(|record| record.is_leaving()));
 }
@@ -64,10 +64,10 @@
 fn a_late_call_of_whoever_had_the_address_before_is_dropped() {
     let mut registry = registry();
     let heir = Announcement { start_time_ms: 5_000, ..fixture::announcement("e2") };
-    registry.announce(fixture::at(10), heir);
+    registry.record_announcement(fixture::at(10), heir);
 
     let late = Announcement { sequence: 9, ..fixture::announcement("e1") };
-    let taken = registry.announce(fixture::at(20), late);
+    let taken = registry.record_announcement(fixture::at(20), late);
 
     assert_eq!(taken, Outcome::Stale);
     assert!(registry.get(&e1()).is_none());
@@ -80,7 +80,7 @@
     assert_eq!(registry.published(later)[&e1()].status, view::Status::Silent);
 
     let again = Announcement { sequence: 2, ..fixture::announcement("e1") };
-    registry.announce(later, again);
+    registry.record_announcement(later, again);
 
     assert_eq!(registry.published(later)[&e1()].status, view::Status::Present);
 }
@@ -91,7 +91,7 @@
     registry.mark_dead(&e1());
 
     let again = Announcement { sequence: 2, ..fixture::announcement("e1") };
-    let taken = registry.announce(fixture::at(10), again);
+    let taken = registry.record_announcement(fixture::at(10), again);
 
     assert_eq!(taken, Outcome::Changed);
     assert!(registry.get(&e1()).is_some_and(|record| !record.dead));
@@ -116,7 +116,7 @@
 fn time_left_cold_shrinks_as_it_passes() {
     let mut registry = Registry::new(SILENCE);
     let cold = Announcement { cold: Duration::from_secs(3), ..fixture::announcement("e1") };
-    registry.announce(fixture::at(0), cold);
+    registry.record_announcement(fixture::at(0), cold);
 
     let told = registry.published(fixture::at(1_000));
 
@@ -129,13 +129,13 @@
     let large = name::Model::from("large");
     let ready =
         Announcement { sequence: 2, loaded: Some(large.clone()), ..fixture::announcement("e1") };
-    registry.announce(fixture::at(10), ready);
+    registry.record_announcement(fixture::at(10), ready);
     let left = Announcement { sequence: 3, ..fixture::announcement("e1") };
-    registry.announce(fixture::at(20), left);
+    registry.record_announcement(fixture::at(20), left);
     assert_eq!(registry.get(&e1()).and_then(|record| record.last_model.clone()), Some(large));
 
     let reborn = Announcement { start_time_ms: 2_000, ..fixture::announcement("e1") };
-    registry.announce(fixture::at(30), reborn);
+    registry.record_announcement(fixture::at(30), reborn);
 
     assert_eq!(registry.get(&e1()).and_then(|record| record.last_model.clone()), None);
 }
@@ -149,16 +149,16 @@
     let large = name::Model::from("large");
     let ready =
         Announcement { sequence: 2, loaded: Some(large.clone()), ..fixture::announcement("e1") };
-    before.announce(fixture::at(10), ready);
+    before.record_announcement(fixture::at(10), ready);
     let left = Announcement { sequence: 3, ..fixture::announcement("e1") };
-    before.announce(fixture::at(20), left);
+    before.record_announcement(fixture::at(20), left);
     let known = before.published(fixture::at(30))[&e1()].clone();
 
     let mut first = Registry::new(SILENCE);
     first.adopt(fixture::at(40), known.clone());
     let mut second = Registry::new(SILENCE);
     let called = Announcement { sequence: 4, ..fixture::announcement("e1") };
-    second.announce(fixture::at(40), called);
+    second.record_announcement(fixture::at(40), called);
     second.adopt(fixture::at(50), known);
 
     for registry in [first, second] {
@@ -179,9 +179,9 @@
         cold: Duration::from_millis(millis),
         ..fixture::announcement("e1")
     };
-    registry.announce(fixture::at(0), cold(1, 500));
+    registry.record_announcement(fixture::at(0), cold(1, 500));
     registry.published(fixture::at(0));
-    registry.announce(fixture::at(400), cold(2, 3_000));
+    registry.record_announcement(fixture::at(400), cold(2, 3_000));
 
     let mut is_cold =
         |millis| !registry.published(fixture::at(millis))[&e1()].announcement.cold.is_zero();
@@ -221,7 +221,7 @@
     let next =
         Announcement { start_time_ms: 1_000_000, sequence: 1, ..fixture::announcement("e1") };
 
-    registry.announce(fixture::at(2_000), next);
+    registry.record_announcement(fixture::at(2_000), next);
 
     assert_eq!(registry.get(&e1()).and_then(|record| record.rate), None);
     assert!(!registry.set_rate(fixture::at(2_100), &change(Some(3.7), 0)));
