--- a/crates/hyssopfork-fleet/tests/fleet/bootstrap.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/bootstrap.rs
@@ -1,4 +1,4 @@
-//! One folder forms the log.
+//! The choice of the one folder that forms the log.
 
 use crate::fixture;
 use hyssopfork_fleet::bootstrap::Bootstrap;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_first_seed_listens_before_it_names_a_folder() {
+fn the_first_seed_collects_candidates_before_it_chooses() {
     let mut founding = Bootstrap::new(true, fixture::at(0));
     founding.add_candidate(&hello(3));
     assert_eq!(founding.choose_founder(fixture::at(100)), None);
@@ -18,10 +18,10 @@
     assert_eq!(founding.choose_founder(fixture::at(400)), Some(fixture::address(2)));
 }
 
-/// A folder that is named and then another would make two logs: operators on two sides would each
-/// be acknowledged what the other side forgets.
+/// Guards against choosing two folders, which would form two logs: each would acknowledge
+/// declarations that the other lacks.
 #[test]
-fn a_folder_that_was_named_is_the_only_one() {
+fn the_chosen_founder_never_changes() {
     let mut founding = Bootstrap::new(true, fixture::at(0));
     founding.add_candidate(&hello(3));
     assert_eq!(founding.choose_founder(fixture::at(400)), Some(fixture::address(3)));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nobody_else_names_a_folder() {
+fn other_processes_choose_no_founder() {
     let mut founding = Bootstrap::new(false, fixture::at(0));
     founding.add_candidate(&hello(3));
 
--- a/crates/hyssopfork-fleet/tests/fleet/declaration.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/declaration.rs
@@ -1,4 +1,4 @@
-//! What may be declared.
+//! Validation of declarations.
 
 use crate::fixture;
 use hyssopfork_fleet::declaration::{Declaration, Fault, Team};
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn a_sound_declaration_has_no_faults() {
+fn a_valid_declaration_has_no_faults() {
     assert_eq!(fixture::declaration(1).faults(), Vec::new());
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let mut unknown = fixture::route("r2", "/b/");
     unknown.targets = vec![(name::Pool::from("nobody"), 1)];
     let mut weightless = fixture::route("r3", "/c/");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn two_keys_of_one_team_may_be_the_same() {
+fn a_team_may_repeat_a_key() {
     let mut declaration: Declaration = fixture::declaration(1);
     let mut doubled = team("t1", "k");
     doubled.keys.push("k".to_owned());
--- a/crates/hyssopfork-fleet/tests/fleet/document.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/document.rs
@@ -1,4 +1,4 @@
-//! Documents that travel in parts.
+//! Encoding of documents and their transfer in parts.
 
 use crate::fixture;
 use bytes::Bytes;
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 /// A document that can't be compressed.
-fn document_of(size: usize) -> document::Document {
+fn incompressible_document(size: usize) -> document::Document {
     let mut random: u32 = 1;
     let mut next = || {
         random = random.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn a_document_is_made_of_its_parts_again() {
+fn a_document_is_reassembled_from_its_parts() {
     for size in
         [0, 1, document::MAX_PART_BYTES, document::MAX_PART_BYTES + 1, 3 * document::MAX_PART_BYTES]
     {
-        let document = document_of(size);
+        let document = incompressible_document(size);
         let mut partial = document::Partial::default();
 
         let encoding = document.encode(None);
@@ -34,14 +34,14 @@
 
 #[test]
 fn no_part_is_longer_than_the_limit() {
-    let encoding = document_of(200_000).encode(None);
+    let encoding = incompressible_document(200_000).encode(None);
 
     assert!(encoding.parts().count() > 1);
     assert!(encoding.parts().all(|part| part.bytes.len() <= document::MAX_PART_BYTES));
 }
 
 #[test]
-fn a_document_beyond_the_limit_is_not_collected() {
+fn parts_of_an_oversized_document_are_rejected() {
     let size = document::MAX_BYTES as u64 + 1;
     let bytes = Bytes::from_static(b"{");
     let part = document::Part { version: 1, base: 0, size, offset: 0, bytes };
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_change_of_a_large_document_is_encoded_in_little() {
+fn a_small_change_of_a_large_document_has_a_small_encoding() {
     let base = fixture::large_document(4, 4_200);
     let next = fixture::large_document(5, 4_201);
 
@@ -63,9 +63,9 @@
     assert_eq!(encoding.parts().count(), 1);
 }
 
-/// Guards against a document made with another base than the one it was encoded against.
+/// Guards against decoding a document with another base than the one it was encoded against.
 #[test]
-fn an_encoding_is_read_with_its_own_base_alone() {
+fn an_encoding_is_decoded_only_with_its_own_base() {
     let base = fixture::large_document(4, 1_000);
     let encoding = fixture::large_document(6, 1_010).encode(Some(&base));
     let other = fixture::large_document(5, 1_000);
@@ -76,9 +76,9 @@
     assert!(encoding.decode(Some(&renumbered)).is_err());
 }
 
-/// Guards against an encoding that makes a process take memory without bound.
+/// Guards against an encoding whose document exhausts memory.
 #[test]
-fn an_encoding_of_too_long_a_document_is_not_read() {
+fn an_encoding_of_an_oversized_document_is_rejected() {
     let bytes = Bytes::from(vec![b' '; document::MAX_BYTES + 1]);
     let encoding = document::Document { version: 1, bytes }.encode(None);
 
@@ -86,12 +86,12 @@
 }
 
 proptest! {
-    /// Guards against a document of bytes that were never sent as one.
+    /// Guards against assembling a document from parts that don't belong together.
     #[test]
-    fn parts_in_any_order_give_the_document_or_nothing(
+    fn parts_in_any_order_yield_the_document_or_nothing(
         order in prop::collection::vec(0_usize..6, 1..40),
     ) {
-        let document = document_of(5 * document::MAX_PART_BYTES + 7);
+        let document = incompressible_document(5 * document::MAX_PART_BYTES + 7);
         let encoding = document.encode(None);
         let parts: Vec<document::Part> = encoding.parts().collect();
         let mut partial = document::Partial::default();
--- a/crates/hyssopfork-fleet/tests/fleet/durable.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/durable.rs
@@ -1,11 +1,11 @@
-//! The replicated state.
+//! The replicated state machine.
 
 use crate::fixture;
 use hyssopfork_fleet::durable::{Applied, Command, State};
 use hyssopfork_wire::name;
 
 #[test]
-fn versions_never_go_down() {
+fn versions_never_decrease() {
     let mut state = State::default();
     assert_eq!(state.apply(Command::Declare(fixture::document(5))), Applied::Changed);
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_snapshot_holds_all() {
+fn a_snapshot_contains_the_whole_state() {
     let mut state = State::default();
     state.apply(Command::Declare(fixture::document(5)));
     state.apply(Command::TakeOut(name::Zone::from("z1")));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn commands_survive_the_log() {
+fn commands_are_decoded_as_encoded() {
     let command = Command::Declare(fixture::document(5));
 
     assert_eq!(Command::decode(&command.encode()).expect("it was just written"), command);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_long_declaration_is_in_force_with_its_last_part() {
+fn a_declaration_in_parts_is_in_force_with_its_last_part() {
     let document = fixture::large_document(7, 12_000);
     let commands = Command::declare(document.clone());
     assert!(commands.len() > 1);
@@ -50,7 +50,7 @@
     assert!(state.is_complete());
 }
 
-/// Guards against an acknowledgement of a declaration of which the log lacks a part.
+/// Guards against acknowledging a declaration with a part missing in the log.
 #[test]
 fn a_declaration_that_lacks_a_part_is_incomplete() {
     let mut commands = Command::declare(fixture::large_document(7, 12_000));
@@ -63,7 +63,7 @@
     assert_eq!(state.document, None);
 }
 
-/// Guards against a document made of the parts of two leaders.
+/// Guards against assembling a declaration from parts that two leaders proposed.
 #[test]
 fn parts_that_an_earlier_leader_left_are_dropped() {
     let first = Command::declare(fixture::large_document(7, 12_000));
--- a/crates/hyssopfork-fleet/tests/fleet/fixture.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/fixture.rs
@@ -1,4 +1,4 @@
-//! Values that tests start from.
+//! Values shared by the tests.
 
 use bytes::Bytes;
 use hyssopfork_fleet::{announcement, declaration, document};
@@ -58,12 +58,12 @@
     }
 }
 
-/// Versions from which on a group of the large model takes four engines.
-pub const LARGE_OF_FOUR: u64 = 1_000;
+/// First version in which a group of the large model has four engines instead of two.
+pub const FIRST_VERSION_WITH_LARGE_OF_FOUR: u64 = 1_000;
 
-/// Two models, of two engines (or four) and of one.
+/// A declaration of two models: "large" with groups of two or four engines, "small" with one.
 pub fn declaration(version: u64) -> declaration::Declaration {
-    let large = if version < LARGE_OF_FOUR { 2 } else { 4 };
+    let large = if version < FIRST_VERSION_WITH_LARGE_OF_FOUR { 2 } else { 4 };
     let engine = declaration::Engine {
         slots: 8,
         models: vec![model("large", large), model("small", 1)],
@@ -80,12 +80,12 @@
     }
 }
 
-/// A document whose bytes are its version in decimal.
+/// A document whose content is its version in decimal.
 pub fn document(version: u64) -> document::Document {
     document::Document { version, bytes: Bytes::from(version.to_string()) }
 }
 
-/// A document of `routes` routes, whose names and prefixes follow no pattern.
+/// A document of `routes` routes with random names and prefixes, which compress badly.
 pub fn large_document(version: u64, routes: u64) -> document::Document {
     let mut text = format!("{version}\n");
     let mut random: u64 = 1;
@@ -99,7 +99,7 @@
     document::Document { version, bytes: Bytes::from(text) }
 }
 
-/// Reads a document of [`document`] or [`large_document`].
+/// Decodes a document of [`document`] or [`large_document`].
 pub fn decode(bytes: &[u8]) -> Option<declaration::Declaration> {
     let version = std::str::from_utf8(bytes).ok()?.lines().next()?.parse().ok()?;
     Some(declaration(version))
--- a/crates/hyssopfork-fleet/tests/fleet/groups.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/groups.rs
@@ -83,7 +83,7 @@
 
     world.cut_engine(&head);
     world.run(10_000);
-    world.cuts.clear();
+    world.blocked_links.clear();
     world.run(10_000);
 
     assert_eq!(of_model(&world, "large"), 2);
@@ -94,7 +94,7 @@
 #[test]
 fn an_answer_about_an_old_group_leaves_the_engine_in_its_new_one() {
     let mut world = world::World::declared(3, 2);
-    assert!(world.declare(fixture::LARGE_OF_FOUR));
+    assert!(world.declare(fixture::FIRST_VERSION_WITH_LARGE_OF_FOUR));
     world.add_engines(1..=14, "d1");
     world.run(26_000);
     let members = a_large_group(&world);
@@ -103,7 +103,7 @@
 
     world.slow_answers.insert(first, Duration::from_millis(390));
     for process in world.processes.keys().copied() {
-        world.cuts.insert((process, second));
+        world.blocked_links.insert((process, second));
     }
     world.engines.get_mut(&members[3]).expect("it is there").alive = false;
     world.run(8_000);
@@ -174,7 +174,7 @@
 
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
-    all.iter().for_each(|address| world.boot(*address, false));
+    all.iter().for_each(|address| world.start_process(*address, false));
     world.run(5_000);
 
     assert_eq!(world.serving().len(), before);
@@ -187,7 +187,7 @@
     let mut world = grouped();
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
-    all.iter().for_each(|address| world.boot(*address, false));
+    all.iter().for_each(|address| world.start_process(*address, false));
     let members = a_large_group_of_engines(&world);
     let now = world.now;
     let mut calls_at = |instance: &name::Instance, millis: u64| {
@@ -214,7 +214,7 @@
     let mut world = grouped();
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
-    all.iter().for_each(|address| world.boot(*address, false));
+    all.iter().for_each(|address| world.start_process(*address, false));
     let now = world.now;
     let large = name::Model::from("large");
     for engine in world.engines.values_mut() {
@@ -259,7 +259,7 @@
     };
     let before = serving(&world);
 
-    assert!(world.insist(&event::Request::TakeOut(name::Zone::from("z-d2"))));
+    assert!(world.call_until_done(&event::Request::TakeOut(name::Zone::from("z-d2"))));
     world.run(4_000);
 
     assert!(serving(&world) > before, "{before} groups before");
@@ -274,14 +274,14 @@
     let next = *world.processes.keys().take(3).find(|it| **it != leader).expect("there are three");
     let others: Vec<_> = world.processes.keys().copied().filter(|it| *it != next).collect();
     for other in &others {
-        world.cuts.insert((next, *other));
-        world.cuts.insert((*other, next));
+        world.blocked_links.insert((next, *other));
+        world.blocked_links.insert((*other, next));
     }
     let lost = a_large_group(&world)[1].clone();
     world.engines.get_mut(&lost).expect("it is there").alive = false;
     world.run(12_000);
 
-    world.cuts.clear();
+    world.blocked_links.clear();
     world.run(300);
     world.kill(leader);
     world.run(6_000);
@@ -300,7 +300,7 @@
     world.run(26_000);
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
-    all.iter().for_each(|address| world.boot(*address, false));
+    all.iter().for_each(|address| world.start_process(*address, false));
     let members = a_large_group_of_engines(&world);
     for engine in world.engines.values_mut() {
         engine.called = world.now;
@@ -335,7 +335,7 @@
 fn a_new_engine_goes_to_the_group_that_is_complete_soonest() {
     let mut world = world::World::start(3, 1);
     world.run(2_500);
-    assert!(world.declare(fixture::LARGE_OF_FOUR));
+    assert!(world.declare(fixture::FIRST_VERSION_WITH_LARGE_OF_FOUR));
     world.add_engines(1..=10, "d1");
     world.run(36_000);
     let served = world.serving();
@@ -452,7 +452,7 @@
 fn survivors_are_kept_for_the_model_farther_behind() {
     let mut world = world::World::start(3, 1);
     world.run(2_500);
-    assert!(world.declare(fixture::LARGE_OF_FOUR));
+    assert!(world.declare(fixture::FIRST_VERSION_WITH_LARGE_OF_FOUR));
     world.add_engines(1..=10, "d1");
     world.add_engines(11..=20, "d2");
     world.run(36_000);
--- a/crates/hyssopfork-fleet/tests/fleet/histories.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/histories.rs
@@ -1,33 +1,35 @@
-//! Random histories: processes and engines die, lose their disks, are cut off and come back.
+//! Random histories in which processes and engines crash, lose their disks, are partitioned and
+//! recover.
 //!
-//! The engines check each order against what must hold; the world checks that no process goes back
-//! to an older declaration; the history checks that nothing acknowledged is lost.
+//! The engines check each order against the invariants, the world checks that no process reverts to
+//! an older declaration, and the history checks that no acknowledged declaration is lost.
 
 use crate::{random, world};
 use hyssopfork_wire::name;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Histories of a usual test run; `HYSSOPFORK_HISTORIES` sets another number.
-const HISTORIES: u64 = 6;
+/// Number of histories per test; `HYSSOPFORK_HISTORIES` overrides it.
+const DEFAULT_HISTORIES: u64 = 6;
 
-fn impair(world: &mut world::World, random: &mut random::Random) {
+fn inject_fault(world: &mut world::World, random: &mut random::Random) {
     let processes: Vec<SocketAddr> = world.processes.keys().copied().collect();
     let engines: Vec<name::Instance> = world.engines.keys().cloned().collect();
     let process = random.pick(&processes);
     let engine = random.pick(&engines);
     match random.below(7) {
         0 => world.kill(process),
-        // Three folders bear the loss of one; while one is blank, another only goes down.
-        1 if is_blank_one_down(world) => world.kill(process),
+        // Three folders tolerate the loss of one; while one is blank, another process is only
+        // killed.
+        1 if is_blank_process_down(world) => world.kill(process),
         1 => {
             world.kill(process);
-            world.wipe(process);
+            world.wipe_folder(process);
         }
         2 => {
             for other in processes.iter().filter(|other| **other != process) {
-                world.cuts.insert((process, *other));
-                world.cuts.insert((*other, process));
+                world.blocked_links.insert((process, *other));
+                world.blocked_links.insert((*other, process));
             }
         }
         3 => world.engines.get_mut(&engine).expect("it is there").alive = false,
@@ -40,28 +42,28 @@
     }
 }
 
-fn is_blank_one_down(world: &world::World) -> bool {
+fn is_blank_process_down(world: &world::World) -> bool {
     let blank = |process: &world::Process| process.durable == Default::default();
     world.processes.values().any(|it| it.core.is_none() && it.has_folder && blank(it))
 }
 
 fn heal(world: &mut world::World) {
-    world.cuts.clear();
+    world.blocked_links.clear();
     world.resets.clear();
     world.slow_answers.clear();
     world.late_orders = None;
     world.order_faults = None;
     let down = |process: &world::Process| process.core.is_none();
-    let ended: Vec<SocketAddr> =
+    let stopped: Vec<SocketAddr> =
         world.processes.iter().filter(|(_, it)| down(it)).map(|(address, _)| *address).collect();
-    ended.into_iter().for_each(|address| world.boot(address, false));
+    stopped.into_iter().for_each(|address| world.start_process(address, false));
     let now = world.now;
     for engine in world.engines.values_mut().filter(|engine| !engine.alive) {
         engine.restart(now);
     }
 }
 
-fn history(seed: u64) {
+fn run_history(seed: u64) {
     let mut random = random::Random(seed);
     let mut world = world::World::declared(3, 2);
     world.add_engines(1..=6, "d1");
@@ -69,7 +71,7 @@
     world.run(12_000);
     let mut acknowledged = 1;
     for round in 0..8 {
-        impair(&mut world, &mut random);
+        inject_fault(&mut world, &mut random);
         world.run(500 + random.below(3_000));
         let version = acknowledged + 1 + random.below(3);
         if world.declare(version) {
@@ -78,28 +80,31 @@
         if random.below(2) == 0 {
             heal(&mut world);
             world.run(6_000);
-            assert!(world.read() >= Some(acknowledged), "seed {seed} round {round}");
+            assert!(world.read_version() >= Some(acknowledged), "seed {seed} round {round}");
         }
     }
     heal(&mut world);
     world.run(8_000);
-    assert!(world.read() >= Some(acknowledged), "seed {seed}: what was acknowledged is lost");
+    assert!(
+        world.read_version() >= Some(acknowledged),
+        "seed {seed}: what was acknowledged is lost"
+    );
     world.run(25_000);
     assert!(!world.serving().is_empty(), "seed {seed}: no group serves again");
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_and_no_group_breaks_its_rules() {
+fn acknowledged_state_survives_and_group_invariants_hold_in_random_histories() {
     let count = std::env::var("HYSSOPFORK_HISTORIES").ok().and_then(|it| it.parse().ok());
-    for seed in 1..=count.unwrap_or(HISTORIES) {
+    for seed in 1..=count.unwrap_or(DEFAULT_HISTORIES) {
         println!("seed {seed}");
-        history(seed);
+        run_history(seed);
     }
 }
 
-/// Engines are cut off or reset connections while orders are carried out late, each at a time of its
-/// own: what the leader knows of an engine may be older than what an order has done to it since.
-fn impair_orders(world: &mut world::World, random: &mut random::Random) {
+/// Partitions engines or makes them reset connections while orders are delayed individually, so
+/// that the leader's knowledge of an engine may be older than the effect of an order.
+fn inject_order_faults(world: &mut world::World, random: &mut random::Random) {
     let engines: Vec<name::Instance> = world.engines.keys().cloned().collect();
     let kind = random.below(10);
     for _ in 0..1 + random.below(4) {
@@ -123,7 +128,7 @@
     world.order_faults = Some(world::engines::OrderFaults { random, percent, most });
 }
 
-fn order_history(seed: u64) {
+fn run_order_history(seed: u64) {
     println!("seed {seed}");
     let mut random = random::Random(seed);
     let mut world = world::World::declared(3, 2);
@@ -132,12 +137,12 @@
     world.add_engines(9..=14, "d2");
     world.run(26_000);
     for _ in 0..24 {
-        impair_orders(&mut world, &mut random);
+        inject_order_faults(&mut world, &mut random);
         world.run(200 + random.below(3_500));
         if random.below(2) == 0 {
-            let late = world.order_faults.take();
+            let order_faults = world.order_faults.take();
             heal(&mut world);
-            world.order_faults = late;
+            world.order_faults = order_faults;
             world.run(random.below(3_000));
         }
     }
@@ -146,12 +151,12 @@
     assert!(!world.serving().is_empty(), "seed {seed}: no group serves again");
 }
 
-/// Histories that broke a rule of groups once: a held-up order to join or to open was carried out
-/// after its engine had left, or after another leader had taken over.
-const FOUND: [u64; 7] = [45, 75, 78, 104, 182, 239, 303];
+/// Seeds that once violated a group invariant: a delayed order to join or open was executed after
+/// its engine had left the group, or after another leader had taken over.
+const REGRESSION_SEEDS: [u64; 7] = [45, 75, 78, 104, 182, 239, 303];
 
 #[test]
-fn late_orders_cuts_and_resets_break_no_rule_of_groups() {
+fn group_invariants_hold_with_late_orders_partitions_and_resets() {
     let count = std::env::var("HYSSOPFORK_HISTORIES").ok().and_then(|it| it.parse().ok());
-    (1..=count.unwrap_or(HISTORIES)).chain(FOUND).for_each(order_history);
+    (1..=count.unwrap_or(DEFAULT_HISTORIES)).chain(REGRESSION_SEEDS).for_each(run_order_history);
 }
--- a/crates/hyssopfork-fleet/tests/fleet/inquiry.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/inquiry.rs
@@ -64,7 +64,7 @@
 #[test]
 fn an_engine_stands_still_only_when_it_does_for_all() {
     let mut inquiry = Inquiry::default();
-    inquiry.saw(fixture::at(0), fixture::address(2), &world::stalled(&e1()));
+    inquiry.saw(fixture::at(0), fixture::address(2), &world::stalled_evidence(&e1()));
     assert!(inquiry.is_stalled(fixture::at(10), &e1()));
 
     let moving =
--- a/crates/hyssopfork-fleet/tests/fleet/invariants.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold for every order that reaches an engine.
+//! Invariants that are checked for every order that reaches an engine and for every publication.
 
 use crate::engine;
 use hyssopfork_fleet::groups::order;
@@ -6,9 +6,9 @@
 use hyssopfork_wire::name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What must hold whoever leads: no engine joins another group while the head of its own is
-/// open, and none opens before all its members were ready.
-pub fn check(
+/// Checks, whichever process leads, that no engine joins another group while the head of its own is
+/// open, and that no group opens before all its members have been ready.
+pub fn check_order(
     engines: &BTreeMap<name::Instance, engine::Engine>,
     instance: &name::Instance,
     order: &order::Order,
@@ -39,7 +39,7 @@
     }
 }
 
-/// What must hold of every publication: no engine is a member of two groups.
+/// Checks that no engine is a member of two published groups.
 pub fn check_groups(groups: &BTreeMap<name::Group, view::Group>) {
     let mut members = BTreeSet::new();
     for (name, group) in groups {
--- a/crates/hyssopfork-fleet/tests/fleet/main.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The fleet's control, driven without network, clock or disk.
+//! Tests of the fleet's control, driven without network, clock or disk.
 
 mod bootstrap;
 mod declaration;
--- a/crates/hyssopfork-fleet/tests/fleet/publication.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/publication.rs
@@ -1,4 +1,4 @@
-//! What followers are told.
+//! Updates and document parts for followers.
 
 use crate::fixture;
 use hyssopfork_fleet::publication::{FleetState, Publisher};
@@ -15,68 +15,72 @@
     )
 }
 
-fn rest(version: u64) -> FleetState {
+fn state(version: u64) -> FleetState {
     FleetState { document: Some(fixture::document(version)), ..FleetState::default() }
 }
 
-/// A follower that has the declaration of `version`, and no part of another.
-fn held(version: u64) -> document::Progress {
+/// The progress of a follower that has the declaration of `version` and no parts of another.
+fn progress(version: u64) -> document::Progress {
     document::Progress { version, ..document::Progress::default() }
 }
 
 #[test]
-fn a_follower_gets_what_changed_since_it_was_told() {
-    let mut board = Publisher::new(number::Term(3), None);
-    board.publish(rest(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
-    let have = board.stamp();
-    board.publish(rest(1), &BTreeMap::from([upstream("e1"), upstream("e2")]), &BTreeMap::new());
+fn a_follower_gets_the_changes_since_its_revision() {
+    let mut publisher = Publisher::new(number::Term(3), None);
+    publisher.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    let have = publisher.stamp();
+    publisher.publish(
+        state(1),
+        &BTreeMap::from([upstream("e1"), upstream("e2")]),
+        &BTreeMap::new(),
+    );
 
-    let update = board.since(have);
+    let update = publisher.since(have);
 
     assert!(!update.is_full);
-    assert_eq!(board.next_part(held(1)), None);
+    assert_eq!(publisher.next_part(progress(1)), None);
     let named: Vec<&str> = update.upstreams.iter().map(|(it, _)| it.as_str()).collect();
     assert_eq!(named, ["e2"]);
 }
 
 #[test]
-fn what_is_gone_is_told_as_gone() {
+fn a_removed_upstream_is_published_as_removed() {
     let mut board = Publisher::new(number::Term(3), None);
-    board.publish(rest(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    board.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
     let have = board.stamp();
 
-    board.publish(rest(1), &BTreeMap::new(), &BTreeMap::new());
+    board.publish(state(1), &BTreeMap::new(), &BTreeMap::new());
 
     let update = board.since(have);
     assert_eq!(update.upstreams, [(name::Instance::from("e1"), None)]);
 }
 
 #[test]
-fn a_follower_of_another_leader_gets_everything() {
+fn a_follower_from_another_term_gets_a_full_update() {
     let mut board = Publisher::new(number::Term(3), None);
-    board.publish(rest(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    board.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
     let other = view::Stamp { term: number::Term(2), revision: 40 };
 
     let update = board.since(other);
 
     assert!(update.is_full);
     assert_eq!(update.upstreams.len(), 1);
-    assert_eq!(board.next_part(held(0)).map(|part| part.version), Some(1));
+    assert_eq!(board.next_part(progress(0)).map(|part| part.version), Some(1));
 }
 
 #[test]
-fn a_heartbeat_that_says_nothing_new_is_no_publication() {
+fn an_unchanged_heartbeat_publishes_nothing() {
     let mut board = Publisher::new(number::Term(3), None);
-    board.publish(rest(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    board.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
     let (instance, mut again) = upstream("e1");
     again.announcement.sequence = 9;
 
-    let changed = board.publish(rest(1), &BTreeMap::from([(instance, again)]), &BTreeMap::new());
+    let changed = board.publish(state(1), &BTreeMap::from([(instance, again)]), &BTreeMap::new());
 
     assert!(!changed);
 }
 
-/// Guards against followers that begin anew with each version and hold none of them.
+/// Guards against followers that restart with each new version and never complete one.
 #[test]
 fn a_follower_completes_the_document_that_it_has_begun() {
     let mut board = Publisher::new(number::Term(3), None);
@@ -85,17 +89,17 @@
         let rest = FleetState { document, ..FleetState::default() };
         board.publish(rest, &BTreeMap::new(), &BTreeMap::new());
     }
-    let begun = document::Progress { version: 1, partial_version: 2, base: 1, offset: 10 };
+    let partial = document::Progress { version: 1, partial_version: 2, base: 1, offset: 10 };
 
-    let part = board.next_part(begun).expect("a newer version is there");
+    let part = board.next_part(partial).expect("a newer version is there");
 
-    assert_eq!((part.version, part.base, part.offset), (2, 1, begun.offset));
+    assert_eq!((part.version, part.base, part.offset), (2, 1, partial.offset));
 }
 
 #[test]
-fn a_follower_with_parts_of_a_forgotten_document_begins_with_the_newest() {
+fn a_follower_with_parts_of_a_dropped_document_starts_with_the_newest() {
     let mut board = Publisher::new(number::Term(3), None);
-    board.publish(rest(9), &BTreeMap::new(), &BTreeMap::new());
+    board.publish(state(9), &BTreeMap::new(), &BTreeMap::new());
     let begun = document::Progress { version: 1, partial_version: 4, base: 0, offset: 500 };
 
     let part = board.next_part(begun).expect("a newer version is there");
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn a_follower_of_the_leader_before_gets_what_has_changed() {
+fn the_document_of_the_previous_term_is_a_delta_base() {
     let known = fixture::large_document(4, 2_000);
     let mut board = Publisher::new(number::Term(3), Some(known));
     let document = Some(fixture::large_document(5, 2_001));
@@ -114,7 +118,7 @@
         &BTreeMap::new(),
     );
 
-    let part = board.next_part(held(4)).expect("a newer version is there");
+    let part = board.next_part(progress(4)).expect("a newer version is there");
 
     assert_eq!(part.base, 4);
     assert!(part.size < 1_000, "{} bytes for one route", part.size);
--- a/crates/hyssopfork-fleet/tests/fleet/quarantine.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/quarantine.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-const DEADLY: u8 = 1;
+const CRASHING: u8 = 1;
 const HARMLESS: u8 = 2;
 
 fn at(millis: u64) -> clock::Instant {
@@ -27,11 +27,11 @@
     Completion { request: request(number), age: Duration::ZERO }
 }
 
-/// A ledger after so many crashes of the deadly request, 200 ms apart from 200 ms on.
-fn after(crashes: u64) -> Ledger {
+/// A ledger after this many crashes of the crashing request, 200 ms apart, starting at 200 ms.
+fn ledger_after_crashes(crashes: u64) -> Ledger {
     let mut ledger = Ledger::default();
     for count in 1..=crashes {
-        ledger.record_crash(at(200 * count), &crash(count, &[DEADLY]));
+        ledger.record_crash(at(200 * count), &crash(count, &[CRASHING]));
     }
     ledger
 }
@@ -42,26 +42,29 @@
 
 #[test]
 fn the_third_crash_quarantines() {
-    assert_eq!(verdict(&after(1), DEADLY), None);
-    assert_eq!(verdict(&after(2), DEADLY), Some(Verdict::Suspect));
-    assert_eq!(verdict(&after(3), DEADLY), Some(Verdict::Quarantined { round: 1 }));
+    assert_eq!(verdict(&ledger_after_crashes(1), CRASHING), None);
+    assert_eq!(verdict(&ledger_after_crashes(2), CRASHING), Some(Verdict::Suspect));
+    assert_eq!(
+        verdict(&ledger_after_crashes(3), CRASHING),
+        Some(Verdict::Quarantined { round: 1 })
+    );
 }
 
-/// Guards against counting one crash as often as it is reported.
+/// Guards against counting a crash once per report.
 #[test]
-fn a_report_that_comes_again_counts_once() {
+fn a_repeated_crash_report_counts_once() {
     let mut ledger = Ledger::default();
 
     for millis in [200, 450, 700, 950] {
         let age = Duration::from_millis(millis - 200);
-        ledger.record_crash(at(millis), &Crash { age, ..crash(1, &[DEADLY]) });
+        ledger.record_crash(at(millis), &Crash { age, ..crash(1, &[CRASHING]) });
     }
 
-    assert_eq!(verdict(&ledger, DEADLY), None);
+    assert_eq!(verdict(&ledger, CRASHING), None);
 }
 
-/// Guards against rejecting what many clients ask for when upstreams crash for another reason: it
-/// completes elsewhere in between.
+/// Guards against rejecting a request that many clients send when upstreams crash for another
+/// reason; it completes elsewhere in between.
 #[test]
 fn a_request_that_completes_between_crashes_is_not_quarantined() {
     let mut ledger = Ledger::default();
@@ -76,9 +79,9 @@
     assert_eq!(verdict(&ledger, HARMLESS), None);
 }
 
-/// Guards against rejecting what was in flight when a zone's processes were killed at once.
+/// Guards against rejecting requests that were in flight when all processes of a zone were killed.
 #[test]
-fn crashes_at_the_same_moment_count_once() {
+fn coinciding_crashes_count_once() {
     let mut ledger = Ledger::default();
 
     for upstream in 0..30 {
@@ -88,98 +91,101 @@
     assert_eq!(verdict(&ledger, HARMLESS), None);
 }
 
-/// Guards against rejecting requests that ran beside the deadly one: its later crashes say nothing of them.
+/// Guards against rejecting requests that ran concurrently with the crashing one.
 #[test]
 fn a_crash_under_a_quarantined_request_counts_against_no_other() {
-    let mut ledger = after(3);
+    let mut ledger = ledger_after_crashes(3);
 
     for count in 10..20 {
         ledger.record_crash(at(300 * count), &crash(count, &[HARMLESS]));
-        ledger.record_crash(at(300 * count + 10), &crash(count, &[DEADLY]));
+        ledger.record_crash(at(300 * count + 10), &crash(count, &[CRASHING]));
     }
 
     assert_eq!(verdict(&ledger, HARMLESS), None);
 }
 
 #[test]
-fn an_attempt_that_completes_ends_the_quarantine() {
-    let mut ledger = after(3);
+fn a_completed_attempt_ends_the_quarantine() {
+    let mut ledger = ledger_after_crashes(3);
 
-    let ended = ledger.record_completion(at(20_000), &completion(DEADLY));
+    let ended = ledger.record_completion(at(20_000), &completion(CRASHING));
 
     assert!(ended);
-    assert_eq!(verdict(&ledger, DEADLY), None);
+    assert_eq!(verdict(&ledger, CRASHING), None);
 }
 
-/// Guards against ending a quarantine by a message that is older than it.
+/// Guards against ending a quarantine by a completion from before it.
 #[test]
 fn a_completion_from_before_the_quarantine_does_not_end_it() {
-    let mut ledger = after(3);
+    let mut ledger = ledger_after_crashes(3);
 
-    let old = Completion { age: Duration::from_millis(600), ..completion(DEADLY) };
+    let old = Completion { age: Duration::from_millis(600), ..completion(CRASHING) };
     ledger.record_completion(at(1_000), &old);
 
-    assert_eq!(verdict(&ledger, DEADLY), Some(Verdict::Quarantined { round: 1 }));
+    assert_eq!(verdict(&ledger, CRASHING), Some(Verdict::Quarantined { round: 1 }));
 }
 
-/// Guards against an attempt each few seconds for as long as the client repeats the request.
+/// Guards against a trial attempt every few seconds for as long as the client retries the request.
 #[test]
-fn each_attempt_that_crashes_makes_the_quarantine_longer() {
-    let mut ledger = after(3);
+fn each_crashing_attempt_extends_the_quarantine() {
+    let mut ledger = ledger_after_crashes(3);
     let mut now = at(600);
     let mut periods = Vec::new();
 
     for upstream in 10..14 {
-        let period = verdict(&ledger, DEADLY).expect("it is quarantined").period();
+        let period = verdict(&ledger, CRASHING).expect("it is quarantined").period();
         periods.push(period.as_secs());
         now = now + period;
-        ledger.record_crash(now, &crash(upstream, &[DEADLY]));
+        ledger.record_crash(now, &crash(upstream, &[CRASHING]));
     }
 
     assert_eq!(periods, [15, 60, 240, 960]);
 }
 
-/// Guards against a longer quarantine for attempts that were in flight when it began.
+/// Guards against extending a quarantine for attempts that were in flight when it began.
 #[test]
-fn attempts_from_before_the_quarantine_do_not_make_it_longer() {
-    let mut ledger = after(3);
+fn attempts_from_before_the_quarantine_do_not_extend_it() {
+    let mut ledger = ledger_after_crashes(3);
 
     for upstream in 10..20 {
-        ledger.record_crash(at(700 + 100 * upstream), &crash(upstream, &[DEADLY]));
+        ledger.record_crash(at(700 + 100 * upstream), &crash(upstream, &[CRASHING]));
     }
 
-    assert_eq!(verdict(&ledger, DEADLY), Some(Verdict::Quarantined { round: 1 }));
+    assert_eq!(verdict(&ledger, CRASHING), Some(Verdict::Quarantined { round: 1 }));
 }
 
 #[test]
-fn a_new_leader_learns_verdicts_of_its_followers() {
-    let known = after(3).published().clone().into_iter().collect();
+fn a_new_leader_inherits_the_verdicts_of_its_followers() {
+    let known = ledger_after_crashes(3).published().clone().into_iter().collect();
     let mut next = Ledger::default();
 
     next.inherit(at(5_000), known);
-    next.record_crash(at(6_000), &crash(30, &[DEADLY]));
+    next.record_crash(at(6_000), &crash(30, &[CRASHING]));
 
-    assert_eq!(verdict(&next, DEADLY), Some(Verdict::Quarantined { round: 2 }));
+    assert_eq!(verdict(&next, CRASHING), Some(Verdict::Quarantined { round: 2 }));
 }
 
-/// Guards against counting a crash once as inherited and once more as reported again.
+/// Guards against counting a crash twice, as inherited and as reported again.
 #[test]
 fn crashes_from_before_the_term_count_as_inherited() {
-    let known = after(2).published().clone().into_iter().collect();
+    let known = ledger_after_crashes(2).published().clone().into_iter().collect();
     let mut next = Ledger::default();
     next.inherit(at(1_000), known);
 
-    next.record_crash(at(1_100), &Crash { age: Duration::from_millis(700), ..crash(2, &[DEADLY]) });
-    let before = verdict(&next, DEADLY);
-    next.record_crash(at(1_400), &crash(3, &[DEADLY]));
+    next.record_crash(
+        at(1_100),
+        &Crash { age: Duration::from_millis(700), ..crash(2, &[CRASHING]) },
+    );
+    let before = verdict(&next, CRASHING);
+    next.record_crash(at(1_400), &crash(3, &[CRASHING]));
 
     assert_eq!(before, Some(Verdict::Suspect));
-    assert_eq!(verdict(&next, DEADLY), Some(Verdict::Quarantined { round: 1 }));
+    assert_eq!(verdict(&next, CRASHING), Some(Verdict::Quarantined { round: 1 }));
 }
 
 #[test]
-fn what_is_long_over_is_forgotten() {
-    let mut ledger = after(3);
+fn expired_records_are_removed() {
+    let mut ledger = ledger_after_crashes(3);
 
     ledger.remove_expired(at(600_000));
     let kept = ledger.published().len();
@@ -191,11 +197,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(32))]
 
-    /// Guards against memory that grows with the requests of a crash, and against losing the
-    /// quarantined ones among them.
+    /// Guards against memory use that grows with the requests of crashes, and against evicting
+    /// quarantined requests.
     #[test]
     fn memory_is_bounded(crashes in proptest::collection::vec((0..500_u64, 0..200_u64), 50..200)) {
-        let mut ledger = after(3);
+        let mut ledger = ledger_after_crashes(3);
         for (count, (upstream, first)) in crashes.into_iter().enumerate() {
             let requests = (first..first + 64).map(|number| Fingerprint {
                 length: number * 1_000 + count as u64,
@@ -206,6 +212,6 @@
         }
 
         prop_assert!(ledger.published().len() <= 1_024);
-        prop_assert_eq!(verdict(&ledger, DEADLY), Some(Verdict::Quarantined { round: 1 }));
+        prop_assert_eq!(verdict(&ledger, CRASHING), Some(Verdict::Quarantined { round: 1 }));
     }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/registry.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! Which call of an upstream counts.
+//! Which upstream calls the registry applies, and what it publishes.
 
 use crate::fixture;
 use hyssopfork_fleet::announcement::Announcement;
@@ -7,10 +7,10 @@
 use hyssopfork_wire::name;
 use std::time::Duration;
 
-const SILENCE: Duration = Duration::from_millis(2_700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_700);
 
 fn registry() -> Registry {
-    let mut registry = Registry::new(SILENCE);
+    let mut registry = Registry::new(SILENCE_TIMEOUT);
     registry.record_announcement(fixture::at(0), fixture::announcement("e1"));
     registry
 }
@@ -19,9 +19,9 @@
     name::Instance::from("e1")
 }
 
-/// A heartbeat that was held up by a cut arrives after a newer one; it must not undo what that said.
+/// Guards against a heartbeat that was delayed by a partition and undoes a newer one.
 #[test]
-fn a_call_that_was_overtaken_changes_nothing() {
+fn a_reordered_call_is_stale() {
     let mut registry = registry();
     let draining = Announcement { sequence: 3, draining: true, ..fixture::announcement("e1") };
     registry.record_announcement(fixture::at(10), draining);
@@ -34,37 +34,38 @@
 }
 
 #[test]
-fn a_new_process_under_the_same_name_counts_anew() {
+fn a_new_process_replaces_one_of_the_same_name() {
     let mut registry = registry();
     registry.record_departure(fixture::at(10), &e1());
 
-    let reborn = Announcement { start_time_ms: 2_000, sequence: 1, ..fixture::announcement("e1") };
-    let taken = registry.record_announcement(fixture::at(20), reborn);
+    let restarted =
+        Announcement { start_time_ms: 2_000, sequence: 1, ..fixture::announcement("e1") };
+    let taken = registry.record_announcement(fixture::at(20), restarted);
 
     assert_eq!(taken, Outcome::Changed);
     assert!(registry.get(&e1()).is_some_and(|record| record.is_healthy()));
 }
 
-/// An upstream says that it is gone; a heartbeat that it had sent before comes after that. It must
-/// get no new work.
+/// Guards against new work for a departed upstream whose last heartbeat arrives after its
+/// departure.
 #[test]
-fn an_upstream_that_left_stays_gone() {
+fn a_late_heartbeat_does_not_undo_a_departure() {
     let mut registry = registry();
     registry.record_departure(fixture::at(10), &e1());
 
-    let held_up = Announcement { sequence: 2, ..fixture::announcement("e1") };
-    registry.record_announcement(fixture::at(20), held_up);
+    let delayed = Announcement { sequence: 2, ..fixture::announcement("e1") };
+    registry.record_announcement(fixture::at(20), delayed);
 
     assert!(registry.get(&e1()).is_some_and(|record| record.is_leaving()));
 }
 
-/// The address of an upstream that crashed belongs to another one now; a call of the dead one that
-/// was held up must not bring it back.
+/// Guards against a delayed call of a crashed upstream that brings it back although another one now
+/// has its address.
 #[test]
-fn a_late_call_of_whoever_had_the_address_before_is_dropped() {
+fn a_late_call_of_the_previous_process_at_an_address_is_stale() {
     let mut registry = registry();
-    let heir = Announcement { start_time_ms: 5_000, ..fixture::announcement("e2") };
-    registry.record_announcement(fixture::at(10), heir);
+    let successor = Announcement { start_time_ms: 5_000, ..fixture::announcement("e2") };
+    registry.record_announcement(fixture::at(10), successor);
 
     let late = Announcement { sequence: 9, ..fixture::announcement("e1") };
     let taken = registry.record_announcement(fixture::at(20), late);
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_silent_upstream_is_told_as_silent_and_heard_of_again_as_present() {
+fn a_silent_upstream_is_published_as_silent_until_it_calls() {
     let mut registry = registry();
     let later = fixture::at(3_000);
     assert_eq!(registry.published(later)[&e1()].status, view::Status::Silent);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_dead_upstream_that_calls_lives() {
+fn a_call_revives_a_dead_upstream() {
     let mut registry = registry();
     registry.mark_dead(&e1());
 
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn what_a_follower_knows_is_taken_over_only_where_it_is_newer() {
+fn only_newer_state_of_a_follower_is_adopted() {
     let mut registry = registry();
     let older = view::Upstream {
         announcement: Announcement { sequence: 0, draining: true, ..fixture::announcement("e1") },
@@ -113,18 +114,18 @@
 }
 
 #[test]
-fn time_left_cold_shrinks_as_it_passes() {
-    let mut registry = Registry::new(SILENCE);
+fn the_published_slow_start_time_decreases() {
+    let mut registry = Registry::new(SILENCE_TIMEOUT);
     let cold = Announcement { cold: Duration::from_secs(3), ..fixture::announcement("e1") };
     registry.record_announcement(fixture::at(0), cold);
 
-    let told = registry.published(fixture::at(1_000));
+    let published = registry.published(fixture::at(1_000));
 
-    assert_eq!(told[&e1()].announcement.cold, Duration::from_secs(2));
+    assert_eq!(published[&e1()].announcement.cold, Duration::from_secs(2));
 }
 
 #[test]
-fn the_model_of_the_last_group_is_remembered_until_a_new_start() {
+fn the_last_model_is_kept_until_a_restart() {
     let mut registry = registry();
     let large = name::Model::from("large");
     let ready =
@@ -134,17 +135,18 @@
     registry.record_announcement(fixture::at(20), left);
     assert_eq!(registry.get(&e1()).and_then(|record| record.last_model.clone()), Some(large));
 
-    let reborn = Announcement { start_time_ms: 2_000, ..fixture::announcement("e1") };
-    registry.record_announcement(fixture::at(30), reborn);
+    let restarted = Announcement { start_time_ms: 2_000, ..fixture::announcement("e1") };
+    registry.record_announcement(fixture::at(30), restarted);
 
     assert_eq!(registry.get(&e1()).and_then(|record| record.last_model.clone()), None);
 }
 
-/// The leader is lost while engines are between two groups. Callers of their model wait for the next
-/// leader to have them join again: in a fifth of a second if it knows what they ran, after a load of
-/// ten seconds if it goes by their hosts. A follower's word counts also when the engine called first.
+/// Guards against a reload of weights after the leader is lost while engines are between two
+/// groups. If the next leader knows their last model, they rejoin in a fifth of a second; if it
+/// knows only what their hosts have staged, clients wait for a load of ten seconds. The follower's
+/// record counts also if the engine has called the new leader first.
 #[test]
-fn the_model_of_the_last_group_outlasts_the_leader() {
+fn the_last_model_survives_a_change_of_leader() {
     let mut before = registry();
     let large = name::Model::from("large");
     let ready =
@@ -154,9 +156,9 @@
     before.record_announcement(fixture::at(20), left);
     let known = before.published(fixture::at(30))[&e1()].clone();
 
-    let mut first = Registry::new(SILENCE);
+    let mut first = Registry::new(SILENCE_TIMEOUT);
     first.adopt(fixture::at(40), known.clone());
-    let mut second = Registry::new(SILENCE);
+    let mut second = Registry::new(SILENCE_TIMEOUT);
     let called = Announcement { sequence: 4, ..fixture::announcement("e1") };
     second.record_announcement(fixture::at(40), called);
     second.adopt(fixture::at(50), known);
@@ -169,8 +171,8 @@
     }
 }
 
-/// Guards against an upstream that turns cold again before it was warm and is published as warm at the end
-/// of its first cold time.
+/// Guards against publishing an upstream as warm at the end of its first slow start although a
+/// second one has begun.
 #[test]
 fn an_upstream_is_published_as_cold_until_its_last_cold_time_ends() {
     let mut registry = Registry::new(Duration::from_secs(4));
@@ -200,9 +202,9 @@
     rate::Change { process, rate: per_second.and_then(rate::Rate::new), age }
 }
 
-/// Guards against a limit that is lifted by the report of an answer from before it was named.
+/// Guards against lifting a rate limit on the report of a response from before the limit was set.
 #[test]
-fn the_rate_that_was_named_last_counts() {
+fn the_most_recent_rate_limit_applies() {
     let mut registry = registry();
 
     let named = registry.set_rate(fixture::at(1_000), &change(Some(3.7), 10));
@@ -213,9 +215,9 @@
     assert_eq!(published, rate::Rate::new(3.7));
 }
 
-/// Guards against the limit of a process that has ended, on the next one of the same name.
+/// Guards against applying the rate limit of an ended process to the next one of the same name.
 #[test]
-fn a_process_that_starts_anew_has_no_limit() {
+fn a_restarted_process_has_no_rate_limit() {
     let mut registry = registry();
     registry.set_rate(fixture::at(1_000), &change(Some(3.7), 0));
     let next =
@@ -227,9 +229,9 @@
     assert!(!registry.set_rate(fixture::at(2_100), &change(Some(3.7), 0)));
 }
 
-/// Guards against a new leader that publishes no limit until each upstream has named it again.
+/// Guards against a new leader that publishes no rate limit until each upstream has set it again.
 #[test]
-fn a_limit_is_taken_over_from_a_follower() {
+fn a_rate_limit_is_adopted_from_a_follower() {
     let mut registry = registry();
     let known = view::Upstream {
         announcement: fixture::announcement("e1"),
--- a/crates/hyssopfork-fleet/tests/fleet/replication.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/replication.rs
@@ -1,4 +1,4 @@
-//! What was acknowledged outlasts what is to be borne.
+//! Replication: acknowledged state survives the tolerated losses and changes of leader.
 
 use crate::{fixture, world};
 use hyssopfork_fleet::{action, event, peer, quarantine, view};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[test]
-fn the_log_forms_from_three_seeds_in_any_order() {
+fn a_log_forms_from_three_seeds() {
     let mut world = world::World::start(3, 4);
 
     world.run(2_500);
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn a_folder_at_one_process_that_is_no_seed_is_found() {
+fn a_folder_at_a_process_that_is_no_seed_is_discovered() {
     let mut world = world::World::start(0, 4);
     let last = fixture::address(4);
     world.processes.get_mut(&last).expect("it is there").has_folder = true;
-    world.boot(last, true);
+    world.start_process(last, true);
     world.run(6_000);
 
     assert!(world.declare(1));
@@ -55,44 +55,44 @@
 
     assert!(world.declare(3));
 
-    assert_eq!(world.read(), Some(5));
+    assert_eq!(world.read_version(), Some(5));
 }
 
-/// The operator has an acknowledgement; at once every process loses its power, and all come back.
-/// Reading, the operator must get what was acknowledged: it was on the disks of a majority.
+/// All processes lose power right after an acknowledgement and restart. The acknowledged
+/// declaration must be read back, since it was on the disks of a majority.
 #[test]
-fn what_was_acknowledged_is_read_back_after_all_were_killed() {
+fn an_acknowledged_declaration_survives_a_kill_of_all_processes() {
     let mut world = world::World::declared(3, 2);
     assert!(world.declare(7));
 
     let all: Vec<_> = world.processes.keys().copied().collect();
     all.iter().for_each(|address| world.kill(*address));
-    all.iter().for_each(|address| world.boot(*address, false));
+    all.iter().for_each(|address| world.start_process(*address, false));
     world.run(3_000);
 
-    assert_eq!(world.read(), Some(7));
+    assert_eq!(world.read_version(), Some(7));
 }
 
-/// The leader acknowledges, and its machine comes back without its disk. The log must not forget:
-/// the blank folder may not vote for a leader that lacks what it had acknowledged.
+/// The leader restarts with a blank disk right after an acknowledgement. A blank folder must not
+/// vote for a leader that lacks the acknowledged entry, or the entry would be lost.
 #[test]
-fn a_leader_that_loses_its_disk_after_an_acknowledgement_loses_nothing() {
+fn an_acknowledged_declaration_survives_the_loss_of_the_leaders_disk() {
     let mut world = world::World::declared(3, 1);
     assert!(world.declare(9));
     let leader = world.leader().expect("somebody leads");
 
     world.kill(leader);
-    world.wipe(leader);
-    world.boot(leader, false);
+    world.wipe_folder(leader);
+    world.start_process(leader, false);
     world.run(4_000);
 
-    assert_eq!(world.read(), Some(9));
+    assert_eq!(world.read_version(), Some(9));
 }
 
-/// Guards against an upstream whose leaving was acknowledged before any follower knew of it: lost with
-/// its leader, it would be sent more work.
+/// Guards against answering a departure before any follower has received it. If the leader were
+/// then lost, the departed upstream would get new work.
 #[test]
-fn a_leaving_upstream_is_answered_once_followers_know() {
+fn a_departure_is_answered_after_followers_have_received_it() {
     let mut world = world::World::declared(3, 2);
     world.add_engines(1..=200, "d1");
     world.run(6_000);
@@ -118,10 +118,10 @@
     }
 }
 
-/// Guards against entries that each take a whole limit of the fleet for theirs, since the new leader
-/// knows only those that have turned to it.
+/// Guards against entries that each use a whole fleet-wide limit because the new leader knows only
+/// the entries that have already sent it a watch.
 #[test]
-fn entries_share_limits_with_all_others_while_the_leader_changes() {
+fn all_entries_stay_known_while_the_leader_changes() {
     let mut world = world::World::declared(3, 17);
     world.run(500);
     let leader = world.leader().expect("somebody leads");
@@ -141,9 +141,9 @@
     assert!(!world.processes[&next].view.as_ref().expect("told").entries.contains_key(&leader));
 }
 
-/// Guards against a verdict on an upstream that rests on the processes of one or two zones.
+/// Guards against declaring an upstream dead on probes from only one or two zones.
 #[test]
-fn processes_of_all_addresses_are_asked_about_an_upstream() {
+fn indirect_probes_are_spread_over_all_addresses() {
     let mut world = world::World::declared(3, 37);
     world.add_engines(1..=4, "d1");
     world.run(8_000);
@@ -152,42 +152,42 @@
     world.cut_engine(&engine);
     world.run(6_000);
 
-    let quarter = |host: &u8| world.asked_peers.contains(&fixture::address(*host));
+    let quarter = |host: &u8| world.probe_peers.contains(&fixture::address(*host));
     for hosts in [1..=10, 11..=20, 21..=30, 31..=40] {
         let asked = hosts.clone().filter(quarter).count();
         assert!((2..=6).contains(&asked), "{asked} of {hosts:?} were asked");
     }
 }
 
-/// A machine of the core is gone for good and an empty one stands at another address. It takes the
-/// place of the lost one, so that the next loss is borne too.
+/// A voter is lost permanently while an empty machine is available at another address. The empty
+/// machine must become a voter, so that the next loss is tolerated too.
 #[test]
-fn an_empty_machine_takes_the_place_of_one_that_is_gone() {
+fn an_empty_machine_replaces_a_lost_voter() {
     let mut world = world::World::declared(4, 0);
     let lost = fixture::address(4);
     let leader = world.leader().expect("somebody leads");
-    let gone = if leader == lost { fixture::address(1) } else { lost };
+    let removed = if leader == lost { fixture::address(1) } else { lost };
 
-    world.kill(gone);
+    world.kill(removed);
     world.run(6_000);
     assert!(world.declare(11));
     let leader = world.leader().expect("somebody leads");
     world.kill(leader);
     world.run(3_000);
 
-    assert_eq!(world.read(), Some(11));
+    assert_eq!(world.read_version(), Some(11));
 }
 
-/// The leader is cut off from all others and believes to lead. A caller that reads from it must not
-/// get the older declaration: it says that it can't be sure.
+/// A leader that is partitioned from all others still believes that it leads. It must not answer a
+/// read with its outdated declaration.
 #[test]
-fn a_leader_that_is_cut_off_reads_nothing_back() {
+fn a_partitioned_leader_answers_no_reads() {
     let mut world = world::World::declared(3, 1);
     let old = world.leader().expect("somebody leads");
     let others: Vec<_> = world.processes.keys().copied().filter(|it| *it != old).collect();
     for other in others {
-        world.cuts.insert((old, other));
-        world.cuts.insert((other, old));
+        world.blocked_links.insert((old, other));
+        world.blocked_links.insert((other, old));
     }
     world.run(3_000);
     assert!(world.declare(13), "the others go on");
@@ -200,14 +200,14 @@
 }
 
 #[test]
-fn a_process_whose_folder_fails_goes_on_without_it_and_comes_back() {
+fn a_process_follows_the_leader_after_its_folder_failed() {
     let mut world = world::World::declared(3, 0);
     let leader = world.leader().expect("somebody leads");
     let other = *world.processes.keys().find(|it| **it != leader).expect("there are three");
 
     let failed = event::Event::FolderFailed;
     let core = world.processes.get_mut(&other).and_then(|it| it.core.as_mut()).expect("it runs");
-    let _told = core.step(world.now, failed);
+    let _actions = core.step(world.now, failed);
     world.run(1_000);
     assert!(world.declare(15));
 
@@ -215,37 +215,37 @@
 }
 
 #[test]
-fn zones_are_taken_out_and_back_in_whoever_leads() {
+fn zones_out_survive_a_change_of_leader() {
     let mut world = world::World::declared(3, 1);
     let zone = name::Zone::from("z1");
 
-    assert!(world.insist(&event::Request::TakeOut(zone.clone())));
+    assert!(world.call_until_done(&event::Request::TakeOut(zone.clone())));
     let leader = world.leader().expect("somebody leads");
     world.kill(leader);
     world.run(3_000);
 
     let next = world.leader().expect("another leads");
     assert!(world.processes[&next].view.as_ref().is_some_and(|view| view.out.contains(&zone)));
-    assert!(world.insist(&event::Request::BringIn(zone.clone())));
+    assert!(world.call_until_done(&event::Request::BringIn(zone.clone())));
     assert!(world.processes[&next].view.as_ref().is_some_and(|view| view.out.is_empty()));
 }
 
-/// Evidence of an entry whose request was in flight at the crash of the upstream of this number.
-fn crashed(request: quarantine::Fingerprint, upstream: u64) -> peer::Evidence {
+/// Evidence of an entry with the request in flight at the crash of this upstream.
+fn crash_evidence(request: quarantine::Fingerprint, upstream: u64) -> peer::Evidence {
     let instance = name::Instance::new(format!("i-{upstream}"));
     let process = quarantine::Process { instance, start_time_ms: upstream };
     let crash = quarantine::Crash { process, age: Duration::ZERO, requests: vec![request] };
     peer::Evidence { crashes: vec![crash], ..peer::Evidence::default() }
 }
 
-/// Guards against a quarantine that ends with its leader's process: followers took the next one at the same
-/// address for the same, and told it nothing.
+/// Guards against losing a quarantine with the leader's process: followers took the restarted
+/// process at the same address for the same leader and did not send it their state.
 #[test]
 fn a_leader_that_restarts_learns_what_its_followers_know() {
     let mut world = world::World::declared(1, 3);
     let request = quarantine::Fingerprint { length: 1, digest: [1; 16] };
     for upstream in 1..=3 {
-        world.see(fixture::address(2), crashed(request, upstream));
+        world.report_evidence(fixture::address(2), crash_evidence(request, upstream));
         world.run(300);
     }
     let verdict = |world: &world::World, host: u8| {
@@ -256,7 +256,7 @@
 
     world.kill(fixture::address(1));
     world.run(200);
-    world.boot(fixture::address(1), false);
+    world.start_process(fixture::address(1), false);
     world.run(4_000);
 
     let quarantined = Some(quarantine::Verdict::Quarantined { round: 1 });
@@ -265,49 +265,51 @@
     assert_eq!(after, [quarantined; 4]);
 }
 
-/// Guards against a leader that loses its lease over what a hundred followers tell it, all of them the same.
+/// Guards against a leader that loses its lease while decoding the same state from a hundred
+/// followers.
 #[test]
-fn a_new_leader_is_told_what_it_lacks_by_few() {
+fn a_new_leader_requests_state_from_few_followers() {
     let mut world = world::World::declared(1, 60);
     world.run(1_000);
-    let before = world.disclosures;
+    let before = world.state_transfers;
 
     world.kill(fixture::address(1));
     world.run(200);
-    world.boot(fixture::address(1), false);
+    world.start_process(fixture::address(1), false);
     world.run(4_000);
 
     assert_eq!(world.leader(), Some(fixture::address(1)));
-    let told = world.disclosures - before;
-    assert!((1..=4).contains(&told), "{told} of 60 followers told all they know");
+    let transfers = world.state_transfers - before;
+    assert!((1..=4).contains(&transfers), "{transfers} of 60 followers told all they know");
 }
 
-/// Guards against knowledge that is lost with the followers that were asked for it.
+/// Guards against losing state that only the failed donors were asked for.
 #[test]
-fn another_follower_is_asked_in_place_of_one_that_is_gone() {
+fn a_lost_donor_is_replaced_by_another_follower() {
     let mut world = world::World::declared(1, 8);
     let request = quarantine::Fingerprint { length: 1, digest: [1; 16] };
     for upstream in 1..=3 {
-        world.see(fixture::address(2), crashed(request, upstream));
+        world.report_evidence(fixture::address(2), crash_evidence(request, upstream));
         world.run(300);
     }
     let leader = fixture::address(1);
     world.kill(leader);
     world.run(200);
-    world.boot(leader, false);
+    world.start_process(leader, false);
 
-    while world.disclosures == 0 {
+    while world.state_transfers == 0 {
         world.run(1);
     }
-    let told: Vec<u8> = (2..=9).filter(|host| world.tells(fixture::address(*host))).collect();
-    for host in &told {
+    let donors: Vec<u8> =
+        (2..=9).filter(|host| world.is_sending_state(fixture::address(*host))).collect();
+    for host in &donors {
         world.drop_messages_of(fixture::address(*host));
         world.kill(fixture::address(*host));
     }
     world.run(3_000);
 
-    assert!((1..=2).contains(&told.len()), "{told:?}");
-    let left = (2..=9).find(|host| !told.contains(host)).expect("others are left");
+    assert!((1..=2).contains(&donors.len()), "{donors:?}");
+    let left = (2..=9).find(|host| !donors.contains(host)).expect("others are left");
     let view = world.processes[&fixture::address(left)].view.as_ref().expect("it follows");
     assert_eq!(view.quarantine.len(), 1);
 }
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Processes, engines and the network between them, one millisecond after the other.
+//! Simulation of processes, engines and the network between them, in steps of 1 ms.
 
 pub mod engines;
 
@@ -12,46 +12,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time on the way between any two.
-const WAY: Duration = Duration::from_millis(1);
-/// Time of a sync.
-const SYNC: Duration = Duration::from_millis(2);
-/// Time between an engine's calls.
+/// Network latency between any two.
+const LATENCY: Duration = Duration::from_millis(1);
+/// Duration of a disk sync.
+const SYNC_DURATION: Duration = Duration::from_millis(2);
+/// Time between two heartbeats of an engine.
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
-/// Time after which a call without an answer has failed.
-const LOST: Duration = Duration::from_millis(400);
+/// Time after which an unanswered call has failed.
+const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Bytes a second that a process's link carries in each direction.
+/// Bandwidth of a process's link in each direction, in bytes per second.
 #[derive(Clone, Copy, Debug)]
 pub struct Bandwidth(pub u64);
 
-/// When the link of a process is free again, in each direction.
+/// When a process's link is free again, in each direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct Link {
     sending: Option<clock::Instant>,
     receiving: Option<clock::Instant>,
 }
 
-/// A process.
+/// A simulated process.
 pub struct Process {
     pub core: Option<core::Core>,
     pub durable: node::Durable,
     pub has_folder: bool,
-    /// What its entry was told last.
+    /// View of its entry; `None` before the first update.
     pub view: Option<View>,
     folder: u64,
-    /// Who waits for each call's reply.
-    calls: BTreeMap<u64, Caller>,
-    /// The watch that is waited for.
-    watch: u64,
-    /// Counts its starts: what was on its way to an earlier one is lost.
+    /// Where the reply to each call goes.
+    calls: BTreeMap<u64, ReplyTarget>,
+    /// Identifier of the unanswered watch; 0 for none.
+    watch_id: u64,
+    /// Number of starts; deliveries to an earlier start are dropped.
     starts: u64,
-    /// `None` carries everything at once.
+    /// `None` for an unlimited link.
     pub bandwidth: Option<Bandwidth>,
     link: Link,
 }
 
-/// What an entry knows.
+/// The view of an entry.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub document: u64,
@@ -63,7 +63,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Caller {
+enum ReplyTarget {
     Outside(u64),
     Greeting(SocketAddr),
     Watch(SocketAddr, u64),
@@ -73,62 +73,62 @@
 #[derive(Clone, Debug)]
 enum Delivery {
     Event(Box<event::Event>),
-    Call(Box<event::Request>, Caller),
+    Call(Box<event::Request>, ReplyTarget),
     Order(SocketAddr, order::Order),
-    /// The answer to the watch of this number.
-    Watched(u64, SocketAddr, Box<peer::Answer>),
-    /// The time of a watch of this number is over.
-    Overdue(u64, SocketAddr),
+    /// The answer to the watch with this number.
+    WatchAnswer(u64, SocketAddr, Box<peer::Answer>),
+    /// The timeout of the watch with this number.
+    WatchTimeout(u64, SocketAddr),
 }
 
-/// The world.
+/// The simulated fleet.
 pub struct World {
     pub now: clock::Instant,
     pub processes: BTreeMap<SocketAddr, Process>,
     pub engines: BTreeMap<name::Instance, engine::Engine>,
-    /// Pairs that don't reach each other, in this direction.
-    pub cuts: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// Engines at which new connections are reset while those of clients go on.
+    /// Pairs (from, to) between which messages are dropped.
+    pub blocked_links: BTreeSet<(SocketAddr, SocketAddr)>,
+    /// Engines that reset new connections while those of clients continue.
     pub resets: BTreeSet<SocketAddr>,
-    /// Engines whose answers to orders are this much later than what they announce.
+    /// Delay of an engine's answers to orders relative to its announcements.
     pub slow_answers: BTreeMap<SocketAddr, Duration>,
-    /// Engines' orders get no answer and are carried out this much later.
+    /// Delay after which orders are executed, without an answer.
     pub late_orders: Option<Duration>,
-    /// Each order meets a fault of its own.
+    /// Random faults of individual orders.
     pub order_faults: Option<engines::OrderFaults>,
     pub notices: Vec<(SocketAddr, notice::Notice)>,
-    /// Processes that were asked whether they reach an upstream.
-    pub asked_peers: BTreeSet<SocketAddr>,
+    /// Processes that were asked to probe an upstream.
+    pub probe_peers: BTreeSet<SocketAddr>,
     pub replies: BTreeMap<u64, action::Reply>,
-    /// Views that entries were given.
+    /// Number of updates that entries received.
     pub publications: usize,
-    /// Watches that told a leader all that the follower knows.
-    pub disclosures: usize,
+    /// Number of watches that included the follower's state.
+    pub state_transfers: usize,
     queue: BTreeMap<(clock::Instant, u64), (SocketAddr, u64, Delivery)>,
-    count: u64,
-    folders: u64,
+    last_number: u64,
+    folder_count: u64,
 }
 
 impl World {
-    /// `folders` processes with a folder and `others` without start for the first time.
+    /// Starts `folders` processes with a folder and `others` without one for the first time.
     pub fn start(folders: u8, others: u8) -> World {
         let mut world = World {
             now: fixture::at(1_000),
             processes: BTreeMap::new(),
             engines: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             resets: BTreeSet::new(),
             slow_answers: BTreeMap::new(),
             late_orders: None,
             order_faults: None,
             notices: Vec::new(),
-            asked_peers: BTreeSet::new(),
+            probe_peers: BTreeSet::new(),
             replies: BTreeMap::new(),
             publications: 0,
-            disclosures: 0,
+            state_transfers: 0,
             queue: BTreeMap::new(),
-            count: 0,
-            folders: 0,
+            last_number: 0,
+            folder_count: 0,
         };
         for host in 1..=folders + others {
             let host_address = fixture::address(host);
@@ -139,19 +139,19 @@
                 view: None,
                 folder: 0,
                 calls: BTreeMap::new(),
-                watch: 0,
+                watch_id: 0,
                 starts: 0,
                 bandwidth: None,
                 link: Link::default(),
             };
             world.processes.insert(host_address, process);
-            world.wipe(host_address);
-            world.boot(host_address, true);
+            world.wipe_folder(host_address);
+            world.start_process(host_address, true);
         }
         world
     }
 
-    /// A world whose first declaration is in force.
+    /// A fleet whose first declaration is in force.
     pub fn declared(folders: u8, others: u8) -> World {
         let mut world = World::start(folders, others);
         world.run(2_500);
@@ -159,8 +159,8 @@
         world
     }
 
-    /// Starts a process on what its folder holds.
-    pub fn boot(&mut self, address: SocketAddr, first_start: bool) {
+    /// Starts a process with the contents of its folder.
+    pub fn start_process(&mut self, address: SocketAddr, first_start: bool) {
         let seeds: Vec<SocketAddr> = (1..=3).map(fixture::address).collect();
         let now = self.now;
         let process = self.processes.get_mut(&address).expect("it is there");
@@ -187,22 +187,22 @@
         }
     }
 
-    /// Ends a process at once; what it had synced stays.
+    /// Kills a process; its synced data is kept.
     pub fn kill(&mut self, address: SocketAddr) {
         if let Some(process) = self.processes.get_mut(&address) {
             process.core = None;
         }
     }
 
-    /// Replaces a process's folder by a blank one.
-    pub fn wipe(&mut self, address: SocketAddr) {
-        self.folders += 1;
+    /// Replaces a process's folder with a blank one.
+    pub fn wipe_folder(&mut self, address: SocketAddr) {
+        self.folder_count += 1;
         let process = self.processes.get_mut(&address).expect("it is there");
         process.durable = node::Durable::default();
-        process.folder = self.folders;
+        process.folder = self.folder_count;
     }
 
-    /// Lets time pass, in milliseconds.
+    /// Advances time by `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         for step in 0..millis {
             self.now = self.now + Duration::from_millis(1);
@@ -217,23 +217,23 @@
         }
     }
 
-    /// Who answers for the fleet.
+    /// The active leader.
     pub fn leader(&self) -> Option<SocketAddr> {
         let leads =
             |process: &Process| process.core.as_ref().is_some_and(core::Core::is_active_leader);
         self.processes.iter().find(|(_, process)| leads(process)).map(|(address, _)| *address)
     }
 
-    /// Calls a process from outside and gives the number of the call.
+    /// Calls a process from outside and returns the number of the call.
     pub fn call(&mut self, to: SocketAddr, request: event::Request) -> u64 {
-        self.count += 1;
-        let call = self.count;
-        self.push(to, WAY, Delivery::Call(Box::new(request), Caller::Outside(call)));
+        self.last_number += 1;
+        let call = self.last_number;
+        self.push(to, LATENCY, Delivery::Call(Box::new(request), ReplyTarget::Outside(call)));
         call
     }
 
-    /// Calls as an operator does, at every process in turn, until it is done; whether it was.
-    pub fn insist(&mut self, request: &event::Request) -> bool {
+    /// Calls like an operator that retries until the call is done; returns whether it was.
+    pub fn call_until_done(&mut self, request: &event::Request) -> bool {
         for _ in 0..8 {
             let mut to = self.leader();
             to = to.or_else(|| self.processes.keys().next().copied());
@@ -249,11 +249,11 @@
 
     pub fn declare(&mut self, version: u64) -> bool {
         let declaration = Box::new(fixture::declaration(version));
-        self.insist(&event::Request::Declare(declaration, fixture::document(version)))
+        self.call_until_done(&event::Request::Declare(declaration, fixture::document(version)))
     }
 
-    /// Version that the leader reads back; `None` when nobody can be sure.
-    pub fn read(&mut self) -> Option<u64> {
+    /// Version that the leader reads back; `None` if no process can answer.
+    pub fn read_version(&mut self) -> Option<u64> {
         let leader = self.leader()?;
         let call = self.call(leader, event::Request::Read);
         self.run(300);
@@ -263,15 +263,15 @@
         }
     }
 
-    /// Groups that serve, by the leader's word.
+    /// Serving groups in the leader's view.
     pub fn serving(&self) -> Vec<view::Group> {
         let leader = self.leader().and_then(|leader| self.processes[&leader].view.as_ref());
         let groups = leader.into_iter().flat_map(|view| view.groups.values());
         groups.filter(|group| group.serving).cloned().collect()
     }
 
-    /// Whether what the process tells a leader is on its way.
-    pub fn tells(&self, from: SocketAddr) -> bool {
+    /// Whether a watch with the process's state is in transit.
+    pub fn is_sending_state(&self, from: SocketAddr) -> bool {
         self.queue.values().any(|(_, _, delivery)| {
             let Delivery::Call(request, _) = delivery else { return false };
             let event::Request::Watch(watch) = request.as_ref() else { return false };
@@ -279,7 +279,7 @@
         })
     }
 
-    /// Forgets what a process has sent and has not arrived.
+    /// Drops the watches of a process that are in transit.
     pub fn drop_messages_of(&mut self, from: SocketAddr) {
         self.queue.retain(|_, (_, _, delivery)| {
             let Delivery::Call(request, _) = delivery else { return true };
@@ -288,8 +288,8 @@
         });
     }
 
-    /// Hands a process what its entry saw.
-    pub fn see(&mut self, address: SocketAddr, evidence: peer::Evidence) {
+    /// Passes evidence of a process's entry to the process.
+    pub fn report_evidence(&mut self, address: SocketAddr, evidence: peer::Evidence) {
         self.send(address, Duration::ZERO, event::Event::EvidenceReported(address, evidence));
     }
 
@@ -298,31 +298,31 @@
     }
 
     fn push(&mut self, to: SocketAddr, after: Duration, delivery: Delivery) {
-        self.count += 1;
+        self.last_number += 1;
         let starts = self.processes.get(&to).map_or(0, |process| process.starts);
-        self.queue.insert((self.now + after, self.count), (to, starts, delivery));
+        self.queue.insert((self.now + after, self.last_number), (to, starts, delivery));
     }
 
-    /// Time until a message between two processes has arrived: each link carries one after the other.
+    /// Time until a message between two processes arrives; links transmit sequentially.
     fn transfer(&mut self, from: SocketAddr, to: SocketAddr, message: &impl Serialize) -> Duration {
         let bytes = bincode::serialized_size(message).expect("messages are plain data");
         let now = self.now;
-        let mut carry = |address: SocketAddr, at: clock::Instant, receives: bool| {
+        let mut transmit = |address: SocketAddr, at: clock::Instant, receives: bool| {
             let Some(process) = self.processes.get_mut(&address) else { return at };
             let Some(Bandwidth(rate)) = process.bandwidth else { return at };
             let link = &mut process.link;
-            let free = if receives { &mut link.receiving } else { &mut link.sending };
-            let begins = free.map_or(at, |free| free.max(at));
-            let done = begins + Duration::from_micros(bytes * 1_000_000 / rate);
-            *free = Some(done);
-            done
+            let free_at = if receives { &mut link.receiving } else { &mut link.sending };
+            let starts_at = free_at.map_or(at, |free| free.max(at));
+            let done_at = starts_at + Duration::from_micros(bytes * 1_000_000 / rate);
+            *free_at = Some(done_at);
+            done_at
         };
-        let sent = carry(from, now, false);
-        carry(to, sent, true).since(now) + WAY
+        let sent = transmit(from, now, false);
+        transmit(to, sent, true).since(now) + LATENCY
     }
 
-    fn reaches(&self, from: SocketAddr, to: SocketAddr) -> bool {
-        !self.cuts.contains(&(from, to))
+    fn can_reach(&self, from: SocketAddr, to: SocketAddr) -> bool {
+        !self.blocked_links.contains(&(from, to))
             && self.processes.get(&to).is_none_or(|it| it.core.is_some())
     }
 
@@ -334,27 +334,27 @@
             }
             match delivery {
                 Delivery::Event(event) => self.step(to, *event),
-                Delivery::Call(request, caller) => {
-                    self.count += 1;
-                    let call = self.count;
+                Delivery::Call(request, target) => {
+                    self.last_number += 1;
+                    let call = self.last_number;
                     if let Some(process) = self.processes.get_mut(&to) {
-                        process.calls.insert(call, caller);
+                        process.calls.insert(call, target);
                     }
                     self.step(to, event::Event::Called { call, request: *request });
                 }
                 Delivery::Order(from, order) => self.obey(from, &order),
-                Delivery::Watched(number, from, answer) => {
+                Delivery::WatchAnswer(number, from, answer) => {
                     let process = self.processes.get_mut(&to).expect("it is there");
-                    if process.watch == number {
-                        process.watch = 0;
+                    if process.watch_id == number {
+                        process.watch_id = 0;
                         let answer = Some(*answer);
                         self.step(to, event::Event::WatchAnswered { from, answer });
                     }
                 }
-                Delivery::Overdue(number, leader) => {
-                    if self.processes.get(&to).is_some_and(|process| process.watch == number) {
-                        let lost = event::Event::WatchAnswered { from: leader, answer: None };
-                        self.step(to, lost);
+                Delivery::WatchTimeout(number, leader) => {
+                    if self.processes.get(&to).is_some_and(|process| process.watch_id == number) {
+                        let timed_out = event::Event::WatchAnswered { from: leader, answer: None };
+                        self.step(to, timed_out);
                     }
                 }
             }
@@ -366,58 +366,58 @@
         let core = self.processes.get_mut(&address).and_then(|process| process.core.as_mut());
         let Some(core) = core else { return };
         for action in core.step(now, event) {
-            self.act(address, action);
+            self.execute(address, action);
         }
     }
 
-    fn act(&mut self, from: SocketAddr, action: action::Action) {
+    fn execute(&mut self, from: SocketAddr, action: action::Action) {
         match action {
             action::Action::Send(packet) => self.deliver_packet(from, packet),
             action::Action::Persist(write) => {
                 let process = self.processes.get_mut(&from).expect("it acts");
                 process.durable.apply(&write);
-                self.send(from, SYNC, event::Event::Persisted(write.mark));
+                self.send(from, SYNC_DURATION, event::Event::Persisted(write.mark));
             }
             action::Action::Reply(call, reply) => self.reply(from, call, reply),
             action::Action::Greet(to, hello) => {
-                self.ask(from, to, event::Request::Greet(hello), Caller::Greeting(from));
+                self.ask(from, to, event::Request::Greet(hello), ReplyTarget::Greeting(from));
             }
             action::Action::Watch(to, watch) => {
-                self.disclosures += usize::from(watch.known.is_some());
-                self.count += 1;
-                let number = self.count;
-                self.processes.get_mut(&from).expect("it acts").watch = number;
-                self.push(from, action::WATCH_TIMEOUT, Delivery::Overdue(number, to));
-                self.ask(from, to, event::Request::Watch(watch), Caller::Watch(from, number));
+                self.state_transfers += usize::from(watch.known.is_some());
+                self.last_number += 1;
+                let number = self.last_number;
+                self.processes.get_mut(&from).expect("it acts").watch_id = number;
+                self.push(from, action::WATCH_TIMEOUT, Delivery::WatchTimeout(number, to));
+                self.ask(from, to, event::Request::Watch(watch), ReplyTarget::Watch(from, number));
             }
             action::Action::Relay { call, to, registration } => {
                 let request = event::Request::RegisterRelayed(registration);
-                if !self.ask(from, to, request, Caller::Relay(from, call)) {
-                    self.send(from, LOST, event::Event::RelayAnswered { call, accepted: false });
+                if !self.ask(from, to, request, ReplyTarget::Relay(from, call)) {
+                    self.send(from, TIMEOUT, event::Event::RelayAnswered { call, accepted: false });
                 }
             }
             action::Action::SendEvidence(to, evidence) => {
-                if self.reaches(from, to) {
-                    self.send(to, WAY, event::Event::EvidenceReported(from, evidence));
+                if self.can_reach(from, to) {
+                    self.send(to, LATENCY, event::Event::EvidenceReported(from, evidence));
                 }
             }
             action::Action::Order(order) => self.carry_order(from, order),
             action::Action::Probe(instance, to) => {
                 let sign = self.probe(from, to);
-                let after = if sign == order::Sign::Missing { LOST } else { WAY };
+                let after = if sign == order::Sign::Missing { TIMEOUT } else { LATENCY };
                 self.send(from, after, event::Event::Probed(instance, sign));
             }
             action::Action::RequestReport(instance, to) => {
                 if self.probe(from, to) == order::Sign::Alive {
                     let report = self.engines[&instance].report();
-                    self.send(from, WAY * 2, event::Event::Reported(instance, report));
+                    self.send(from, LATENCY * 2, event::Event::Reported(instance, report));
                 }
             }
             action::Action::ProbeViaPeer { peer, instance, address } => {
-                self.asked_peers.insert(peer);
+                self.probe_peers.insert(peer);
                 let alive =
-                    self.reaches(from, peer) && self.probe(peer, address) == order::Sign::Alive;
-                self.send(from, LOST, event::Event::PeerProbed(peer, instance, alive));
+                    self.can_reach(from, peer) && self.probe(peer, address) == order::Sign::Alive;
+                self.send(from, TIMEOUT, event::Event::PeerProbed(peer, instance, alive));
             }
             action::Action::Publish(update, declaration) => {
                 let version = declaration.map(|declaration| declaration.version);
@@ -429,7 +429,7 @@
 
     fn deliver_packet(&mut self, from: SocketAddr, packet: consensus::Packet) {
         let to = core::address_of(&packet.to).expect("names are addresses");
-        if self.reaches(from, to) {
+        if self.can_reach(from, to) {
             let after = self.transfer(from, to, &packet);
             self.send(to, after, event::Event::Received(packet));
         }
@@ -440,40 +440,40 @@
         from: SocketAddr,
         to: SocketAddr,
         request: event::Request,
-        caller: Caller,
+        target: ReplyTarget,
     ) -> bool {
-        let reaches = self.reaches(from, to);
-        if reaches {
-            self.push(to, WAY, Delivery::Call(Box::new(request), caller));
+        let reached = self.can_reach(from, to);
+        if reached {
+            self.push(to, LATENCY, Delivery::Call(Box::new(request), target));
         }
-        reaches
+        reached
     }
 
     fn reply(&mut self, from: SocketAddr, call: u64, reply: action::Reply) {
-        let caller = self.processes.get_mut(&from).and_then(|process| process.calls.remove(&call));
-        match (caller, reply) {
-            (Some(Caller::Outside(call)), reply) => drop(self.replies.insert(call, reply)),
-            (Some(Caller::Greeting(to)), action::Reply::Greeting(greeting)) => {
-                self.back(from, to, event::Event::GreetingAnswered(greeting));
+        let target = self.processes.get_mut(&from).and_then(|process| process.calls.remove(&call));
+        match (target, reply) {
+            (Some(ReplyTarget::Outside(call)), reply) => drop(self.replies.insert(call, reply)),
+            (Some(ReplyTarget::Greeting(to)), action::Reply::Greeting(greeting)) => {
+                self.send_reply(from, to, event::Event::GreetingAnswered(greeting));
             }
-            (Some(Caller::Watch(to, number)), action::Reply::Watched(answer)) => {
-                let waits = self.processes[&to].watch == number;
-                if waits && self.reaches(from, to) {
+            (Some(ReplyTarget::Watch(to, number)), action::Reply::Watched(answer)) => {
+                let is_pending = self.processes[&to].watch_id == number;
+                if is_pending && self.can_reach(from, to) {
                     let after = self.transfer(from, to, &answer);
-                    self.push(to, after, Delivery::Watched(number, from, Box::new(answer)));
+                    self.push(to, after, Delivery::WatchAnswer(number, from, Box::new(answer)));
                 }
             }
-            (Some(Caller::Relay(to, call)), reply) => {
+            (Some(ReplyTarget::Relay(to, call)), reply) => {
                 let accepted = matches!(reply, action::Reply::Registered(_));
-                self.back(from, to, event::Event::RelayAnswered { call, accepted });
+                self.send_reply(from, to, event::Event::RelayAnswered { call, accepted });
             }
             _ => {}
         }
     }
 
-    fn back(&mut self, from: SocketAddr, to: SocketAddr, event: event::Event) {
-        if self.reaches(from, to) {
-            self.send(to, WAY, event);
+    fn send_reply(&mut self, from: SocketAddr, to: SocketAddr, event: event::Event) {
+        if self.can_reach(from, to) {
+            self.send(to, LATENCY, event);
         }
     }
 
@@ -510,7 +510,7 @@
     }
 }
 
-/// Evidence of an entry that sees an upstream stand still.
-pub fn stalled(instance: &name::Instance) -> peer::Evidence {
+/// Evidence of an entry that sees an upstream stalled.
+pub fn stalled_evidence(instance: &name::Instance) -> peer::Evidence {
     peer::Evidence { stalled: vec![instance.clone()], traffic: true, ..peer::Evidence::default() }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
@@ -1,6 +1,6 @@
 //! The world's engines: how orders and probes reach them, and how they announce themselves.
 
-use super::{Delivery, HEARTBEAT, LOST, WAY, World};
+use super::{Delivery, HEARTBEAT, LATENCY, TIMEOUT, World};
 use crate::{engine, invariants, random};
 use hyssopfork_fleet::event;
 use hyssopfork_fleet::groups::order;
@@ -38,8 +38,8 @@
     pub fn cut_engine(&mut self, instance: &name::Instance) {
         let engine = self.engines[instance].told.address;
         for process in self.processes.keys().copied().collect::<Vec<_>>() {
-            self.cuts.insert((engine, process));
-            self.cuts.insert((process, engine));
+            self.blocked_links.insert((engine, process));
+            self.blocked_links.insert((process, engine));
         }
     }
 
@@ -50,7 +50,7 @@
 
     pub(super) fn probe(&self, from: SocketAddr, to: SocketAddr) -> order::Sign {
         let engine = self.engine_at(to).and_then(|instance| self.engines.get(&instance));
-        let alive = engine.is_some_and(|engine| engine.alive) && self.reaches(from, to);
+        let alive = engine.is_some_and(|engine| engine.alive) && self.can_reach(from, to);
         if !alive {
             order::Sign::Missing
         } else if self.resets.contains(&to) {
@@ -64,16 +64,16 @@
         let ended = |outcome| event::Event::OrderAnswered(order.ticket, outcome);
         let drawn = self.order_faults.as_mut().and_then(OrderFaults::draw);
         match (self.probe(from, order.address), drawn.or(self.late_orders)) {
-            (order::Sign::Missing, _) => self.send(from, LOST, ended(order::Outcome::Unknown)),
+            (order::Sign::Missing, _) => self.send(from, TIMEOUT, ended(order::Outcome::Unknown)),
             (order::Sign::Refused, _) => {
-                self.send(from, WAY, ended(order::Outcome::Unreachable));
+                self.send(from, LATENCY, ended(order::Outcome::Unreachable));
             }
             (order::Sign::Alive, Some(late)) => {
-                self.send(from, LOST, ended(order::Outcome::Unknown));
+                self.send(from, TIMEOUT, ended(order::Outcome::Unknown));
                 self.push(order.address, late, Delivery::Order(from, order));
             }
             (order::Sign::Alive, None) => {
-                self.push(order.address, WAY, Delivery::Order(from, order));
+                self.push(order.address, LATENCY, Delivery::Order(from, order));
             }
         }
     }
@@ -85,13 +85,13 @@
         }
         let now = self.now;
         if self.engines[&instance].takes(now, order) {
-            invariants::check(&self.engines, &instance, order);
+            invariants::check_order(&self.engines, &instance, order);
         }
         let engine = self.engines.get_mut(&instance).expect("it was found");
         let outcome = engine.obey(now, order);
         self.register(&instance);
         let slow = self.slow_answers.get(&order.address).copied().unwrap_or_default();
-        self.send(from, WAY + slow, event::Event::OrderAnswered(order.ticket, outcome));
+        self.send(from, LATENCY + slow, event::Event::OrderAnswered(order.ticket, outcome));
     }
 
     pub(super) fn run_engines(&mut self) {
@@ -116,7 +116,7 @@
         engine.told.sequence += 1;
         let told = engine.told.clone();
         let others = self.processes.keys().copied();
-        let reached = leader.into_iter().chain(others).find(|to| self.reaches(told.address, *to));
+        let reached = leader.into_iter().chain(others).find(|to| self.can_reach(told.address, *to));
         if let Some(to) = reached {
             self.call(to, event::announced(told));
         }
