--- a/crates/hyssopfork-fleet/src/discovery.rs
+++ b/crates/hyssopfork-fleet/src/discovery.rs
@@ -88,7 +88,7 @@
 
     /// Forgets a leader that did not answer or no longer leads; `hint` is the leader that it named.
     pub fn forget_leader(&mut self, leader: net::SocketAddr, hint: Option<net::SocketAddr>) {
-        self.watched = self.watched.filter(|asked| *asked != leader);
+        self.watched = self.watched.filter(|address| *address != leader);
         if self.leader == Some(leader) {
             self.leader = hint.filter(|hint| *hint != leader);
         }
@@ -96,7 +96,7 @@
 
     /// Handles the leader's request for the state that this process knows.
     pub fn on_state_requested(&mut self, leader: net::SocketAddr) {
-        self.watched = self.watched.filter(|asked| *asked != leader);
+        self.watched = self.watched.filter(|address| *address != leader);
         self.sends_state = true;
     }
 
@@ -130,7 +130,7 @@
 
     /// Handles an update from the leader.
     pub fn on_updated(&mut self, leader: net::SocketAddr, update: &view::Update) {
-        self.watched = self.watched.filter(|asked| *asked != leader);
+        self.watched = self.watched.filter(|address| *address != leader);
         self.stamp = update.stamp;
         self.add_controls(update.controls.iter().copied());
     }
--- a/crates/hyssopfork-fleet/src/document.rs
+++ b/crates/hyssopfork-fleet/src/document.rs
@@ -58,7 +58,7 @@
         Encoding {
             version: self.version,
             base: base.map_or(0, |base| base.version),
-            bytes: Bytes::from(bytes.expect("memory takes every byte")),
+            bytes: Bytes::from(bytes.expect("writing to memory does not fail")),
         }
     }
 }
--- a/crates/hyssopfork-fleet/tests/fleet/publication.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/publication.rs
@@ -45,37 +45,38 @@
 
 #[test]
 fn a_removed_upstream_is_published_as_removed() {
-    let mut board = Publisher::new(number::Term(3), None);
-    board.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
-    let have = board.stamp();
+    let mut publisher = Publisher::new(number::Term(3), None);
+    publisher.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    let have = publisher.stamp();
 
-    board.publish(state(1), &BTreeMap::new(), &BTreeMap::new());
+    publisher.publish(state(1), &BTreeMap::new(), &BTreeMap::new());
 
-    let update = board.since(have);
+    let update = publisher.since(have);
     assert_eq!(update.upstreams, [(name::Instance::from("e1"), None)]);
 }
 
 #[test]
 fn a_follower_from_another_term_gets_a_full_update() {
-    let mut board = Publisher::new(number::Term(3), None);
-    board.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    let mut publisher = Publisher::new(number::Term(3), None);
+    publisher.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
     let other = view::Stamp { term: number::Term(2), revision: 40 };
 
-    let update = board.since(other);
+    let update = publisher.since(other);
 
     assert!(update.is_full);
     assert_eq!(update.upstreams.len(), 1);
-    assert_eq!(board.next_part(progress(0)).map(|part| part.version), Some(1));
+    assert_eq!(publisher.next_part(progress(0)).map(|part| part.version), Some(1));
 }
 
 #[test]
 fn an_unchanged_heartbeat_publishes_nothing() {
-    let mut board = Publisher::new(number::Term(3), None);
-    board.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
+    let mut publisher = Publisher::new(number::Term(3), None);
+    publisher.publish(state(1), &BTreeMap::from([upstream("e1")]), &BTreeMap::new());
     let (instance, mut again) = upstream("e1");
     again.announcement.sequence = 9;
 
-    let changed = board.publish(state(1), &BTreeMap::from([(instance, again)]), &BTreeMap::new());
+    let changed =
+        publisher.publish(state(1), &BTreeMap::from([(instance, again)]), &BTreeMap::new());
 
     assert!(!changed);
 }
@@ -83,26 +84,26 @@
 /// Guards against followers that restart with each new version and never complete one.
 #[test]
 fn a_follower_completes_the_document_that_it_has_begun() {
-    let mut board = Publisher::new(number::Term(3), None);
+    let mut publisher = Publisher::new(number::Term(3), None);
     for version in [1, 2, 3] {
         let document = Some(fixture::large_document(version, 1_000));
         let rest = FleetState { document, ..FleetState::default() };
-        board.publish(rest, &BTreeMap::new(), &BTreeMap::new());
+        publisher.publish(rest, &BTreeMap::new(), &BTreeMap::new());
     }
     let partial = document::Progress { version: 1, partial_version: 2, base: 1, offset: 10 };
 
-    let part = board.next_part(partial).expect("a newer version is there");
+    let part = publisher.next_part(partial).expect("a newer version is there");
 
     assert_eq!((part.version, part.base, part.offset), (2, 1, partial.offset));
 }
 
 #[test]
 fn a_follower_with_parts_of_a_dropped_document_starts_with_the_newest() {
-    let mut board = Publisher::new(number::Term(3), None);
-    board.publish(state(9), &BTreeMap::new(), &BTreeMap::new());
-    let begun = document::Progress { version: 1, partial_version: 4, base: 0, offset: 500 };
+    let mut publisher = Publisher::new(number::Term(3), None);
+    publisher.publish(state(9), &BTreeMap::new(), &BTreeMap::new());
+    let partial = document::Progress { version: 1, partial_version: 4, base: 0, offset: 500 };
 
-    let part = board.next_part(begun).expect("a newer version is there");
+    let part = publisher.next_part(partial).expect("a newer version is there");
 
     assert_eq!((part.version, part.offset), (9, 0));
 }
@@ -110,15 +111,15 @@
 #[test]
 fn the_document_of_the_previous_term_is_a_delta_base() {
     let known = fixture::large_document(4, 2_000);
-    let mut board = Publisher::new(number::Term(3), Some(known));
+    let mut publisher = Publisher::new(number::Term(3), Some(known));
     let document = Some(fixture::large_document(5, 2_001));
-    board.publish(
+    publisher.publish(
         FleetState { document, ..FleetState::default() },
         &BTreeMap::new(),
         &BTreeMap::new(),
     );
 
-    let part = board.next_part(progress(4)).expect("a newer version is there");
+    let part = publisher.next_part(progress(4)).expect("a newer version is there");
 
     assert_eq!(part.base, 4);
     assert!(part.size < 1_000, "{} bytes for one route", part.size);
--- a/crates/hyssopfork-fleet/tests/fleet/replication.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/replication.rs
@@ -138,7 +138,9 @@
     }
     world.run(4_000);
     let next = world.leader().expect("another leads");
-    assert!(!world.processes[&next].view.as_ref().expect("told").entries.contains_key(&leader));
+    assert!(
+        !world.processes[&next].view.as_ref().expect("it has a view").entries.contains_key(&leader)
+    );
 }
 
 /// Guards against declaring an upstream dead on probes from only one or two zones.
@@ -280,7 +282,7 @@
 
     assert_eq!(world.leader(), Some(fixture::address(1)));
     let transfers = world.state_transfers - before;
-    assert!((1..=4).contains(&transfers), "{transfers} of 60 followers told all they know");
+    assert!((1..=4).contains(&transfers), "{transfers} of 60 followers sent their state");
 }
 
 /// Guards against losing state that only the failed donors were asked for.
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -482,7 +482,7 @@
         let process = self.processes.get_mut(&address).expect("it acts");
         let view = process.view.get_or_insert_default();
         if let Some(version) = version {
-            assert!(version > view.document, "no process goes back");
+            assert!(version > view.document, "no process reverts to an older declaration");
             view.document = version;
         }
         if update.is_full {
