--- a/crates/hyssopfork-fleet/src/core/lead.rs
+++ b/crates/hyssopfork-fleet/src/core/lead.rs
@@ -90,7 +90,7 @@
             registry.adopt(now, upstream);
         }
         for (name, group) in known {
-            groups.take_over(now, &name, group, &registry);
+            groups.adopt_from_follower(now, &name, group, &registry);
         }
         let mut watches = watches::Watches::new(now, term, self.local_view.stamp);
         watches.add_known_entries(entries.into_keys());
@@ -136,7 +136,7 @@
             let peers = leadership.watches.probe_peers();
             let commands = declaration
                 .map(|it| {
-                    leadership.groups.look(
+                    leadership.groups.reconcile(
                         now,
                         &leadership.registry,
                         &it,
@@ -156,7 +156,7 @@
     pub(super) fn record_evidence(&mut self, from: net::SocketAddr, evidence: &peer::Evidence) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else { return };
-        leadership.groups.saw(now, from, evidence);
+        leadership.groups.on_evidence(now, from, evidence);
         let mut notices = Vec::new();
         for crash in &evidence.crashes {
             for (request, round) in leadership.ledger.record_crash(now, crash) {
@@ -183,8 +183,10 @@
             let action = match command {
                 groups::Command::Order(order) => action::Action::Order(order),
                 groups::Command::Probe(instance, to) => action::Action::Probe(instance, to),
-                groups::Command::Ask(instance, to) => action::Action::RequestReport(instance, to),
-                groups::Command::AskPeer { peer, instance, address } => {
+                groups::Command::RequestReport(instance, to) => {
+                    action::Action::RequestReport(instance, to)
+                }
+                groups::Command::ProbeIndirectly { peer, instance, address } => {
                     action::Action::ProbeViaPeer { peer, instance, address }
                 }
                 groups::Command::Notice(notice) => action::Action::Notice(notice),
@@ -214,7 +216,7 @@
             quarantine: leadership.ledger.published().clone(),
         };
         let upstreams = leadership.registry.published(now);
-        let groups = leadership.groups.published();
+        let groups = leadership.groups.to_views();
         leadership.publisher.publish(state, upstreams, &groups);
         leadership.watches.on_published(leadership.publisher.stamp().revision);
         // Updates are also sent when nothing has changed: they tell the entry that this process
--- a/crates/hyssopfork-fleet/src/event.rs
+++ b/crates/hyssopfork-fleet/src/event.rs
@@ -77,7 +77,7 @@
     /// An order was answered or failed.
     OrderAnswered(u64, groups::order::Outcome),
     /// A probe of an upstream has ended.
-    Probed(name::Instance, groups::order::Sign),
+    Probed(name::Instance, groups::order::Liveness),
     /// An engine sent the requested report.
     Reported(name::Instance, groups::order::Report),
     /// A peer probed an upstream; `false` also if the peer can't be reached.
--- a/crates/hyssopfork-fleet/src/notice.rs
+++ b/crates/hyssopfork-fleet/src/notice.rs
@@ -50,11 +50,11 @@
     /// A quarantined request completed, which ended its quarantine.
     Released(quarantine::Fingerprint),
     /// A group was formed, or an instance was put in reserve.
-    Formed(name::Group, name::Model, Vec<name::Instance>, group::Stage),
+    Formed(name::Group, name::Model, Vec<name::Instance>, group::Phase),
     /// A group of an earlier leader was taken over.
-    Adopted(name::Group, group::Stage),
-    /// A group entered another stage.
-    Turned(name::Group, group::Stage),
+    Adopted(name::Group, group::Phase),
+    /// A group entered another phase.
+    Turned(name::Group, group::Phase),
     /// A group ended; its members are free.
     Ended(name::Group),
     /// An order was answered or failed.
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -342,7 +342,7 @@
                     }
                     self.step(to, event::Event::Called { call, request: *request });
                 }
-                Delivery::Order(from, order) => self.obey(from, &order),
+                Delivery::Order(from, order) => self.deliver_order(from, &order),
                 Delivery::WatchAnswer(number, from, answer) => {
                     let process = self.processes.get_mut(&to).expect("it is there");
                     if process.watch_id == number {
@@ -401,22 +401,22 @@
                     self.send(to, LATENCY, event::Event::EvidenceReported(from, evidence));
                 }
             }
-            action::Action::Order(order) => self.carry_order(from, order),
+            action::Action::Order(order) => self.send_order(from, order),
             action::Action::Probe(instance, to) => {
                 let sign = self.probe(from, to);
-                let after = if sign == order::Sign::Missing { TIMEOUT } else { LATENCY };
+                let after = if sign == order::Liveness::TimedOut { TIMEOUT } else { LATENCY };
                 self.send(from, after, event::Event::Probed(instance, sign));
             }
             action::Action::RequestReport(instance, to) => {
-                if self.probe(from, to) == order::Sign::Alive {
+                if self.probe(from, to) == order::Liveness::Alive {
                     let report = self.engines[&instance].report();
                     self.send(from, LATENCY * 2, event::Event::Reported(instance, report));
                 }
             }
             action::Action::ProbeViaPeer { peer, instance, address } => {
                 self.probe_peers.insert(peer);
-                let alive =
-                    self.can_reach(from, peer) && self.probe(peer, address) == order::Sign::Alive;
+                let alive = self.can_reach(from, peer)
+                    && self.probe(peer, address) == order::Liveness::Alive;
                 self.send(from, TIMEOUT, event::Event::PeerProbed(peer, instance, alive));
             }
             action::Action::Publish(update, declaration) => {
