--- a/crates/hyssopfork-fleet/src/core/watches.rs
+++ b/crates/hyssopfork-fleet/src/core/watches.rs
@@ -1,4 +1,4 @@
-//! Watches that a leader holds, and what its followers know.
+//! Long-poll watches that a leader holds, and which revision each follower has.
 
 use crate::{action, document, view};
 use hyssopfork_wire::{clock, number};
@@ -6,145 +6,150 @@
 use std::net;
 use std::time::Duration;
 
-/// Time without a watch after which a process no longer counts among the entries. They ask again
-/// within [`action::HOLD`].
+/// Time without a watch after which a process is removed from the entries. Entries send the next
+/// watch within [`action::MAX_WATCH_HOLD`].
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Followers that know of an upstream's leaving before its call is answered. The leader may be lost
-/// with the answer; whoever follows it learns the news of those who had it.
+/// Followers that must have received an upstream's departure or drain before its call is answered.
+/// If the leader fails after the answer, the next leader learns of it from these followers.
 const MIN_REPLICAS: usize = 2;
 
-/// Time after which such a call is not answered with success any more: the caller turns elsewhere
-/// after a second.
+/// Time after which a departure that is not replicated is answered as failed; the client tries
+/// another process after a second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Most processes that are asked whether they reach an upstream: enough that some are in every zone,
-/// few enough for a fleet of hundreds.
-const MAX_PEERS_ASKED: usize = 16;
+/// Maximum number of processes that probe an upstream for the leader: enough to have some in every
+/// zone, and few enough for a fleet of hundreds.
+const MAX_PROBE_PEERS: usize = 16;
 
-/// Followers that are asked at once for what they know of the terms before.
-const MAX_INFORMANTS: usize = 2;
+/// Followers (donors) that are asked at the same time for the state of earlier terms.
+const MAX_DONORS: usize = 2;
 
-/// Time after which another follower is asked in place of one that has not answered.
-const INFORMANT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after which a donor that has not answered is replaced by another follower.
+const DONOR_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Followers that are sent parts of a document at once. With the parts that voters are sent, this
-/// bounds how long a heartbeat waits at the leader's link.
+/// Followers that are sent document parts at the same time. Together with the parts sent to voters,
+/// this bounds how long a heartbeat is queued on the leader's link.
 const MAX_TRANSFERS: usize = 8;
 
 #[derive(Clone, Debug)]
-struct ParkedWatch {
+struct HeldWatch {
     from: net::SocketAddr,
-    have: view::Stamp,
-    document: document::Held,
-    until: clock::Instant,
+    known_stamp: view::Stamp,
+    document_progress: document::Progress,
+    expires_at: clock::Instant,
 }
 
 /// The reply to a watch that is due.
 pub(super) struct PendingReply {
     pub(super) call: u64,
-    pub(super) have: view::Stamp,
-    /// What the follower holds, where it gets a part of a document.
-    pub(super) document: Option<document::Held>,
-    /// Whether the follower is asked for what it knows in place of an update.
-    pub(super) inquires: bool,
+    pub(super) known_stamp: view::Stamp,
+    /// The follower's document progress, if it is to be sent a part.
+    pub(super) document_progress: Option<document::Progress>,
+    /// Whether the follower is asked for its state instead of being sent an update.
+    pub(super) requests_state: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Registration {
+struct HeldRegistration {
     call: u64,
     since: clock::Instant,
-    /// Revision that tells of it; `None` until the next publication.
+    /// First revision that contains it; `None` until the next publication.
     revision: Option<u64>,
 }
 
-/// An entry, as its leader knows it.
+/// What the leader knows of an entry.
 #[derive(Clone, Copy, Debug)]
 struct Follower {
-    /// When it last asked; the start of the term until it has.
-    seen: clock::Instant,
-    /// What it had then; `None` for one that followed the leader before and has not asked yet.
-    have: Option<view::Stamp>,
+    /// Time of its last watch; the start of the term before the first one.
+    last_seen: clock::Instant,
+    /// Its revision at that time; `None` for an entry known from an earlier leader that has sent no
+    /// watch yet.
+    known_stamp: Option<view::Stamp>,
 }
 
-/// What a leader knows of the terms before its own.
+/// How much a leader knows of the terms before its own.
 #[derive(Clone, Copy, Debug)]
-struct Inheritance {
+struct PriorState {
     term: number::Term,
-    /// Newest publication of an earlier leader that this one knows.
+    /// Newest revision of an earlier leader that this leader knows.
     newest: view::Stamp,
 }
 
-impl Inheritance {
-    /// Whether whoever stands at `have` knows what the leader doesn't.
-    fn lacks(self, have: view::Stamp) -> bool {
-        have > self.newest && have.term < self.term
+impl PriorState {
+    /// Whether a follower at `have` knows state of earlier terms that this leader lacks.
+    fn is_behind(self, known_stamp: view::Stamp) -> bool {
+        known_stamp > self.newest && known_stamp.term < self.term
     }
 }
 
-/// Watches that are held, and who asked lately.
+/// Held watches and the entries that have sent watches recently.
 #[derive(Clone, Debug)]
 pub(super) struct Watches {
-    pub(super) started: clock::Instant,
-    held: BTreeMap<u64, ParkedWatch>,
+    pub(super) term_start: clock::Instant,
+    watches: BTreeMap<u64, HeldWatch>,
     entries: BTreeMap<net::SocketAddr, Follower>,
-    /// Followers that were sent a part of a document and have not asked since, and when.
+    /// Followers that were sent a document part and have sent no watch since, with the time of
+    /// sending.
     ///
     /// Invariant: at most [`MAX_TRANSFERS`].
     transfers: BTreeMap<net::SocketAddr, clock::Instant>,
-    registrations: Vec<Registration>,
-    inheritance: Inheritance,
-    /// Followers that were asked for what they know and have not said it, and when.
+    registrations: Vec<HeldRegistration>,
+    prior_state: PriorState,
+    /// Followers that were asked for their state and have not answered, with the time of the
+    /// request.
     ///
-    /// Invariant: at most [`MAX_INFORMANTS`].
-    informants: BTreeMap<net::SocketAddr, clock::Instant>,
+    /// Invariant: at most [`MAX_DONORS`].
+    donors: BTreeMap<net::SocketAddr, clock::Instant>,
 }
 
 impl Watches {
-    /// The watches of the leader of `term`, who knows an earlier leader's publication `newest`.
+    /// Creates the watches of the leader of `term`, which knows `newest` of an earlier leader.
     pub(super) fn new(now: clock::Instant, term: number::Term, newest: view::Stamp) -> Watches {
         Watches {
-            started: now,
-            held: BTreeMap::new(),
+            term_start: now,
+            watches: BTreeMap::new(),
             entries: BTreeMap::new(),
             transfers: BTreeMap::new(),
             registrations: Vec::new(),
-            inheritance: Inheritance { term, newest },
-            informants: BTreeMap::new(),
+            prior_state: PriorState { term, newest },
+            donors: BTreeMap::new(),
         }
     }
 
-    /// Picks followers to ask for what they know: the ones with the newest publications.
+    /// Picks the followers with the newest revisions as donors.
     ///
-    /// Publications of one term build on one another, so whoever has the newest knows all. Told by every
-    /// follower, a leader of a hundred lost its lease over reading what all of them knew.
-    fn pick_informants(&mut self, now: clock::Instant) -> BTreeSet<net::SocketAddr> {
-        self.informants.retain(|_, asked| now.since(*asked) < INFORMANT_TIMEOUT);
-        let free = MAX_INFORMANTS.saturating_sub(self.informants.len());
-        let lacking = self.held.values().filter(|held| self.inheritance.lacks(held.have));
-        let mut candidates: Vec<_> = lacking.map(|held| (held.have, held.from)).collect();
+    /// Revisions of one term build on each other, so a follower with the newest one has the
+    /// complete state. A leader of a hundred followers that received the state from all of them
+    /// lost its lease while decoding it.
+    fn pick_donors(&mut self, now: clock::Instant) -> BTreeSet<net::SocketAddr> {
+        self.donors.retain(|_, asked_at| now.since(*asked_at) < DONOR_TIMEOUT);
+        let free = MAX_DONORS.saturating_sub(self.donors.len());
+        let behind =
+            self.watches.values().filter(|watch| self.prior_state.is_behind(watch.known_stamp));
+        let mut candidates: Vec<_> = behind.map(|watch| (watch.known_stamp, watch.from)).collect();
         candidates.sort();
         let picked: BTreeSet<_> =
             candidates.into_iter().rev().take(free).map(|(_, from)| from).collect();
-        self.informants.extend(picked.iter().map(|from| (*from, now)));
+        self.donors.extend(picked.iter().map(|from| (*from, now)));
         picked
     }
 
-    /// Takes in that a follower that stood at `have` has said what it knows.
-    pub(super) fn on_learned(&mut self, from: net::SocketAddr, have: view::Stamp) {
-        self.informants.remove(&from);
-        self.inheritance.newest = self.inheritance.newest.max(have);
+    /// Records that a follower at `have` has sent its state.
+    pub(super) fn on_state_received(&mut self, from: net::SocketAddr, known_stamp: view::Stamp) {
+        self.donors.remove(&from);
+        self.prior_state.newest = self.prior_state.newest.max(known_stamp);
     }
 
-    /// Entries that count, this process left aside.
+    /// Number of entries, without this process.
     pub(super) fn follower_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Takes in entries that followed the leader before. Left out until they ask, the first ones that
-    /// do would share the fleet's limits among themselves.
-    pub(super) fn learn(&mut self, known: impl IntoIterator<Item = net::SocketAddr>) {
-        let follower = Follower { seen: self.started, have: None };
+    /// Adds entries that followed an earlier leader. If they counted only from their first watch
+    /// on, the first entries to send one would divide the fleet-wide limits among themselves.
+    pub(super) fn add_known_entries(&mut self, known: impl IntoIterator<Item = net::SocketAddr>) {
+        let follower = Follower { last_seen: self.term_start, known_stamp: None };
         for entry in known {
             self.entries.entry(entry).or_insert(follower);
         }
@@ -155,116 +160,134 @@
         now: clock::Instant,
         call: u64,
         from: net::SocketAddr,
-        have: view::Stamp,
-        document: document::Held,
+        known_stamp: view::Stamp,
+        document_progress: document::Progress,
     ) {
         self.transfers.remove(&from);
-        self.entries.insert(from, Follower { seen: now, have: Some(have) });
-        // A process asks once at a time: an earlier watch of it was given up.
-        self.held.retain(|_, held| held.from != from);
-        self.held.insert(call, ParkedWatch { from, have, document, until: now + action::HOLD });
+        self.entries.insert(from, Follower { last_seen: now, known_stamp: Some(known_stamp) });
+        // A process has one watch at a time, so an earlier one has been abandoned.
+        self.watches.retain(|_, watch| watch.from != from);
+        self.watches.insert(
+            call,
+            HeldWatch {
+                from,
+                known_stamp,
+                document_progress,
+                expires_at: now + action::MAX_WATCH_HOLD,
+            },
+        );
     }
 
     pub(super) fn hold_registration(&mut self, now: clock::Instant, call: u64) {
-        self.registrations.push(Registration { call, since: now, revision: None });
+        self.registrations.push(HeldRegistration { call, since: now, revision: None });
     }
 
     pub(super) fn abandon(&mut self, call: u64) {
-        self.held.remove(&call);
-        self.registrations.retain(|held| held.call != call);
+        self.watches.remove(&call);
+        self.registrations.retain(|registration| registration.call != call);
     }
 
-    /// Takes the watches to be answered at `stamp`, with `version` the newest declaration. The
-    /// longest held go first.
-    pub(super) fn due(
+    /// Removes and returns the watches to answer at `stamp`, where `version` is the newest
+    /// declaration. The ones held longest come first.
+    pub(super) fn take_due(
         &mut self,
         now: clock::Instant,
         stamp: view::Stamp,
         version: u64,
     ) -> Vec<PendingReply> {
-        let picked = self.pick_informants(now);
-        let inheritance = self.inheritance;
+        let picked = self.pick_donors(now);
+        let prior_state = self.prior_state;
         let transfers = &mut self.transfers;
-        transfers.retain(|_, sent| now.since(*sent) < action::WATCH_LIMIT);
+        transfers.retain(|_, sent_at| now.since(*sent_at) < action::WATCH_TIMEOUT);
         let mut due = Vec::new();
-        self.held.retain(|call, held| {
-            if picked.contains(&held.from) {
+        self.watches.retain(|call, watch| {
+            if picked.contains(&watch.from) {
                 due.push(PendingReply {
                     call: *call,
-                    have: held.have,
-                    document: None,
-                    inquires: true,
+                    known_stamp: watch.known_stamp,
+                    document_progress: None,
+                    requests_state: true,
                 });
                 return false;
             }
-            // The view would overwrite what the follower alone may know.
-            let lacking = inheritance.lacks(held.have);
-            let ready = !lacking || now >= held.until + action::HOLD;
-            let behind = held.document.version < version;
-            let transfer = ready && behind && transfers.len() < MAX_TRANSFERS;
-            let answer = ready && (transfer || held.have != stamp || now >= held.until);
+            // An update would overwrite state that only this follower may have.
+            let is_behind = prior_state.is_behind(watch.known_stamp);
+            let may_answer = !is_behind || now >= watch.expires_at + action::MAX_WATCH_HOLD;
+            let needs_document = watch.document_progress.version < version;
+            let transfer = may_answer && needs_document && transfers.len() < MAX_TRANSFERS;
+            let is_due =
+                may_answer && (transfer || watch.known_stamp != stamp || now >= watch.expires_at);
             if transfer {
-                transfers.insert(held.from, now);
+                transfers.insert(watch.from, now);
             }
-            if answer {
-                let document = transfer.then_some(held.document);
-                due.push(PendingReply { call: *call, have: held.have, document, inquires: false });
+            if is_due {
+                let document_progress = transfer.then_some(watch.document_progress);
+                due.push(PendingReply {
+                    call: *call,
+                    known_stamp: watch.known_stamp,
+                    document_progress,
+                    requests_state: false,
+                });
             }
-            !answer
+            !is_due
         });
         due
     }
 
     /// Records that `revision` is the first to publish the pending registrations.
-    pub(super) fn published(&mut self, revision: u64) {
-        for held in &mut self.registrations {
-            held.revision.get_or_insert(revision);
+    pub(super) fn on_published(&mut self, revision: u64) {
+        for registration in &mut self.registrations {
+            registration.revision.get_or_insert(revision);
         }
     }
 
-    /// Takes the upstreams' calls that enough followers know of, and those that waited too long.
-    pub(super) fn replicated(
+    /// Removes and returns the departures that enough followers have received, and the expired
+    /// ones.
+    pub(super) fn take_replicated(
         &mut self,
         now: clock::Instant,
         stamp: view::Stamp,
     ) -> (Vec<u64>, Vec<u64>) {
-        let stamps: Vec<view::Stamp> = self.entries.values().filter_map(|it| it.have).collect();
+        let stamps: Vec<view::Stamp> =
+            self.entries.values().filter_map(|it| it.known_stamp).collect();
         let followers = stamps.len();
         let known = |revision: u64| {
-            let has = |have: &&view::Stamp| have.term == stamp.term && have.revision >= revision;
+            let has = |known_stamp: &&view::Stamp| {
+                known_stamp.term == stamp.term && known_stamp.revision >= revision
+            };
             stamps.iter().filter(has).count()
         };
-        let (mut done, mut late) = (Vec::new(), Vec::new());
-        self.registrations.retain(|held| {
+        let (mut replicated, mut expired) = (Vec::new(), Vec::new());
+        self.registrations.retain(|registration| {
             let is_known = |revision| known(revision) >= MIN_REPLICAS.min(followers);
-            if held.revision.is_some_and(is_known) {
-                done.push(held.call);
-            } else if now.since(held.since) >= REPLICATION_TIMEOUT {
-                late.push(held.call);
+            if registration.revision.is_some_and(is_known) {
+                replicated.push(registration.call);
+            } else if now.since(registration.since) >= REPLICATION_TIMEOUT {
+                expired.push(registration.call);
             } else {
                 return true;
             }
             false
         });
-        (done, late)
+        (replicated, expired)
     }
 
-    /// Processes that can be asked about an upstream, spread over all addresses: those of one zone
-    /// are neighbours.
-    pub(super) fn peers(&self) -> BTreeSet<net::SocketAddr> {
-        let asked = self.entries.iter().filter(|(_, follower)| follower.have.is_some());
-        let followers: Vec<net::SocketAddr> = asked.map(|(entry, _)| *entry).collect();
-        let stride = followers.len().div_ceil(MAX_PEERS_ASKED).max(1);
+    /// Processes that can probe an upstream for the leader. They are picked at equal distances from
+    /// the sorted addresses, because processes of one zone have adjacent addresses.
+    pub(super) fn probe_peers(&self) -> BTreeSet<net::SocketAddr> {
+        let followers = self.entries.iter().filter(|(_, follower)| follower.known_stamp.is_some());
+        let followers: Vec<net::SocketAddr> = followers.map(|(entry, _)| *entry).collect();
+        let stride = followers.len().div_ceil(MAX_PROBE_PEERS).max(1);
         followers.into_iter().step_by(stride).collect()
     }
 
-    /// Entries that follow, with `own`.
-    pub(super) fn entries(
+    /// Entries that follow the leader, including `own`.
+    pub(super) fn live_entries(
         &mut self,
         now: clock::Instant,
         own: net::SocketAddr,
     ) -> BTreeSet<net::SocketAddr> {
-        self.entries.retain(|_, follower| now.since(follower.seen) < ENTRY_TIMEOUT);
+        self.entries.retain(|_, follower| now.since(follower.last_seen) < ENTRY_TIMEOUT);
         self.entries.keys().copied().chain([own]).collect()
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/failure_detector.rs
+++ b/crates/hyssopfork-fleet/src/groups/failure_detector.rs
@@ -81,7 +81,7 @@
         from: net::SocketAddr,
         evidence: &peer::Evidence,
     ) {
-        for (instance, age) in &evidence.moving {
+        for (instance, age) in &evidence.progressing {
             let seen = now - *age;
             let known = self.last_activity.entry(instance.clone()).or_insert(seen);
             *known = seen.max(*known);
--- a/crates/hyssopfork-fleet/src/groups/rebalance.rs
+++ b/crates/hyssopfork-fleet/src/groups/rebalance.rs
@@ -55,7 +55,7 @@
         let free: Vec<Candidate> = self.candidates(context);
         let at_hand = |record: &registry::Record| {
             let announcement = &record.announcement;
-            record.last.as_ref() == Some(&recipient.name)
+            record.last_model.as_ref() == Some(&recipient.name)
                 || announcement.staged.contains(&recipient.name)
         };
         let completes = |(name, group): (&name::Group, &super::Group)| {
@@ -69,7 +69,7 @@
             let here = free.iter().filter(|it| it.domain == group.domain);
             let free = here.filter(|it| it.readiness(&recipient.name).is_some()).count();
             let members = group.members.iter().filter_map(|it| context.registry.get(it));
-            let given = members.filter(|record| record.is_sound() && at_hand(record)).count();
+            let given = members.filter(|record| record.is_healthy() && at_hand(record)).count();
             (free + given >= recipient.size).then(|| name.clone())
         };
         self.groups.iter().find_map(completes)
--- a/crates/hyssopfork-fleet/tests/fleet/failure_detector.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/failure_detector.rs
@@ -58,7 +58,7 @@
     detector.on_probe_result(fixture::at(100), &e1(), Liveness::TimedOut);
     detector.on_probe_result(fixture::at(200), &e1(), Liveness::TimedOut);
     let moving = peer::Evidence {
-        moving: vec![(e1(), Duration::from_millis(20))],
+        progressing: vec![(e1(), Duration::from_millis(20))],
         ..peer::Evidence::default()
     };
     detector.on_evidence(fixture::at(290), fixture::address(4), &moving);
@@ -71,11 +71,11 @@
 #[test]
 fn upstream_is_stalled_only_if_no_entry_receives_bytes_from_it() {
     let mut detector = Detector::default();
-    detector.on_evidence(fixture::at(0), fixture::address(2), &world::stalled(&e1()));
+    detector.on_evidence(fixture::at(0), fixture::address(2), &world::stalled_evidence(&e1()));
     assert!(detector.is_stalled(fixture::at(10), &e1()));
 
     let moving =
-        peer::Evidence { moving: vec![(e1(), Duration::ZERO)], ..peer::Evidence::default() };
+        peer::Evidence { progressing: vec![(e1(), Duration::ZERO)], ..peer::Evidence::default() };
     detector.on_evidence(fixture::at(20), fixture::address(3), &moving);
 
     assert!(!detector.is_stalled(fixture::at(30), &e1()));
--- a/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world/engines.rs
@@ -1,6 +1,6 @@
 //! Simulated engines in the world: delivery of orders and probes to them, and their announcements.
 
-use super::{Delivery, HEARTBEAT, LOST, WAY, World};
+use super::{Delivery, HEARTBEAT, LATENCY, TIMEOUT, World};
 use crate::{engine, invariants, random};
 use hyssopfork_fleet::event;
 use hyssopfork_fleet::groups::order;
@@ -40,8 +40,8 @@
     pub fn cut_engine(&mut self, instance: &name::Instance) {
         let engine = self.engines[instance].announcement.address;
         for process in self.processes.keys().copied().collect::<Vec<_>>() {
-            self.cuts.insert((engine, process));
-            self.cuts.insert((process, engine));
+            self.blocked_links.insert((engine, process));
+            self.blocked_links.insert((process, engine));
         }
     }
 
@@ -52,7 +52,7 @@
 
     pub(super) fn probe(&self, from: SocketAddr, to: SocketAddr) -> order::Liveness {
         let engine = self.engine_at(to).and_then(|instance| self.engines.get(&instance));
-        let alive = engine.is_some_and(|engine| engine.alive) && self.reaches(from, to);
+        let alive = engine.is_some_and(|engine| engine.alive) && self.can_reach(from, to);
         if !alive {
             order::Liveness::TimedOut
         } else if self.resets.contains(&to) {
@@ -63,19 +63,21 @@
     }
 
     pub(super) fn send_order(&mut self, from: SocketAddr, order: order::Order) {
-        let ended = |outcome| event::Event::Ordered(order.id, outcome);
+        let ended = |outcome| event::Event::OrderAnswered(order.id, outcome);
         let delay = self.order_faults.as_mut().and_then(OrderFaults::draw_delay);
         match (self.probe(from, order.address), delay.or(self.late_orders)) {
-            (order::Liveness::TimedOut, _) => self.send(from, LOST, ended(order::Outcome::Unknown)),
+            (order::Liveness::TimedOut, _) => {
+                self.send(from, TIMEOUT, ended(order::Outcome::Unknown))
+            }
             (order::Liveness::Refused, _) => {
-                self.send(from, WAY, ended(order::Outcome::Unreachable));
+                self.send(from, LATENCY, ended(order::Outcome::Unreachable));
             }
             (order::Liveness::Alive, Some(delay)) => {
-                self.send(from, LOST, ended(order::Outcome::Unknown));
+                self.send(from, TIMEOUT, ended(order::Outcome::Unknown));
                 self.push(order.address, delay, Delivery::Order(from, order));
             }
             (order::Liveness::Alive, None) => {
-                self.push(order.address, WAY, Delivery::Order(from, order));
+                self.push(order.address, LATENCY, Delivery::Order(from, order));
             }
         }
     }
@@ -87,13 +89,13 @@
         }
         let now = self.now;
         if self.engines[&instance].has_effect(now, order) {
-            invariants::check(&self.engines, &instance, order);
+            invariants::check_order(&self.engines, &instance, order);
         }
         let engine = self.engines.get_mut(&instance).expect("the engine exists");
         let outcome = engine.handle(now, order);
         self.announce(&instance);
         let delay = self.slow_answers.get(&order.address).copied().unwrap_or_default();
-        self.send(from, WAY + delay, event::Event::Ordered(order.id, outcome));
+        self.send(from, LATENCY + delay, event::Event::OrderAnswered(order.id, outcome));
     }
 
     pub(super) fn run_engines(&mut self) {
@@ -119,7 +121,7 @@
         let announcement = engine.announcement.clone();
         let others = self.processes.keys().copied();
         let reached =
-            leader.into_iter().chain(others).find(|to| self.reaches(announcement.address, *to));
+            leader.into_iter().chain(others).find(|to| self.can_reach(announcement.address, *to));
         if let Some(to) = reached {
             self.call(to, event::announced(announcement));
         }
--- a/crates/hyssopfork-gateway/src/core.rs
+++ b/crates/hyssopfork-gateway/src/core.rs
@@ -153,12 +153,12 @@
             .targets
             .iter()
             .map(|(instance, target)| (instance.clone(), now.since(target.last_bytes_at)));
-        let moving = ages.filter(|(_, age)| *age < ACTIVITY_REPORT_TIME).collect();
+        let progressing = ages.filter(|(_, age)| *age < ACTIVITY_REPORT_TIME).collect();
         let evidence = peer::Evidence {
             stalled: instances_where(&|target| {
                 target.suspected || target.is_stalled(now) || target.health.is_backing_off(now)
             }),
-            moving,
+            progressing,
             busy: instances_where(&|target| target.load.own_requests > 0),
             traffic: self.has_traffic,
             crashes: self.crashes.confirmed(now),
--- a/crates/hyssopfork-gateway/src/core/fleet_view.rs
+++ b/crates/hyssopfork-gateway/src/core/fleet_view.rs
@@ -32,19 +32,19 @@
             self.log(notice::Notice::InForce(declaration.version));
             self.table = Some(routing::Table::new(declaration));
         }
-        self.newest_version = self.newest_version.max(update.declared);
+        self.newest_version = self.newest_version.max(update.declared_version);
         self.viewed_at = self.now;
-        let rebuild_all = update.whole || has_new_declaration;
-        if update.whole {
+        let rebuild_all = update.is_full || has_new_declaration;
+        if update.is_full {
             self.upstreams.clear();
             self.groups.clear();
             self.groups_by_head.clear();
             self.entries.clear();
         }
-        self.quarantine.on_published(self.now, update.whole, update.quarantine);
+        self.quarantine.on_published(self.now, update.is_full, update.quarantine);
         let entries_changed = !update.entries.is_empty();
         view::merge(&mut self.entries, update.entries);
-        self.excluded_zones = update.out;
+        self.excluded_zones = update.zones_out;
         let mut changed = self.apply_groups(update.groups);
         changed.extend(self.apply_upstreams(update.upstreams));
         if rebuild_all {
@@ -105,7 +105,7 @@
             return;
         }
         let incarnation = target::Incarnation {
-            born: announcement.born,
+            born: announcement.start_time_ms,
             epoch: group.map_or(0, |group| group.epoch),
             address: announcement.address,
         };
@@ -113,7 +113,7 @@
         let slots = engine.map_or(announcement.slots, |engine| engine.slots);
         let mut target = retained.unwrap_or_else(|| new_target(incarnation, slots, announcement));
         target.model = group.map(|group| group.model.clone());
-        target.standing = upstream.standing;
+        target.standing = upstream.status;
         let key = instance.as_str().as_bytes();
         let rank = rendezvous::rank(self.settings.address, self.entries.keys(), key);
         let entries = self.entry_count();
@@ -147,7 +147,7 @@
         pool: announcement.pool.clone(),
         model: None,
         zone: announcement.zone.clone(),
-        standing: view::Standing::Present,
+        standing: view::Status::Present,
         load: load::Load::new(slots),
         limit: concurrency_limit::Limit::new(slots),
         health: health::Health::default(),
--- a/crates/hyssopfork-gateway/src/selection.rs
+++ b/crates/hyssopfork-gateway/src/selection.rs
@@ -112,10 +112,10 @@
             && target.model.as_ref() == query.model
             && !query.excluded.contains(instance)
             && !constraints.excluded_zones.contains(&target.zone)
-            && target.standing != view::Standing::Leaving
+            && target.standing != view::Status::Leaving
     };
     let is_available = |(_, target): &(&name::Instance, &target::Target)| {
-        let is_silent = target.standing == view::Standing::Silent;
+        let is_silent = target.standing == view::Status::Silent;
         !target.health.is_backing_off(now)
             && (!is_silent || target.health.has_responded_within(now, RECENT_RESPONSE_TIME))
     };
--- a/crates/hyssopfork-gateway/src/target.rs
+++ b/crates/hyssopfork-gateway/src/target.rs
@@ -54,7 +54,7 @@
     /// Availability zone.
     pub zone: name::Zone,
     /// Presence as the leader published it.
-    pub standing: view::Standing,
+    pub standing: view::Status,
     /// Estimated load.
     pub load: load::Load,
     /// Concurrency limit.
--- a/crates/hyssopfork-gateway/tests/gateway/crash.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/crash.rs
@@ -44,7 +44,7 @@
     let mut update = fixture::view();
     for (name, upstream) in &mut update.upstreams {
         if *name == instance {
-            upstream.as_mut().expect("the upstream exists").standing = view::Standing::Leaving;
+            upstream.as_mut().expect("the upstream exists").status = view::Status::Leaving;
         }
     }
     entry.update_view(update);
@@ -72,7 +72,7 @@
 
 fn verdict_update(route: &str, verdict: Option<quarantine::Verdict>) -> view::Update {
     view::Update {
-        whole: false,
+        is_full: false,
         upstreams: Vec::new(),
         groups: Vec::new(),
         quarantine: vec![(fingerprint(route), verdict)],
@@ -248,7 +248,7 @@
     let mut entry = Entry::with_view();
     entry.update_view(verdict_update("status", Some(QUARANTINED)));
     entry.advance(10_000);
-    let next = view::Update { whole: true, ..fixture::view() };
+    let next = view::Update { is_full: true, ..fixture::view() };
     entry.update_view(view::Update {
         quarantine: vec![(fingerprint("status"), Some(QUARANTINED))],
         ..next
--- a/crates/hyssopfork-gateway/tests/gateway/queue.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/queue.rs
@@ -142,7 +142,7 @@
 fn a_request_for_a_route_of_a_newer_declaration_is_queued() {
     let mut entry = Entry::new();
     entry.update_view(view::Update {
-        declared: fixture::declaration().version + 1,
+        declared_version: fixture::declaration().version + 1,
         ..fixture::view()
     });
 
@@ -172,11 +172,11 @@
 fn a_queued_arrival_is_rejected_once_the_newest_declaration_lacks_its_route() {
     let mut entry = Entry::new();
     let version = fixture::declaration().version;
-    entry.update_view(view::Update { declared: version, ..fixture::view() });
+    entry.update_view(view::Update { declared_version: version, ..fixture::view() });
     entry.advance(2_000);
     entry.arrive(unrouted());
 
-    let update = view::Update { declared: version, ..fixture::view() };
+    let update = view::Update { declared_version: version, ..fixture::view() };
     let updated = event::Event::ViewUpdated(Box::new(update), None);
     let decision = entry.step(updated).expect("a decision follows");
 
--- a/crates/hyssopfork-gateway/tests/gateway/selection.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/selection.rs
@@ -59,7 +59,7 @@
     let mut entry = Entry::with_view();
     let (_, first) = entry.send("stream");
     let update = view::Update {
-        whole: false,
+        is_full: false,
         upstreams: Vec::new(),
         groups: vec![fixture::group("g1", "e1", 3), fixture::group("g2", "e2", 4)],
         entries: Vec::new(),
--- a/crates/hyssopfork-gateway/tests/gateway/serve.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/serve.rs
@@ -193,7 +193,7 @@
     let (name, group) = fixture::group(name, head.as_str(), epoch);
     let group = group.map(|group| view::Group { serving: false, lost, ..group });
     let groups = vec![(name, group)];
-    view::Update { whole: false, upstreams: vec![], groups, ..fixture::view() }
+    view::Update { is_full: false, upstreams: vec![], groups, ..fixture::view() }
 }
 
 /// Guards against waiting for the full stall timeout although the leader knows of the failure,
@@ -287,9 +287,9 @@
 fn excluded_zones_and_leaving_upstreams_receive_nothing() {
     let mut entry = Entry::with_view();
     let mut update = fixture::view();
-    update.out.insert(name::Zone::from("z1"));
+    update.zones_out.insert(name::Zone::from("z1"));
     if let Some((_, Some(upstream))) = update.upstreams.get_mut(1) {
-        upstream.standing = view::Standing::Leaving;
+        upstream.status = view::Status::Leaving;
     }
     entry.update_view(update);
 
