--- a/crates/hyssopfork-gateway/src/concurrency_limit.rs
+++ b/crates/hyssopfork-gateway/src/concurrency_limit.rs
@@ -8,7 +8,7 @@
 //! first event took 0.4 s to 1.2 s for an objective of 0.3 s, where an engine with a tenth fewer
 //! requests takes 0.2 s.
 //!
-//! The limit decreases with each response that begins later than [`LATE_RATIO`] of the objective
+//! The limit decreases with each response that begins later than `LATE_RATIO` of the objective
 //! and increases with each that begins earlier. A client that is rejected at once retries when
 //! other requests have ended; a queued one would make the others late.
 
--- a/crates/hyssopfork-gateway/src/health.rs
+++ b/crates/hyssopfork-gateway/src/health.rs
@@ -3,7 +3,7 @@
 //! An upstream may fail half of its requests at once while its health check succeeds, or accept
 //! requests and never respond. One that fails at once always has the fewest requests, so that
 //! without ejection it would attract those of all. Failures therefore count in an exponentially
-//! weighted ratio. Above [`MAX_FAILURE_RATIO`], the upstream is used only if no other is available,
+//! weighted ratio. Above `MAX_FAILURE_RATIO`, the upstream is used only if no other is available,
 //! until the ratio has decayed. An upstream that can't be reached is not used for a backoff that
 //! doubles with each failed connection.
 
--- a/crates/hyssopfork-gateway/src/load.rs
+++ b/crates/hyssopfork-gateway/src/load.rs
@@ -66,7 +66,7 @@
         f64::from(self.requests) / self.upstreams.max(1) as f64
     }
 
-    /// Average number of requests at one upstream, including [`CHANCE_REQUESTS`].
+    /// Average number of requests at one upstream, including `CHANCE_REQUESTS`.
     fn smoothed_mean(self) -> f64 {
         (f64::from(self.requests) + CHANCE_REQUESTS) / self.upstreams.max(1) as f64
     }
--- a/crates/hyssopfork-gateway/src/slow_start.rs
+++ b/crates/hyssopfork-gateway/src/slow_start.rs
@@ -10,7 +10,7 @@
 /// Window that the rate is counted over.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Requests within [`WINDOW`] that the entry at `rank` of `entries` may send if all of them may
+/// Requests within `WINDOW` that the entry at `rank` of `entries` may send if all of them may
 /// send `rate`.
 pub fn entry_share(rate: f64, rank: usize, entries: usize) -> usize {
     let requests = rate.max(0.0).floor() as usize;
--- a/crates/hyssopfork-gateway/src/target.rs
+++ b/crates/hyssopfork-gateway/src/target.rs
@@ -84,7 +84,7 @@
 }
 
 impl Target {
-    /// Whether it stalled within the last [`STALL_BACKOFF`].
+    /// Whether it stalled within the last `STALL_BACKOFF`.
     pub fn is_stalled(&self, now: clock::Instant) -> bool {
         self.stalled_since.is_some_and(|since| now.since(since) < STALL_BACKOFF)
     }
--- a/crates/hyssopfork-gateway/tests/gateway/overload.rs
+++ b/crates/hyssopfork-gateway/tests/gateway/overload.rs
@@ -175,7 +175,7 @@
         let outcome = simulate(9_000, entries(), surge, |count| count % 8);
 
         let (on_time, late) = (outcome.on_time - before.on_time, outcome.late - before.late);
-        assert!(late * 3 < on_time * 2, "from {first:#x}: {late} late, {on_time} in time");
+        assert!(late * 3 < on_time * 2, "from {first:#x}: {late} late, {on_time} on time");
     }
 }
 
