--- a/crates/hyssopfork-watch/src/watcher.rs
+++ b/crates/hyssopfork-watch/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Renewals and watches: keeps a view recent, as a step function.
+//! Watcher: renews the lease on the view, and long-polls control for its changes. A state machine
+//! without I/O: the process makes the calls and passes in the responses and the time.
 
 use crate::{lease, notice, target};
 use hyssopfork_state::view;
@@ -6,70 +7,72 @@
 use std::net;
 use std::time::Duration;
 
-/// Time beyond [`timing::WATCH_HOLD`] that an unanswered watch is given.
-const WATCH_MARGIN: Duration = Duration::from_millis(500);
+/// Time that the timeout of a watch exceeds [`timing::LONG_POLL_TIMEOUT`]; also the time beyond its
+/// timeout after which a call counts as failed even if its end was not reported.
+const CALL_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Least time between two watches, or between a failed renewal and the next.
-const RETRY: Duration = Duration::from_millis(50);
+/// Minimum interval between two watches, and between a failed renewal and the next one.
+const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A call to control.
+/// A call to a control instance.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Number of the call, unique in this process.
     pub call: u64,
-    /// Control instance to ask.
+    /// Control instance to call.
     pub to: net::SocketAddr,
     /// Request.
     pub request: control::Request,
-    /// Time after which the call has failed.
+    /// Timeout of the call.
     pub timeout: Duration,
 }
 
-/// What a step of the watcher asks for and tells.
+/// Output of a step of the watcher.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Calls to make.
     pub calls: Vec<Call>,
-    /// Numbered events.
+    /// Numbered log events.
     pub notices: Vec<notice::Notice>,
-    /// Whether the view moved on.
-    pub moved: bool,
-    /// Whether a renewal that said that the holder is leaving was answered with a grant.
-    pub leave_heard: bool,
+    /// Whether the view changed.
+    pub view_changed: bool,
+    /// Whether a renewal that announced that the holder is leaving was granted.
+    pub leaving_granted: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Outstanding {
+struct PendingCall {
     call: u64,
     to: net::SocketAddr,
     sent: clock::Instant,
     leaving: bool,
 }
 
-/// The watcher.
+/// A watcher.
 #[derive(Clone, Debug)]
 pub struct Watcher {
     target: target::Target,
     lease: lease::Lease,
-    held: bool,
+    lease_held: bool,
     view: change::View,
-    renewal: Option<Outstanding>,
+    renewal: Option<PendingCall>,
     renew_at: clock::Instant,
     renewed_at: clock::Instant,
-    watch: Option<Outstanding>,
+    watch: Option<PendingCall>,
     watch_at: clock::Instant,
     calls: u64,
-    /// Instance whose part of the view is followed; `None` for the whole view.
+    /// Instance whose part of the view is watched; `None` for the full view.
     scope: Option<name::Instance>,
 }
 
 impl Watcher {
-    /// A watcher that asks the control instances at `addresses`, first the one `offset` picks.
+    /// Creates a watcher of the control instances at `addresses`, which starts with the one at
+    /// `offset`.
     pub fn new(addresses: Vec<net::SocketAddr>, offset: u64, now: clock::Instant) -> Watcher {
         Watcher {
             target: target::Target::new(addresses, offset),
             lease: lease::Lease::default(),
-            held: false,
+            lease_held: false,
             view: change::View::default(),
             renewal: None,
             renew_at: now,
@@ -81,57 +84,58 @@
         }
     }
 
-    /// Follows only the part of the view that concerns `instance`.
-    pub fn narrow(mut self, instance: name::Instance) -> Watcher {
+    /// Limits the watcher to the part of the view that concerns `instance`.
+    pub fn with_scope(mut self, instance: name::Instance) -> Watcher {
         self.scope = Some(instance);
         self
     }
 
-    /// The view; to be acted on only while [`Watcher::is_recent`].
+    /// The view; valid only while [`Watcher::is_recent`] holds.
     pub fn view(&self) -> &change::View {
         &self.view
     }
 
-    /// Whether the view may be acted on: an unexpired lease says that it is recent.
+    /// Whether the view is not stale, as the lease is valid.
     pub fn is_recent(&self, now: clock::Instant) -> bool {
         self.lease.is_valid(now)
     }
 
-    /// When the lease lapses; `None` when none was ever held.
-    pub fn lease_until(&self) -> Option<clock::Instant> {
-        self.lease.until()
+    /// Time of the lease's expiry; `None` if none was ever granted.
+    pub fn lease_expires_at(&self) -> Option<clock::Instant> {
+        self.lease.expires_at()
     }
 
-    /// Control instance to ask now.
+    /// Selected control instance.
     pub fn target(&self) -> Option<net::SocketAddr> {
         self.target.current()
     }
 
-    /// `from` did not answer a call in time.
-    pub fn fail(&mut self, from: net::SocketAddr) {
-        self.target.fail(from);
+    /// Handles the failure of a call to `from`.
+    pub fn on_call_failed(&mut self, from: net::SocketAddr) {
+        self.target.on_failure(from);
     }
 
-    /// `from` answered that it doesn't lead.
-    pub fn redirect(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
-        self.target.redirect(from, hint);
+    /// Handles the response of `from` that it is not the leader.
+    pub fn on_not_leader(&mut self, from: net::SocketAddr, hint: Option<net::SocketAddr>) {
+        self.target.on_not_leader(from, hint);
     }
 
-    /// Number for the next call to control.
+    /// Returns the number for the next call to control.
     pub fn next_call(&mut self) -> u64 {
         self.calls += 1;
         self.calls
     }
 
-    /// Another process told of `version`: where that is newer, control is asked at once, but not
-    /// more often than every [`RETRY`], since many processes tell of the same version together.
-    pub fn hear(&mut self, version: number::Version) {
+    /// Handles a message of another process whose view has `version`: if that is newer, the next
+    /// renewal is sent at once, but not within [`MIN_RETRY_INTERVAL`] of the last one, since many
+    /// processes report the same version at the same time.
+    pub fn on_version_seen(&mut self, version: number::Version) {
         if version > self.view.version {
-            self.renew_at = self.renew_at.min(self.renewed_at + RETRY);
+            self.renew_at = self.renew_at.min(self.renewed_at + MIN_RETRY_INTERVAL);
         }
     }
 
-    /// Renews and watches where that is due. `holder` is asked for only when a renewal goes out.
+    /// Sends the renewals and watches that are due. `holder` is called only for a renewal.
     pub fn tick(
         &mut self,
         now: clock::Instant,
@@ -139,17 +143,18 @@
         leaving: bool,
     ) -> Output {
         let mut output = Output::default();
-        self.note_lease(now, &mut output);
-        self.forget_overdue(now);
+        self.report_lease_change(now, &mut output);
+        self.expire_overdue_calls(now);
         if self.renewal.is_none() && now >= self.renew_at {
-            self.renew(now, holder(), leaving, &mut output);
+            self.send_renewal(now, holder(), leaving, &mut output);
         }
-        self.follow(now, &mut output);
+        self.send_watch(now, &mut output);
         output
     }
 
-    /// Takes the answer of a call; `None` when the call is none of the watcher's.
-    pub fn answered(
+    /// Handles the response to a call, or its failure; returns `None` if the call is not pending
+    /// at the watcher.
+    pub fn on_response(
         &mut self,
         now: clock::Instant,
         call: u64,
@@ -157,17 +162,17 @@
     ) -> Option<Output> {
         let mut output = Output::default();
         if let Some(renewal) = self.renewal.take_if(|renewal| renewal.call == call) {
-            self.renewed(now, renewal, response, &mut output);
+            self.on_renewal_response(now, renewal, response, &mut output);
         } else if self.watch.take_if(|watch| watch.call == call).is_some() {
-            self.watched(now, response, &mut output);
+            self.on_watch_response(now, response, &mut output);
         } else {
             return None;
         }
-        self.note_lease(now, &mut output);
+        self.report_lease_change(now, &mut output);
         Some(output)
     }
 
-    fn renew(
+    fn send_renewal(
         &mut self,
         now: clock::Instant,
         holder: control::Holder,
@@ -175,19 +180,19 @@
         output: &mut Output,
     ) {
         let Some(to) = self.target.current() else { return };
-        let have = self.view.version;
-        let renewal = control::Renewal { holder, have, leaving };
+        let version = self.view.version;
+        let renewal = control::Renewal { holder, version, leaving };
         let call = self.next_call();
-        self.renewal = Some(Outstanding { call, to, sent: now, leaving });
+        self.renewal = Some(PendingCall { call, to, sent: now, leaving });
         self.renewed_at = now;
-        self.renew_at = now + timing::RENEWAL;
+        self.renew_at = now + timing::RENEWAL_INTERVAL;
         let request = control::Request::Renew(renewal);
-        output.calls.push(Call { call, to, request, timeout: timing::RENEWAL });
+        output.calls.push(Call { call, to, request, timeout: timing::RENEWAL_INTERVAL });
     }
 
-    /// Keeps one watch outstanding, at the instance that renewals go to: one left at an instance
-    /// that no longer leads would be told of nothing.
-    fn follow(&mut self, now: clock::Instant, output: &mut Output) {
+    /// Keeps one watch pending at the instance that renewals go to: an instance that is no longer
+    /// the leader would not respond to it with changes.
+    fn send_watch(&mut self, now: clock::Instant, output: &mut Output) {
         let Some(to) = self.target.current() else { return };
         if self.watch.is_some_and(|watch| watch.to != to) {
             self.watch = None;
@@ -196,49 +201,50 @@
             return;
         }
         let call = self.next_call();
-        self.watch = Some(Outstanding { call, to, sent: now, leaving: false });
-        self.watch_at = now + RETRY;
+        self.watch = Some(PendingCall { call, to, sent: now, leaving: false });
+        self.watch_at = now + MIN_RETRY_INTERVAL;
         let request = match &self.scope {
             None => control::Request::Watch(self.view.version),
             Some(instance) => control::Request::Follow(self.view.version, instance.clone()),
         };
-        let timeout = timing::WATCH_HOLD + WATCH_MARGIN;
+        let timeout = timing::LONG_POLL_TIMEOUT + CALL_TIMEOUT_MARGIN;
         output.calls.push(Call { call, to, request, timeout });
     }
 
-    /// A shell that loses a call must not stop the renewals: an overdue one counts as failed.
-    fn forget_overdue(&mut self, now: clock::Instant) {
-        let overdue = |sent: clock::Instant, limit: Duration| now.since(sent) > limit;
-        let limit = timing::RENEWAL + WATCH_MARGIN;
-        if let Some(renewal) = self.renewal.take_if(|renewal| overdue(renewal.sent, limit)) {
-            self.target.fail(renewal.to);
+    /// Treats overdue calls as failed, so that renewals go on even if the end of a call is never
+    /// reported.
+    fn expire_overdue_calls(&mut self, now: clock::Instant) {
+        let is_overdue = |sent: clock::Instant, limit: Duration| now.since(sent) > limit;
+        let limit = timing::RENEWAL_INTERVAL + CALL_TIMEOUT_MARGIN;
+        if let Some(renewal) = self.renewal.take_if(|renewal| is_overdue(renewal.sent, limit)) {
+            self.target.on_failure(renewal.to);
         }
-        let limit = timing::WATCH_HOLD + WATCH_MARGIN + WATCH_MARGIN;
-        self.watch.take_if(|watch| overdue(watch.sent, limit));
+        let limit = timing::LONG_POLL_TIMEOUT + CALL_TIMEOUT_MARGIN + CALL_TIMEOUT_MARGIN;
+        self.watch.take_if(|watch| is_overdue(watch.sent, limit));
     }
 
-    fn renewed(
+    fn on_renewal_response(
         &mut self,
         now: clock::Instant,
-        renewal: Outstanding,
+        renewal: PendingCall,
         response: Option<&control::Response>,
         output: &mut Output,
     ) {
         match response {
             Some(control::Response::Granted(grant)) => {
-                if self.lead(&grant.update, output) {
-                    self.lease.extend(renewal.sent, grant.term.min(timing::HOLDER_LEASE));
-                    output.leave_heard = renewal.leaving;
+                if self.apply_update(&grant.update, output) {
+                    self.lease.extend(renewal.sent, grant.duration.min(timing::HOLDER_LEASE));
+                    output.leaving_granted = renewal.leaving;
                 }
             }
             other => {
-                self.turn(renewal.to, other, output);
-                self.renew_at = now + RETRY;
+                self.switch_target(renewal.to, other, output);
+                self.renew_at = now + MIN_RETRY_INTERVAL;
             }
         }
     }
 
-    fn watched(
+    fn on_watch_response(
         &mut self,
         now: clock::Instant,
         response: Option<&control::Response>,
@@ -246,54 +252,54 @@
     ) {
         match response {
             Some(control::Response::Updated(update)) => {
-                self.lead(update, output);
+                self.apply_update(update, output);
             }
-            _ => self.watch_at = now + timing::RENEWAL,
+            _ => self.watch_at = now + timing::RENEWAL_INTERVAL,
         }
     }
 
-    /// Turns to another control instance after an answer that was no grant.
-    fn turn(
+    /// Selects another control instance after a response that is not a grant.
+    fn switch_target(
         &mut self,
         from: net::SocketAddr,
         response: Option<&control::Response>,
         output: &mut Output,
     ) {
         match response {
-            Some(control::Response::NotLeader(hint)) => self.target.redirect(from, *hint),
-            Some(control::Response::Protocol { speaks }) => {
-                output.notices.push(notice::Notice::ProtocolDiffers(*speaks));
-                self.target.fail(from);
+            Some(control::Response::NotLeader(hint)) => self.target.on_not_leader(from, *hint),
+            Some(control::Response::Protocol { version }) => {
+                output.notices.push(notice::Notice::ProtocolDiffers(*version));
+                self.target.on_failure(from);
             }
-            _ => self.target.fail(from),
+            _ => self.target.on_failure(from),
         }
         if let Some(to) = self.target.current().filter(|to| *to != from) {
             output.notices.push(notice::Notice::TargetChanged(to));
         }
     }
 
-    /// Leads the view on; `false` when the update would lead back, and then its lease proves
-    /// nothing either.
-    fn lead(&mut self, update: &change::Update, output: &mut Output) -> bool {
+    /// Applies an update to the view; returns `false` if the update is older than the view, in which
+    /// case its lease is not valid either.
+    fn apply_update(&mut self, update: &change::Update, output: &mut Output) -> bool {
         let before = self.view.version;
-        let Ok(moved) = view::lead(&mut self.view, update.clone()) else {
+        let Ok(changed) = view::lead(&mut self.view, update.clone()) else {
             output.notices.push(notice::Notice::UpdateBack(before));
             return false;
         };
-        assert!(self.view.version >= before, "a view never goes back in version");
-        if moved {
-            output.moved = true;
+        assert!(self.view.version >= before, "the version of a view never decreases");
+        if changed {
+            output.view_changed = true;
             output.notices.push(notice::Notice::Advanced(self.view.version));
         }
         true
     }
 
-    fn note_lease(&mut self, now: clock::Instant, output: &mut Output) {
+    fn report_lease_change(&mut self, now: clock::Instant, output: &mut Output) {
         let held = self.lease.is_valid(now);
-        if held == self.held {
+        if held == self.lease_held {
             return;
         }
-        self.held = held;
+        self.lease_held = held;
         let notice = if held { notice::Notice::LeaseHeld } else { notice::Notice::LeaseLapsed };
         output.notices.push(notice);
     }
