--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -140,7 +140,7 @@
         evidence: envelope::Envelope<peer::Evidence>,
     ) {
         if let Ok(evidence) = evidence.open() {
-            self.post(event::Event::EvidenceReported(from, evidence));
+            self.post(event::Event::Observed(from, evidence));
         }
     }
 
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -96,7 +96,7 @@
                 action::Action::Notice(notice) => log::notice(&notice),
                 action::Action::Measure(measure) => log::measure_edge(&self.registry, &measure),
                 action::Action::Tell(evidence) => {
-                    let seen = fleet_event::Event::EvidenceReported(self.own, evidence);
+                    let seen = fleet_event::Event::Observed(self.own, evidence);
                     self.mailbox.post(control::Input::Event(Box::new(seen)));
                 }
             }
--- a/crates/hyssopfork-fleet/src/core.rs
+++ b/crates/hyssopfork-fleet/src/core.rs
@@ -209,7 +209,7 @@
             event::Event::RelayAnswered { call, accepted } => {
                 self.on_relay_answered(call, accepted)
             }
-            event::Event::EvidenceReported(from, evidence) => self.on_evidence(from, evidence),
+            event::Event::Observed(from, evidence) => self.on_evidence(from, evidence),
             event::Event::OrderAnswered(ticket, outcome) => self.on_order_answered(ticket, outcome),
             event::Event::Probed(instance, sign) => self.on_probed(&instance, sign),
             event::Event::Reported(instance, report) => self.on_report(&instance, report),
--- a/crates/hyssopfork-fleet/src/event.rs
+++ b/crates/hyssopfork-fleet/src/event.rs
@@ -72,8 +72,8 @@
         /// Whether the leader has recorded it.
         accepted: bool,
     },
-    /// An entry reported evidence.
-    EvidenceReported(net::SocketAddr, peer::Evidence),
+    /// An entry observed the upstreams and reported evidence.
+    Observed(net::SocketAddr, peer::Evidence),
     /// An order was answered or failed.
     OrderAnswered(u64, groups::order::Outcome),
     /// A probe of an upstream has ended.
--- a/crates/hyssopfork-fleet/src/notice.rs
+++ b/crates/hyssopfork-fleet/src/notice.rs
@@ -195,14 +195,14 @@
             Notice::Released(request) => {
                 write!(formatter, "request {request} completed and is no longer quarantined")
             }
-            Notice::Formed(group, model, members, stage) => {
+            Notice::Formed(group, model, members, phase) => {
                 let members: Vec<&str> = members.iter().map(name::Instance::as_str).collect();
-                write!(formatter, "group {group} of {model} is {stage}: {}", members.join(" "))
+                write!(formatter, "group {group} of {model} is {phase}: {}", members.join(" "))
             }
-            Notice::Adopted(group, stage) => {
-                write!(formatter, "group {group} was taken over as {stage}")
+            Notice::Adopted(group, phase) => {
+                write!(formatter, "group {group} was taken over as {phase}")
             }
-            Notice::Turned(group, stage) => write!(formatter, "group {group} is {stage}"),
+            Notice::Turned(group, phase) => write!(formatter, "group {group} is {phase}"),
             Notice::Ended(group) => write!(formatter, "group {group} ended"),
             Notice::Ordered(instance, group, outcome) => {
                 write!(formatter, "order to {instance} for {group}: {outcome}")
--- a/crates/hyssopfork-fleet/tests/fleet/groups.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/groups.rs
@@ -371,8 +371,7 @@
         ..Default::default()
     };
     let core = world.processes.get_mut(&leader).and_then(|it| it.core.as_mut()).expect("it runs");
-    let _actions =
-        core.step(world.now, event::Event::EvidenceReported(fixture::address(5), evidence));
+    let _actions = core.step(world.now, event::Event::Observed(fixture::address(5), evidence));
 }
 
 fn count_free_engines(world: &world::World, domain: &str) -> usize {
--- a/crates/hyssopfork-fleet/tests/fleet/world.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/world.rs
@@ -14,7 +14,6 @@
 
 /// Network latency between any two.
 const LATENCY: Duration = Duration::from_millis(1);
-/// Duration of a disk sync.
 const SYNC_DURATION: Duration = Duration::from_millis(2);
 /// Time between two heartbeats of an engine.
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
@@ -32,7 +31,6 @@
     receiving: Option<clock::Instant>,
 }
 
-/// A simulated process.
 pub struct Process {
     pub core: Option<core::Core>,
     pub durable: node::Durable,
@@ -51,7 +49,6 @@
     link: Link,
 }
 
-/// The view of an entry.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub document: u64,
@@ -217,7 +214,6 @@
         }
     }
 
-    /// The active leader.
     pub fn leader(&self) -> Option<SocketAddr> {
         let leads =
             |process: &Process| process.core.as_ref().is_some_and(core::Core::is_active_leader);
@@ -290,7 +286,7 @@
 
     /// Passes evidence of a process's entry to the process.
     pub fn report_evidence(&mut self, address: SocketAddr, evidence: peer::Evidence) {
-        self.send(address, Duration::ZERO, event::Event::EvidenceReported(address, evidence));
+        self.send(address, Duration::ZERO, event::Event::Observed(address, evidence));
     }
 
     fn send(&mut self, to: SocketAddr, after: Duration, event: event::Event) {
@@ -398,7 +394,7 @@
             }
             action::Action::SendEvidence(to, evidence) => {
                 if self.can_reach(from, to) {
-                    self.send(to, LATENCY, event::Event::EvidenceReported(from, evidence));
+                    self.send(to, LATENCY, event::Event::Observed(from, evidence));
                 }
             }
             action::Action::Order(order) => self.send_order(from, order),
@@ -510,7 +506,6 @@
     }
 }
 
-/// Evidence of an entry that sees an upstream stalled.
 pub fn stalled_evidence(instance: &name::Instance) -> peer::Evidence {
     peer::Evidence { stalled: vec![instance.clone()], traffic: true, ..peer::Evidence::default() }
 }
