--- a/crates/hyssopfork-fleet/benches/review.rs
+++ b/crates/hyssopfork-fleet/benches/review.rs
@@ -4,7 +4,7 @@
 
 use hyssopfork_fleet::announcement::{Announcement, Membership, State};
 use hyssopfork_fleet::groups::{self, order};
-use hyssopfork_fleet::{board, declaration, peer, registry};
+use hyssopfork_fleet::{declaration, peer, publication, registry};
 use hyssopfork_wire::{clock, name, number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net;
@@ -55,7 +55,7 @@
         slots: 28,
         draining: false,
         cold: Duration::ZERO,
-        born: 1,
+        start_time_ms: 1,
         sequence: 1,
         loaded: None,
         staged: vec![name::Model::from("large"), name::Model::from("small")],
@@ -68,7 +68,7 @@
     declaration: declaration::Declaration,
     registry: registry::Registry,
     groups: groups::Groups,
-    board: board::Board,
+    board: publication::Publisher,
     engines: BTreeMap<name::Instance, Announcement>,
     now: clock::Instant,
 }
@@ -80,14 +80,14 @@
             declaration: declaration(),
             registry: registry::Registry::new(Duration::from_secs(3_600)),
             groups: groups::Groups::new(now, number::Term(1), false),
-            board: board::Board::new(number::Term(1), None),
+            board: publication::Publisher::new(number::Term(1), None),
             engines: BTreeMap::new(),
             now,
         };
         for number in 0..engines {
             let announcement = announcement(number);
             fleet.engines.insert(announcement.instance.clone(), announcement.clone());
-            fleet.registry.announce(now, announcement);
+            fleet.registry.record_announcement(now, announcement);
         }
         fleet
     }
@@ -105,7 +105,7 @@
             &no_zones,
         );
         let upstreams = self.registry.published(self.now);
-        self.board.publish(board::Rest::default(), upstreams, &self.groups.to_views());
+        self.board.publish(publication::FleetState::default(), upstreams, &self.groups.to_views());
         let elapsed = start.elapsed();
         let command_count = commands.len();
         for command in commands {
@@ -151,7 +151,7 @@
         }
         announcement.sequence += 1;
         let announcement = announcement.clone();
-        self.registry.announce(self.now, announcement);
+        self.registry.record_announcement(self.now, announcement);
     }
 
     fn count_serving_groups(&self) -> usize {
@@ -183,7 +183,7 @@
         let mut loss = Duration::ZERO;
         for number in 0..LOSSES {
             let lost = announcement(number * 7 % engines).instance;
-            fleet.registry.bury(&lost);
+            fleet.registry.mark_dead(&lost);
             loss += (0..5).map(|_| fleet.reconcile().0).sum::<Duration>();
         }
         println!(
--- /dev/null
+++ b/crates/hyssopfork-fleet/src/discovery.rs
@@ -0,0 +1,147 @@
+//! Leader discovery: how a process finds the leader of the replicated log and follows it.
+
+use crate::{peer, view};
+use hyssopfork_wire::clock;
+use std::collections::BTreeSet;
+use std::net;
+use std::time::Duration;
+
+/// Time between two rounds of greetings while no leader is known. An election takes 0.6 s to 1.5 s;
+/// on average this interval adds a tenth of that until the new leader is known.
+const GREETING_INTERVAL: Duration = Duration::from_millis(150);
+
+/// Maximum number of remembered processes with a data folder, so that a faulty process that names
+/// many addresses can't exhaust memory.
+const MAX_CONTROLS: usize = 64;
+
+/// What a process knows of the leader and the other processes.
+#[derive(Clone, Debug)]
+pub struct Discovery {
+    own_address: net::SocketAddr,
+    seeds: Vec<net::SocketAddr>,
+    /// Processes with a data folder.
+    controls: BTreeSet<net::SocketAddr>,
+    leader: Option<net::SocketAddr>,
+    last_greeting: Option<clock::Instant>,
+    /// Leader with a pending watch of this process.
+    watched: Option<net::SocketAddr>,
+    /// Whether the next watch includes the state that this process knows.
+    sends_state: bool,
+    /// Newest revision that this process has received.
+    pub stamp: view::Stamp,
+}
+
+impl Discovery {
+    /// Creates the state of a process that knows only its seeds.
+    pub fn new(own_address: net::SocketAddr, seeds: Vec<net::SocketAddr>) -> Discovery {
+        Discovery {
+            own_address,
+            seeds,
+            controls: BTreeSet::new(),
+            leader: None,
+            last_greeting: None,
+            watched: None,
+            sends_state: false,
+            stamp: view::Stamp::default(),
+        }
+    }
+
+    /// Replaces the seeds; other known processes are kept.
+    pub fn set_seeds(&mut self, seeds: Vec<net::SocketAddr>) {
+        self.seeds = seeds;
+    }
+
+    /// The leader, if known.
+    pub fn leader(&self) -> Option<net::SocketAddr> {
+        self.leader
+    }
+
+    /// Known processes with a data folder.
+    pub fn controls(&self) -> &BTreeSet<net::SocketAddr> {
+        &self.controls
+    }
+
+    /// Adds processes with a data folder; returns whether any was not known.
+    pub fn add_controls(&mut self, controls: impl IntoIterator<Item = net::SocketAddr>) -> bool {
+        let before = self.controls.len();
+        for address in controls {
+            if self.controls.len() < MAX_CONTROLS {
+                self.controls.insert(address);
+            }
+        }
+        self.controls.len() > before
+    }
+
+    /// Takes over the leader that another process named, if none is known.
+    pub fn suggest_leader(&mut self, leader: Option<net::SocketAddr>) {
+        if leader.is_some() && self.leader.is_none() {
+            self.leader = leader;
+        }
+    }
+
+    /// Takes over the leader that the local consensus node knows, if any.
+    pub fn set_leader(&mut self, leader: Option<net::SocketAddr>) {
+        if leader.is_some() {
+            self.leader = leader;
+        }
+    }
+
+    /// Forgets a leader that did not answer or no longer leads; `hint` is the leader that it named.
+    pub fn forget_leader(&mut self, leader: net::SocketAddr, hint: Option<net::SocketAddr>) {
+        self.watched = self.watched.filter(|address| *address != leader);
+        if self.leader == Some(leader) {
+            self.leader = hint.filter(|hint| *hint != leader);
+        }
+    }
+
+    /// Handles the leader's request for the state that this process knows.
+    pub fn on_state_requested(&mut self, leader: net::SocketAddr) {
+        self.watched = self.watched.filter(|address| *address != leader);
+        self.sends_state = true;
+    }
+
+    /// Processes to greet now: all known ones, at each greeting interval while no leader is known.
+    pub fn due_greetings(&mut self, now: clock::Instant) -> Vec<net::SocketAddr> {
+        let is_due = self.last_greeting.is_none_or(|last| now.since(last) >= GREETING_INTERVAL);
+        if self.leader.is_some() || !is_due {
+            return Vec::new();
+        }
+        self.last_greeting = Some(now);
+        let known: BTreeSet<net::SocketAddr> = self
+            .seeds
+            .iter()
+            .chain(&self.controls)
+            .copied()
+            .filter(|it| *it != self.own_address)
+            .collect();
+        known.into_iter().collect()
+    }
+
+    /// Starts a watch if none is pending; returns the leader and whether to include the known
+    /// state.
+    pub fn start_watch(&mut self) -> Option<(net::SocketAddr, bool)> {
+        let leader = self.leader.filter(|leader| *leader != self.own_address)?;
+        if self.watched.is_some() {
+            return None;
+        }
+        self.watched = Some(leader);
+        Some((leader, std::mem::take(&mut self.sends_state)))
+    }
+
+    /// Handles an update from the leader.
+    pub fn on_updated(&mut self, leader: net::SocketAddr, update: &view::Update) {
+        self.watched = self.watched.filter(|address| *address != leader);
+        self.stamp = update.stamp;
+        self.add_controls(update.controls.iter().copied());
+    }
+}
+
+/// Builds the answer to a greeting.
+pub fn greeting(
+    discovery: &Discovery,
+    leader: Option<net::SocketAddr>,
+    founder: Option<net::SocketAddr>,
+) -> peer::Greeting {
+    let controls = discovery.controls.iter().copied().collect();
+    peer::Greeting { leader, controls, founder }
+}
--- a/crates/hyssopfork-fleet/src/groups.rs
+++ b/crates/hyssopfork-fleet/src/groups.rs
@@ -203,7 +203,7 @@
         registry: &mut registry::Registry,
     ) -> Vec<Command> {
         self.reports.record_report(instance, report);
-        registry.report(now, instance, report);
+        registry.record_report(now, instance, report);
         self.take_commands()
     }
 
@@ -248,7 +248,7 @@
             }
             failure_detector::Verdict::Dead => {
                 self.failure_detector.forget(instance);
-                if registry.bury(instance) {
+                if registry.mark_dead(instance) {
                     self.push_notice(notice::Notice::Lost(instance.clone()));
                 }
             }
--- a/crates/hyssopfork-fleet/src/groups/dispatch.rs
+++ b/crates/hyssopfork-fleet/src/groups/dispatch.rs
@@ -51,7 +51,7 @@
                 }
             }
             order::Outcome::WrongInstance | order::Outcome::Unreachable => {
-                if registry.bury(&order.instance) {
+                if registry.mark_dead(&order.instance) {
                     self.push_notice(notice::Notice::Lost(order.instance.clone()));
                 }
             }
--- a/crates/hyssopfork-fleet/src/groups/planner.rs
+++ b/crates/hyssopfork-fleet/src/groups/planner.rs
@@ -147,7 +147,7 @@
         let candidate = |(instance, record): (&name::Instance, &registry::Record)| Candidate {
             instance: instance.clone(),
             domain: record.announcement.domain.clone(),
-            last_model: record.last.clone(),
+            last_model: record.last_model.clone(),
             staged_models: record.announcement.staged.clone(),
         };
         context.registry.iter().filter(is_free).map(candidate).collect()
@@ -163,7 +163,7 @@
     ) -> bool {
         let announcement = &record.announcement;
         announcement.pool == *context.pool
-            && record.is_sound()
+            && record.is_healthy()
             && !context.zones_out.contains(&announcement.zone)
             && !context.registry.is_silent(context.now, record)
             && self.is_unbound(instance, announcement)
@@ -177,10 +177,10 @@
         for (_, record) in context.registry.iter() {
             let announcement = &record.announcement;
             let reachable = announcement.pool == *context.pool
-                && record.is_sound()
+                && record.is_healthy()
                 && !context.registry.is_silent(context.now, record);
             if reachable
-                && self.reports.start_request(context.now, announcement, !record.heard_here)
+                && self.reports.start_request(context.now, announcement, !record.heard_this_term)
             {
                 self.commands.push(Command::RequestReport(
                     announcement.instance.clone(),
@@ -253,7 +253,7 @@
 ) -> BTreeMap<name::Domain, usize> {
     let mut counts: BTreeMap<name::Domain, usize> = BTreeMap::new();
     for (_, record) in registry.iter().filter(|(_, record)| record.announcement.pool == *pool) {
-        let usable = record.is_sound()
+        let usable = record.is_healthy()
             && !registry.is_silent(now, record)
             && !zones_out.contains(&record.announcement.zone);
         let domain = &record.announcement.domain;
--- a/crates/hyssopfork-fleet/src/groups/reports.rs
+++ b/crates/hyssopfork-fleet/src/groups/reports.rs
@@ -65,7 +65,7 @@
 impl Position {
     /// The position of `announcement`.
     pub fn of(announcement: &Announcement) -> Position {
-        Position { born: announcement.born, sequence: announcement.sequence }
+        Position { born: announcement.start_time_ms, sequence: announcement.sequence }
     }
 
     /// The position after this one.
@@ -109,13 +109,13 @@
         });
         if is_due {
             let fresh = || Entry {
-                born: announcement.born,
+                born: announcement.start_time_ms,
                 requested_at: now,
                 knowledge: Knowledge::Requested,
                 unanswered_join: None,
             };
             let entry = self.entries.entry(announcement.instance.clone()).or_insert_with(fresh);
-            if entry.born != announcement.born {
+            if entry.born != announcement.start_time_ms {
                 *entry = fresh();
             }
             entry.requested_at = now;
@@ -180,6 +180,8 @@
     }
 
     fn get(&self, announcement: &Announcement) -> Option<&Entry> {
-        self.entries.get(&announcement.instance).filter(|entry| entry.born == announcement.born)
+        self.entries
+            .get(&announcement.instance)
+            .filter(|entry| entry.born == announcement.start_time_ms)
     }
 }
--- a/crates/hyssopfork-fleet/src/groups/reserves.rs
+++ b/crates/hyssopfork-fleet/src/groups/reserves.rs
@@ -156,13 +156,13 @@
         for (instance, record) in context.registry.iter() {
             let announcement = &record.announcement;
             let is_counted = announcement.pool == *context.pool
-                && record.is_sound()
+                && record.is_healthy()
                 && !context.registry.is_silent(context.now, record);
             if !is_counted {
                 continue;
             }
             let group = self.group_of(instance).map(|(_, group)| group);
-            let Some(model) = group.map(|group| &group.model).or(record.last.as_ref()) else {
+            let Some(model) = group.map(|group| &group.model).or(record.last_model.as_ref()) else {
                 continue;
             };
             assignments.add(&announcement.domain, model);
@@ -214,7 +214,7 @@
         if self.has_traffic {
             return self.is_free(context, instance, record);
         }
-        record.announcement.pool == *context.pool && record.is_sound()
+        record.announcement.pool == *context.pool && record.is_healthy()
     }
 
     /// The second model that the engine's host is to stage; `None` if the host has it or is staging one,
@@ -225,7 +225,7 @@
         instance: &name::Instance,
         record: &registry::Record,
     ) -> Option<name::Model> {
-        let last = record.last.as_ref()?;
+        let last = record.last_model.as_ref()?;
         let other = context.models.iter().find(|model| model.name != *last)?;
         let has_second = record.announcement.staged.contains(&other.name)
             || self.pending_stagings.contains_key(instance);
@@ -237,7 +237,7 @@
         let is_loading = |group: &&super::Group| {
             let lacks_weights = |record: &registry::Record| {
                 !record.announcement.staged.contains(&group.model)
-                    && record.last.as_ref() != Some(&group.model)
+                    && record.last_model.as_ref() != Some(&group.model)
             };
             let mut members = group.members.iter().filter_map(|it| context.registry.get(it));
             group.phase == Phase::Preparing && members.any(lacks_weights)
--- a/crates/hyssopfork-fleet/src/board.rs
+++ b/crates/hyssopfork-fleet/src/publication.rs
@@ -1,12 +1,12 @@
-//! What the leader has published, and what each follower lacks of it.
+//! Versioned publication of the leader's state, and the differences that each follower lacks.
 
 use crate::{document, quarantine, view};
 use hyssopfork_wire::{name, number};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net;
 
-/// Removals that are remembered; a follower that is farther behind gets everything anew.
-const REMOVALS: usize = 1_024;
+/// Removals remembered per table; a follower that is further behind is sent the full state.
+const MAX_REMOVALS: usize = 1_024;
 
 #[derive(Clone, Debug)]
 struct Entry<T> {
@@ -14,12 +14,12 @@
     value: T,
 }
 
-/// A published table: each entry with the revision that last changed it.
+/// A published table; each entry carries the revision that last changed it.
 #[derive(Clone, Debug)]
 struct Table<K, T> {
     entries: BTreeMap<K, Entry<T>>,
     removals: VecDeque<(u64, K)>,
-    /// Newest revision whose removals are forgotten.
+    /// Newest revision whose removals are no longer remembered.
     floor: u64,
 }
 
@@ -33,23 +33,23 @@
         &mut self,
         revision: u64,
         next: &BTreeMap<K, T>,
-        same: impl Fn(&T, &T) -> bool,
+        is_same: impl Fn(&T, &T) -> bool,
     ) -> bool {
-        let gone: Vec<K> =
+        let removed_keys: Vec<K> =
             self.entries.keys().filter(|key| !next.contains_key(key)).cloned().collect();
-        let mut changed = !gone.is_empty();
-        for key in gone {
+        let mut changed = !removed_keys.is_empty();
+        for key in removed_keys {
             self.entries.remove(&key);
             self.removals.push_back((revision, key));
         }
         for (key, value) in next {
             let known = self.entries.get(key);
-            if known.is_none_or(|known| !same(&known.value, value)) {
+            if known.is_none_or(|known| !is_same(&known.value, value)) {
                 self.entries.insert(key.clone(), Entry { revision, value: value.clone() });
                 changed = true;
             }
         }
-        while self.removals.len() > REMOVALS {
+        while self.removals.len() > MAX_REMOVALS {
             self.floor = self.removals.pop_front().map_or(self.floor, |(revision, _)| revision);
         }
         changed
@@ -70,35 +70,37 @@
     }
 }
 
-/// Everything but the upstreams and groups. All but the entries and the quarantine travels whole.
+/// Published state other than upstreams and groups. Entries and quarantine are sent as differences,
+/// the rest in full.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rest {
+pub struct FleetState {
     /// The declaration in force.
     pub document: Option<document::Document>,
     /// Zones that are out.
-    pub out: BTreeSet<name::Zone>,
-    /// Processes that hold or may hold the replicated log.
+    pub zones_out: BTreeSet<name::Zone>,
+    /// Processes that are voters of the replicated log or may become voters.
     pub controls: Vec<net::SocketAddr>,
     /// Entries that follow the leader.
     pub entries: BTreeSet<net::SocketAddr>,
-    /// Requests that are suspected or quarantined.
+    /// Suspected and quarantined requests.
     pub quarantine: BTreeMap<quarantine::Fingerprint, quarantine::Verdict>,
 }
 
-/// Documents before the newest that followers may still be receiving.
+/// Documents older than the newest that are kept because followers may still be receiving them.
 const MAX_KEPT_DOCUMENTS: usize = 3;
 
-/// The board of one leader's term.
+/// Publisher of one leader's term.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct Publisher {
     stamp: view::Stamp,
-    rest: Rest,
-    /// Documents before the newest, the latest last. A follower completes the one that it has parts
-    /// of: begun anew with each version, changes in quick succession would leave it without any.
-    before: VecDeque<document::Document>,
-    /// Documents as they were encoded, by base and version. Most followers hold the same base.
+    state: FleetState,
+    /// Documents older than the newest, in ascending order. A follower completes the document that
+    /// it has parts of. If it restarted with each new version, changes in quick succession would
+    /// leave it without any complete document.
+    previous: VecDeque<document::Document>,
+    /// Encoded documents by base and version, cached because most followers have the same base.
     ///
-    /// Invariant: of kept versions alone.
+    /// Invariant: only versions that are kept.
     encodings: BTreeMap<(u64, u64), document::Encoding>,
     upstreams: Table<name::Instance, view::Upstream>,
     groups: Table<name::Group, view::Group>,
@@ -106,14 +108,14 @@
     quarantine: Table<quarantine::Fingerprint, quarantine::Verdict>,
 }
 
-impl Board {
-    /// An empty board of `term`. Followers that hold the document that is `known` from before it need
-    /// only what has changed since.
-    pub fn new(term: number::Term, known: Option<document::Document>) -> Board {
-        Board {
+impl Publisher {
+    /// Creates the publisher of `term`. `known` is the document from before the term; followers
+    /// that have it are sent only the changes since.
+    pub fn new(term: number::Term, known: Option<document::Document>) -> Publisher {
+        Publisher {
             stamp: view::Stamp { term, revision: 0 },
-            rest: Rest::default(),
-            before: known.into_iter().collect(),
+            state: FleetState::default(),
+            previous: known.into_iter().collect(),
             encodings: BTreeMap::new(),
             upstreams: Table::new(),
             groups: Table::new(),
@@ -122,38 +124,38 @@
         }
     }
 
-    /// Newest publication.
+    /// Stamp of the newest revision.
     pub fn stamp(&self) -> view::Stamp {
         self.stamp
     }
 
-    /// Publishes; returns whether anything is new to followers.
+    /// Publishes the state; returns whether it differs from the last publication.
     pub fn publish(
         &mut self,
-        rest: Rest,
+        state: FleetState,
         upstreams: &BTreeMap<name::Instance, view::Upstream>,
         groups: &BTreeMap<name::Group, view::Group>,
     ) -> bool {
         let revision = self.stamp.revision + 1;
-        let alike = |old: &view::Upstream, new: &view::Upstream| {
-            old.standing == new.standing
+        let is_same = |old: &view::Upstream, new: &view::Upstream| {
+            old.status == new.status
                 && old.rate == new.rate
-                && old.announcement.says_the_same(&new.announcement)
+                && old.announcement.is_equivalent(&new.announcement)
         };
-        let mut changed = self.upstreams.publish(revision, upstreams, alike);
+        let mut changed = self.upstreams.publish(revision, upstreams, is_same);
         changed |= self.groups.publish(revision, groups, |old, new| old == new);
-        let entries = rest.entries.iter().map(|entry| (*entry, ())).collect();
+        let entries = state.entries.iter().map(|entry| (*entry, ())).collect();
         changed |= self.entries.publish(revision, &entries, |_, _| true);
-        changed |= self.quarantine.publish(revision, &rest.quarantine, |old, new| old == new);
-        changed |= self.rest != rest;
-        if self.rest.document != rest.document {
-            self.before.extend(self.rest.document.take());
-            while self.before.len() > MAX_KEPT_DOCUMENTS {
-                self.before.pop_front();
+        changed |= self.quarantine.publish(revision, &state.quarantine, |old, new| old == new);
+        changed |= self.state != state;
+        if self.state.document != state.document {
+            self.previous.extend(self.state.document.take());
+            while self.previous.len() > MAX_KEPT_DOCUMENTS {
+                self.previous.pop_front();
             }
         }
-        self.rest = rest;
-        self.forget_encodings();
+        self.state = state;
+        self.drop_encodings();
         if changed {
             self.stamp.revision = revision;
         }
@@ -162,27 +164,29 @@
 
     /// Version of the newest declaration; 0 for none.
     pub fn version(&self) -> u64 {
-        self.rest.document.as_ref().map_or(0, |document| document.version)
+        self.state.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// The part that a follower lacks next of a declaration newer than its own.
-    pub fn part(&mut self, held: document::Held) -> Option<document::Part> {
+    /// The next part of a newer declaration that the follower needs.
+    pub fn next_part(&mut self, progress: document::Progress) -> Option<document::Part> {
         let newest = self.version();
-        if newest <= held.version {
+        if newest <= progress.version {
             return None;
         }
-        let begun = held.partial > held.version && self.document(held.partial).is_some();
-        let on_base = held.base == 0 || held.base == held.version && self.is_kept(held.base);
-        if begun && on_base {
-            let encoding = self.encoding(held.base, held.partial)?;
-            return Some(encoding.part(held.offset as usize));
+        let is_started = progress.partial_version > progress.version
+            && self.document(progress.partial_version).is_some();
+        let has_base =
+            progress.base == 0 || progress.base == progress.version && self.is_kept(progress.base);
+        if is_started && has_base {
+            let encoding = self.encoding(progress.base, progress.partial_version)?;
+            return Some(encoding.part(progress.offset as usize));
         }
-        let base = if self.is_kept(held.version) { held.version } else { 0 };
+        let base = if self.is_kept(progress.version) { progress.version } else { 0 };
         Some(self.encoding(base, newest)?.part(0))
     }
 
     fn document(&self, version: u64) -> Option<&document::Document> {
-        let kept = self.before.iter().chain(&self.rest.document);
+        let kept = self.previous.iter().chain(&self.state.document);
         kept.into_iter().find(|it| it.version == version)
     }
 
@@ -190,7 +194,7 @@
         self.document(version).is_some()
     }
 
-    /// The document of `version`, encoded against that of version `base`; 0 for none.
+    /// The document of `version`, encoded against the one of version `base` (0 for none).
     fn encoding(&mut self, base: u64, version: u64) -> Option<&document::Encoding> {
         if !self.encodings.contains_key(&(base, version)) {
             let encoding = self.document(version)?.encode(self.document(base));
@@ -199,30 +203,30 @@
         self.encodings.get(&(base, version))
     }
 
-    fn forget_encodings(&mut self) {
+    fn drop_encodings(&mut self) {
         let mut encodings = std::mem::take(&mut self.encodings);
         let kept = |version: u64| version == 0 || self.is_kept(version);
         encodings.retain(|(base, version), _| kept(*base) && kept(*version));
         self.encodings = encodings;
     }
 
-    /// What a follower lacks that stands at `have`, declarations left aside.
-    pub fn since(&self, have: view::Stamp) -> view::Update {
+    /// The update for a follower at `have`, without declarations.
+    pub fn since(&self, known_stamp: view::Stamp) -> view::Update {
         let floor = self.upstreams.floor.max(self.groups.floor).max(self.entries.floor);
         let floor = floor.max(self.quarantine.floor);
-        let known = have.term == self.stamp.term
-            && have.revision >= floor
-            && have.revision <= self.stamp.revision;
-        let revision = if known { have.revision } else { 0 };
+        let is_known = known_stamp.term == self.stamp.term
+            && known_stamp.revision >= floor
+            && known_stamp.revision <= self.stamp.revision;
+        let revision = if is_known { known_stamp.revision } else { 0 };
         view::Update {
             stamp: self.stamp,
-            whole: !known,
-            declared: self.version(),
+            is_full: !is_known,
+            declared_version: self.version(),
             document: None,
-            out: self.rest.out.clone(),
+            zones_out: self.state.zones_out.clone(),
             upstreams: self.upstreams.since(revision),
             groups: self.groups.since(revision),
-            controls: self.rest.controls.clone(),
+            controls: self.state.controls.clone(),
             entries: self.entries.since(revision),
             quarantine: self.quarantine.since(revision),
         }
--- a/crates/hyssopfork-fleet/tests/fleet/declaration.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/declaration.rs
@@ -1,4 +1,4 @@
-//! What may be declared.
+//! Validation of declarations.
 
 use crate::fixture;
 use hyssopfork_fleet::declaration::{Declaration, Fault, Team};
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn a_sound_declaration_has_no_faults() {
+fn a_valid_declaration_has_no_faults() {
     assert_eq!(fixture::declaration(1).faults(), Vec::new());
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let mut unknown = fixture::route("r2", "/b/");
     unknown.targets = vec![(name::Pool::from("nobody"), 1)];
     let mut weightless = fixture::route("r3", "/c/");
@@ -33,17 +33,17 @@
     let route = name::Route::from;
     let expected = [
         Fault::UnknownPool(route("r2"), name::Pool::from("nobody")),
-        Fault::NoWeight(route("r3")),
-        Fault::NoTime(route("r4")),
-        Fault::Prefix(route("r6")),
-        Fault::SamePlace(route("r1"), route("r5")),
+        Fault::ZeroWeight(route("r3")),
+        Fault::ZeroTimeout(route("r4")),
+        Fault::InvalidPrefix(route("r6")),
+        Fault::DuplicateRoute(route("r1"), route("r5")),
         Fault::SharedKey(name::Team::from("t1"), name::Team::from("t2")),
     ];
     assert_eq!(faults, expected);
 }
 
 #[test]
-fn two_keys_of_one_team_may_be_the_same() {
+fn a_team_may_repeat_a_key() {
     let mut declaration: Declaration = fixture::declaration(1);
     let mut doubled = team("t1", "k");
     doubled.keys.push("k".to_owned());
--- a/crates/hyssopfork-fleet/tests/fleet/engine.rs
+++ b/crates/hyssopfork-fleet/tests/fleet/engine.rs
@@ -70,9 +70,10 @@
     /// Restarts the engine's process under the same instance name.
     pub fn restart(&mut self, now: clock::Instant) {
         let staged = self.announcement.staged.clone();
-        let (born, address) = (self.announcement.born + 1, self.announcement.address);
+        let (start_time_ms, address) =
+            (self.announcement.start_time_ms + 1, self.announcement.address);
         let restarted = Announcement {
-            born,
+            start_time_ms,
             staged,
             sequence: 0,
             membership: None,
--- /dev/null
+++ b/crates/hyssopfork-gateway/src/measurement.rs
@@ -0,0 +1,31 @@
+//! Measurements of finished requests.
+
+use crate::action;
+use hyssopfork_wire::{configuration, name};
+use std::time::Duration;
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// With a complete response; the time to its first bytes.
+    Completed(Duration),
+    /// With a rejection.
+    Rejected(action::Reason),
+    /// With an aborted response.
+    Aborted,
+}
+
+/// Measurement of one request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Measurement {
+    /// Team of the client; `None` if the route requires no key or no route matched.
+    pub team: Option<name::Team>,
+    /// Class of the work; `None` if no route matched.
+    pub class: Option<configuration::Class>,
+    /// How the request ended.
+    pub outcome: Outcome,
+    /// Number of attempts.
+    pub attempts: u32,
+    /// Time from arrival to the end.
+    pub total_time: Duration,
+}
