--- a/crates/hyssopfork-daemon/src/edge/conversation.rs
+++ b/crates/hyssopfork-daemon/src/edge/conversation.rs
@@ -212,7 +212,7 @@
     }
 
     fn refuse(&self, refusal: &action::Rejection) -> web::Outgoing {
-        let reply = reply::refusal_reply(refusal);
+        let reply = reply::rejection_reply(refusal);
         let headers = reply.headers.into_iter().map(|(name, value)| (name.to_owned(), value));
         web::Outgoing::whole(reply.status, headers.collect(), reply.body)
     }
--- a/crates/hyssopfork-watch/tests/watcher.rs
+++ b/crates/hyssopfork-watch/tests/watcher.rs
@@ -42,12 +42,12 @@
 fn the_lease_runs_from_when_the_renewal_was_sent() {
     let mut watcher = new_watcher();
     let call = renewal(&mut watcher, START);
-    let answered = START + Duration::from_millis(450);
+    let response_time = START + Duration::from_millis(450);
 
-    watcher.on_response(answered, call.call, Some(&granted(full_view(4))));
+    watcher.on_response(response_time, call.call, Some(&granted(full_view(4))));
 
     let last = START + timing::HOLDER_LEASE - Duration::from_micros(1);
-    assert!(watcher.is_recent(answered) && watcher.is_recent(last));
+    assert!(watcher.is_recent(response_time) && watcher.is_recent(last));
     assert!(!watcher.is_recent(START + timing::HOLDER_LEASE));
 }
 
