--- a/crates/hyssopfork-control/benches/control.rs
+++ b/crates/hyssopfork-control/benches/control.rs
@@ -1,5 +1,5 @@
-//! Slopes of the leader: microseconds and bytes of renewals, watches, surveys and plans, by the
-//! number of agents. Run by `cargo bench -p hyssopfork-control`.
+//! Cost of a leader's operations (renewals, watches, presence checks and plans) in microseconds and
+//! bytes, by the number of agents. Run by `cargo bench -p hyssopfork-control`.
 
 use hyssopfork_consensus::node;
 use hyssopfork_control::{action, core, event};
@@ -11,13 +11,13 @@
 use std::net;
 use std::time::{Duration, Instant};
 
-/// Members of a group, as at the size foreseen.
+/// Members of a group, as at the planned size.
 const SIZE: u32 = 8;
 
-/// Weight loads at once: eight groups in each round of renewals.
+/// Concurrent weight loads: eight groups in each round of renewals.
 const LOADS: u32 = 64;
 
-/// Most rounds of renewals while groups are placed, so that the run ends.
+/// Limit on the rounds of renewals while groups are placed, so that the run ends.
 const ROUNDS: u32 = 40;
 
 /// A leader that is a quorum by itself, without a disk.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Ticks, and the longest of them.
+    /// Lets time pass with ticks, and returns the duration of the longest one.
     fn pass(&mut self, time: Duration) -> Duration {
         let until = self.now + time;
         let mut longest = Duration::ZERO;
@@ -82,7 +82,7 @@
         self.core.machine().view().version
     }
 
-    /// Every agent renews; engines have loaded what they were placed for by then.
+    /// Lets agents renew; their engines have loaded the models of their placements by then.
     fn renew(&mut self, agents: impl IntoIterator<Item = u32>) {
         let mut joined: BTreeMap<name::Instance, number::Fence> = BTreeMap::new();
         for placement in self.core.machine().view().placements.values() {
--- a/crates/hyssopfork-control/src/action.rs
+++ b/crates/hyssopfork-control/src/action.rs
@@ -1,30 +1,30 @@
-//! What a control instance does about an event.
+//! Actions that a control instance takes in response to events.
 
 use hyssopfork_wire::{consensus, control};
 use std::time::Duration;
 
-/// Longest time between two ticks.
+/// Longest interval between two ticks.
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// An action.
+/// An action for the shell to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to another voter; may be lost.
+    /// Send a message to another voter; it may be lost.
     Send(consensus::Packet),
     /// Write to the journal and sync, then report [`super::event::Event::Persisted`].
     Persist(hyssopfork_consensus::write::Write),
-    /// Answer a call.
+    /// Respond to a call.
     Reply {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The answer.
+        /// The response.
         response: control::Response,
     },
     /// Log a numbered event.
     Notice(super::notice::Notice),
-    /// Everything is handed over: the process may end.
+    /// The handover is complete or has timed out: the process may end.
     Stopped,
-    /// The log holds what this release cannot read: log the reason and end the process at once.
-    /// The core answers nothing any more.
+    /// The log holds an entry that this release cannot read: log the reason and end the process at
+    /// once. The core takes no further action.
     Fail(String),
 }
--- a/crates/hyssopfork-control/src/core.rs
+++ b/crates/hyssopfork-control/src/core.rs
@@ -1,4 +1,4 @@
-//! The step function: events in, actions out.
+//! The step function of the control role: events in, actions out.
 
 mod apply;
 mod duties;
@@ -13,37 +13,37 @@
 use std::net;
 use std::time::Duration;
 
-/// Weight loads at once where settings name no other figure.
+/// Default for the limit of concurrent weight loads.
 pub const LOADS: u32 = 8;
 
-/// Entries applied between two snapshots.
+/// Applied entries after which a snapshot is taken.
 pub const SNAPSHOT_ENTRIES: u64 = 4_096;
 
-/// Bytes of commands applied between two snapshots, at which one is taken earlier.
+/// Bytes of applied commands after which a snapshot is taken, even if fewer entries were applied.
 pub const SNAPSHOT_BYTES: usize = 16 << 20;
 
-/// Longest gap between two events after which this process counts as having been stopped. Ticks
-/// come every [`action::TICK`].
+/// Gap between two events from which on this process counts as having been paused. Ticks come every
+/// [`action::TICK_INTERVAL`].
 pub const GAP_LIMIT: Duration = Duration::from_millis(500);
 
-/// Time that a process which is to stop gives another instance to take over.
+/// Longest time that a stopping process waits for another instance to take over leadership.
 pub const HANDOVER_LIMIT: Duration = Duration::from_secs(2);
 
-/// Settings.
+/// Settings of a control instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance.
+    /// Name of this instance.
     pub instance: name::Instance,
-    /// Addresses at which control instances take calls, to send callers on to the leader.
+    /// Addresses at which control instances take calls, to redirect clients to the leader.
     pub peers: BTreeMap<name::Instance, net::SocketAddr>,
-    /// Weight loads that the store serves at full speed at once.
+    /// Limit of concurrent weight loads: as many as the weight store serves at full speed.
     pub loads: u32,
-    /// Entries applied between two snapshots.
+    /// Applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
 }
 
 impl Settings {
-    /// Settings with the figures of this module.
+    /// Settings with the default limits of this module.
     pub fn new(
         instance: name::Instance,
         peers: BTreeMap<name::Instance, net::SocketAddr>,
@@ -52,21 +52,21 @@
     }
 }
 
-/// What a leader keeps for the time that it leads.
+/// State of one term of leadership.
 #[derive(Clone, Copy, Debug)]
 struct Leadership {
     term: number::Term,
-    /// Since when it has listened to agents without a gap; presence counts from here.
+    /// Since when it has received renewals without a gap; silence counts from here.
     listening: clock::Instant,
-    /// Whether it has answered calls.
+    /// Whether it has begun to answer calls.
     serving: bool,
-    /// When it last let the state age.
+    /// When it last proposed to age the claims.
     aged: clock::Instant,
-    /// When it last surveyed presence.
+    /// When it last checked presence.
     surveyed: clock::Instant,
-    /// When it last looked at the groups.
+    /// When it last planned the groups.
     planned: clock::Instant,
-    /// Whether the groups must be looked at without waiting.
+    /// Whether a change requires planning before the regular interval has passed.
     dirty: bool,
 }
 
@@ -91,15 +91,16 @@
     now: clock::Instant,
     /// When the process was asked to stop.
     stopping: Option<clock::Instant>,
-    /// Whether the end was announced, or the log could not be read.
+    /// Whether the core has stopped or failed; it then ignores all events.
     ended: bool,
-    /// Events that wait for the node.
+    /// Events to be passed to the node.
     inbox: VecDeque<log_event::Event>,
     actions: Vec<action::Action>,
 }
 
 impl Core {
-    /// A control instance over a node and the state before the node's first entry or snapshot.
+    /// Creates a control instance from a node and the state that precedes the node's first entry or
+    /// snapshot.
     pub fn new(
         settings: Settings,
         node: node::Node,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Takes an event and gives the actions that answer it, to be carried out in order.
+    /// Handles an event and returns the resulting actions, to be carried out in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         if self.ended {
             return Vec::new();
@@ -158,22 +159,21 @@
         (self.node.term(), self.node.committed())
     }
 
-    /// The state, for tests and status pages.
+    /// The replicated state, for tests and status pages.
     pub fn machine(&self) -> &machine::Machine {
         &self.machine
     }
 
-    /// Whether this instance leads or knows who does, so that a caller is served or sent on.
+    /// Whether this instance leads or knows the leader, so that it can answer or redirect a client.
     pub fn is_ready(&self) -> bool {
         self.stopping.is_none() && self.node.leader().is_some()
     }
 
-    /// Whether this instance may answer for the fleet now.
+    /// Whether this instance may answer calls as leader now.
     ///
-    /// A cut-off leader goes on believing that it leads until it hears otherwise; the quorum lease
-    /// lapses before any other can commit, so what this instance knows is the newest while it
-    /// runs. And a new leader knows all that was ever accepted only after it has applied an entry
-    /// of its own term.
+    /// A leader that is cut off believes that it leads until it learns otherwise. No other leader
+    /// can commit before its quorum lease lapses, so its state is the newest while the lease runs.
+    /// A new leader has all accepted commands only after it has applied an entry of its own term.
     pub fn leads(&self) -> bool {
         let leased = self.node.quorum_lease(self.now).is_some_and(|until| self.now < until);
         self.node.is_leader() && leased && self.applied_term == self.node.term()
@@ -183,7 +183,7 @@
         self.inbox.push_back(event);
     }
 
-    /// Hands waiting events to the node and carries out what it asks, until nothing waits.
+    /// Passes pending events to the node and handles the resulting actions until no event is left.
     fn drive(&mut self) {
         while let Some(event) = self.inbox.pop_front() {
             let actions = self.node.step(self.now, event);
@@ -225,7 +225,8 @@
         self.act(action::Action::Fail(reason));
     }
 
-    /// Hands a command to the log; returns whether there was room.
+    /// Proposes a command to the log; returns false when there is no room or the command is too
+    /// long.
     fn propose(&mut self, purpose: calls::Purpose, command: &command::Command) -> bool {
         let command = command::encode(command);
         if !self.calls.has_room() || command.len() > node::MAX_COMMAND_BYTES {
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Sends a caller on: the request was not taken up here.
+    /// Response that redirects a client to the leader; the request had no effect here.
     fn elsewhere(&self) -> control::Response {
         let leader = self.node.leader().filter(|leader| leader.instance != self.settings.instance);
         let address = leader.and_then(|leader| self.settings.peers.get(&leader.instance));
--- a/crates/hyssopfork-control/src/core/apply.rs
+++ b/crates/hyssopfork-control/src/core/apply.rs
@@ -1,4 +1,4 @@
-//! What committed entries do: to the state, to watchers and to the calls that wait.
+//! Applies committed entries: to the state, to watchers and to the pending calls.
 
 use super::{Core, SNAPSHOT_BYTES};
 use crate::{calls, interests, notice, steps};
@@ -39,7 +39,7 @@
     fn apply_command(&mut self, entry: &consensus::Entry, bytes: &[u8]) {
         let command = match command::decode(bytes) {
             Ok(command) => command,
-            // Passing over it would let this instance's state differ from the others' for good.
+            // Skipping it would make this replica's state diverge permanently.
             Err(error) => return self.fail(error.to_string()),
         };
         self.bytes_since_snapshot += bytes.len();
@@ -99,7 +99,8 @@
         self.grant(call, renewal);
     }
 
-    /// Logs what a command came to. Only the leader does: it is the same everywhere.
+    /// Logs the effect of a command. Only the leader does so, since the effect is the same on every
+    /// replica.
     fn note_applied(&mut self, command: &command::Command, applied: &machine::Applied) {
         if self.leadership.is_none() {
             return;
@@ -140,7 +141,7 @@
         let why = match outcome {
             patch::Outcome::Accepted(_) => return,
             patch::Outcome::Stale { .. } => "its base is not the number in force",
-            patch::Outcome::Invalid(_) => "its result breaks rules",
+            patch::Outcome::Invalid(_) => "its result violates rules",
             patch::Outcome::Reused => "its identifier was used with other content",
         };
         self.notice(notice::Notice::Refused(patch.identifier.clone(), why));
--- a/crates/hyssopfork-control/src/core/duties.rs
+++ b/crates/hyssopfork-control/src/core/duties.rs
@@ -1,4 +1,4 @@
-//! What a leader does unasked, and what coming to lead and ceasing to lead mean.
+//! Begin and end of leadership, and the periodic tasks of a leader.
 
 use super::{Core, GAP_LIMIT, HANDOVER_LIMIT, Leadership};
 use crate::{action, calls, groups, notice};
@@ -7,19 +7,19 @@
 use hyssopfork_wire::{clock, control, timing};
 use std::time::Duration;
 
-/// Time that a leader listens before it plans groups: each agent that runs has renewed with it by
-/// then, also when its first try went elsewhere.
+/// Time for which a new leader collects reports before it plans groups. Each running agent has
+/// renewed with it by then, even when its first attempt went to another instance.
 ///
-/// Planned on the first reports alone, a broken group would be rebuilt from nothing in whatever
-/// domain was heard first, while the spare beside its survivors had not spoken yet.
+/// If it planned on the first reports alone, it would rebuild a broken group from nothing in the
+/// domain heard first, before the spare next to the group's survivors has reported.
 const LISTENING: Duration = timing::RENEWAL_INTERVAL.saturating_mul(2);
 
-/// Time between two surveys of presence.
+/// Interval between two checks of presence.
 const SURVEY: Duration = Duration::from_millis(100);
 
 impl Core {
-    /// A process that was stopped for a while has heard nobody meanwhile, and must not take that
-    /// for the others' silence.
+    /// Detects that the process was paused. It received nothing meanwhile, so the agents' silence
+    /// during the pause does not count.
     pub(super) fn note_gap(&mut self, before: clock::Instant) {
         let gap = self.now.since(before);
         if gap < GAP_LIMIT {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes note when the node came to lead or ceased to.
+    /// Starts or ends leadership when the node became leader or ceased to be it.
     pub(super) fn follow_leadership(&mut self) {
         let term = self.node.is_leader().then(|| self.node.term());
         if term == self.leadership.map(|leadership| leadership.term) {
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Whatever the shell's event was, looks after what is due.
+    /// Does whatever is due, after every event.
     pub(super) fn attend(&mut self) {
         self.end_late_calls();
         self.end_held_watches();
@@ -75,7 +75,7 @@
         if leadership.serving {
             self.notice(notice::Notice::Ceased(leadership.term, lost.len()));
         }
-        // They may yet be committed by the next leader: neither done nor refused would be true.
+        // The next leader may still commit them, so neither success nor rejection is certain.
         for call in lost {
             self.reply(call, control::Response::Unknown);
         }
--- a/crates/hyssopfork-control/src/core/requests.rs
+++ b/crates/hyssopfork-control/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Calls of entries, agents and operators.
+//! Handlers of calls from entries, agents and operators.
 
 use super::Core;
 use crate::{calls, notice, watches};
@@ -6,7 +6,7 @@
 use hyssopfork_state::command;
 use hyssopfork_wire::{change, control, fleet, name, number, patch, timing};
 
-/// Most records of one answer to a question for history; the asker asks on from the last.
+/// Most records in one history response; the client requests the rest from the last one on.
 pub const HISTORY_PAGE: usize = 256;
 
 impl Core {
@@ -36,7 +36,7 @@
         self.calls.abandon(call);
     }
 
-    /// Gives a lease on the view as it is now, if this instance may still answer for it.
+    /// Grants a lease on the current view, if this instance may still answer as leader.
     pub(super) fn grant(&mut self, call: u64, renewal: &control::Renewal) {
         if !self.leads() {
             let response = self.elsewhere();
@@ -60,8 +60,8 @@
         self.reply(call, control::Response::Granted(grant));
     }
 
-    /// Two processes run under one name. Were both given leases, both would take work as one
-    /// upstream, each with limits and grants of its own.
+    /// Rejects the older of two processes that run under one name. With a lease each, both would
+    /// take work as one upstream, each with limits and grants of its own.
     pub(super) fn refuse_superseded(&mut self, call: u64, renewal: &control::Renewal) {
         if let control::Holder::Agent(announcement, _) = &renewal.holder {
             let instance = announcement.instance.clone();
@@ -70,7 +70,7 @@
         self.reply(call, control::Response::Unavailable);
     }
 
-    /// Answers the calls that were held until the view moved.
+    /// Answers the long polls whose view is no longer current, if a round is due.
     pub(super) fn release_watches(&mut self) {
         let version = self.machine.view().version;
         let interests = &self.interests;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The record of an announcement's own process.
+    /// The record of the process that sent the announcement.
     fn recorded(&self, announcement: &fleet::Announcement) -> Option<&fleet::Member> {
         let member = self.machine.view().members.get(&announcement.instance)?;
         (member.announcement.boot == announcement.boot).then_some(member)
@@ -205,7 +205,7 @@
         self.reply(call, control::Response::Status(Box::new(status)));
     }
 
-    /// What leads a watcher on: of the whole view, or of the part that concerns one instance.
+    /// Update for a watcher: of the whole view, or of the part in the scope of one instance.
     fn update(
         &mut self,
         have: number::Version,
--- a/crates/hyssopfork-control/src/event.rs
+++ b/crates/hyssopfork-control/src/event.rs
@@ -1,11 +1,11 @@
-//! What happens to a control instance.
+//! Events that a control instance reacts to.
 
 use hyssopfork_wire::{consensus, control};
 
-/// An event.
+/// An event from the shell.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; comes at least every [`super::action::TICK`].
+    /// Time has passed; sent at least every [`super::action::TICK_INTERVAL`].
     Tick,
     /// A message of the replicated log arrived.
     Received(consensus::Packet),
@@ -13,12 +13,12 @@
     Persisted(u64),
     /// A request arrived; answered by exactly one [`super::action::Action::Reply`].
     Called {
-        /// The shell's number of the call.
+        /// Number that the shell gave the call.
         call: u64,
         /// The request.
         request: control::Request,
     },
-    /// The connection of a call closed before its reply.
+    /// The connection of a call closed before its response was sent.
     Abandoned(u64),
     /// The process was asked to stop: hand over leadership.
     Stop,
--- a/crates/hyssopfork-control/src/groups.rs
+++ b/crates/hyssopfork-control/src/groups.rs
@@ -1,5 +1,5 @@
-//! Where groups stand: what the leader knows, brought together for the placement policy, and the
-//! policy's decisions as commands.
+//! Input and output of the placement policy: combines the view and the agents' reports into the
+//! policy's model of the fleet, and turns its decisions into commands.
 
 use crate::holders;
 use hyssopfork_policy::{placement, weight_loads};
@@ -9,67 +9,69 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a placement counts as loading. A member that has not loaded by then is passed
-/// over for as long again. Weights of a large model at a shared store take minutes.
+/// Time that the members of a new placement get to load weights. A member that has not loaded by
+/// then is excluded for as long again. Weights of a large model take minutes from a shared store.
 pub const LOADING_LIMIT: Duration = Duration::from_secs(300);
 
-/// Reports in a row after which an engine that was alive counts as dead.
+/// Consecutive reports after which an engine that was alive counts as dead.
 pub const DEAD_REPORTS: u32 = 2;
 
-/// Time between two looks at the groups when nothing has changed.
+/// Interval between two plans when nothing has changed.
 pub const PERIOD: Duration = Duration::from_millis(500);
 
-/// Least time between two looks at the groups for each instance on record. When a zone goes dark
-/// or a fleet starts, every report is a reason to look again; a look at 4,800 instances costs tens
-/// of milliseconds, and without a pause control would do nothing else.
+/// Least time between two plans, for each instance on record. When a zone fails or a fleet starts,
+/// every report is a reason to plan again. A plan for 4,800 instances takes tens of milliseconds,
+/// and without a pause control would do nothing else.
 pub const PAUSE_EACH: Duration = Duration::from_micros(50);
 
-/// Groups without a placement that every plan looks at: the first in order of priority. The weight
-/// store bears a few loads at once, so few could be placed now, and a plan's cost grows with the
-/// groups times the domains.
+/// Groups without a placement that every plan considers, highest priority first. The weight store
+/// serves only a few loads at once, so few groups can be placed at a time, and the cost of a plan
+/// grows with the number of groups times domains.
 pub const FIRST_UNPLACED: usize = 2;
 
-/// Groups without a placement that a plan looks at besides, in turn. Without them groups that fit
-/// nowhere would keep all lesser ones waiting for good.
+/// Further groups without a placement that a plan considers, in round-robin order. Without them,
+/// groups that fit nowhere would block all those of lower priority for good.
 pub const UNPLACED_IN_TURN: usize = 2;
 
-/// A placement as this leader has seen it.
+/// A placement as first observed by this leader.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     fence: number::Fence,
-    /// When this leader first saw it.
+    /// When this leader first observed it.
     since: clock::Instant,
 }
 
-/// When the leader first saw a group with a member that takes no new work, and the view then.
+/// When the leader first observed that a member of a group takes no new work, and the view's
+/// version at that time.
 #[derive(Clone, Copy, Debug)]
 struct Closing {
     since: clock::Instant,
     version: number::Version,
 }
 
-/// What the leader knows of groups besides the view; lost with its leadership.
+/// State about groups that is not in the view; lost with leadership.
 #[derive(Debug, Default)]
 pub struct Groups {
     seen: BTreeMap<name::Group, Seen>,
-    /// Model that an engine last said it holds, with the boot of its agent.
+    /// Model that each engine last reported as loaded, with the boot number of its agent.
     holds: BTreeMap<name::Instance, (u64, name::Model)>,
-    /// Groups with a drained or leaving member, and since when: by the bound after that no entry
-    /// offers them work any more.
+    /// Groups with a drained or leaving member. [`timing::IN_FORCE_BOUND`] after the recorded time,
+    /// no entry offers them work any more.
     closing: BTreeMap<name::Group, Closing>,
-    /// Where the next plan's turn through the groups without a placement begins.
+    /// Position in the round-robin order at which the next plan starts.
     turn: usize,
-    /// Until when instances that did not load in time are passed over.
+    /// Instances that did not load in time, with the end of their exclusion.
     shunned: BTreeMap<name::Instance, clock::Instant>,
 }
 
 impl Groups {
-    /// Forgets all: another leader may have decided meanwhile.
+    /// Resets the state, since another leader may have decided meanwhile.
     pub fn clear(&mut self) {
         *self = Groups::default();
     }
 
-    /// Commands that mend, place, move and end groups now; empty when nothing can or need be done.
+    /// Returns commands that place, repair, move and end groups; empty when nothing can or need be
+    /// done.
     pub fn decide(
         &mut self,
         now: clock::Instant,
@@ -94,7 +96,7 @@
         decisions.into_iter().filter_map(|decision| command(view, decision)).collect()
     }
 
-    /// Declared groups that the plan looks at: all that stand somewhere, and few of the others.
+    /// Declared groups that the plan considers: all with a placement, and a few of the others.
     fn candidates(&mut self, view: &change::View) -> Vec<placement::Group> {
         let (placed, mut unplaced): (Vec<_>, Vec<_>) = view
             .configuration
@@ -112,8 +114,9 @@
         placed.into_iter().chain(unplaced).map(group).collect()
     }
 
-    /// Whether every declared group stands on usable members: there is nothing to plan. The whole
-    /// plan costs milliseconds in a large fleet and runs twice a second.
+    /// Whether every declared group is placed on available members, so that there is nothing to
+    /// plan. A whole plan takes milliseconds in a large fleet and would otherwise run twice a
+    /// second.
     fn is_settled(
         &self,
         now: clock::Instant,
@@ -172,9 +175,9 @@
             if agent.report.joined == placed.fence {
                 self.holds.insert(instance.clone(), (agent.boot, declared.model.clone()));
             } else if agent.report.alive && now.since(since) >= LOADING_LIMIT {
-                // An engine that answers probes but never loads would keep its group down for
-                // good: it is neither lost nor ready. Passing over it for a while lets a spare
-                // take its place, and keeps it from being the very spare that is chosen.
+                // An engine that answers probes but never loads is neither lost nor ready, and
+                // would keep its group down for good. Excluding it for a while lets a spare
+                // replace it, and keeps it from being chosen as that spare.
                 self.shunned.entry(instance.clone()).or_insert(now + LOADING_LIMIT);
             }
         }
@@ -248,8 +251,9 @@
         view.placements.iter().map(current).collect()
     }
 
-    /// Requests that run on a group, as far as placement may know: a group that is to stay where
-    /// it stands counts as busy, so that it is not moved off closed instances.
+    /// Number of running requests on a group as the policy should see it: at least 1 for a group
+    /// that must stay in place, so that the policy does not move it off members that are closed to
+    /// new work.
     fn running(
         &self,
         now: clock::Instant,
@@ -268,13 +272,14 @@
         first.map_or(1, |agent| agent.report.running)
     }
 
-    /// Whether the first member's report tells what will still run on a closing group.
+    /// Whether the running requests that a closing group's first member reports can no longer
+    /// increase.
     ///
     /// The first member admits work until its own view shows that a member is drained or leaving,
-    /// and a report may be older than the last request that began. Moved on an old report that
-    /// nothing runs, the group would cut that request. Once the first member knows of the closing,
-    /// or after the bound within which it must, nothing new begins, so a report from then on can
-    /// only go down.
+    /// and a report may be older than the last admitted request. A group moved on such a report of
+    /// no running requests would cut that request. Once the first member has the view with the
+    /// drain, or after the bound within which it must, no new request starts and the reported
+    /// number can only decrease.
     fn is_settled_report(
         &self,
         view: &change::View,
@@ -295,7 +300,7 @@
         self.seen.get(group).is_some_and(|seen| now.since(seen.since) < LOADING_LIMIT)
     }
 
-    /// Members that load weights now.
+    /// Number of members that are loading weights now.
     fn loading(&self, now: clock::Instant, view: &change::View, holders: &holders::Holders) -> u32 {
         let mut count = 0;
         for (group, placed) in &view.placements {
@@ -316,7 +321,7 @@
     }
 }
 
-/// The command of a decision; `None` when it is about a placement that isn't there.
+/// The command for a decision; `None` when its placement no longer exists.
 fn command(view: &change::View, decision: placement::Decision) -> Option<command::Command> {
     match decision {
         placement::Decision::Place { group, members } => {
@@ -340,7 +345,7 @@
     }
 }
 
-/// What the recorded agent of an instance last reported.
+/// State of the recorded agent of an instance.
 fn agent<'a>(
     view: &change::View,
     holders: &'a holders::Holders,
@@ -359,12 +364,14 @@
     agent(view, holders, instance).is_some_and(|agent| agent.report.joined >= fence)
 }
 
-/// An engine that was alive and by two reports in a row is not is lost. One that has not answered
-/// yet is given time: its agent has only just started and has probed nothing.
+/// Availability of an instance whose engine is reported dead. It is missing once it was alive and
+/// [`DEAD_REPORT_THRESHOLD`] consecutive reports say otherwise. An engine that has not answered yet
+/// is given time up to the presence timeout, since its agent may have just started and not probed
+/// yet.
 ///
-/// One report is not enough. An agent that was paused for a second reports an engine that it has
-/// not probed lately as dead, and alive again half a second later; moved at once, its group would
-/// wait minutes for weights in place of that half second.
+/// One report is not enough: an agent that was paused for a second reports an engine that it has
+/// not probed lately as dead, and as alive half a second later. If its group were moved at once, it
+/// would wait minutes for weights instead of that half second.
 fn dead(now: clock::Instant, agent: &holders::Agent) -> placement::Availability {
     let confirmed = agent.was_alive && agent.dead >= DEAD_REPORTS;
     if confirmed || !agent.was_alive && now.since(agent.since) >= timing::PRESENCE_TIMEOUT {
@@ -384,8 +391,8 @@
     })
 }
 
-/// Whether a member keeps its group where it stands although it takes no work: its zone is out
-/// (it comes back with its weights), or nothing is known of it yet.
+/// Whether an unavailable member still keeps its group in place: its zone is out, so it returns
+/// with its weights, or its state is unknown yet.
 fn is_kept(view: &change::View, holders: &holders::Holders, instance: &name::Instance) -> bool {
     let zone = matches!(
         upstream::obstacle(view, instance),
--- a/crates/hyssopfork-control/src/holders.rs
+++ b/crates/hyssopfork-control/src/holders.rs
@@ -1,39 +1,40 @@
-//! Who holds leases, and what agents report: known to the leader alone and lost with it.
+//! Lease holders and the reports of agents. Only the leader has them, and they are lost with its
+//! leadership.
 
 use hyssopfork_wire::{clock, control, fleet, name, number};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Silence after which a holder is dropped from the list; its lease has lapsed long before.
+/// Silence after which a holder is removed; its lease has expired long before.
 pub const MEMORY: Duration = Duration::from_secs(60);
 
-/// A holder.
+/// A holder of a lease.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    /// Version that it reported last.
+    /// View version of its last renewal.
     pub version: number::Version,
-    /// When its last renewal came.
+    /// When its last renewal arrived.
     pub heard: clock::Instant,
-    /// What it is besides, for an agent.
+    /// State of the agent, if the holder is one.
     pub agent: Option<Agent>,
 }
 
-/// An agent.
+/// State of an agent.
 #[derive(Clone, Debug)]
 pub struct Agent {
-    /// Boot of its process.
+    /// Boot number of its process.
     pub boot: u64,
-    /// When the first renewal of this boot came.
+    /// When the first renewal of this boot arrived.
     pub since: clock::Instant,
-    /// Whether its back end has answered since then.
+    /// Whether its back end has answered a probe during this boot.
     pub was_alive: bool,
-    /// Reports in a row that the back end doesn't answer.
+    /// Consecutive reports that the back end does not answer.
     pub dead: u32,
-    /// Its newest report.
+    /// Its latest report.
     pub report: fleet::Report,
 }
 
-/// Holders by instance; an instance may hold one of each.
+/// Holders by instance; one instance may be both an entry and an agent.
 #[derive(Debug, Default)]
 pub struct Holders {
     entries: BTreeMap<name::Instance, Holder>,
@@ -41,7 +42,7 @@
 }
 
 impl Holders {
-    /// Notes a renewal; returns whether a back end's life may look different now.
+    /// Records a renewal; returns whether the availability of a back end may have changed.
     pub fn note(&mut self, now: clock::Instant, renewal: &control::Renewal) -> bool {
         match &renewal.holder {
             control::Holder::Entry(instance) => {
@@ -68,39 +69,39 @@
         }
     }
 
-    /// When the agent of this boot was last heard.
+    /// When the agent of this boot last renewed.
     pub fn heard(&self, instance: &name::Instance, boot: u64) -> Option<clock::Instant> {
         let holder = self.agents.get(instance)?;
         holder.agent.as_ref().filter(|agent| agent.boot == boot)?;
         Some(holder.heard)
     }
 
-    /// Version of the view that the agent of this boot had when it last reported.
+    /// View version of the last renewal of the agent of this boot.
     pub fn version(&self, instance: &name::Instance, boot: u64) -> Option<number::Version> {
         let holder = self.agents.get(instance)?;
         holder.agent.as_ref().filter(|agent| agent.boot == boot)?;
         Some(holder.version)
     }
 
-    /// The agent of this boot on an instance.
+    /// State of the agent of this boot on an instance.
     pub fn agent(&self, instance: &name::Instance, boot: u64) -> Option<&Agent> {
         let holder = self.agents.get(instance)?;
         holder.agent.as_ref().filter(|agent| agent.boot == boot)
     }
 
-    /// Drops holders that have been silent for long.
+    /// Removes holders that have been silent for [`HOLDER_RETENTION`].
     pub fn forget_silent(&mut self, now: clock::Instant) {
         self.entries.retain(|_, holder| now.since(holder.heard) < MEMORY);
         self.agents.retain(|_, holder| now.since(holder.heard) < MEMORY);
     }
 
-    /// Drops all.
+    /// Removes all holders.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.agents.clear();
     }
 
-    /// The list for operators.
+    /// All holders, as shown to operators.
     pub fn list(&self, now: clock::Instant) -> Vec<control::Holding> {
         let holding = |(instance, holder): (&name::Instance, &Holder)| control::Holding {
             instance: instance.clone(),
--- a/crates/hyssopfork-control/src/interests.rs
+++ b/crates/hyssopfork-control/src/interests.rs
@@ -1,26 +1,27 @@
-//! Which instances each of the newest steps concerns, so that an agent is told only of what it
-//! needs and is woken by nothing else.
+//! Interest management: the instances that each recent step affects, so that an agent receives only
+//! what it needs and is not woken by other changes.
 //!
-//! What moves an instance into a group or out of one changes which part of the view it needs; it
-//! is then sent its whole part anew, which is small. Everything else is sent as differences.
+//! Placing an instance in a group, or removing it from one, changes which part of the view it
+//! needs. It then gets this part as a whole, which is small. All other changes are sent as
+//! differences.
 
 use hyssopfork_state::scope;
 use hyssopfork_wire::{change, name, number, patch};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Whom one step concerns.
+/// The instances that one step affects.
 #[derive(Debug, Default)]
 struct Concern {
     version: number::Version,
-    /// Whether it concerns every instance.
+    /// Whether it affects every instance.
     all: bool,
-    /// Instances whose own or whose group's record changed.
+    /// Instances whose own record or whose group's record changed.
     told: BTreeSet<name::Instance>,
     /// Instances that were placed or unplaced.
     moved: BTreeSet<name::Instance>,
 }
 
-/// Concerns of the newest steps.
+/// Audiences of the latest steps.
 #[derive(Debug, Default)]
 pub struct Interests {
     concerns: VecDeque<Concern>,
@@ -29,7 +30,7 @@
 }
 
 impl Interests {
-    /// No steps yet after `view`.
+    /// Creates the state for `view`, without steps.
     pub fn new(view: &change::View) -> Interests {
         let members = |(group, placed): (&name::Group, &hyssopfork_wire::fleet::Placement)| {
             (group.clone(), placed.members.clone())
@@ -38,7 +39,7 @@
         Interests { concerns: VecDeque::new(), groups }
     }
 
-    /// Takes a step, and forgets those that led to `floor` or before.
+    /// Adds a step, and removes those up to version `floor`.
     pub fn push(&mut self, step: &change::Step, floor: number::Version) {
         let mut concern = Concern { version: step.version, ..Concern::default() };
         for change in &step.changes {
@@ -50,14 +51,14 @@
         }
     }
 
-    /// Whether anything after `have` concerns `instance`.
+    /// Whether any step after `version` affects `instance`.
     pub fn concerns(&self, instance: &name::Instance, have: number::Version) -> bool {
         self.newer(have).any(|concern| {
             concern.all || concern.told.contains(instance) || concern.moved.contains(instance)
         })
     }
 
-    /// Narrows an update of the whole view from `have` on to what `instance` needs.
+    /// Narrows an update of the whole view, from `version` on, to the scope of `instance`.
     pub fn narrow(
         &self,
         view: &change::View,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Steps after `have`, newest first: most watchers are only a few behind.
+    /// Audiences of the steps after `version`, newest first, since most watchers are only a few
+    /// steps behind.
     fn newer(&self, have: number::Version) -> impl Iterator<Item = &Concern> {
         self.concerns.iter().rev().take_while(move |concern| concern.version > have)
     }
@@ -123,7 +125,7 @@
         }
     }
 
-    /// A record of one instance concerns it and the members of its group.
+    /// A record of one instance affects it and the members of its group.
     fn tell_near(&self, instance: &name::Instance, concern: &mut Concern) {
         concern.told.insert(instance.clone());
         for members in self.groups.values().filter(|members| members.contains(instance)) {
@@ -136,7 +138,7 @@
     }
 }
 
-/// The last step is kept though it may be empty: it carries the version that the part is at.
+/// Keeps the last step even if it is empty, since it carries the version.
 fn narrow_steps(
     view: &change::View,
     steps: &[change::Step],
--- a/crates/hyssopfork-control/src/lib.rs
+++ b/crates/hyssopfork-control/src/lib.rs
@@ -1,10 +1,11 @@
 //! Control role as a step function.
 //!
-//! [`core::Core`] holds a node of the replicated log and the state that the log leads. It answers
-//! calls, gives leases, and, while it leads, keeps the fleet in order by proposing commands. Where
-//! each decision stands: [`calls`] (proposals and who waits for them), [`steps`] (what watchers are
-//! told), [`watches`] (held calls), [`holders`] (leases and reports), [`presence`] (who fell
-//! silent), [`groups`] (where groups stand).
+//! [`core::Core`] holds a node of the replicated log and the state machine that the log drives. It
+//! answers calls, grants leases and, while it leads, maintains the fleet by proposing commands. The
+//! modules: [`calls`] (pending proposals and the calls that wait for them), [`steps`] (differences
+//! for watchers), [`interests`] (which instances a difference affects), [`watches`] (long polls),
+//! [`holders`] (lease holders and their reports), [`presence`] (failure detection), [`groups`]
+//! (placement of groups).
 
 pub mod action;
 pub mod calls;
--- a/crates/hyssopfork-control/src/notice.rs
+++ b/crates/hyssopfork-control/src/notice.rs
@@ -1,4 +1,5 @@
-//! Numbered events of this role, 1200 to 1999; those of the replicated log keep their own numbers.
+//! Numbered log events of this role, 1200 to 1999; those of the replicated log keep their own
+//! numbers.
 
 use hyssopfork_consensus::notice;
 use hyssopfork_state::placements;
@@ -6,55 +7,57 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A numbered event.
+/// A numbered log event.
 #[derive(Clone, Debug, PartialEq, Eq, strum::EnumDiscriminants)]
 #[strum_discriminants(name(Kind), derive(strum::EnumIter), doc = "Kind of a notice.")]
 pub enum Notice {
     /// An event of the replicated log.
     Log(notice::Notice),
-    /// This instance answers calls as leader.
+    /// This instance began to answer calls as leader.
     Serving(number::Term),
-    /// This instance answered calls and doesn't any more; so many were told that their end is
-    /// unknown.
+    /// This instance ceased to answer calls as leader; this many pending calls were answered with
+    /// an unknown outcome.
     Ceased(number::Term, usize),
-    /// This instance was stopped for a while and begins anew to listen for agents.
+    /// This process was paused for this long and restarts the presence timeouts.
     Paused(Duration),
-    /// A snapshot of this many bytes was handed to the log.
+    /// A snapshot of this many bytes was passed to the log.
     Snapshot(number::Index, usize),
     /// The state was replaced by a snapshot.
     Restored(number::Index),
     /// A patch was accepted.
     Accepted(number::Configuration, patch::Identifier),
-    /// A patch was refused.
+    /// A patch was rejected.
     Refused(patch::Identifier, &'static str),
-    /// An agent's process was recorded.
+    /// A process of an agent was recorded.
     Joined(name::Instance, number::Incarnation),
-    /// An agent fell silent.
+    /// An agent missed its renewals and counts as absent.
     Absent(name::Instance),
-    /// An agent's process is leaving.
+    /// A process of an agent is leaving.
     Leaving(name::Instance),
-    /// An instance absent for long was forgotten.
+    /// The record of an instance that was absent for long was removed.
     Forgotten(name::Instance),
-    /// A process asked for a lease under a name that a newer process holds.
+    /// A process requested a lease under a name that a newer process uses.
     Superseded(name::Instance, u64),
-    /// A watcher holds a version that was never accepted here.
+    /// A watcher has a version that this control never accepted: the watcher's version, then the
+    /// control's.
     Ahead(number::Version, number::Version),
     /// A group was placed.
     Placed(name::Group, number::Fence, Vec<name::Instance>),
     /// A group's placement ended.
     Unplaced(name::Group),
-    /// A placement that this leader proposed was not taken.
+    /// A placement that this leader proposed was rejected when it was applied.
     Unplaceable(name::Group, placements::Obstacle),
-    /// Claims ended with an unknown outcome, since their holders fell silent.
+    /// This many claims ended with an unknown outcome, since their holders recorded none in time.
     Expired(usize),
-    /// A claim was refused, since memory is full of ones that may not be dropped.
+    /// A claim was rejected, since memory is full of claims that must be retained.
     ClaimsFull,
-    /// A call was refused, since too many proposals wait.
+    /// A call was rejected, since too many proposals or long polls are pending.
     Crowded,
 }
 
 impl Kind {
-    /// Number in the catalogue of events; `None` for one of the replicated log, which has its own.
+    /// Number in the catalogue of events; `None` for an event of the replicated log, which has its
+    /// own.
     pub const fn number(self) -> Option<u16> {
         let number = match self {
             Kind::Log => return None,
@@ -91,7 +94,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Log level.
     pub const fn level(&self) -> level::Level {
         match self {
             Notice::Log(inner) => inner.level(),
@@ -111,15 +114,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Notice::Log(inner) => inner.fmt(f),
-            Notice::Serving(term) => write!(f, "answers calls as leader of term {term}"),
+            Notice::Serving(term) => {
+                write!(f, "this instance answers calls as leader of term {term}")
+            }
             Notice::Ceased(term, calls) => write!(
                 f,
-                "no longer answers calls as leader of term {term}; {calls} pending calls were told \
-                 that their end is unknown"
+                "this instance no longer answers calls as leader of term {term}; {calls} pending \
+                 calls were answered with an unknown outcome"
             ),
             Notice::Paused(gap) => write!(
                 f,
-                "was stopped for {gap:?} and listens anew before it counts agents as missing; \
+                "this process was paused for {gap:?} and restarts the presence timeouts of agents; \
                  check the instance for overload or suspension"
             ),
             Notice::Snapshot(index, bytes) => {
@@ -129,23 +134,23 @@
             Notice::Accepted(number, patch) => {
                 write!(f, "accepted patch {} as configuration {number}", patch.0)
             }
-            Notice::Refused(patch, why) => write!(f, "refused patch {}: {why}", patch.0),
+            Notice::Refused(patch, why) => write!(f, "rejected patch {}: {why}", patch.0),
             Notice::Joined(instance, incarnation) => {
                 write!(f, "instance {instance} announced itself, incarnation {incarnation}")
             }
             Notice::Absent(instance) => write!(
                 f,
-                "instance {instance} fell silent; its group is mended from spares, check the \
-                 instance"
+                "instance {instance} missed its renewals and counts as absent; its group is \
+                 repaired with spares; check the instance"
             ),
             Notice::Leaving(instance) => write!(f, "instance {instance} is leaving"),
             Notice::Forgotten(instance) => {
-                write!(f, "forgot instance {instance}, which was absent for long")
+                write!(f, "removed the record of instance {instance}, which was absent for long")
             }
             Notice::Superseded(instance, boot) => write!(
                 f,
                 "process {boot:016x} of instance {instance} gets no lease, since a newer process \
-                 runs under the name; end the older one or give it a name of its own"
+                 runs under the same name; end the older one or give it a name of its own"
             ),
             Notice::Ahead(have, version) => write!(
                 f,
@@ -158,22 +163,26 @@
                 members.iter().map(name::Instance::as_str).collect::<Vec<_>>().join(", ")
             ),
             Notice::Unplaced(group) => write!(f, "ended the placement of group {group}"),
-            Notice::Unplaceable(group, obstacle) => {
-                write!(f, "group {group} was not placed, the state had moved: {obstacle}")
+            Notice::Unplaceable(group, violation) => {
+                write!(
+                    f,
+                    "placement of group {group} was rejected, the state had changed: {violation}"
+                )
             }
             Notice::Expired(count) => write!(
                 f,
-                "{count} claims ended with an unknown outcome, since their holders fell silent"
+                "{count} claims ended with an unknown outcome, since their holders recorded none \
+                 in time"
             ),
             Notice::ClaimsFull => write!(
                 f,
-                "refused a claim: memory is full of claims that may not be dropped yet; send less \
-                 non-repeatable work or wait for outcomes to pass their time"
+                "rejected a claim: memory is full of claims that must be retained; send less \
+                 non-repeatable work or wait until outcomes are past their retention"
             ),
             Notice::Crowded => write!(
                 f,
-                "refused a call, since too many proposals wait; check the disks and the network \
-                 between control instances"
+                "rejected a call, since too many proposals or long polls are pending; check the \
+                 disks and the network between control instances"
             ),
         }
     }
--- a/crates/hyssopfork-control/src/presence.rs
+++ b/crates/hyssopfork-control/src/presence.rs
@@ -1,7 +1,7 @@
-//! Who fell silent and who may be forgotten.
+//! Failure detector for agents, by the age of their last renewal.
 //!
-//! Presence is judged by the leader's clock alone. It may be wrong, and nothing that must be right
-//! rests on it: an agent serves by its own lease and its group's grants, not by this record.
+//! It uses the leader's clock alone and may be wrong. Safety doesn't depend on it: an agent serves
+//! by its own lease and its group's grants, not by this record.
 
 use crate::holders;
 use hyssopfork_state::{command, upstream};
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 /// Time for which an absent instance is kept on record. 290 instances are replaced on an ordinary
-/// day at the size foreseen, so about that many are kept beyond those that run.
+/// day at the planned size, so about that many are kept beyond those that run.
 pub const RECORD_KEPT: Duration = Duration::from_secs(24 * 3_600);
 
-/// Most presence commands proposed in one survey, so that a dark zone does not fill the log's
-/// pipeline ahead of patches and claims.
+/// Most presence commands proposed in one check, so that the failure of a whole zone does not fill
+/// the log's pipeline ahead of patches and claims.
 pub const BATCH: usize = 256;
 
-/// Since when absent instances have been absent, as far as this leader knows.
+/// Since when each absent instance has been absent, as known to this leader.
 #[derive(Debug, Default)]
 pub struct Presence {
     absent: BTreeMap<name::Instance, clock::Instant>,
 }
 
 impl Presence {
-    /// Commands that record who fell silent and forget who has been absent for long. `since` is
-    /// when this leader began to listen without a gap.
+    /// Returns commands that mark silent agents as absent and remove instances that have been
+    /// absent for long. `since` is when this leader began to receive renewals without a gap.
     pub fn survey(
         &mut self,
         now: clock::Instant,
@@ -70,8 +70,8 @@
     holders: &holders::Holders,
 ) -> Option<command::Command> {
     let announcement = &member.announcement;
-    // A new leader has heard nobody yet, and one that was paused has heard nobody meanwhile:
-    // counted from the last renewal alone, the whole fleet would look missing at once.
+    // A new leader has no renewals yet, and a paused one received none meanwhile. Counted from the
+    // last renewal alone, the whole fleet would be absent at once.
     let heard = holders.heard(&announcement.instance, announcement.boot).unwrap_or(since);
     let silence = now.since(heard.max(since));
     (silence > timing::PRESENCE_TIMEOUT).then(|| command::Command::Absent {
--- a/crates/hyssopfork-control/src/steps.rs
+++ b/crates/hyssopfork-control/src/steps.rs
@@ -1,32 +1,32 @@
-//! The newest steps of the view, kept to lead watchers on by differences.
+//! The latest steps of the view, kept to update watchers incrementally.
 
 use hyssopfork_wire::{change, number};
 use std::collections::VecDeque;
 
-/// Most steps that are kept.
+/// Most steps that are retained.
 pub const COUNT_LIMIT: usize = 1_024;
 
-/// Most bytes of steps that are kept, as encoded. A declaration of a large fleet takes about a
+/// Most encoded bytes of steps that are retained. A declaration of a large fleet takes about a
 /// megabyte, and a thousand of them must not fill memory.
 pub const WEIGHT_LIMIT: u64 = 8 << 20;
 
-/// The newest steps.
+/// The latest steps.
 #[derive(Debug)]
 pub struct Steps {
     kept: VecDeque<(change::Step, u64)>,
-    /// Invariant: a view of this version or newer is led to the newest one by `kept`.
+    /// Invariant: a view of this version or newer is brought up to date by `retained`.
     floor: number::Version,
-    /// Invariant: the sum of the weights in `kept`.
+    /// Invariant: the sum of the sizes in `retained`.
     weight: u64,
 }
 
 impl Steps {
-    /// No steps yet after `version`.
+    /// Creates an empty list for a view at `version`.
     pub fn new(version: number::Version) -> Steps {
         Steps { kept: VecDeque::new(), floor: version, weight: 0 }
     }
 
-    /// Keeps a step.
+    /// Adds a step and evicts the oldest ones beyond the limits.
     pub fn push(&mut self, step: change::Step) {
         let weight = bincode::serialized_size(&step).unwrap_or(WEIGHT_LIMIT);
         self.weight += weight;
@@ -38,15 +38,15 @@
         }
     }
 
-    /// Version that a view must have at least to be led on by the kept steps.
+    /// Oldest version from which the retained steps lead to the newest one.
     pub fn floor(&self) -> number::Version {
         self.floor
     }
 
-    /// What leads a watcher at version `have` to `view`; `None` when it is ahead of it.
+    /// Update that brings a watcher from `version` to `view`; `None` when the watcher is ahead.
     pub fn update(&self, view: &change::View, have: number::Version) -> Option<change::Update> {
-        // A holder can be ahead only of an instance that lost what it had acknowledged, or of
-        // another fleet's control. Answered as "current", it would hold a lease on a view that
+        // A holder is ahead only if this control lost entries that it had acknowledged, or belongs
+        // to another fleet. Answered as current, the holder would get a lease on a view that
         // this control has never accepted.
         if have > view.version {
             return None;
@@ -54,7 +54,7 @@
         if have == view.version {
             return Some(change::Update::Current);
         }
-        // A watcher without a view gets it whole: it is smaller than the steps that made it.
+        // A watcher without a view gets the whole one: it is smaller than the steps to it.
         if have < self.floor || have == number::Version::default() {
             return Some(change::Update::Whole(Box::new(view.clone())));
         }
--- a/crates/hyssopfork-control/src/watches.rs
+++ b/crates/hyssopfork-control/src/watches.rs
@@ -1,41 +1,42 @@
-//! Calls that are held until the view moves.
+//! Long polls: calls that are held until the view changes.
 
 use hyssopfork_wire::{clock, name, number};
 use std::collections::BTreeMap;
 use std::mem;
 use std::time::Duration;
 
-/// Most calls that are held; at the size foreseen 380 daemons and 4,800 agents hold one each.
+/// Most calls held at once; at the planned size 380 daemons and 4,800 agents hold one each.
 pub const LIMIT: usize = 16_384;
 
-/// Least time between two rounds of answers for each held call.
+/// Least time between two rounds of responses, for each held call.
 ///
-/// When a fleet starts or a zone comes back, thousands of instances announce themselves within a
-/// second and every watcher would be told of each by itself: 4,800 times 5,000 answers, and the
-/// leader would send nothing else. Answered in rounds, each watcher gets the changes of a round in
-/// one answer. 30 watchers wait a millisecond for the next round, 5,000 a tenth of a second.
+/// When a fleet starts or a zone returns, thousands of instances announce themselves within a
+/// second. Sending each change to every watcher by itself would take 4,800 times 5,000 responses
+/// and leave the leader no time for anything else. In rounds, each watcher gets all changes since
+/// the last round in one response. 30 watchers wait a millisecond for the next round, 5,000 a tenth
+/// of a second.
 pub const PAUSE_EACH: Duration = Duration::from_micros(20);
 
 /// A held call.
 #[derive(Clone, Debug)]
 pub struct Watch {
-    /// The call.
+    /// Number of the call.
     pub call: u64,
-    /// Version that the watcher has.
+    /// Version of the watcher's view.
     pub have: number::Version,
-    /// When it is answered at the latest.
+    /// When the call is answered even if nothing has changed.
     pub until: clock::Instant,
-    /// Instance that the watcher needs to hear of; `None` for the whole view.
+    /// Instance whose part of the view is watched; `None` for the whole view.
     pub scope: Option<name::Instance>,
 }
 
-/// Held calls.
+/// The held calls.
 #[derive(Debug, Default)]
 pub struct Watches {
     held: BTreeMap<u64, Watch>,
-    /// Whether some watcher may be behind the view.
+    /// Whether a watcher's view may be stale.
     behind: bool,
-    /// When the last round of answers was given.
+    /// When the last round of responses was given.
     answered: clock::Instant,
 }
 
@@ -49,12 +50,12 @@
         true
     }
 
-    /// Notes that watchers may be behind the view.
+    /// Records that the view has changed, so that watchers may be stale.
     pub fn fall_behind(&mut self) {
         self.behind = !self.held.is_empty();
     }
 
-    /// Takes the calls of watchers that are `behind`, if a round of answers is due.
+    /// If a round is due, removes the calls for which `is_stale` holds and returns them.
     pub fn round(&mut self, now: clock::Instant, behind: impl Fn(&Watch) -> bool) -> Vec<Watch> {
         let pause = PAUSE_EACH * self.held.len() as u32;
         if !self.behind || now.since(self.answered) < pause {
@@ -65,17 +66,17 @@
         self.held.extract_if(.., |_, watch| behind(watch)).map(|(_, watch)| watch).collect()
     }
 
-    /// Lets go of a call whose connection closed.
+    /// Removes a call whose connection closed.
     pub fn abandon(&mut self, call: u64) {
         self.held.remove(&call);
     }
 
-    /// Takes the calls whose time is up.
+    /// Removes the calls whose deadline has passed and returns them.
     pub fn due(&mut self, now: clock::Instant) -> Vec<Watch> {
         self.held.extract_if(.., |_, watch| watch.until <= now).map(|(_, watch)| watch).collect()
     }
 
-    /// Takes all calls.
+    /// Removes all calls and returns them.
     pub fn drain(&mut self) -> Vec<Watch> {
         mem::take(&mut self.held).into_values().collect()
     }
--- a/crates/hyssopfork-control/tests/control.rs
+++ b/crates/hyssopfork-control/tests/control.rs
@@ -6,21 +6,22 @@
 use crate::histories::{check, world};
 use std::env;
 
-/// Seeds that CI runs; more by `HYSSOPFORK_SEEDS`, from `HYSSOPFORK_FIRST_SEED` on.
+/// Number of seeds that CI runs; `HYSSOPFORK_SEEDS` sets another, from `HYSSOPFORK_FIRST_SEED` on.
 const SEEDS: u64 = 200;
 
-/// Seeds that show what few do: a leader that was paused past its quorum lease answers an old
-/// renewal before it has noticed.
+/// Seeds that reach a rare case: a leader that was paused past its quorum lease answers an old
+/// renewal before it has detected the pause.
 const TELLING: [u64; 2] = [247, 1091];
 
 fn setting(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-// Operators race with equal base numbers and resend after lost answers; entries claim the same
-// keys; agents and entries renew leases, all through instances that crash, pause, lose a disk and
-// are cut off from each other while callers still reach them. What callers are told must read as
-// one history, no lease may outlive the bound, and after the faults everyone is served again.
+// Operators race with equal base numbers and resend after lost responses, entries claim the same
+// keys, and agents and entries renew leases. Meanwhile control instances crash, pause, lose a disk
+// and are partitioned from each other while clients still reach them. The responses must be
+// linearizable, no lease may exceed the bound, and after the faults all clients must be served
+// again.
 #[test]
 fn histories_under_faults_read_as_one() {
     let first = setting("HYSSOPFORK_FIRST_SEED", 0);
--- a/crates/hyssopfork-control/tests/histories/check.rs
+++ b/crates/hyssopfork-control/tests/histories/check.rs
@@ -1,4 +1,4 @@
-//! Checks over a whole history, after it was healed.
+//! Checks over a whole history, after the faults have ended.
 
 use crate::histories::{client, operator, world};
 use hyssopfork_wire::{claim, number, patch};
@@ -11,8 +11,9 @@
     })
 }
 
-/// Patches are one chain: each is accepted on the number before its own, tells every asker the
-/// same, is never lost, and no answer contradicts one that was known before its question.
+/// Patches are linearizable: each is accepted on the number before its own, has one outcome in all
+/// responses, is never lost, and no response contradicts one that was received before the request
+/// was sent.
 pub fn patches(world: &world::World) {
     let newest = world.slots.iter().filter_map(|slot| slot.core.as_ref());
     let newest = newest.max_by_key(|core| core.machine().applied()).expect("instances run");
@@ -33,7 +34,7 @@
     real_time(world);
 }
 
-/// What was told before a patch was first sent binds its outcome.
+/// A response that was received before a patch was first sent constrains the patch's outcome.
 fn real_time(world: &world::World) {
     let numbers = |story: &operator::Story| match story.told.first() {
         Some((at, patch::Outcome::Accepted(number))) => Some((*at, *number)),
@@ -49,7 +50,7 @@
     }
 }
 
-/// A key is granted to one attempt at a time, the next only after the last gave it back, and its
+/// A key is granted to one attempt at a time, to the next only after the last released it, and its
 /// outcome never changes.
 pub fn claims(world: &world::World) {
     let claimers = || {
@@ -96,8 +97,8 @@
     }
 }
 
-/// After the faults everybody is served again: patches are accepted, watchers are led to the
-/// newest version, and the declared group stands whole.
+/// After the faults all clients are served again: patches are accepted, watchers reach the newest
+/// version, and the declared group is placed completely.
 pub fn recovery(world: &world::World) {
     let (newest, (_, view)) = world.versions.last_key_value().expect("versions");
     let accepted = operators(world).any(|story| {
--- a/crates/hyssopfork-control/tests/histories/claimer.rs
+++ b/crates/hyssopfork-control/tests/histories/claimer.rs
@@ -1,10 +1,10 @@
-//! Entries that claim the same few keys, do the work, give keys back, or crash in between.
+//! Entries that claim a few shared keys, do the work, release keys, or crash in between.
 
 use crate::histories::client;
 use hyssopfork_wire::{attempt, claim, control, frame};
 use rand::RngExt;
 
-/// What one claim was told.
+/// Response to a claim.
 pub struct Told {
     pub sent: u64,
     pub at: u64,
@@ -25,7 +25,7 @@
     count: u64,
     pub told: Vec<Told>,
     pub ended: Vec<Ended>,
-    /// Request that is sent until it is answered.
+    /// Request that is resent until it is answered.
     open: Option<control::Request>,
     waiting: bool,
 }
@@ -44,7 +44,7 @@
         if self.waiting {
             return (Vec::new(), again);
         }
-        // The process crashes: what it held stays as it is.
+        // The process crashes: its claim stays in progress.
         if random.random_bool(0.02) {
             self.open = None;
         }
@@ -92,7 +92,7 @@
     }
 }
 
-/// A third of the attempts find that they never ran.
+/// Returns [`claim::Outcome::NotRun`] for a third of the attempts.
 fn outcome(attempt: attempt::Identifier) -> claim::Outcome {
     if attempt.count.is_multiple_of(3) {
         return claim::Outcome::NotRun;
--- a/crates/hyssopfork-control/tests/histories/client.rs
+++ b/crates/hyssopfork-control/tests/histories/client.rs
@@ -1,4 +1,4 @@
-//! What clients of control have in common.
+//! Common interface of the clients of control.
 
 use crate::histories::{claimer, holder, operator};
 use hyssopfork_wire::{change, control, number};
@@ -11,7 +11,7 @@
     pub sent: u64,
 }
 
-/// Each version's first application and its view.
+/// Each version's view, with the time when it was first applied.
 pub type Versions = BTreeMap<number::Version, (u64, change::View)>;
 
 pub enum Client {
@@ -21,7 +21,7 @@
 }
 
 impl Client {
-    /// What it asks now, and in how long it wakes again.
+    /// Returns the requests to send now, and the delay until the next wake-up.
     pub fn wake(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) -> (Vec<Ask>, u64) {
         let (requests, again) = match self {
             Client::Operator(operator) => operator.wake(now, random),
--- a/crates/hyssopfork-control/tests/histories/holder.rs
+++ b/crates/hyssopfork-control/tests/histories/holder.rs
@@ -1,4 +1,4 @@
-//! Agents and entries that renew leases, watch, restart and check what they are told.
+//! Agents and entries that renew leases, watch the view, restart, and check the responses.
 
 use crate::histories::{client, slot};
 use crate::solo::fixture;
@@ -12,16 +12,16 @@
     clock: slot::Clock,
     boot: u64,
     pub view: change::View,
-    /// Until when the lease runs, on the holder's clock.
+    /// End of the lease, on the holder's clock.
     lease: clock::Instant,
     renewing: Option<u64>,
     watching: bool,
     down_until: u64,
-    /// Newest fencing number loaded.
+    /// Newest fencing number whose model is loaded.
     joined: number::Fence,
 }
 
-/// The first four are agents, the others entries.
+/// Creates a holder; the first four are agents, the others entries.
 pub fn new(index: u64, clock: slot::Clock) -> Holder {
     Holder {
         instance: name::Instance::new(format!("a{index}")),
@@ -66,7 +66,7 @@
         response: Option<control::Response>,
         versions: &mut client::Versions,
     ) {
-        // The answer belongs to a call of the process before, or nobody is there to hear it.
+        // The response belongs to a call of the previous process, or the holder is down.
         if ask.sent < self.down_until || now < self.down_until {
             return;
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Its process is cut off for a while, or ends and comes back with nothing.
+    /// Either cuts the process off for a while, or ends it and starts a new one without state.
     pub fn restart(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) {
         if random.random_bool(0.5) {
             let clock = self.clock;
@@ -109,18 +109,19 @@
 
     fn lead(&mut self, now: u64, update: change::Update, versions: &mut client::Versions) {
         let before = self.view.version;
-        // Steps up to the version that it asked from may all be known by now: nothing to take.
+        // Skips steps that the view already contains.
         if view::lead(&mut self.view, update).is_err() || self.view.version.0 == 0 {
             return;
         }
         assert!(self.view.version >= before, "a version went down");
-        // An instance may have passed through this version within one event, unseen by the run.
+        // A control instance may have passed this version within one event, so that the simulation
+        // did not record it.
         self.check_view(now, versions);
         let placed = upstream::placement(&self.view, &self.instance);
         self.joined = placed.map_or(self.joined, |(_, placement, _)| placement.fence);
     }
 
-    /// Entries hold the same whole view of a version; an agent holds its part of it.
+    /// All entries must have the same whole view of a version, and an agent its scoped part of it.
     fn check_view(&self, now: u64, versions: &mut client::Versions) {
         if !self.agent {
             let mine = || (now, self.view.clone());
--- a/crates/hyssopfork-control/tests/histories/mod.rs
+++ b/crates/hyssopfork-control/tests/histories/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded histories of three control instances under faults.
+//! Simulated histories of three control instances under faults, by seed.
 
 pub mod check;
 mod claimer;
--- a/crates/hyssopfork-control/tests/histories/operator.rs
+++ b/crates/hyssopfork-control/tests/histories/operator.rs
@@ -1,15 +1,15 @@
-//! Operators who race with equal base numbers and resend after lost answers.
+//! Operators that race with equal base numbers and resend after lost responses.
 
 use crate::histories::{client, world};
 use crate::solo::fixture;
 use hyssopfork_wire::{control, fleet, number, patch};
 use rand::RngExt;
 
-/// A patch and every outcome that was told.
+/// A patch and every outcome that was returned for it.
 pub struct Story {
     pub patch: patch::Patch,
     pub first_sent: u64,
-    /// True time of the answer, and the outcome.
+    /// True time and outcome of each response.
     pub told: Vec<(u64, patch::Outcome)>,
 }
 
@@ -18,7 +18,7 @@
     pub stories: Vec<Story>,
     known: number::Configuration,
     waiting: bool,
-    /// Story that has no outcome yet.
+    /// Index of the patch that has no outcome yet.
     open: Option<usize>,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// Whether a placement is of the final declaration.
+/// Whether a placement is one of the final declaration.
 pub fn is_final(placement: &fleet::Placement) -> bool {
     placement.members.len() == 2
 }
--- a/crates/hyssopfork-control/tests/histories/slot.rs
+++ b/crates/hyssopfork-control/tests/histories/slot.rs
@@ -6,14 +6,14 @@
 use hyssopfork_wire::{clock, consensus, name};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Clocks differ from true time by at most half the rate error each.
+/// Largest drift of a clock from true time: half of the drift allowed between two clocks.
 pub const RATE_SPREAD_PPM: i64 = 5_000;
 
-/// A clock: local microseconds from true ones.
+/// A clock that converts true microseconds to local ones.
 #[derive(Clone, Copy)]
 pub struct Clock {
     pub offset: u64,
-    /// Parts per million by which it runs fast.
+    /// Drift in parts per million; positive when the clock runs fast.
     pub rate: i64,
 }
 
@@ -28,7 +28,7 @@
 pub struct Slot {
     pub name: name::Instance,
     pub core: Option<core::Core>,
-    /// Counts its processes.
+    /// Number of processes started so far.
     pub boot: u64,
     pub folder: u64,
     pub clock: Clock,
@@ -63,7 +63,7 @@
         self.boot += 1;
     }
 
-    /// Ends the process; of the writes not yet synced the first `kept` reach the disk.
+    /// Ends the process; of the writes not yet synced, the first `kept` reach the disk.
     pub fn crash(&mut self, kept: usize) {
         for write in self.unsynced.drain(..).take(kept) {
             self.durable.apply(&write);
@@ -72,7 +72,7 @@
         self.core = None;
     }
 
-    /// Loses the disk.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&mut self, folder: u64) {
         self.durable = node::Durable::default();
         self.folder = folder;
@@ -82,7 +82,7 @@
         self.unsynced.push_back(write);
     }
 
-    /// Syncs the writes up to a mark.
+    /// Syncs the writes up to a number.
     pub fn sync(&mut self, mark: u64) {
         while self.unsynced.front().is_some_and(|write| write.number <= mark) {
             let write = self.unsynced.pop_front().expect("looked at");
--- a/crates/hyssopfork-control/tests/histories/world.rs
+++ b/crates/hyssopfork-control/tests/histories/world.rs
@@ -1,4 +1,4 @@
-//! True time, the network, faults, and what every moment must show.
+//! Simulation: true time, the network, faults, and the invariants that are checked at every step.
 
 use crate::histories::{claimer, client, holder, operator, slot};
 use hyssopfork_control::{action, event};
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SECOND: u64 = 1_000_000;
-/// When faults end.
+/// End of the faults, in microseconds.
 pub const HEALED: u64 = 16 * SECOND;
-/// When the run ends.
+/// End of the run, in microseconds.
 const END: u64 = 28 * SECOND;
 const TIMEOUT: u64 = SECOND;
 
@@ -31,23 +31,23 @@
     ask: client::Ask,
 }
 
-/// A run.
+/// State of a run.
 pub struct World {
     pub random: rand_chacha::ChaCha8Rng,
     pub now: u64,
     pub slots: Vec<slot::Slot>,
     pub clients: Vec<client::Client>,
-    /// Each version's first application anywhere, and its view.
+    /// Each version's view, with the time when it was first applied by any instance.
     pub versions: BTreeMap<number::Version, (u64, change::View)>,
     queue: BTreeMap<(u64, u64), Happening>,
     sequence: u64,
     calls: BTreeMap<u64, Asked>,
-    /// Pairs of control instances that cannot reach each other.
+    /// Pairs of control instances that are partitioned from each other.
     cut: BTreeSet<(usize, usize)>,
     wiped: bool,
 }
 
-/// Runs a seed to its end and gives the world for the checks over the whole history.
+/// Runs a seed to its end and returns the state for the checks over the whole history.
 pub fn run(seed: u64) -> World {
     let mut world = World::new(seed);
     while let Some(((at, _), happening)) = world.queue.pop_first() {
@@ -131,7 +131,7 @@
     fn step(&mut self, slot: usize, event: event::Event, again: Happening) {
         let paused = self.slots[slot].paused_until;
         if paused > self.now {
-            // What came meanwhile is taken in any order, also before the first tick.
+            // Events that arrived during the pause are handled in any order, even before a tick.
             let order = self.random.random_range(0..2_000);
             return self.at(paused - self.now + order, again);
         }
@@ -257,8 +257,8 @@
         self.slots[slot].paused_until = 0;
         let others = (0..3).filter(|other| *other != slot);
         let alone = others.into_iter().all(|other| self.slots[other].core.is_some());
-        // A disk lost between the forming of the log and the first election may leave the first
-        // start stuck with nothing accepted (docs/design/replicated-log.md).
+        // If a disk is lost between the formation of the log and the first election, the first
+        // start may get stuck with nothing accepted (docs/design/replicated-log.md).
         let accepted = self.versions.keys().any(|version| version.0 > 0);
         if alone && accepted && !self.wiped && self.random.random_bool(0.3) {
             self.wiped = true;
@@ -269,7 +269,7 @@
         self.at(delay, Happening::Start(slot));
     }
 
-    /// Every instance that applies a version must come to the same view.
+    /// Asserts that every instance that applies a version has the same view.
     fn note_version(&mut self, slot: usize) {
         let Some(core) = &self.slots[slot].core else { return };
         let view = core.machine().view();
@@ -279,7 +279,8 @@
         }
     }
 
-    /// No holder may act on a view older than what was accepted more than the bound ago.
+    /// Asserts that no lease covers a view without a change that was accepted longer ago than the
+    /// bound.
     fn check_leases(&self) {
         let bound = timing::IN_FORCE_BOUND.as_micros() as u64;
         let in_force = self.versions.iter().rev().find(|(_, (at, _))| at + bound < self.now);
--- a/crates/hyssopfork-control/tests/solo/answering.rs
+++ b/crates/hyssopfork-control/tests/solo/answering.rs
@@ -1,4 +1,4 @@
-//! Who is answered what, and when.
+//! Responses to calls: their content and time.
 
 use crate::solo::fixture;
 use hyssopfork_control::{calls, event, notice, steps};
@@ -27,9 +27,9 @@
     control::Request::Claim(claim::Claim { key, digest: [0; 32], attempt })
 }
 
-// A leader restarts and is elected again. It has the accepted patch on its disk but has not applied
-// it yet; a lease now would be one on the view before the patch, and a zone that was taken out
-// would receive work for as long as that lease runs.
+// A leader restarts and is elected again. The accepted patch is on its disk but not applied yet. A
+// lease granted now would cover the view before the patch, and a zone that was taken out would
+// receive work for as long as that lease runs.
 #[test]
 fn a_new_leader_gives_no_lease_before_it_has_applied_an_entry_of_its_own_term() {
     let durable = fixture::Solo::leading().durable;
@@ -52,8 +52,8 @@
     assert_eq!(view.configuration.number, number::Configuration(1));
 }
 
-// The caller's patch was appended by a leader that lost it; another leader's entry stands at the
-// same index. Its reply must not be told as the caller's.
+// A client's patch was appended by a leader that lost leadership, and another leader's entry was
+// committed at the same index. That entry's reply must not be returned to the client.
 #[test]
 fn an_entry_of_another_term_answers_nobody() {
     let mut calls = calls::Calls::default();
@@ -113,8 +113,8 @@
     assert!(matches!(steps.update(&view, number::Version(11)), Some(change::Update::Whole(_))));
 }
 
-// The log holds a command of another release. An instance that passed over it would hold another
-// state than the others from then on, and nobody would notice.
+// The log contains a command of another release. An instance that skipped it would diverge from the
+// other replicas, and nobody would notice.
 #[test]
 #[should_panic(expected = "a command of encoding 9 is in the log")]
 fn a_command_that_cannot_be_read_ends_the_process() {
@@ -168,8 +168,8 @@
     assert!(!solo.replies.contains_key(&abandoned));
 }
 
-// Many changes follow each other within a moment, as when a fleet starts. Told of each by itself,
-// thousands of watchers would keep the leader busy with nothing but answers.
+// Many changes are applied within a moment, as when a fleet starts. If each were sent by itself to
+// thousands of watchers, the leader would have no time for anything else.
 #[test]
 fn changes_that_follow_at_once_are_told_in_one_answer() {
     let mut solo = fixture::Solo::leading();
@@ -192,8 +192,8 @@
     ));
 }
 
-// A leader loses its quorum while a patch is pending. It may be committed by the next leader or
-// not, so the operator is told neither "accepted" nor "refused".
+// A leader loses its quorum while a patch is pending. The next leader may commit the patch or not,
+// so the operator must be told neither that it was accepted nor that it was rejected.
 #[test]
 fn a_call_whose_end_is_not_known_in_time_is_told_so() {
     let mut solo = fixture::Solo::leading();
--- a/crates/hyssopfork-control/tests/solo/fixture.rs
+++ b/crates/hyssopfork-control/tests/solo/fixture.rs
@@ -1,4 +1,4 @@
-//! The instance, and what is asked of it.
+//! The single instance, and requests to it.
 
 use hyssopfork_consensus::{node, write};
 use hyssopfork_control::{action, core, event, notice};
@@ -14,21 +14,21 @@
     pub core: core::Core,
     pub now: clock::Instant,
     pub durable: node::Durable,
-    /// Whether writes reach the disk at once; they are held back otherwise.
+    /// Whether writes reach the disk at once; otherwise they are collected in `held_writes`.
     pub syncs: bool,
     pub held: Vec<write::Write>,
     pub replies: BTreeMap<u64, control::Response>,
     pub notices: Vec<notice::Notice>,
     pub stopped: bool,
-    /// Agents that renew with each [`Solo::live`], with what they report.
+    /// Agents that renew during [`Solo::run`], with their reports.
     pub agents: BTreeMap<String, (fleet::Announcement, fleet::Report)>,
-    /// Agents that are leaving.
+    /// Names of the agents that are leaving.
     pub leaving: BTreeSet<String>,
     calls: u64,
 }
 
 impl Solo {
-    /// Starts an instance on what a disk holds.
+    /// Starts an instance from the contents of a disk.
     pub fn start(durable: node::Durable) -> Solo {
         let now = clock::Instant::from_millis(1_000);
         let instance = name::Instance::from("c1");
@@ -64,7 +64,7 @@
         solo
     }
 
-    /// Lets an agent renew from now on.
+    /// Adds an agent that renews from now on.
     pub fn add(&mut self, name: &str, domain: &str, boot: u64) {
         let report = fleet::Report { alive: true, ..Default::default() };
         self.agents.insert(name.into(), (announcement(name, domain, boot), report));
@@ -97,7 +97,7 @@
         self.step(event::Event::Persisted(write.number));
     }
 
-    /// Lets time pass with ticks alone.
+    /// Lets time pass with ticks only.
     pub fn pass(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Lets time pass while every agent renews; engines load what they are placed for.
+    /// Lets time pass while every agent renews; engines load the models of their placements.
     pub fn live(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -140,7 +140,7 @@
         self.calls
     }
 
-    /// Asks and takes the answer, if it came at once.
+    /// Sends a request and returns the response, if there is one at once.
     pub fn ask(&mut self, request: control::Request) -> Option<control::Response> {
         let call = self.call(request);
         self.replies.remove(&call)
@@ -180,7 +180,7 @@
     }
 }
 
-/// Running requests at which a fixture's engine counts as one that never loads.
+/// Number of running requests that marks a fixture's engine as one that never loads.
 pub const STUCK: u32 = 1_000;
 
 pub fn group(size: u32) -> configuration::Group {
--- a/crates/hyssopfork-control/tests/solo/groups.rs
+++ b/crates/hyssopfork-control/tests/solo/groups.rs
@@ -1,4 +1,4 @@
-//! Groups through losses, orders and engines that do not load.
+//! Placement of groups: lost members, operators' changes and engines that do not load.
 
 use crate::solo::fixture;
 use hyssopfork_control::{groups, notice};
@@ -14,7 +14,7 @@
     solo
 }
 
-// A member's process dies, and right after the repair the spare that took its place.
+// A member's process dies, and right after the repair so does the spare that replaced it.
 #[test]
 fn a_lost_member_is_replaced_by_a_spare_of_its_domain_twice_in_a_row() {
     let mut solo = placed();
@@ -50,8 +50,8 @@
     assert_eq!(solo.placed("g1"), Some((vec!["e3".into(), "e2".into()], number::Fence(2))));
 }
 
-// An agent was paused for a second. Its first report after that comes before its next probe, so it
-// says that the engine doesn't answer; the report after it says that it does.
+// An agent was paused for a second. Its first report after that precedes its next probe, so it
+// reports the engine as dead; the following report says that the engine is alive.
 #[test]
 fn one_report_of_a_dead_engine_moves_no_group() {
     let mut solo = placed();
@@ -64,8 +64,8 @@
     assert_eq!(solo.placed("g1"), Some((vec!["e1".into(), "e2".into()], number::Fence(1))));
 }
 
-// An agent's process restarts beside an engine that runs on. Its first reports come before its
-// first probe; taken for a dead engine, each restart would cost the group a load of weights.
+// An agent's process restarts while its engine keeps running. Its first reports precede its first
+// probe; if they counted as a dead engine, each restart would cost the group a load of weights.
 #[test]
 fn a_restarted_agent_keeps_its_place() {
     let mut solo = placed();
@@ -111,8 +111,8 @@
     assert_eq!(solo.placed("g1"), Some((vec!["e1".into(), "e3".into()], number::Fence(2))));
 }
 
-// A member is drained while a request has just begun on its group; the first member's last report
-// is older than that and says that nothing runs. Moved at once, the group would cut the request.
+// A member is drained just after a request has started on its group. The first member's last report
+// is older and says that nothing runs; if the group were moved at once, the request would be cut.
 #[test]
 fn a_group_that_looks_idle_by_an_old_report_stays_until_its_request_has_ended() {
     let mut solo = placed();
@@ -130,8 +130,8 @@
     assert_eq!(solo.placed("g1"), Some((vec!["e1".into(), "e3".into()], number::Fence(2))));
 }
 
-// Groups of great priority are declared larger than any fabric domain. They can stand nowhere; the
-// lesser group behind them can and must.
+// Groups of high priority are larger than any fabric domain, so they cannot be placed. A group of
+// lower priority behind them can be and must be.
 #[test]
 fn groups_that_fit_nowhere_keep_no_lesser_one_waiting() {
     let mut solo = placed();
@@ -147,9 +147,9 @@
     assert!(solo.placed("small").is_some());
 }
 
-// A group is broken when its leader restarts. Spares of another domain are heard first, the survivor
-// and the spare beside it half a second later. Placed on what is heard first, every member would
-// have to load weights in place of one.
+// A group is broken when the leader restarts. Spares of another domain report first, the survivor
+// and the spare in its domain half a second later. A placement by the first reports would load
+// weights on every member instead of one.
 #[test]
 fn a_new_leader_hears_everyone_before_it_mends_a_group() {
     let mut old = fixture::Solo::leading();
@@ -170,8 +170,9 @@
     assert_eq!(solo.placed("g1"), Some((vec!["e1".into(), "e3".into()], number::Fence(2))));
 }
 
-// A member is drained. The first member reported half a second ago that nothing runs, and has taken
-// work since, as it hasn't heard of the draining yet; moved at once, the group would cut it off.
+// A member is drained. The first member reported half a second ago that nothing runs, and has
+// admitted work since, as it does not know of the drain yet; if the group were moved at once, this
+// work would be cut.
 #[test]
 fn a_report_from_before_the_draining_moves_nothing() {
     let mut solo = placed();
@@ -186,8 +187,8 @@
     assert_eq!(solo.placed("g1"), Some((vec!["e1".into(), "e3".into()], number::Fence(2))));
 }
 
-// An engine answers probes but never finishes to load. Without a limit its group would wait for
-// it for good; without passing it over it would be the first spare for the next repair.
+// An engine answers probes but never finishes loading. Without a timeout its group would wait for
+// it forever; without the exclusion it would be the first spare for the next repair.
 #[test]
 fn a_member_that_never_loads_is_passed_over_and_no_group_moves_while_it_loads() {
     let mut solo = fixture::Solo::leading();
--- a/crates/hyssopfork-control/tests/solo/interests.rs
+++ b/crates/hyssopfork-control/tests/solo/interests.rs
@@ -1,4 +1,4 @@
-//! Agents that follow only their part of the view.
+//! Agents that follow the scoped view.
 
 use crate::solo::fixture;
 use hyssopfork_control::interests;
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Instances and groups of the random histories.
+/// Number of instances in the random histories.
 const INSTANCES: u32 = 6;
 const GROUPS: u32 = 3;
 
@@ -24,7 +24,7 @@
     named(&["g0", "g1", "g2"], place)
 }
 
-/// A change that may come after `view`.
+/// A random change that is valid after `view`.
 fn change(view: &change::View, random: &mut ChaCha8Rng) -> change::Change {
     let place = random.random_range(0..INSTANCES);
     let group = group(random.random_range(0..GROUPS));
@@ -61,16 +61,16 @@
     change::Change::Configured { number, operations: vec![operation] }
 }
 
-/// What an agent decides by, which must not change unless it is woken.
+/// The state that an agent decides by, which must not change unless the agent is woken.
 fn needs(view: &change::View) -> impl PartialEq + std::fmt::Debug + use<> {
     let drained = |other: &&name::Instance| view.configuration.drained.contains(*other);
     let drained: Vec<name::Instance> = view.members.keys().filter(drained).cloned().collect();
     (view.members.clone(), view.placements.clone(), drained)
 }
 
-// An agent that is told only of what concerns it must know of its instance, its group and the
-// declaration exactly what one that is told of everything knows. One missed change, and it would
-// serve in a group that has ended, or refuse one that stands.
+// An agent with the scoped view must know the same of its instance, its group and the declaration
+// as one with the whole view. If it missed a change, it would serve in a group that has ended, or
+// reject work for one that is in force.
 #[test]
 fn a_narrowed_view_is_always_the_part_of_the_whole() {
     for seed in 0..300 {
@@ -107,7 +107,7 @@
 }
 
 // Thousands of agents follow the view. A change of teams or routes, or of an instance in another
-// group, wakes none of them; a zone that goes out wakes all.
+// group, must wake none of them; a zone that is taken out wakes all.
 #[test]
 fn agents_are_woken_by_what_concerns_them_only() {
     let mut solo = fixture::Solo::leading();
--- a/crates/hyssopfork-control/tests/solo/leases.rs
+++ b/crates/hyssopfork-control/tests/solo/leases.rs
@@ -1,4 +1,4 @@
-//! Agents' leases, presence and names.
+//! Leases of agents, their presence and their names.
 
 use crate::solo::fixture;
 use hyssopfork_control::{event, notice};
@@ -75,9 +75,9 @@
     assert!(solo.view().members[&"e1".into()].present);
 }
 
-// The control instance is stopped for ten seconds (a suspended machine). Nobody could renew with
-// it meanwhile; counted from the last renewals, every agent would be absent and every group would
-// be torn up at once.
+// The control process is paused for ten seconds (a suspended machine). Nobody could renew with it
+// meanwhile; counted from the last renewals, every agent would be absent and every group would be
+// moved at once.
 #[test]
 fn a_leader_that_was_paused_counts_nobody_as_absent() {
     let mut solo = fixture::Solo::leading();
--- a/crates/hyssopfork-control/tests/solo/mod.rs
+++ b/crates/hyssopfork-control/tests/solo/mod.rs
@@ -1,4 +1,4 @@
-//! One control instance that is a quorum by itself, with its disk and clock in the test's hands.
+//! A single control instance that is a quorum by itself; the tests control its disk and clock.
 
 mod answering;
 pub mod fixture;
--- a/crates/hyssopfork-state/benches/state.rs
+++ b/crates/hyssopfork-state/benches/state.rs
@@ -1,5 +1,5 @@
-//! Slopes of the replicated state: bytes and microseconds of commands, steps and snapshots, by the
-//! number of instances, claims and patches. Run by `cargo bench -p hyssopfork-state`.
+//! Cost of the replicated state in bytes and microseconds, for commands, steps and snapshots, by
+//! the number of instances, claims and patches. Run by `cargo bench -p hyssopfork-state`.
 
 use hyssopfork_state::{command, machine, view};
 use hyssopfork_wire::{attempt, change, claim, configuration, fleet, frame, name, number, patch};
@@ -7,7 +7,7 @@
 use std::net;
 use std::time::{Duration, Instant};
 
-/// Members of a group, as at the size foreseen.
+/// Members of a group, as at the planned size.
 const SIZE: u32 = 8;
 
 struct Log {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A fleet of engines in domains of 16, in groups of 8, one spare group's worth in each domain.
+/// A fleet of engines in domains of 16, in groups of 8, with spares for one group in each domain.
 fn populated(instances: u32) -> Log {
     let mut log = Log::new();
     let mut declared = configuration::Configuration::default();
--- a/crates/hyssopfork-state/src/claims.rs
+++ b/crates/hyssopfork-state/src/claims.rs
@@ -1,52 +1,53 @@
-//! Claims on non-repeatable work.
+//! Idempotency keys: claims on non-repeatable work.
 //!
-//! A claim is committed before its work is sent, so of all entries that hold the same key one
-//! sends it. What is remembered of a key is what keeps the work from running twice: nothing is
-//! dropped before [`RETENTION`], and when memory is full of what may not be dropped, new claims
-//! are refused ([`claim::Reply::Full`]) in place of forgetting old ones.
+//! A claim is committed before its work is sent, so of all entries with the same key only one sends
+//! it. A retained claim keeps the work from running twice: no outcome is evicted before
+//! [`OUTCOME_RETENTION`] has passed, and when memory is full of claims that must be retained, new
+//! claims are rejected ([`claim::Reply::Full`]) instead.
 
 use hyssopfork_wire::{attempt, claim};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Most claims that are remembered.
+/// Most claims that are retained.
 pub const COUNT_LIMIT: usize = 32_768;
 
-/// Most bytes of remembered claims, as weighed here. A claim in progress weighs a whole answer,
-/// so that its outcome always finds room.
+/// Most bytes of retained claims, as estimated here. A claim in progress counts with a whole
+/// answer, so that there is always room for its outcome.
 pub const WEIGHT_LIMIT: usize = 32 << 20;
 
-/// Time for which an outcome is remembered at least; callers must not reuse a key later than
-/// this. Longer, while there is room.
+/// Least time for which an outcome is retained; clients must not reuse a key later than this. It is
+/// retained longer while there is room.
 pub const RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// Time in progress after which a claim's outcome is unknown: its holder fell silent. The work that
-/// claims cover is short; an answer that comes later still reaches the caller that waits for it.
+/// Time in progress after which a claim's outcome is unknown, since its holder has not recorded
+/// one. Claims cover short work; an answer that comes later still reaches the client that waits for
+/// it.
 pub const PROGRESS_LIMIT: Duration = Duration::from_secs(600);
 
-/// Longest step by which the state ages at once ([`crate::command::Command::Elapsed`]): a claim
-/// may have been granted at the end of the step that ages it, so this much is added to its time.
+/// Longest time by which claims age at once ([`crate::command::Command::Elapsed`]). A claim may
+/// have been granted at the end of the interval that ages it, so this much is added to its time.
 pub const GRAIN: Duration = Duration::from_secs(10);
 
-/// Attempts whose claim was freed that are remembered.
+/// Most attempts with a released claim that are retained.
 pub const FREED_LIMIT: usize = 4_096;
 
 /// Longest Idempotency-Key, in bytes.
 pub const KEY_LIMIT: usize = 256;
 
-/// Estimated bytes of a remembered claim besides its texts and answer.
+/// Estimated bytes of a retained claim besides its texts and answer.
 const WEIGHT_BASE: usize = 256;
 
-/// One claim.
+/// A claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
     digest: [u8; 32],
     attempt: attempt::Identifier,
-    /// `None` while in progress. Invariant: never changes once it is there, and is never
-    /// [`claim::Outcome::NotRun`], which frees the key.
+    /// `None` while in progress. Invariant: never changes once set, and is never
+    /// [`claim::Outcome::NotRun`], which releases the key.
     outcome: Option<claim::Outcome>,
-    /// Age of the state when the claim was granted or its outcome recorded.
+    /// Value of [`Claims::age`] when the claim was granted or its outcome recorded.
     since: Duration,
 }
 
@@ -54,27 +55,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     entries: BTreeMap<claim::Key, Entry>,
-    /// Keys that are done, in the order of their outcomes.
+    /// Completed keys, in the order of their outcomes.
     done: VecDeque<claim::Key>,
-    /// Keys in progress, in the order of their grants; may hold ones that have ended since.
+    /// Keys in progress, in the order of their grants; may contain keys that have completed since.
     progress: VecDeque<(claim::Key, attempt::Identifier)>,
-    /// Attempts whose claim was freed, oldest first.
+    /// Attempts whose claim was released, oldest first.
     freed: VecDeque<attempt::Identifier>,
-    /// Invariant: the sum of the weights of `entries`.
+    /// Invariant: the sum of the sizes of `entries`.
     weight: usize,
-    /// Time that leaders counted; never runs ahead of true time by more than the clocks' rate
-    /// error, and stands still while nobody leads.
+    /// Time that leaders counted. It never exceeds true time by more than the clock drift, and
+    /// stands still while there is no leader.
     age: Duration,
 }
 
 impl Claims {
-    /// Takes a claim.
+    /// Grants or rejects a claim, or returns the outcome of the key's work.
     pub fn claim(&mut self, claim: &claim::Claim) -> claim::Reply {
         if let Some(entry) = self.entries.get(&claim.key) {
             return again(entry, claim);
         }
-        // A claim that was resent, or sat in the network, can arrive after its attempt gave the
-        // key back. Granted then, it would hold the key with nobody to do the work.
+        // A claim that was resent or delayed can arrive after its attempt released the key. If it
+        // were granted then, its holder would never run the work.
         if self.freed.contains(&claim.attempt) {
             return claim::Reply::Done(claim::Outcome::NotRun);
         }
@@ -89,7 +90,7 @@
         claim::Reply::Granted
     }
 
-    /// Records how claimed work ended; ignored unless `attempt` holds the claim and it is in
+    /// Records the outcome of claimed work; ignored unless `attempt` holds the claim and it is in
     /// progress. Returns whether it was recorded.
     pub fn record(
         &mut self,
@@ -113,10 +114,10 @@
         true
     }
 
-    /// Lets the state age, and gives claims whose holder fell silent their outcome: unknown, never
-    /// free, since the work may have run.
+    /// Ages the claims, and completes those whose holder recorded no outcome in time as unknown.
+    /// They are never released, since the work may have run.
     ///
-    /// Returns how many were ended.
+    /// Returns the number of claims completed.
     pub fn age_by(&mut self, elapsed: Duration) -> usize {
         self.age += elapsed.min(GRAIN);
         let mut ended = 0;
@@ -136,17 +137,17 @@
         ended
     }
 
-    /// Number of claims that are remembered.
+    /// Number of retained claims.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Whether no claim is retained.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of remembered claims, with room for the answers of those in progress.
+    /// Estimated bytes of the retained claims, with room for the answers of those in progress.
     pub fn weight(&self) -> usize {
         self.weight
     }
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Drops outcomes past their time until `needed` more bytes and one more claim fit; returns
-    /// whether they do.
+    /// Evicts outcomes past their retention until `needed` more bytes and one more claim fit;
+    /// returns whether they do.
     fn make_room(&mut self, needed: usize) -> bool {
         while self.entries.len() >= COUNT_LIMIT || self.weight + needed > WEIGHT_LIMIT {
             if !self.drop_oldest() {
@@ -181,7 +182,7 @@
         true
     }
 
-    /// Drops the oldest outcome if its time has passed; returns whether it did.
+    /// Evicts the oldest outcome if its retention has passed; returns whether it did.
     fn drop_oldest(&mut self) -> bool {
         let Some(oldest) = self.done.front() else { return false };
         let due = |entry: &Entry| entry.since + RETENTION + GRAIN <= self.age;
--- a/crates/hyssopfork-state/src/command.rs
+++ b/crates/hyssopfork-state/src/command.rs
@@ -1,68 +1,68 @@
-//! Commands of the replicated state and their encoding in the log.
+//! Commands of the replicated state machine and their encoding in the log.
 
 use hyssopfork_wire::{attempt, claim, fleet, name, number, patch};
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Version of the encoding that this build writes, the first byte of each command.
+/// Version of the encoding that this build writes, as the first byte of each command.
 pub const ENCODING: u8 = 1;
 
-/// A command. Whether it has an effect is decided when it is applied, not when it is proposed:
-/// between the two the state may have moved, and another leader may have proposed the same.
+/// A command. Its effect is decided when it is applied, not when it is proposed: between the two
+/// the state may have changed, and another leader may have proposed the same.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Command {
     /// Submits a patch.
     Submit(patch::Patch),
-    /// Records what an instance says of itself, and that it is present.
+    /// Records what an instance announces about itself, and that it is present.
     Announce(Box<fleet::Announcement>),
     /// Records that an agent's process is leaving.
     Leaving {
         /// Instance of the agent.
         instance: name::Instance,
-        /// Boot of its process; has no effect on another one.
+        /// Boot number of its process; has no effect on another process.
         boot: u64,
     },
-    /// Records that an agent fell silent.
+    /// Records that an agent missed its renewals.
     Absent {
         /// Instance of the agent.
         instance: name::Instance,
-        /// Boot of its process; has no effect on another one.
+        /// Boot number of its process; has no effect on another process.
         boot: u64,
     },
-    /// Forgets an instance that is absent and stands in no placement.
+    /// Removes an instance that is absent and in no placement.
     Forget(name::Instance),
     /// Places a group under a new fencing number.
     Place {
         /// The group.
         group: name::Group,
-        /// Members in order.
+        /// Members in order of rank.
         members: Vec<name::Instance>,
-        /// Fencing number of the placement that this one replaces; `None` when the group stood
-        /// nowhere. Has no effect when the group stands under another one by now.
+        /// Fencing number of the placement that this one replaces; `None` when the group has no
+        /// placement. Has no effect when the group's placement is another one by now.
         over: Option<number::Fence>,
     },
     /// Ends a group's placement.
     Unplace {
         /// The group.
         group: name::Group,
-        /// Fencing number of the placement that is meant.
+        /// Fencing number of the placement to be ended.
         fence: number::Fence,
     },
     /// Claims non-repeatable work.
     Claim(claim::Claim),
-    /// Records how claimed work ended.
+    /// Records the outcome of claimed work.
     Record {
-        /// The work.
+        /// Key of the work.
         key: claim::Key,
         /// Attempt that did it; has no effect unless it holds the claim.
         attempt: attempt::Identifier,
-        /// How it ended.
+        /// The outcome.
         outcome: claim::Outcome,
     },
-    /// Time that passed on a leader's clock since it last proposed this or became leader; the
-    /// state ages by it.
+    /// Time that passed on a leader's clock since it last proposed this command or became leader;
+    /// claims age by it.
     Elapsed(Duration),
 }
 
@@ -90,18 +90,18 @@
     }
 }
 
-/// The bytes of a command.
+/// Encodes a command.
 pub fn encode(command: &Command) -> Vec<u8> {
     let mut bytes = vec![ENCODING];
     bincode::serialize_into(&mut bytes, command).expect("commands are plain data");
     bytes
 }
 
-/// The command in `bytes`.
+/// Decodes a command.
 ///
 /// # Errors
 ///
-/// When another release wrote them or they are damaged.
+/// When another release wrote the bytes or they are damaged.
 pub fn decode(bytes: &[u8]) -> Result<Command, Error> {
     match bytes.split_first() {
         Some((&ENCODING, rest)) => {
--- a/crates/hyssopfork-state/src/fleet.rs
+++ b/crates/hyssopfork-state/src/fleet.rs
@@ -1,48 +1,49 @@
-//! What is known of instances besides their records in the view.
+//! State of instances besides their records in the view.
 //!
-//! An instance is known by its name; its agent's processes by their boots. Two processes may run
-//! under one name at once (a replacement was started before the old one ended): the one recorded
-//! last wins, and a boot that was replaced is remembered so that it cannot win back.
+//! An instance is identified by its name, and a process of its agent by a boot number. Two
+//! processes may run under one name at once, when a replacement is started before the old one
+//! ended. The one recorded last wins, and replaced boot numbers are retained so that the older
+//! process cannot take the name back.
 
 use hyssopfork_wire::{change, fleet, name, number};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Replaced boots that are remembered for each instance. More processes than this would have to
-/// run under one name at the same time before a replaced one could win back.
+/// Most replaced boot numbers retained for each instance. More processes than this would have to
+/// run under one name at the same time before a replaced one could take the name back.
 pub const FORMER_LIMIT: usize = 16;
 
-/// Memory of the fleet.
+/// State of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Replaced boots, oldest first.
+    /// Replaced boot numbers, oldest first.
     former: BTreeMap<name::Instance, VecDeque<u64>>,
-    /// Highest incarnation of a forgotten instance.
+    /// Highest incarnation of a removed instance.
     ///
-    /// Invariant: an instance that comes back after it was forgotten gets a higher one, so no
-    /// incarnation of a name is given twice.
+    /// Invariant: an instance that returns after its removal gets a higher one, so no incarnation
+    /// of a name is assigned twice.
     floor: number::Incarnation,
 }
 
-/// What an announcement comes to.
+/// Result of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Announced {
-    /// The record that it makes; `None` when the one that stands says the same.
+    /// The instance's incarnation and its new record; `None` when the record is unchanged.
     Taken(number::Incarnation, Option<Box<fleet::Member>>),
     /// A newer process runs under the name.
     Superseded,
 }
 
 impl Fleet {
-    /// Takes an announcement.
+    /// Handles an announcement.
     pub fn announce(
         &mut self,
         view: &change::View,
         announcement: &fleet::Announcement,
     ) -> Announced {
         let instance = &announcement.instance;
-        // Without this memory two live processes under one name would replace each other with
-        // every renewal, and each replacement would end the group's placement.
+        // Otherwise two live processes under one name would replace each other with every renewal,
+        // and each replacement would end the group's placement.
         if self.is_superseded(instance, announcement.boot) {
             return Announced::Superseded;
         }
@@ -60,13 +61,13 @@
         Announced::Taken(member.incarnation, changed.then(|| Box::new(member)))
     }
 
-    /// Whether a newer process than the one of this boot runs under the instance's name.
+    /// Whether a newer process than that of `boot` has been recorded under the instance's name.
     pub fn is_superseded(&self, instance: &name::Instance, boot: u64) -> bool {
         self.former.get(instance).is_some_and(|boots| boots.contains(&boot))
     }
 
-    /// Forgets an instance. Its replaced boots go too: its newest process was absent for long, so
-    /// those before it are gone.
+    /// Handles the removal of an instance. Its replaced boot numbers are removed too: its newest
+    /// process was absent for long, so the older ones have ended.
     pub fn forget(&mut self, member: &fleet::Member) {
         self.former.remove(&member.announcement.instance);
         self.floor = self.floor.max(member.incarnation);
@@ -81,15 +82,15 @@
     }
 }
 
-/// The record of an agent that is leaving; `None` when the boot is another one or it says so
-/// already.
+/// New record of an agent that is leaving; `None` when the boot number differs or it is already
+/// recorded as leaving.
 pub fn leaving(view: &change::View, instance: &name::Instance, boot: u64) -> Option<fleet::Member> {
     let member = recorded(view, instance, boot)?;
     (!member.leaving).then(|| fleet::Member { leaving: true, ..member.clone() })
 }
 
-/// The record of an agent that fell silent; `None` when the boot is another one or it says so
-/// already.
+/// New record of an agent that missed its renewals; `None` when the boot number differs or it is
+/// already recorded as absent.
 pub fn absent(view: &change::View, instance: &name::Instance, boot: u64) -> Option<fleet::Member> {
     let member = recorded(view, instance, boot)?;
     member.present.then(|| fleet::Member { present: false, ..member.clone() })
--- a/crates/hyssopfork-state/src/history.rs
+++ b/crates/hyssopfork-state/src/history.rs
@@ -1,9 +1,10 @@
-//! What became of each patch, and the accepted ones.
+//! History of patches: the outcome of each, and the accepted ones.
 //!
-//! An operator whose answer was lost resends the patch under the same identifier and must get the
-//! first decision again, else the resend of an accepted patch would look stale and be written
-//! anew. Memory is bounded; an accepted patch whose identifier has left it still cannot be
-//! accepted twice, since its base is no longer the number in force.
+//! Submission is idempotent: an operator whose response was lost resends the patch under the same
+//! identifier and must get the first decision again. Otherwise the resend of an accepted patch
+//! would look stale and the operator would write it anew. Memory is bounded; an accepted patch
+//! whose identifier was evicted still cannot be accepted twice, since its base is no longer the
+//! number in force.
 
 use crate::{operation, rules};
 use hyssopfork_wire::{configuration, number, patch};
@@ -11,18 +12,19 @@
 use sha2::Digest as _;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Decisions that are kept: 2.7 days at 12,000 accepted patches a day.
+/// Most decisions that are retained: 2.7 days at 12,000 accepted patches a day.
 pub const OUTCOME_LIMIT: usize = 32_768;
 
-/// Bytes of kept decisions, as [`Kept::weight`] counts them; the oldest go first when they are
-/// over it. 512 bytes for each of [`OUTCOME_LIMIT`], against a script that submits long invalid
+/// Most bytes of retained decisions, as `Entry::estimated_bytes` counts them; beyond it the oldest
+/// are evicted. 512 bytes for each of [`MAX_DECISIONS`], against a script that submits long invalid
 /// patches in a loop.
 pub const OUTCOME_WEIGHT_LIMIT: usize = 16 << 20;
 
-/// Accepted patches that are kept with their summaries.
+/// Most accepted patches that are retained with their summaries.
 pub const RECORD_LIMIT: usize = 4_096;
 
-/// Most accepted patches that a stale one is told of; with more between, it is told none.
+/// Most accepted patches that the outcome of a stale patch lists; if there are more since its base,
+/// it lists none.
 pub const SINCE_LIMIT: u64 = 256;
 
 /// Most operations of one patch.
@@ -31,20 +33,20 @@
 /// Longest identifier, in bytes.
 pub const IDENTIFIER_LIMIT: usize = 128;
 
-/// Most faults that an invalid patch is told of; the count of the rest is added.
+/// Most faults that the outcome of an invalid patch lists; the number of the others is added.
 pub const FAULT_LIMIT: usize = 64;
 
-/// Most operations that a record names; the count of the rest is added.
+/// Most operations that a record lists; the number of the others is added.
 pub const SUMMARY_LIMIT: usize = 32;
 
-/// Estimated bytes of a kept decision besides its texts.
+/// Estimated bytes of a retained decision besides its texts.
 const WEIGHT_BASE: usize = 128;
 
-/// A decision as it is kept.
+/// The stored decision on a patch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Decision {
     Accepted(number::Configuration),
-    /// The records between are looked up again when the outcome is told again.
+    /// The records since its base are looked up again each time the outcome is returned.
     Stale {
         base: number::Configuration,
         current: number::Configuration,
@@ -52,7 +54,7 @@
     Invalid(Vec<String>),
 }
 
-/// A decision and the content that it was made of.
+/// A decision and the digest of the patch that it was made on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Kept {
     /// SHA-256 of the patch's base, author and operations.
@@ -74,25 +76,26 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     kept: BTreeMap<patch::Identifier, Kept>,
-    /// Invariant: holds exactly the keys of `kept`, oldest decision first.
+    /// Invariant: holds exactly the keys of `decisions`, oldest decision first.
     order: VecDeque<patch::Identifier>,
-    /// Invariant: the sum of the weights of `kept`.
+    /// Invariant: the sum of the sizes of `decisions`.
     weight: usize,
-    /// Invariant: numbers go up by one from each record to the next.
+    /// Invariant: numbers increase by one from each record to the next.
     records: VecDeque<patch::Record>,
 }
 
-/// What a patch comes to.
+/// Result of submitting a patch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// What is told.
+    /// Outcome to be returned to the operator.
     pub outcome: patch::Outcome,
-    /// The configuration that results, when the patch is accepted now and not only told again.
+    /// The resulting configuration, when the patch was accepted by this submission and not by an
+    /// earlier one.
     pub accepted: Option<configuration::Configuration>,
 }
 
 impl History {
-    /// Decides a patch against the configuration in force, or tells the first decision again.
+    /// Decides a patch against the configuration in force, or repeats the first decision on it.
     pub fn submit(
         &mut self,
         current: &configuration::Configuration,
@@ -117,17 +120,17 @@
         Verdict { outcome, accepted }
     }
 
-    /// Accepted patches after `number`, oldest first, as far as they are kept.
+    /// Retained accepted patches after `number`, oldest first.
     pub fn after(&self, number: number::Configuration) -> Vec<patch::Record> {
         self.records.iter().filter(|record| record.number > number).cloned().collect()
     }
 
-    /// Number of decisions that are kept.
+    /// Number of retained decisions.
     pub fn len(&self) -> usize {
         self.kept.len()
     }
 
-    /// Whether no decision is kept.
+    /// Whether no decision is retained.
     pub fn is_empty(&self) -> bool {
         self.kept.is_empty()
     }
@@ -190,8 +193,8 @@
     Verdict { outcome, accepted: None }
 }
 
-/// Faults for which a patch is refused without being remembered: they may be in the identifier
-/// itself, and the patch can never become valid.
+/// Faults for which a patch is rejected without storing the decision: the identifier itself may be
+/// at fault, and the patch can never become valid.
 fn form_faults(patch: &patch::Patch) -> Vec<String> {
     let mut faults = Vec::new();
     let length = patch.identifier.0.len();
@@ -214,8 +217,8 @@
     current: &configuration::Configuration,
     patch: &patch::Patch,
 ) -> (Decision, Option<configuration::Configuration>) {
-    // Two operators at the same number: the first one's patch moves the number, so the second
-    // one's is refused here in place of silently undoing what it had not seen.
+    // Optimistic concurrency control: of two patches with the same base, the first one changes the
+    // number, and the second is rejected instead of silently undoing a change it did not include.
     if patch.base != current.number {
         return (Decision::Stale { base: patch.base, current: current.number }, None);
     }
--- a/crates/hyssopfork-state/src/lib.rs
+++ b/crates/hyssopfork-state/src/lib.rs
@@ -1,11 +1,11 @@
-//! Aggregates of the replicated state, applied deterministically.
+//! Replicated state machine, applied deterministically.
 //!
 //! Control instances apply the same commands in the same order and so hold the same state
-//! ([`machine::Machine`]); watchers follow the part of it that they need as a
-//! [`hyssopfork_wire::change::View`], led on by the same function ([`view::apply`]) that leads the
-//! state itself. Each aggregate keeps its own rules: [`rules`] of the whole configuration,
-//! [`history`] of patches, [`fleet`] of instances, [`placements`] of groups, [`claims`] on
-//! non-repeatable work.
+//! ([`machine::Machine`]). Watchers follow the part of it that they need as a
+//! [`hyssopfork_wire::change::View`], updated by the same function ([`view::apply_step`]) that
+//! updates the state itself. Each module enforces its own rules: [`rules`] of the whole
+//! configuration, [`history`] of patches, [`fleet`] of instances, [`placements`] of groups,
+//! [`claims`] on non-repeatable work.
 
 pub mod claims;
 pub mod command;
--- a/crates/hyssopfork-state/src/machine.rs
+++ b/crates/hyssopfork-state/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state: commands in, replies and changes out.
+//! The replicated state machine: commands in, replies and changes out.
 
 use crate::{claims, command, fleet, history, placements, upstream, view};
 use hyssopfork_wire::{change, claim, fleet as record, name, number, patch};
@@ -9,10 +9,10 @@
 /// Format of the snapshots that this build writes and reads.
 pub const FORMAT: u16 = 1;
 
-/// What a command's proposer is told.
+/// Reply to the proposer of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// What became of a patch.
+    /// Outcome of a patch.
     Submitted(patch::Outcome),
     /// The instance is recorded under this incarnation.
     Announced(number::Incarnation),
@@ -20,24 +20,24 @@
     Superseded,
     /// The group is placed under this fencing number.
     Placed(number::Fence),
-    /// The placement breaks a rule and was not taken.
+    /// The placement violates a rule and was rejected.
     Unplaceable(placements::Obstacle),
-    /// What became of a claim.
+    /// Result of a claim.
     Claimed(claim::Reply),
-    /// The outcome is recorded, or was before, or was not the asker's to record.
+    /// The outcome is recorded, or was before, or the attempt does not hold the claim.
     Recorded,
-    /// The state aged, and this many claims ended with an unknown outcome.
+    /// The claims aged, and this many completed with an unknown outcome.
     Aged(usize),
-    /// Taken, if it still had an effect.
+    /// Applied, with or without an effect.
     Done,
 }
 
-/// What applying a command came to.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Told to the proposer.
+    /// Reply to the proposer.
     pub reply: Reply,
-    /// Changes of the view, in order; when there are any, its version is the command's index.
+    /// Changes of the view, in order; if there are any, the view's version is the command's index.
     pub changes: Vec<change::Change>,
 }
 
@@ -70,11 +70,11 @@
 pub struct Machine {
     /// Index of the last entry that was applied.
     applied: number::Index,
-    /// What watchers follow.
+    /// The part of the state that watchers follow.
     view: change::View,
     /// Newest fencing number.
     ///
-    /// Invariant: goes up with every placement, so none is given twice.
+    /// Invariant: increases with every placement, so none is assigned twice.
     fence: number::Fence,
     history: history::History,
     fleet: fleet::Fleet,
@@ -82,7 +82,7 @@
 }
 
 impl Machine {
-    /// An empty state, before the first entry.
+    /// Creates the empty state before the first entry.
     pub fn new() -> Machine {
         Machine::default()
     }
@@ -91,8 +91,8 @@
     ///
     /// # Panics
     ///
-    /// When `index` is not above the last one: an entry applied twice would give a fencing number
-    /// or a configuration number twice.
+    /// When `index` is not above the last one: applying an entry twice would assign a fencing
+    /// number or a configuration number twice.
     pub fn apply(&mut self, index: number::Index, command: &command::Command) -> Applied {
         self.pass(index);
         let (reply, changes) = self.decide(command);
@@ -107,7 +107,7 @@
         Applied { reply, changes }
     }
 
-    /// Passes an entry that carries no command.
+    /// Records an applied entry that carries no command.
     ///
     /// # Panics
     ///
@@ -122,7 +122,7 @@
         self.applied
     }
 
-    /// What watchers follow.
+    /// The part of the state that watchers follow.
     pub fn view(&self) -> &change::View {
         &self.view
     }
@@ -132,7 +132,7 @@
         &self.history
     }
 
-    /// What is known of instances besides their records in the view.
+    /// State of instances besides their records in the view.
     pub fn fleet(&self) -> &fleet::Fleet {
         &self.fleet
     }
@@ -142,16 +142,16 @@
         &self.claims
     }
 
-    /// The state as bytes; the same state gives the same bytes.
+    /// Encodes the state; equal states have equal bytes.
     pub fn encode(&self) -> Vec<u8> {
         bincode::serialize(&(FORMAT, self)).expect("the state is plain data")
     }
 
-    /// The state that `bytes` hold.
+    /// Decodes a state.
     ///
     /// # Errors
     ///
-    /// When another release wrote them or they are damaged.
+    /// When another release wrote the bytes or they are damaged.
     pub fn decode(bytes: &[u8]) -> Result<Machine, Error> {
         let malformed = |cause: bincode::Error| Error::Malformed(cause.to_string());
         let mut rest = bytes;
@@ -258,7 +258,7 @@
     }
 }
 
-/// Whether a change may touch an invariant of the placements. A member's new record does so only
+/// Whether a change may affect an invariant of the placements. A member's new record does so only
 /// together with the end of its placement.
 fn moves_placements(change: &change::Change) -> bool {
     match change {
--- a/crates/hyssopfork-state/src/operation.rs
+++ b/crates/hyssopfork-state/src/operation.rs
@@ -1,10 +1,9 @@
-//! What each operation of a patch does to the configuration, and how history names it.
+//! Operations of a patch: their effect on the configuration and their summary in the history.
 
 use hyssopfork_wire::{configuration, patch};
 use std::fmt;
 
-/// Applies one operation. Whether the result keeps the rules is for
-/// [`crate::rules::faults`] to say.
+/// Applies one operation. The result is checked by [`crate::rules::validate`].
 pub fn apply(configuration: &mut configuration::Configuration, operation: &patch::Operation) {
     match operation {
         patch::Operation::Declare(whole) => {
@@ -50,8 +49,7 @@
     }
 }
 
-/// Why an operation cannot be applied to `configuration` as it stands, with the remedy; `None`
-/// when it can.
+/// Why an operation cannot be applied to `configuration`, with the remedy; `None` when it can.
 pub fn obstacle(
     configuration: &configuration::Configuration,
     operation: &patch::Operation,
@@ -81,7 +79,7 @@
     }
 }
 
-/// One line that names the operation in history.
+/// Summarizes the operation in one line for the history.
 pub fn summary(operation: &patch::Operation) -> String {
     match operation {
         patch::Operation::Declare(whole) => format!(
--- a/crates/hyssopfork-state/src/placements.rs
+++ b/crates/hyssopfork-state/src/placements.rs
@@ -1,33 +1,33 @@
-//! Rules of where groups stand.
+//! Rules of placements.
 //!
-//! A leader that proposes a placement may have decided on a state that has since moved, and two
-//! leaders may have proposed at once. So every rule is checked here again, when the command is
-//! applied: what breaks one has no effect.
+//! A leader may have decided on a placement by a state that has changed since, and two leaders may
+//! have proposed at once. So every rule is checked again when the command is applied; a placement
+//! that violates one has no effect.
 
 use crate::upstream;
 use hyssopfork_wire::{change, configuration, fleet, name, number};
 use std::collections::BTreeSet;
 
-/// Why a placement is not taken.
+/// The rule that a placement violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Obstacle {
     /// The group is not declared.
     Undeclared,
-    /// The group stands under another fencing number than the one to be replaced.
+    /// The group's placement is not the one to be replaced.
     Moved,
-    /// There are more or fewer members than declared, or one twice.
+    /// The number of members differs from the declared size, or a member is listed twice.
     Size,
     /// A member may take no work, is not of the group's pool or is not recorded.
     Ineligible,
-    /// A member stands in another group's placement.
+    /// A member belongs to another group's placement.
     Taken,
-    /// The members are not of one fabric domain.
+    /// The members are not in one fabric domain.
     Domains,
 }
 
-/// Why `members` cannot be placed as `group` in place of the placement `over`; `None` when they
-/// can.
+/// The rule that placing `members` as `group` in place of the placement `replaces` violates; `None`
+/// when the placement is valid.
 pub fn obstacle(
     view: &change::View,
     group: &name::Group,
@@ -47,8 +47,8 @@
     if !members.iter().all(|member| may_join(view, declared, member)) {
         return Some(Obstacle::Ineligible);
     }
-    // An instance in two placements would be asked to serve two groups: the second one's first
-    // member would wait for its grants for good and both groups would be down in turn.
+    // An instance in two placements would have to serve two groups: the second one's first member
+    // would wait for its grants forever, and both groups would be unavailable in turn.
     let others = view.placements.iter().filter(|(name, _)| *name != group);
     let mut taken = others.flat_map(|(_, placement)| &placement.members);
     if taken.any(|member| distinct.contains(member)) {
@@ -57,8 +57,8 @@
     (domains(view, members) != 1).then_some(Obstacle::Domains)
 }
 
-/// Groups whose placement ends with a change of the configuration to `next`: removed ones, and
-/// those whose members would have to hold something else.
+/// Groups whose placement ends when the configuration changes to `next`: removed ones, and those
+/// with another pool, model or size.
 pub fn ended_by_configuration(
     view: &change::View,
     next: &configuration::Configuration,
@@ -75,8 +75,8 @@
     view.placements.keys().filter(|group| !stands(group)).cloned().collect()
 }
 
-/// The group whose placement ends because one of its members now says that it is of another pool,
-/// zone, fabric domain or kind; `None` when there is none.
+/// The group whose placement ends because the new record of a member has another pool, fabric
+/// domain or kind; `None` when there is none.
 pub fn ended_by_record(view: &change::View, member: &fleet::Member) -> Option<name::Group> {
     let new = &member.announcement;
     let old = &view.members.get(&new.instance)?.announcement;
@@ -88,12 +88,12 @@
     upstream::placement(view, &new.instance).map(|(group, _, _)| group.clone())
 }
 
-/// Checks the invariants of the placements as a whole.
+/// Asserts the invariants of all placements.
 ///
 /// # Panics
 ///
-/// When an instance stands in two placements, a placement's members are of several fabric domains
-/// or not recorded, its group is not declared in that size, or a fencing number stands twice or
+/// When an instance is in two placements, a placement's members are not recorded or in several
+/// fabric domains, its group is not declared with that size, or a fencing number is used twice or
 /// is above `newest`.
 pub fn assert_sound(view: &change::View, newest: number::Fence) {
     let mut taken = BTreeSet::new();
@@ -101,10 +101,10 @@
     for (group, placement) in &view.placements {
         let size = view.configuration.groups.get(group).map(|declared| declared.size as usize);
         assert_eq!(size, Some(placement.members.len()), "group {group} is placed as declared");
-        assert!(fences.insert(placement.fence), "fencing number {} stands twice", placement.fence);
-        assert!(placement.fence <= newest, "fencing number {} was given", placement.fence);
+        assert!(fences.insert(placement.fence), "fencing number {} is used twice", placement.fence);
+        assert!(placement.fence <= newest, "fencing number {} was assigned", placement.fence);
         for member in &placement.members {
-            assert!(taken.insert(member), "instance {member} stands in two placements");
+            assert!(taken.insert(member), "instance {member} is in two placements");
             assert!(view.members.contains_key(member), "member {member} is recorded");
         }
         assert_eq!(domains(view, &placement.members), 1, "group {group} has one fabric domain");
--- a/crates/hyssopfork-state/src/rules.rs
+++ b/crates/hyssopfork-state/src/rules.rs
@@ -1,26 +1,26 @@
-//! Rules that a whole configuration keeps.
+//! Rules of the configuration.
 //!
-//! A patch is checked by its result, whole: every fault is listed at once and names its remedy, so
-//! that an operator corrects a declaration in one round.
+//! A patch is validated by its result as a whole. All faults are reported at once with their
+//! remedies, so that an operator can correct a declaration in one round.
 
 use hyssopfork_wire::{configuration, name};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// Most members of a group. Bounds a placement's size; the largest replicas foreseen have 8.
+/// Most members of a group. Bounds the size of a placement; the largest planned replicas have 8.
 pub const SIZE_LIMIT: u32 = 64;
 
 /// Longest deadline of a route.
 pub const DEADLINE_LIMIT: Duration = Duration::from_secs(3_600);
 
-/// Greatest weight of a team, so that shares summed over teams stay far from overflow.
+/// Greatest weight of a team, so that the sum over all teams cannot overflow.
 pub const WEIGHT_LIMIT: u32 = 1_000_000;
 
-/// Length of a SHA-256 in hexadecimal.
+/// Number of hexadecimal digits of a SHA-256.
 const TOKEN_LENGTH: usize = 64;
 
-/// Every rule that `configuration` breaks, each with its remedy; empty when it breaks none.
+/// Every rule that `configuration` violates, each with its remedy; empty when it is valid.
 pub fn faults(configuration: &configuration::Configuration) -> Vec<String> {
     let mut faults = Vec::new();
     check_names(configuration, &mut faults);
@@ -31,7 +31,7 @@
     faults
 }
 
-/// What is wrong with a name, with the remedy; `None` when it is one.
+/// Why `text` is not a valid name, with the remedy; `None` when it is valid.
 pub fn name_fault(kind: &str, text: &str) -> Option<String> {
     (!name::is_valid(text)).then(|| {
         let shown: String = text.chars().take(name::MAX_BYTES).collect();
--- a/crates/hyssopfork-state/src/scope.rs
+++ b/crates/hyssopfork-state/src/scope.rs
@@ -1,15 +1,15 @@
-//! The part of the view that one instance's agent needs.
+//! Scoped views: the part of the view that one instance's agent needs.
 //!
-//! *Pattern.* 4,800 agents follow the view, and each needs its own record, its group's members and
-//! the declaration. *Without it* each holds a record of every other instance, a restart of the
-//! fleet sends the whole view 4,800 times (7 GB from one leader), and each instance that joins or
-//! leaves wakes them all. The scoped view has the same version as the whole one, so that versions
-//! compare across processes.
+//! 4,800 agents follow the view, and each needs only its own record, its group's members and the
+//! declaration. If each followed the whole view, it would hold a record of every other instance, a
+//! restart of the fleet would send the whole view 4,800 times (7 GB from one leader), and each
+//! instance that joins or leaves would wake all agents. A scoped view has the same version as the
+//! whole view, so versions can be compared across processes.
 
 use hyssopfork_wire::{change, fleet, name};
 
-/// The view as far as it concerns `instance`: the declaration, its own record, and its group with
-/// the records of the other members.
+/// The scoped view of `instance`: the declaration, its own record, and its group with the records
+/// of the other members.
 pub fn view(view: &change::View, instance: &name::Instance) -> change::View {
     let mut scoped = change::View {
         version: view.version,
@@ -26,7 +26,8 @@
     scoped
 }
 
-/// What of a step concerns `instance`, which stands in `view` where it stood before the step.
+/// The part of a step that is in the scope of `instance`, which must be placed in `view` as it was
+/// before the step.
 pub fn step(view: &change::View, step: &change::Step, instance: &name::Instance) -> change::Step {
     let concerns = |change: &&change::Change| match change {
         change::Change::Configured { .. } => true,
--- a/crates/hyssopfork-state/src/upstream.rs
+++ b/crates/hyssopfork-state/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may take a pool's work, as a view has it.
+//! Upstreams that may take a pool's work, according to a view.
 
 use hyssopfork_wire::{change, configuration, fleet, name, number};
 use std::net;
@@ -6,17 +6,17 @@
 /// An upstream that may take work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Upstream<'a> {
-    /// Instance that takes the requests: a group's first member, or the service's own.
+    /// Instance that receives the requests: a group's first member, or the service's own.
     pub instance: &'a name::Instance,
-    /// Where its agent takes attempts.
+    /// Address at which its agent accepts attempts.
     pub traffic: net::SocketAddr,
-    /// Boot of its agent's process.
+    /// Boot number of its agent's process.
     pub boot: u64,
     /// Incarnation of its agent.
     pub incarnation: number::Incarnation,
-    /// The group with the fencing number of its placement; `None` for a plain service.
+    /// The group and the fencing number of its placement; `None` for a plain service.
     pub group: Option<(&'a name::Group, number::Fence)>,
-    /// What the back end can do.
+    /// Capabilities of the back end.
     pub profile: &'a fleet::Profile,
     /// Availability zone.
     pub zone: &'a name::Zone,
@@ -36,19 +36,19 @@
     ZoneUndeclared,
     /// Its zone has been taken out.
     ZoneOut,
-    /// Its pool doesn't take instances of its zone.
+    /// Its pool excludes its zone.
     ZoneNotAllowed,
-    /// Operators have drained it.
+    /// It was drained by operators.
     Drained,
     /// Its agent is leaving.
     Leaving,
-    /// Control counts it as missing. Comes last: an agent that holds a lease is present again as
+    /// Its agent missed its renewals. Checked last: an agent that holds a lease is present again as
     /// soon as its next renewal is recorded.
     Absent,
 }
 
-/// Upstreams that may take the pool's work: of an engine pool the first member of each placed
-/// group whose members may all take work, of a service pool each member that may.
+/// Upstreams that may take the pool's work: for an engine pool the first member of each placed
+/// group whose members may all take work, for a service pool each member that may.
 pub fn of_pool<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     match view.configuration.pools.get(pool).map(|declared| declared.kind) {
         Some(configuration::Kind::Engine) => groups(view, pool),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Why `instance` may take no new work; `None` when it may. Says nothing of its group.
+/// Why `instance` may take no new work, its group aside; `None` when it may.
 pub fn obstacle(view: &change::View, instance: &name::Instance) -> Option<Obstacle> {
     match view.members.get(instance) {
         None => Some(Obstacle::Unrecorded),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Why the configuration alone keeps work from an instance; `None` when it doesn't.
+/// Why the configuration alone excludes an instance from work; `None` when it does not.
 pub fn declared_obstacle(
     configuration: &configuration::Configuration,
     announcement: &fleet::Announcement,
@@ -90,7 +90,7 @@
     configuration.drained.contains(&announcement.instance).then_some(Obstacle::Drained)
 }
 
-/// Placement in which `instance` stands, with its group and the instance's place in it from 0.
+/// The placement that contains `instance`, with its group and the instance's rank, starting at 0.
 pub fn placement<'a>(
     view: &'a change::View,
     instance: &name::Instance,
--- a/crates/hyssopfork-state/src/view.rs
+++ b/crates/hyssopfork-state/src/view.rs
@@ -1,18 +1,18 @@
-//! How a view is led from one version to the next, here and in every watcher.
+//! Updates a view from one version to the next, in control and in every watcher.
 
 use crate::operation;
 use hyssopfork_wire::{change, number};
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why an update was not taken.
+    /// Why an update was rejected.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The update ends before the version that is held.
+        /// The update ends before the version of the view.
         Back(have: number::Version, offered: number::Version) {
             display(
-                "an update to version {} would lead back from version {}; drop it and its lease \
-                 and renew with a control instance that leads",
+                "an update to version {} is older than the view's version {}; drop it and its \
+                 lease and renew with the control instance that leads",
                 offered,
                 have
             )
@@ -20,7 +20,8 @@
     }
 }
 
-/// Leads `view` on by one step. A step at or below its version was taken before and is left out.
+/// Applies one step to `view`. A step at or below its version has been applied before and is
+/// skipped.
 pub fn apply(view: &mut change::View, step: &change::Step) {
     if step.version <= view.version {
         return;
@@ -29,16 +30,16 @@
     view.version = step.version;
 }
 
-/// Leads `view` on by what control answered, and returns whether its version moved.
+/// Applies an update from control to `view`, and returns whether its version changed.
 ///
-/// Steps that the view has already taken are left out, so that answers to a watch and to a
-/// renewal may overlap in any order.
+/// Steps that the view already contains are skipped, so the responses to a watch and to a renewal
+/// may overlap in any order.
 ///
 /// # Errors
 ///
-/// [`Error::Back`] when the update ends before the view's version: it comes from a control
-/// instance that had not seen what this view holds, so a lease that came with it proves nothing
-/// and must be dropped with it.
+/// [`Error::Back`] when the update ends before the view's version: it comes from a control instance
+/// that did not have what this view contains, so a lease that came with it is not valid and must be
+/// dropped with it.
 pub fn lead(view: &mut change::View, update: change::Update) -> Result<bool, Error> {
     let before = view.version;
     if let Some(offered) = end(&update)
@@ -55,7 +56,7 @@
     Ok(view.version > before)
 }
 
-/// Version that an update leads to; `None` when it leads nowhere.
+/// Version that an update leads to; `None` when it contains no change.
 fn end(update: &change::Update) -> Option<number::Version> {
     match update {
         change::Update::Current => None,
--- a/crates/hyssopfork-state/tests/aggregates/claims.rs
+++ b/crates/hyssopfork-state/tests/aggregates/claims.rs
@@ -44,9 +44,9 @@
     assert_eq!(claims.claim(&fixture::claim("k", 1, 2)), claim::Reply::Done(answer(3)));
 }
 
-// An entry's claim is resent by the network after the entry gave the key back with NotRun. Were it
-// granted, the key would be held by an attempt that nobody will run, and the caller that comes
-// again would be told "in progress" until the claim's time ran out.
+// A claim is resent by the network after its entry released the key with NotRun. If it were
+// granted, the key would be held by an attempt that nobody will run, and a client that retries
+// would be told "in progress" until the claim's timeout.
 #[test]
 fn a_freed_key_is_free_for_others_but_not_for_the_attempt_that_gave_it_back() {
     let mut claims = claims::Claims::default();
@@ -60,8 +60,8 @@
     assert_eq!(next, claim::Reply::Granted);
 }
 
-// The holder of a claim crashed after it may have sent the work. Nobody records an outcome; after
-// the claim's time the caller is told that it may have run, and the key is never free.
+// The holder of a claim crashed after it may have sent the work, so no outcome is recorded. After
+// the timeout the client is told that the work may have run, and the key is never released.
 #[test]
 fn a_claim_whose_holder_fell_silent_becomes_unknown_and_never_free() {
     let mut claims = claims::Claims::default();
@@ -91,8 +91,8 @@
     assert_eq!(claims.claim(&fixture::claim("k", 1, 3)), claim::Reply::InProgress);
 }
 
-// Memory is full. Dropping the oldest outcome would let the same lodgement run a second time when
-// its caller comes again, so new claims are refused until outcomes are past their time.
+// Memory is full. If the oldest outcome were evicted, the same work would run a second time when
+// its client retries, so new claims are rejected until outcomes are past their retention.
 #[test]
 fn full_memory_refuses_new_claims_and_keeps_every_outcome_for_its_time() {
     let mut claims = claims::Claims::default();
--- a/crates/hyssopfork-state/tests/aggregates/fleet.rs
+++ b/crates/hyssopfork-state/tests/aggregates/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances and their agents' processes.
+//! Records of instances and of their agents' processes.
 
 use crate::fixture;
 use hyssopfork_state::{command, machine};
@@ -29,9 +29,9 @@
     assert_eq!(log.view().version, version);
 }
 
-// A replacement was started while the old process under the same name still runs. Both renew; were
-// each taken as new, they would replace each other twice a second and their group would never be
-// whole.
+// A replacement was started while the old process under the same name still runs. Both renew; if
+// each announcement were accepted as new, they would replace each other twice a second and their
+// group would never be complete.
 #[test]
 fn a_replaced_process_cannot_win_its_name_back() {
     let mut log = fixture::declared();
--- a/crates/hyssopfork-state/tests/aggregates/history.rs
+++ b/crates/hyssopfork-state/tests/aggregates/history.rs
@@ -27,9 +27,9 @@
     assert!(!log.view().configuration.zones[&"zone-b".into()].out);
 }
 
-// The operator's answer was lost; hundreds of patches and a restart from a snapshot later the
-// patch is sent again. Without the memory of identifiers it would be called stale, and the
-// operator would write it anew on top of itself.
+// The response to a patch was lost; hundreds of patches and a restart from a snapshot later, the
+// patch is sent again. If the first decision were not retained, the resend would be stale and the
+// operator would apply the change a second time.
 #[test]
 fn a_resend_gets_the_first_outcome_after_hundreds_of_changes_and_a_snapshot() {
     let mut log = fixture::declared();
--- a/crates/hyssopfork-state/tests/aggregates/machine.rs
+++ b/crates/hyssopfork-state/tests/aggregates/machine.rs
@@ -1,4 +1,4 @@
-//! The state as a whole, under generated commands.
+//! The state machine as a whole, under generated commands.
 
 use crate::fixture;
 use hyssopfork_state::{command, machine, view};
@@ -78,9 +78,9 @@
 }
 
 proptest! {
-    // Every placement invariant is asserted inside the machine as it applies. A watcher that gets
-    // the steps, and an instance that restarts from a snapshot at any point, must end in the same
-    // state as one that applied everything.
+    // The machine asserts every placement invariant as it applies commands. A watcher that applies
+    // the steps, and an instance that restarts from a snapshot at any point, must reach the same
+    // state as one that applied all commands.
     #[test]
     fn replay_equals_snapshot_and_rest_and_steps_lead_watchers_along(
         commands in commands(),
--- a/crates/hyssopfork-state/tests/aggregates/placements.rs
+++ b/crates/hyssopfork-state/tests/aggregates/placements.rs
@@ -1,4 +1,4 @@
-//! Where groups stand.
+//! Rules of placements.
 
 use crate::fixture;
 use hyssopfork_state::{command, machine, placements};
@@ -41,8 +41,8 @@
     assert_eq!(overlapping, refused(placements::Obstacle::Taken));
 }
 
-// Two leaders in turn propose a placement for the same loss. The second was decided on a state
-// that had not seen the first; taken, it would end a placement that is loading.
+// Two leaders in turn propose a placement for the same lost member. The second decided on a state
+// without the first placement; if it were accepted, it would end a placement that is loading.
 #[test]
 fn a_placement_decided_on_an_older_one_has_no_effect() {
     let mut log = fixture::declared();
--- a/crates/hyssopfork-state/tests/aggregates/upstream.rs
+++ b/crates/hyssopfork-state/tests/aggregates/upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may take work.
+//! Upstreams that may take work.
 
 use crate::fixture;
 use hyssopfork_state::{command, upstream};
--- a/crates/hyssopfork-state/tests/aggregates/view.rs
+++ b/crates/hyssopfork-state/tests/aggregates/view.rs
@@ -1,10 +1,10 @@
-//! How a watcher's view is led on.
+//! Updates of a watcher's view.
 
 use crate::fixture;
 use hyssopfork_state::{command, view};
 use hyssopfork_wire::{change, number, patch};
 
-/// A log, its steps and the view after each.
+/// A log and its steps.
 fn steps() -> (fixture::Log, Vec<change::Step>) {
     let mut log = fixture::Log::new();
     let mut steps = Vec::new();
@@ -50,8 +50,8 @@
     assert_eq!(&watched, log.view());
 }
 
-// A control instance that was cut off answers late with what it knew then. Taken, the zone that
-// operators took out would receive work again.
+// A control instance that was cut off responds late with an old view. If a watcher accepted it, a
+// zone that operators took out would receive work again.
 #[test]
 fn no_update_leads_back() {
     let (log, steps) = steps();
