--- a/crates/hyssopfork-agent/src/core.rs
+++ b/crates/hyssopfork-agent/src/core.rs
@@ -214,7 +214,7 @@
     /// Fencing number that this instance is placed under, as the view has it.
     pub(crate) fn placed_fence(&self) -> Option<number::Fence> {
         let view = self.watcher.view();
-        upstream::placement(view, &self.announcement.instance)
+        upstream::placement_of(view, &self.announcement.instance)
             .map(|(_, placement, _)| placement.fence)
     }
 
--- a/crates/hyssopfork-agent/src/gate.rs
+++ b/crates/hyssopfork-agent/src/gate.rs
@@ -64,7 +64,8 @@
     /// loaded and an unexpired grant is held from every other member.
     pub fn is_whole(&self) -> bool {
         let view = self.watcher.view();
-        let Some((_, placement, 0)) = upstream::placement(view, &self.announcement.instance) else {
+        let Some((_, placement, 0)) = upstream::placement_of(view, &self.announcement.instance)
+        else {
             return false;
         };
         self.standing.fence() == placement.fence
@@ -126,7 +127,7 @@
 
     fn check_group(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
         let view = self.watcher.view();
-        let placed = upstream::placement(view, &self.announcement.instance);
+        let placed = upstream::placement_of(view, &self.announcement.instance);
         let Some((group, placement, 0)) = placed else {
             return refuse(refusal::Reason::GroupIncomplete, SOON);
         };
@@ -161,21 +162,21 @@
     view: &hyssopfork_wire::change::View,
     instance: &hyssopfork_wire::name::Instance,
 ) -> Result<(), refusal::Refusal> {
-    match upstream::obstacle(view, instance) {
+    match upstream::ineligibility(view, instance) {
         // Absence is control's guess from silence; the grants decide whether a member is there.
-        None | Some(upstream::Obstacle::Absent) => Ok(()),
-        Some(upstream::Obstacle::Drained | upstream::Obstacle::Leaving) => {
+        None | Some(upstream::Ineligibility::Absent) => Ok(()),
+        Some(upstream::Ineligibility::Drained | upstream::Ineligibility::Leaving) => {
             refuse(refusal::Reason::Draining, LATER)
         }
         Some(
-            upstream::Obstacle::ZoneOut
-            | upstream::Obstacle::ZoneUndeclared
-            | upstream::Obstacle::ZoneNotAllowed,
+            upstream::Ineligibility::ZoneOut
+            | upstream::Ineligibility::ZoneUndeclared
+            | upstream::Ineligibility::ZoneNotAllowed,
         ) => refuse(refusal::Reason::ZoneOut, LATER),
         Some(
-            upstream::Obstacle::Unrecorded
-            | upstream::Obstacle::PoolUndeclared
-            | upstream::Obstacle::KindDiffers,
+            upstream::Ineligibility::Unrecorded
+            | upstream::Ineligibility::PoolUndeclared
+            | upstream::Ineligibility::KindDiffers,
         ) => refuse(refusal::Reason::NoUpstream, LATER),
     }
 }
--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -211,7 +211,7 @@
 
     fn place(&self) -> Option<Place> {
         let view = self.watcher.view();
-        let (group, placement, rank) = upstream::placement(view, &self.announcement.instance)?;
+        let (group, placement, rank) = upstream::placement_of(view, &self.announcement.instance)?;
         Some(Place { group: group.clone(), placement: placement.clone(), rank })
     }
 }
--- a/crates/hyssopfork-cli/src/declaration.rs
+++ b/crates/hyssopfork-cli/src/declaration.rs
@@ -10,7 +10,7 @@
 /// Reads and checks a declaration: its form, and every rule that a configuration keeps.
 pub fn read(path: &path::Path) -> Result<configuration::Configuration, error::Error> {
     let declared: configuration::Configuration = read_json(path)?;
-    let faults = rules::faults(&declared);
+    let faults = rules::validate(&declared);
     if faults.is_empty() {
         return Ok(declared);
     }
--- a/crates/hyssopfork-control/benches/control.rs
+++ b/crates/hyssopfork-control/benches/control.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// Members of a group, as at the planned size.
-const SIZE: u32 = 8;
+const GROUP_SIZE: u32 = 8;
 
 /// Concurrent weight loads: eight groups in each round of renewals.
-const LOADS: u32 = 64;
+const MAX_CONCURRENT_LOADS: u32 = 64;
 
 /// Limit on the rounds of renewals while groups are placed, so that the run ends.
-const ROUNDS: u32 = 40;
+const MAX_ROUNDS: u32 = 40;
 
 /// A leader that is a quorum by itself, without a disk.
 struct Leader {
@@ -36,10 +36,10 @@
         let settings = node::Settings { voters: vec![instance.clone()], ..Default::default() };
         let node = node::Node::new(identity, node::Durable::default(), settings, 1, now);
         let mut settings = core::Settings::new(instance, BTreeMap::new());
-        settings.loads = LOADS;
+        settings.max_concurrent_loads = MAX_CONCURRENT_LOADS;
         let core = core::Core::new(settings, node, machine::Machine::new(), now);
         let mut leader = Leader { core, now, calls: 0, replies: Vec::new() };
-        leader.pass(Duration::from_secs(3));
+        leader.advance(Duration::from_secs(3));
         leader
     }
 
@@ -54,11 +54,11 @@
     }
 
     /// Lets time pass with ticks, and returns the duration of the longest one.
-    fn pass(&mut self, time: Duration) -> Duration {
+    fn advance(&mut self, time: Duration) -> Duration {
         let until = self.now + time;
         let mut longest = Duration::ZERO;
         while self.now < until {
-            self.now = self.now + action::TICK;
+            self.now = self.now + action::TICK_INTERVAL;
             let start = Instant::now();
             self.step(event::Event::Tick);
             longest = longest.max(start.elapsed());
@@ -68,7 +68,7 @@
 
     fn call(&mut self, request: control::Request) {
         self.calls += 1;
-        self.step(event::Event::Called { call: self.calls, request });
+        self.step(event::Event::Request { call: self.calls, request });
     }
 
     fn submit(&mut self, operations: Vec<patch::Operation>) {
@@ -110,7 +110,7 @@
 }
 
 fn measure(agents: u32) {
-    println!("{agents} agents, {} groups of {SIZE}", agents / 16);
+    println!("{agents} agents, {} groups of {GROUP_SIZE}", agents / 16);
     let mut leader = Leader::new();
     leader.submit(vec![patch::Operation::Declare(Box::new(declaration(agents)))]);
     let start = Instant::now();
@@ -118,9 +118,9 @@
     report("announce and first lease, each", start.elapsed(), agents);
 
     let mut planning = Duration::ZERO;
-    for _ in 0..(agents / 16).min(ROUNDS) + 4 {
+    for _ in 0..(agents / 16).min(MAX_ROUNDS) + 4 {
         leader.renew(0..agents);
-        planning = planning.max(leader.pass(timing::RENEWAL_INTERVAL));
+        planning = planning.max(leader.advance(timing::RENEWAL_INTERVAL));
     }
     let placed = leader.core.machine().view().placements.len();
     println!("  groups placed                  {placed:>10}");
@@ -134,16 +134,16 @@
     println!("  lease without news             {:>10} bytes", bytes(&leader.replies[0]));
     let holder = control::Holder::Agent(Box::new(announcement(1)), fleet::Report::default());
     let renewal = control::Renewal { holder, version: leader.version(), leaving: false };
-    let asked = bincode::serialized_size(&control::Request::Renew(renewal)).unwrap_or(0);
-    println!("  renewal asked for              {asked:>10} bytes");
-    report("longest tick when nothing changes", leader.pass(timing::RENEWAL_INTERVAL), 1);
+    let request_bytes = bincode::serialized_size(&control::Request::Renew(renewal)).unwrap_or(0);
+    println!("  renewal asked for              {request_bytes:>10} bytes");
+    report("longest tick when nothing changes", leader.advance(timing::RENEWAL_INTERVAL), 1);
 
-    let mut mending = Duration::ZERO;
+    let mut repairing = Duration::ZERO;
     for _ in 0..8 {
         leader.renew((0..agents).filter(|count| count / 16 % 15 != 0));
-        mending = mending.max(leader.pass(timing::RENEWAL_INTERVAL));
+        repairing = repairing.max(leader.advance(timing::RENEWAL_INTERVAL));
     }
-    report("longest tick with a zone dark", mending, 1);
+    report("longest tick with a zone dark", repairing, 1);
 
     let have = leader.version();
     (0..agents).for_each(|_| leader.call(control::Request::Watch(have)));
@@ -175,7 +175,7 @@
         let group = configuration::Group {
             pool: "engines".into(),
             model: "model".into(),
-            size: SIZE,
+            size: GROUP_SIZE,
             priority: 1,
         };
         declared.groups.insert(name::Group::new(format!("group-{count:04}")), group);
--- a/crates/hyssopfork-control/src/action.rs
+++ b/crates/hyssopfork-control/src/action.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Longest interval between two ticks.
-pub const TICK: Duration = Duration::from_millis(20);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An action for the shell to carry out.
 #[derive(Clone, Debug)]
--- a/crates/hyssopfork-control/src/calls.rs
+++ b/crates/hyssopfork-control/src/calls.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// Most proposals pending at once. Above it, calls are rejected before they are proposed.
-pub const LIMIT: usize = 8_192;
+pub const MAX_PENDING_PROPOSALS: usize = 8_192;
 
 /// Time after which a call is answered with an unknown outcome. Longer than an election, so that a
 /// leader that lost its quorum has stepped down before.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+pub const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The reason for a proposal.
 #[derive(Clone, Debug)]
@@ -47,31 +47,31 @@
 
 impl Calls {
     /// Whether the limit of pending proposals leaves room for another one.
-    pub fn has_room(&self) -> bool {
-        self.proposals.contexts().count() < LIMIT
+    pub fn has_capacity(&self) -> bool {
+        self.proposals.contexts().count() < MAX_PENDING_PROPOSALS
     }
 
     /// Registers a proposal and returns its ticket.
-    pub fn wait(&mut self, now: clock::Instant, purpose: Purpose) -> u64 {
+    pub fn register(&mut self, now: clock::Instant, purpose: Purpose) -> u64 {
         self.proposals.register(now, purpose)
     }
 
     /// Records the position at which the proposal was appended.
-    pub fn append(&mut self, ticket: u64, index: number::Index, term: number::Term) {
+    pub fn record_position(&mut self, ticket: u64, index: number::Index, term: number::Term) {
         self.proposals.record_position(ticket, index, term);
     }
 
     /// Removes a proposal that was never appended and returns its purpose.
-    pub fn reject(&mut self, ticket: u64) -> Option<Purpose> {
+    pub fn take_rejected(&mut self, ticket: u64) -> Option<Purpose> {
         let purpose = self.proposals.take_rejected(ticket)?;
-        self.heard(purpose)
+        self.unless_abandoned(purpose)
     }
 
     /// Removes the proposal that was applied at `index` and returns its purpose; `None` when the
     /// entry there is not one proposed by this instance.
-    pub fn apply(&mut self, index: number::Index, term: number::Term) -> Option<Purpose> {
+    pub fn take_applied(&mut self, index: number::Index, term: number::Term) -> Option<Purpose> {
         let purpose = self.proposals.take_applied(index, term)?;
-        self.heard(purpose)
+        self.unless_abandoned(purpose)
     }
 
     /// Whether the purpose of a pending proposal `matches`.
@@ -80,7 +80,7 @@
     }
 
     /// Instances that have a pending proposal about their presence.
-    pub fn instances(&self) -> BTreeSet<name::Instance> {
+    pub fn pending_presence(&self) -> BTreeSet<name::Instance> {
         let presence = |purpose: &Purpose| match purpose {
             Purpose::Presence(instance) => Some(instance.clone()),
             _ => None,
@@ -96,19 +96,19 @@
     }
 
     /// Removes the proposals that timed out and returns their calls.
-    pub fn due(&mut self, now: clock::Instant) -> Vec<u64> {
-        let due = self.proposals.take_expired(now, PATIENCE);
-        due.into_iter().filter_map(|purpose| self.heard(purpose)?.call()).collect()
+    pub fn take_expired(&mut self, now: clock::Instant) -> Vec<u64> {
+        let due = self.proposals.take_expired(now, PROPOSAL_TIMEOUT);
+        due.into_iter().filter_map(|purpose| self.unless_abandoned(purpose)?.call()).collect()
     }
 
     /// Removes all proposals and returns their calls, which this leader can no longer answer.
-    pub fn drain(&mut self) -> Vec<u64> {
+    pub fn take_all(&mut self) -> Vec<u64> {
         let waiting = self.proposals.take_all();
-        waiting.into_iter().filter_map(|purpose| self.heard(purpose)?.call()).collect()
+        waiting.into_iter().filter_map(|purpose| self.unless_abandoned(purpose)?.call()).collect()
     }
 
     /// Returns the purpose, unless its call was abandoned.
-    fn heard(&mut self, purpose: Purpose) -> Option<Purpose> {
+    fn unless_abandoned(&mut self, purpose: Purpose) -> Option<Purpose> {
         match purpose.call() {
             Some(call) if self.abandoned.remove(&call) => None,
             _ => Some(purpose),
--- a/crates/hyssopfork-control/src/core/apply.rs
+++ b/crates/hyssopfork-control/src/core/apply.rs
@@ -1,6 +1,6 @@
 //! Applies committed entries: to the state, to watchers and to the pending calls.
 
-use super::{Core, SNAPSHOT_BYTES};
+use super::{Core, SNAPSHOT_INTERVAL_BYTES};
 use crate::{calls, interests, notice, steps};
 use hyssopfork_consensus::{event as log_event, write};
 use hyssopfork_state::{command, machine};
@@ -8,17 +8,17 @@
 
 impl Core {
     pub(super) fn apply(&mut self, entry: consensus::Entry) {
-        if self.ended {
+        if self.stopped {
             return;
         }
         self.applied_term = entry.term;
         match &entry.payload {
             consensus::Payload::Command(bytes) => self.apply_command(&entry, bytes),
             consensus::Payload::Empty | consensus::Payload::Voters(_) => {
-                self.machine.pass(entry.index);
+                self.machine.skip(entry.index);
             }
         }
-        self.snapshot_when_due();
+        self.snapshot_if_due();
     }
 
     pub(super) fn restore(&mut self, snapshot: write::Snapshot) {
@@ -30,7 +30,7 @@
                 self.bytes_since_snapshot = 0;
                 self.steps = steps::Steps::new(self.machine.view().version);
                 self.interests = interests::Interests::new(self.machine.view());
-                self.notice(notice::Notice::Restored(snapshot.index));
+                self.push_notice(notice::Notice::Restored(snapshot.index));
             }
             Err(error) => self.fail(error.to_string()),
         }
@@ -43,89 +43,89 @@
             Err(error) => return self.fail(error.to_string()),
         };
         self.bytes_since_snapshot += bytes.len();
-        let before = self.machine.view().version;
+        let previous = self.machine.view().version;
         let applied = self.machine.apply(entry.index, &command);
-        if self.machine.view().version > before {
+        if self.machine.view().version > previous {
             let version = self.machine.view().version;
             let step = change::Step { version, changes: applied.changes.clone() };
             self.steps.push(step.clone());
-            self.interests.push(&step, self.steps.floor());
+            self.interests.push(&step, self.steps.base_version());
         }
-        self.note_applied(&command, &applied);
-        if let Some(purpose) = self.calls.apply(entry.index, entry.term) {
-            self.answer(purpose, applied.reply);
+        self.log_applied(&command, &applied);
+        if let Some(purpose) = self.calls.take_applied(entry.index, entry.term) {
+            self.complete_proposal(purpose, applied.reply);
         }
         if !applied.changes.is_empty() {
-            self.leadership.iter_mut().for_each(|leadership| leadership.dirty = true);
-            self.watches.fall_behind();
+            self.leadership.iter_mut().for_each(|leadership| leadership.replan = true);
+            self.watches.mark_stale();
         }
     }
 
-    fn snapshot_when_due(&mut self) {
+    fn snapshot_if_due(&mut self) {
         self.applied_since_snapshot += 1;
-        let due = self.applied_since_snapshot >= self.settings.snapshot_entries
-            || self.bytes_since_snapshot >= SNAPSHOT_BYTES;
-        if !due || self.ended {
+        let due = self.applied_since_snapshot >= self.settings.snapshot_interval_entries
+            || self.bytes_since_snapshot >= SNAPSHOT_INTERVAL_BYTES;
+        if !due || self.stopped {
             return;
         }
         self.applied_since_snapshot = 0;
         self.bytes_since_snapshot = 0;
         let index = self.machine.applied();
         let data = self.machine.encode();
-        self.notice(notice::Notice::Snapshot(index, data.len()));
-        self.tell(log_event::Event::Snapshotted { index, data });
+        self.push_notice(notice::Notice::Snapshot(index, data.len()));
+        self.push_node_event(log_event::Event::Snapshotted { index, data });
     }
 
-    fn answer(&mut self, purpose: calls::Purpose, reply: machine::Reply) {
+    fn complete_proposal(&mut self, purpose: calls::Purpose, reply: machine::Reply) {
         match purpose {
             calls::Purpose::Call(call) => {
-                let response = response(reply);
+                let response = response_to(reply);
                 self.reply(call, response);
             }
-            calls::Purpose::Renew(call, renewal) => self.answer_renewal(call, &renewal, &reply),
+            calls::Purpose::Renew(call, renewal) => self.complete_renewal(call, &renewal, &reply),
             calls::Purpose::Group(group) => {
-                if let machine::Reply::Unplaceable(obstacle) = reply {
-                    self.notice(notice::Notice::Unplaceable(group, obstacle));
+                if let machine::Reply::Unplaceable(violation) = reply {
+                    self.push_notice(notice::Notice::Unplaceable(group, violation));
                 }
             }
             calls::Purpose::Presence(_) | calls::Purpose::Age => {}
         }
     }
 
-    fn answer_renewal(&mut self, call: u64, renewal: &control::Renewal, reply: &machine::Reply) {
+    fn complete_renewal(&mut self, call: u64, renewal: &control::Renewal, reply: &machine::Reply) {
         if *reply == machine::Reply::Superseded {
-            return self.refuse_superseded(call, renewal);
+            return self.reject_superseded(call, renewal);
         }
-        self.grant(call, renewal);
+        self.grant_lease(call, renewal);
     }
 
     /// Logs the effect of a command. Only the leader does so, since the effect is the same on every
     /// replica.
-    fn note_applied(&mut self, command: &command::Command, applied: &machine::Applied) {
+    fn log_applied(&mut self, command: &command::Command, applied: &machine::Applied) {
         if self.leadership.is_none() {
             return;
         }
         for change in &applied.changes {
-            self.note_change(command, change);
+            self.log_change(command, change);
         }
         match (&applied.reply, command) {
             (machine::Reply::Submitted(outcome), command::Command::Submit(patch)) => {
-                self.note_refused(patch, outcome);
+                self.log_rejected_patch(patch, outcome);
             }
             (machine::Reply::Claimed(claim::Reply::Full), _) => {
-                self.notice(notice::Notice::ClaimsFull);
+                self.push_notice(notice::Notice::ClaimsFull);
             }
             (machine::Reply::Aged(count), _) if *count > 0 => {
-                self.notice(notice::Notice::Expired(*count));
+                self.push_notice(notice::Notice::Expired(*count));
             }
             _ => {}
         }
     }
 
-    fn note_change(&mut self, command: &command::Command, change: &change::Change) {
+    fn log_change(&mut self, command: &command::Command, change: &change::Change) {
         let notice = match change {
-            change::Change::Configured { number, .. } => accepted(command, *number),
-            change::Change::Joined(member) => Some(recorded(command, member)),
+            change::Change::Configured { number, .. } => accepted_notice(command, *number),
+            change::Change::Joined(member) => Some(member_notice(command, member)),
             change::Change::Forgotten(instance) => {
                 Some(notice::Notice::Forgotten(instance.clone()))
             }
@@ -134,21 +134,24 @@
             }
             change::Change::Unplaced(group) => Some(notice::Notice::Unplaced(group.clone())),
         };
-        notice.into_iter().for_each(|notice| self.notice(notice));
+        notice.into_iter().for_each(|notice| self.push_notice(notice));
     }
 
-    fn note_refused(&mut self, patch: &patch::Patch, outcome: &patch::Outcome) {
-        let why = match outcome {
+    fn log_rejected_patch(&mut self, patch: &patch::Patch, outcome: &patch::Outcome) {
+        let reason = match outcome {
             patch::Outcome::Accepted(_) => return,
             patch::Outcome::Stale { .. } => "its base is not the number in force",
             patch::Outcome::Invalid(_) => "its result violates rules",
             patch::Outcome::Reused => "its identifier was used with other content",
         };
-        self.notice(notice::Notice::Refused(patch.identifier.clone(), why));
+        self.push_notice(notice::Notice::Refused(patch.identifier.clone(), reason));
     }
 }
 
-fn accepted(command: &command::Command, number: number::Configuration) -> Option<notice::Notice> {
+fn accepted_notice(
+    command: &command::Command,
+    number: number::Configuration,
+) -> Option<notice::Notice> {
     match command {
         command::Command::Submit(patch) => {
             Some(notice::Notice::Accepted(number, patch.identifier.clone()))
@@ -157,7 +160,7 @@
     }
 }
 
-fn recorded(command: &command::Command, member: &fleet::Member) -> notice::Notice {
+fn member_notice(command: &command::Command, member: &fleet::Member) -> notice::Notice {
     let instance: name::Instance = member.announcement.instance.clone();
     match command {
         command::Command::Leaving { .. } => notice::Notice::Leaving(instance),
@@ -166,7 +169,7 @@
     }
 }
 
-fn response(reply: machine::Reply) -> control::Response {
+fn response_to(reply: machine::Reply) -> control::Response {
     match reply {
         machine::Reply::Submitted(outcome) => control::Response::Submitted(outcome),
         machine::Reply::Claimed(reply) => control::Response::Claimed(reply),
--- a/crates/hyssopfork-control/src/core/requests.rs
+++ b/crates/hyssopfork-control/src/core/requests.rs
@@ -7,53 +7,53 @@
 use hyssopfork_wire::{change, control, fleet, name, number, patch, timing};
 
 /// Most records in one history response; the client requests the rest from the last one on.
-pub const HISTORY_PAGE: usize = 256;
+pub const MAX_HISTORY_RECORDS: usize = 256;
 
 impl Core {
-    pub(super) fn called(&mut self, call: u64, request: control::Request) {
-        if !self.leads() || self.stopping.is_some() {
-            let response = self.elsewhere();
+    pub(super) fn on_request(&mut self, call: u64, request: control::Request) {
+        if !self.can_answer_as_leader() || self.stopping_since.is_some() {
+            let response = self.redirect_response();
             return self.reply(call, response);
         }
         match request {
-            control::Request::Renew(renewal) => self.renew(call, renewal),
-            control::Request::Watch(have) => self.watch(call, have, None),
-            control::Request::Follow(have, instance) => self.watch(call, have, Some(instance)),
-            control::Request::Submit(patch) => self.submit(call, patch),
+            control::Request::Renew(renewal) => self.on_renew(call, renewal),
+            control::Request::Watch(have) => self.on_watch(call, have, None),
+            control::Request::Follow(have, instance) => self.on_watch(call, have, Some(instance)),
+            control::Request::Submit(patch) => self.on_submit(call, patch),
             control::Request::Claim(claim) => {
-                self.commit(call, &command::Command::Claim(claim));
+                self.propose_request(call, &command::Command::Claim(claim));
             }
             control::Request::Record(key, attempt, outcome) => {
-                self.commit(call, &command::Command::Record { key, attempt, outcome });
+                self.propose_request(call, &command::Command::Record { key, attempt, outcome });
             }
-            control::Request::History(number) => self.history(call, number),
-            control::Request::Status => self.status(call),
+            control::Request::History(number) => self.on_history(call, number),
+            control::Request::Status => self.on_status(call),
         }
     }
 
-    pub(super) fn abandoned(&mut self, call: u64) {
-        self.watches.abandon(call);
+    pub(super) fn on_call_abandoned(&mut self, call: u64) {
+        self.watches.remove(call);
         self.calls.abandon(call);
     }
 
     /// Grants a lease on the current view, if this instance may still answer as leader.
-    pub(super) fn grant(&mut self, call: u64, renewal: &control::Renewal) {
-        if !self.leads() {
-            let response = self.elsewhere();
+    pub(super) fn grant_lease(&mut self, call: u64, renewal: &control::Renewal) {
+        if !self.can_answer_as_leader() {
+            let response = self.redirect_response();
             return self.reply(call, response);
         }
         let incarnation = match &renewal.holder {
             control::Holder::Entry(_) => None,
-            control::Holder::Agent(announcement, _) => match self.recorded(announcement) {
+            control::Holder::Agent(announcement, _) => match self.recorded_member(announcement) {
                 Some(member) => Some(member.incarnation),
-                None => return self.refuse_superseded(call, renewal),
+                None => return self.reject_superseded(call, renewal),
             },
         };
         let scope = match &renewal.holder {
             control::Holder::Entry(_) => None,
             control::Holder::Agent(announcement, _) => Some(&announcement.instance),
         };
-        let Some(update) = self.update(renewal.version, scope) else {
+        let Some(update) = self.update_for(renewal.version, scope) else {
             return self.reply(call, control::Response::Unavailable);
         };
         let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation };
@@ -62,40 +62,40 @@
 
     /// Rejects the older of two processes that run under one name. With a lease each, both would
     /// take work as one upstream, each with limits and grants of its own.
-    pub(super) fn refuse_superseded(&mut self, call: u64, renewal: &control::Renewal) {
+    pub(super) fn reject_superseded(&mut self, call: u64, renewal: &control::Renewal) {
         if let control::Holder::Agent(announcement, _) = &renewal.holder {
             let instance = announcement.instance.clone();
-            self.notice(notice::Notice::Superseded(instance, announcement.boot));
+            self.push_notice(notice::Notice::Superseded(instance, announcement.boot));
         }
         self.reply(call, control::Response::Unavailable);
     }
 
     /// Answers the long polls whose view is no longer current, if a round is due.
-    pub(super) fn release_watches(&mut self) {
+    pub(super) fn answer_stale_watches(&mut self) {
         let version = self.machine.view().version;
         let interests = &self.interests;
-        let behind = |watch: &watches::Watch| match &watch.scope {
-            None => watch.have != version,
-            Some(instance) => interests.concerns(instance, watch.have),
+        let stale = |watch: &watches::Watch| match &watch.scope {
+            None => watch.version != version,
+            Some(instance) => interests.affects(instance, watch.version),
         };
-        for watch in self.watches.round(self.now, behind) {
+        for watch in self.watches.take_stale(self.now, stale) {
             self.answer_watch(&watch);
         }
     }
 
     pub(super) fn answer_watch(&mut self, watch: &watches::Watch) {
-        let response = match self.update(watch.have, watch.scope.as_ref()) {
+        let response = match self.update_for(watch.version, watch.scope.as_ref()) {
             Some(update) => control::Response::Updated(update),
             None => control::Response::Unavailable,
         };
         self.reply(watch.call, response);
     }
 
-    fn renew(&mut self, call: u64, renewal: control::Renewal) {
+    fn on_renew(&mut self, call: u64, renewal: control::Renewal) {
         match &renewal.holder {
             control::Holder::Entry(_) => {
-                self.note_renewal(&renewal);
-                self.grant(call, &renewal);
+                self.record_renewal(&renewal);
+                self.grant_lease(call, &renewal);
             }
             control::Holder::Agent(announcement, _) => {
                 let announcement = announcement.clone();
@@ -111,59 +111,64 @@
         announcement: &fleet::Announcement,
     ) {
         if self.machine.fleet().is_superseded(&announcement.instance, announcement.boot) {
-            return self.refuse_superseded(call, &renewal);
+            return self.reject_superseded(call, &renewal);
         }
-        self.note_renewal(&renewal);
+        self.record_renewal(&renewal);
         let announce = command::Command::Announce(Box::new(announcement.clone()));
         let recorded = self
-            .recorded(announcement)
+            .recorded_member(announcement)
             .filter(|member| member.present && member.announcement == *announcement);
         match recorded.map(|member| member.leaving) {
-            Some(leaving) if leaving || !renewal.leaving => self.grant(call, &renewal),
-            Some(_) => self.commit_renewal(call, renewal, &leave(announcement)),
+            Some(leaving) if leaving || !renewal.leaving => self.grant_lease(call, &renewal),
+            Some(_) => self.propose_renewal(call, renewal, &leaving_command(announcement)),
             None if renewal.leaving => {
                 self.propose(calls::Purpose::Presence(announcement.instance.clone()), &announce);
-                self.commit_renewal(call, renewal, &leave(announcement));
+                self.propose_renewal(call, renewal, &leaving_command(announcement));
             }
-            None => self.commit_renewal(call, renewal, &announce),
+            None => self.propose_renewal(call, renewal, &announce),
         }
     }
 
-    fn note_renewal(&mut self, renewal: &control::Renewal) {
-        let changed = self.holders.note(self.now, renewal);
+    fn record_renewal(&mut self, renewal: &control::Renewal) {
+        let changed = self.holders.record_renewal(self.now, renewal);
         if let Some(leadership) = &mut self.leadership {
-            leadership.dirty |= changed;
+            leadership.replan |= changed;
         }
     }
 
     /// The record of the process that sent the announcement.
-    fn recorded(&self, announcement: &fleet::Announcement) -> Option<&fleet::Member> {
+    fn recorded_member(&self, announcement: &fleet::Announcement) -> Option<&fleet::Member> {
         let member = self.machine.view().members.get(&announcement.instance)?;
         (member.announcement.boot == announcement.boot).then_some(member)
     }
 
-    fn commit_renewal(&mut self, call: u64, renewal: control::Renewal, command: &command::Command) {
+    fn propose_renewal(
+        &mut self,
+        call: u64,
+        renewal: control::Renewal,
+        command: &command::Command,
+    ) {
         if !self.propose(calls::Purpose::Renew(call, Box::new(renewal)), command) {
-            self.crowded(call);
+            self.reject_crowded(call);
         }
     }
 
-    fn watch(&mut self, call: u64, have: number::Version, scope: Option<name::Instance>) {
+    fn on_watch(&mut self, call: u64, have: number::Version, scope: Option<name::Instance>) {
         let version = self.machine.view().version;
         let until = self.now + timing::LONG_POLL_TIMEOUT;
-        let watch = watches::Watch { call, have, until, scope };
-        if have > version || have < self.steps.floor() {
+        let watch = watches::Watch { call, version: have, deadline: until, scope };
+        if have > version || have < self.steps.base_version() {
             return self.answer_watch(&watch);
         }
         if !self.watches.hold(watch) {
-            return self.crowded(call);
+            return self.reject_crowded(call);
         }
         if have < version {
-            self.watches.fall_behind();
+            self.watches.mark_stale();
         }
     }
 
-    fn submit(&mut self, call: u64, patch: patch::Patch) {
+    fn on_submit(&mut self, call: u64, patch: patch::Patch) {
         let command = command::Command::Submit(patch);
         let length = command::encode(&command).len();
         if length > node::MAX_COMMAND_BYTES {
@@ -174,30 +179,30 @@
             let outcome = patch::Outcome::Invalid(vec![fault]);
             return self.reply(call, control::Response::Submitted(outcome));
         }
-        self.commit(call, &command);
+        self.propose_request(call, &command);
     }
 
-    fn commit(&mut self, call: u64, command: &command::Command) {
+    fn propose_request(&mut self, call: u64, command: &command::Command) {
         if !self.propose(calls::Purpose::Call(call), command) {
-            self.crowded(call);
+            self.reject_crowded(call);
         }
     }
 
-    fn crowded(&mut self, call: u64) {
-        self.notice(notice::Notice::Crowded);
+    fn reject_crowded(&mut self, call: u64) {
+        self.push_notice(notice::Notice::Crowded);
         self.reply(call, control::Response::Unavailable);
     }
 
-    fn history(&mut self, call: u64, after: number::Configuration) {
-        let mut records = self.machine.history().after(after);
-        records.truncate(HISTORY_PAGE);
+    fn on_history(&mut self, call: u64, after: number::Configuration) {
+        let mut records = self.machine.history().records_after(after);
+        records.truncate(MAX_HISTORY_RECORDS);
         self.reply(call, control::Response::History(records));
     }
 
-    fn status(&mut self, call: u64) {
+    fn on_status(&mut self, call: u64) {
         let status = control::Status {
             view: self.machine.view().clone(),
-            holdings: self.holders.list(self.now),
+            holdings: self.holders.holdings(self.now),
             leader: self.settings.instance.clone(),
             term: self.node.term(),
             committed: self.node.committed(),
@@ -206,7 +211,7 @@
     }
 
     /// Update for a watcher: of the whole view, or of the part in the scope of one instance.
-    fn update(
+    fn update_for(
         &mut self,
         have: number::Version,
         scope: Option<&name::Instance>,
@@ -214,7 +219,7 @@
         let view = self.machine.view();
         let Some(update) = self.steps.update(view, have) else {
             let version = view.version;
-            self.notice(notice::Notice::Ahead(have, version));
+            self.push_notice(notice::Notice::Ahead(have, version));
             return None;
         };
         let Some(instance) = scope else { return Some(update) };
@@ -222,6 +227,6 @@
     }
 }
 
-fn leave(announcement: &fleet::Announcement) -> command::Command {
+fn leaving_command(announcement: &fleet::Announcement) -> command::Command {
     command::Command::Leaving { instance: announcement.instance.clone(), boot: announcement.boot }
 }
--- a/crates/hyssopfork-control/src/event.rs
+++ b/crates/hyssopfork-control/src/event.rs
@@ -12,7 +12,7 @@
     /// Everything up to and including the write with this mark is synced to disk.
     Persisted(u64),
     /// A request arrived; answered by exactly one [`super::action::Action::Reply`].
-    Called {
+    Request {
         /// Number that the shell gave the call.
         call: u64,
         /// The request.
--- a/crates/hyssopfork-control/src/groups.rs
+++ b/crates/hyssopfork-control/src/groups.rs
@@ -11,31 +11,31 @@
 
 /// Time that the members of a new placement get to load weights. A member that has not loaded by
 /// then is excluded for as long again. Weights of a large model take minutes from a shared store.
-pub const LOADING_LIMIT: Duration = Duration::from_secs(300);
+pub const LOADING_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Consecutive reports after which an engine that was alive counts as dead.
-pub const DEAD_REPORTS: u32 = 2;
+pub const DEAD_REPORT_THRESHOLD: u32 = 2;
 
 /// Interval between two plans when nothing has changed.
-pub const PERIOD: Duration = Duration::from_millis(500);
+pub const PLANNING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Least time between two plans, for each instance on record. When a zone fails or a fleet starts,
 /// every report is a reason to plan again. A plan for 4,800 instances takes tens of milliseconds,
 /// and without a pause control would do nothing else.
-pub const PAUSE_EACH: Duration = Duration::from_micros(50);
+pub const MIN_PLANNING_INTERVAL_PER_INSTANCE: Duration = Duration::from_micros(50);
 
 /// Groups without a placement that every plan considers, highest priority first. The weight store
 /// serves only a few loads at once, so few groups can be placed at a time, and the cost of a plan
 /// grows with the number of groups times domains.
-pub const FIRST_UNPLACED: usize = 2;
+pub const UNPLACED_BY_PRIORITY: usize = 2;
 
 /// Further groups without a placement that a plan considers, in round-robin order. Without them,
 /// groups that fit nowhere would block all those of lower priority for good.
-pub const UNPLACED_IN_TURN: usize = 2;
+pub const UNPLACED_ROUND_ROBIN: usize = 2;
 
 /// A placement as first observed by this leader.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Observation {
     fence: number::Fence,
     /// When this leader first observed it.
     since: clock::Instant,
@@ -52,16 +52,16 @@
 /// State about groups that is not in the view; lost with leadership.
 #[derive(Debug, Default)]
 pub struct Groups {
-    seen: BTreeMap<name::Group, Seen>,
+    observations: BTreeMap<name::Group, Observation>,
     /// Model that each engine last reported as loaded, with the boot number of its agent.
-    holds: BTreeMap<name::Instance, (u64, name::Model)>,
+    loaded_models: BTreeMap<name::Instance, (u64, name::Model)>,
     /// Groups with a drained or leaving member. [`timing::IN_FORCE_BOUND`] after the recorded time,
     /// no entry offers them work any more.
     closing: BTreeMap<name::Group, Closing>,
     /// Position in the round-robin order at which the next plan starts.
-    turn: usize,
+    round_robin_start: usize,
     /// Instances that did not load in time, with the end of their exclusion.
-    shunned: BTreeMap<name::Instance, clock::Instant>,
+    excluded_until: BTreeMap<name::Instance, clock::Instant>,
 }
 
 impl Groups {
@@ -72,7 +72,7 @@
 
     /// Returns commands that place, repair, move and end groups; empty when nothing can or need be
     /// done.
-    pub fn decide(
+    pub fn plan(
         &mut self,
         now: clock::Instant,
         view: &change::View,
@@ -80,7 +80,7 @@
         loads: u32,
     ) -> Vec<command::Command> {
         self.observe(now, view, holders);
-        if self.is_settled(now, view, holders) {
+        if self.is_fully_placed(now, view, holders) {
             return Vec::new();
         }
         let fleet = placement::Fleet {
@@ -89,11 +89,11 @@
             placements: self.placements(now, view, holders),
             budget: weight_loads::Budget {
                 limit: loads,
-                running: self.loading(now, view, holders),
+                running: self.count_loading(now, view, holders),
             },
         };
         let decisions = placement::decide(&fleet);
-        decisions.into_iter().filter_map(|decision| command(view, decision)).collect()
+        decisions.into_iter().filter_map(|decision| command_for(view, decision)).collect()
     }
 
     /// Declared groups that the plan considers: all with a placement, and a few of the others.
@@ -104,20 +104,20 @@
             .iter()
             .partition(|(name, _)| view.placements.contains_key(*name));
         unplaced.sort_by_key(|(_, declared)| cmp::Reverse(declared.priority));
-        let rest = unplaced.split_off(FIRST_UNPLACED.min(unplaced.len()));
+        let rest = unplaced.split_off(UNPLACED_BY_PRIORITY.min(unplaced.len()));
         if !rest.is_empty() {
-            let count = UNPLACED_IN_TURN.min(rest.len());
-            let start = self.turn % rest.len();
+            let count = UNPLACED_ROUND_ROBIN.min(rest.len());
+            let start = self.round_robin_start % rest.len();
             unplaced.extend(rest.iter().cycle().skip(start).take(count));
-            self.turn = start + count;
+            self.round_robin_start = start + count;
         }
-        placed.into_iter().chain(unplaced).map(group).collect()
+        placed.into_iter().chain(unplaced).map(policy_group).collect()
     }
 
     /// Whether every declared group is placed on available members, so that there is nothing to
     /// plan. A whole plan takes milliseconds in a large fleet and would otherwise run twice a
     /// second.
-    fn is_settled(
+    fn is_fully_placed(
         &self,
         now: clock::Instant,
         view: &change::View,
@@ -126,7 +126,7 @@
         let usable = |instance: &name::Instance| {
             let member = view.members.get(instance);
             member.is_some_and(|member| {
-                self.standing(now, view, holders, member) == placement::Availability::Available
+                self.availability(now, view, holders, member) == placement::Availability::Available
             })
         };
         view.configuration.groups.keys().all(|group| {
@@ -136,21 +136,22 @@
     }
 
     fn observe(&mut self, now: clock::Instant, view: &change::View, holders: &holders::Holders) {
-        self.seen.retain(|group, _| view.placements.contains_key(group));
+        self.observations.retain(|group, _| view.placements.contains_key(group));
         self.closing.retain(|group, _| {
             view.placements.get(group).is_some_and(|placed| is_closing(view, placed))
         });
-        self.holds.retain(|instance, (boot, _)| {
+        self.loaded_models.retain(|instance, (boot, _)| {
             holders.agent(instance, *boot).is_some_and(|agent| agent.report.alive)
         });
-        self.shunned.retain(|_, until| *until > now);
+        self.excluded_until.retain(|_, until| *until > now);
         for (group, placed) in &view.placements {
             let fence = placed.fence;
-            let seen = self.seen.entry(group.clone()).or_insert(Seen { fence, since: now });
-            if seen.fence != fence {
-                *seen = Seen { fence, since: now };
+            let observation =
+                self.observations.entry(group.clone()).or_insert(Observation { fence, since: now });
+            if observation.fence != fence {
+                *observation = Observation { fence, since: now };
             }
-            let since = seen.since;
+            let since = observation.since;
             if is_closing(view, placed) {
                 self.closing
                     .entry(group.clone())
@@ -171,14 +172,14 @@
     ) {
         let Some(declared) = view.configuration.groups.get(group) else { return };
         for instance in &placed.members {
-            let Some(agent) = agent(view, holders, instance) else { continue };
+            let Some(agent) = recorded_agent(view, holders, instance) else { continue };
             if agent.report.joined == placed.fence {
-                self.holds.insert(instance.clone(), (agent.boot, declared.model.clone()));
-            } else if agent.report.alive && now.since(since) >= LOADING_LIMIT {
+                self.loaded_models.insert(instance.clone(), (agent.boot, declared.model.clone()));
+            } else if agent.report.alive && now.since(since) >= LOADING_TIMEOUT {
                 // An engine that answers probes but never loads is neither lost nor ready, and
                 // would keep its group down for good. Excluding it for a while lets a spare
                 // replace it, and keeps it from being chosen as that spare.
-                self.shunned.entry(instance.clone()).or_insert(now + LOADING_LIMIT);
+                self.excluded_until.entry(instance.clone()).or_insert(now + LOADING_TIMEOUT);
             }
         }
     }
@@ -204,18 +205,18 @@
         member: &fleet::Member,
     ) -> placement::Instance {
         let announcement = &member.announcement;
-        let holds = self.holds.get(&announcement.instance);
+        let loaded = self.loaded_models.get(&announcement.instance);
         placement::Instance {
             name: announcement.instance.clone(),
             zone: announcement.zone.clone(),
             domain: announcement.domain.clone(),
             pool: announcement.pool.clone(),
-            availability: self.standing(now, view, holders, member),
-            loaded_model: holds.map(|(_, model)| model.clone()),
+            availability: self.availability(now, view, holders, member),
+            loaded_model: loaded.map(|(_, model)| model.clone()),
         }
     }
 
-    fn standing(
+    fn availability(
         &self,
         now: clock::Instant,
         view: &change::View,
@@ -223,16 +224,16 @@
         member: &fleet::Member,
     ) -> placement::Availability {
         let instance = &member.announcement.instance;
-        if !member.present || self.shunned.contains_key(instance) {
+        if !member.present || self.excluded_until.contains_key(instance) {
             return placement::Availability::Missing;
         }
-        let Some(agent) = agent(view, holders, instance) else {
+        let Some(agent) = recorded_agent(view, holders, instance) else {
             return placement::Availability::Cordoned;
         };
         if !agent.report.alive {
-            return dead(now, agent);
+            return dead_engine_availability(now, agent);
         }
-        match upstream::obstacle(view, instance) {
+        match upstream::ineligibility(view, instance) {
             None => placement::Availability::Available,
             Some(_) => placement::Availability::Cordoned,
         }
@@ -245,7 +246,7 @@
         holders: &holders::Holders,
     ) -> BTreeMap<name::Group, placement::Placement> {
         let current = |(group, placed): (&name::Group, &fleet::Placement)| {
-            let running = self.running(now, view, holders, group, placed);
+            let running = self.running_requests(now, view, holders, group, placed);
             (group.clone(), placement::Placement { members: placed.members.clone(), running })
         };
         view.placements.iter().map(current).collect()
@@ -254,7 +255,7 @@
     /// Number of running requests on a group as the policy should see it: at least 1 for a group
     /// that must stay in place, so that the policy does not move it off members that are closed to
     /// new work.
-    fn running(
+    fn running_requests(
         &self,
         now: clock::Instant,
         view: &change::View,
@@ -263,12 +264,13 @@
         placed: &fleet::Placement,
     ) -> u32 {
         let loading = self.is_loading(now, group)
-            && placed.members.iter().any(|member| !loaded(view, holders, member, placed.fence));
-        let kept = placed.members.iter().any(|member| is_kept(view, holders, member));
-        if loading || kept || !self.is_settled_report(view, holders, group, placed) {
+            && placed.members.iter().any(|member| !has_loaded(view, holders, member, placed.fence));
+        let in_place =
+            placed.members.iter().any(|member| keeps_group_in_place(view, holders, member));
+        if loading || in_place || !self.is_running_count_final(view, holders, group, placed) {
             return 1;
         }
-        let first = placed.members.first().and_then(|first| agent(view, holders, first));
+        let first = placed.members.first().and_then(|first| recorded_agent(view, holders, first));
         first.map_or(1, |agent| agent.report.running)
     }
 
@@ -280,7 +282,7 @@
     /// no running requests would cut that request. Once the first member has the view with the
     /// drain, or after the bound within which it must, no new request starts and the reported
     /// number can only decrease.
-    fn is_settled_report(
+    fn is_running_count_final(
         &self,
         view: &change::View,
         holders: &holders::Holders,
@@ -291,17 +293,25 @@
         let Some(first) = placed.members.first() else { return false };
         let Some(member) = view.members.get(first) else { return false };
         let boot = member.announcement.boot;
-        let knows = holders.version(first, boot) >= Some(closing.version);
-        let late = closing.since + timing::IN_FORCE_BOUND;
-        knows || holders.heard(first, boot).is_some_and(|heard| heard >= late)
+        let has_closing_view = holders.version(first, boot) >= Some(closing.version);
+        let bound_passed = closing.since + timing::IN_FORCE_BOUND;
+        has_closing_view
+            || holders.last_renewal(first, boot).is_some_and(|renewed| renewed >= bound_passed)
     }
 
     fn is_loading(&self, now: clock::Instant, group: &name::Group) -> bool {
-        self.seen.get(group).is_some_and(|seen| now.since(seen.since) < LOADING_LIMIT)
+        self.observations
+            .get(group)
+            .is_some_and(|observation| now.since(observation.since) < LOADING_TIMEOUT)
     }
 
     /// Number of members that are loading weights now.
-    fn loading(&self, now: clock::Instant, view: &change::View, holders: &holders::Holders) -> u32 {
+    fn count_loading(
+        &self,
+        now: clock::Instant,
+        view: &change::View,
+        holders: &holders::Holders,
+    ) -> u32 {
         let mut count = 0;
         for (group, placed) in &view.placements {
             if !self.is_loading(now, group) {
@@ -309,12 +319,12 @@
             }
             let Some(declared) = view.configuration.groups.get(group) else { continue };
             let loads = |member: &&name::Instance| {
-                let holds = self.holds.get(*member).map(|(_, model)| model);
+                let loaded = self.loaded_models.get(*member).map(|(_, model)| model);
                 let lost = view.members.get(*member).is_none_or(|member| !member.present);
-                !lost && holds != Some(&declared.model)
+                !lost && loaded != Some(&declared.model)
             };
             let waiting = placed.members.iter().filter(loads);
-            let waiting = waiting.filter(|member| !loaded(view, holders, member, placed.fence));
+            let waiting = waiting.filter(|member| !has_loaded(view, holders, member, placed.fence));
             count += waiting.count() as u32;
         }
         count
@@ -322,11 +332,11 @@
 }
 
 /// The command for a decision; `None` when its placement no longer exists.
-fn command(view: &change::View, decision: placement::Decision) -> Option<command::Command> {
+fn command_for(view: &change::View, decision: placement::Decision) -> Option<command::Command> {
     match decision {
         placement::Decision::Place { group, members } => {
-            let over = view.placements.get(&group).map(|placed| placed.fence);
-            Some(command::Command::Place { group, members, over })
+            let replaces = view.placements.get(&group).map(|placed| placed.fence);
+            Some(command::Command::Place { group, members, replaces })
         }
         placement::Decision::Unplace(group) => {
             let fence = view.placements.get(&group)?.fence;
@@ -335,7 +345,7 @@
     }
 }
 
-fn group((name, declared): (&name::Group, &configuration::Group)) -> placement::Group {
+fn policy_group((name, declared): (&name::Group, &configuration::Group)) -> placement::Group {
     placement::Group {
         name: name.clone(),
         pool: declared.pool.clone(),
@@ -346,7 +356,7 @@
 }
 
 /// State of the recorded agent of an instance.
-fn agent<'a>(
+fn recorded_agent<'a>(
     view: &change::View,
     holders: &'a holders::Holders,
     instance: &name::Instance,
@@ -355,13 +365,13 @@
     holders.agent(instance, member.announcement.boot)
 }
 
-fn loaded(
+fn has_loaded(
     view: &change::View,
     holders: &holders::Holders,
     instance: &name::Instance,
     fence: number::Fence,
 ) -> bool {
-    agent(view, holders, instance).is_some_and(|agent| agent.report.joined >= fence)
+    recorded_agent(view, holders, instance).is_some_and(|agent| agent.report.joined >= fence)
 }
 
 /// Availability of an instance whose engine is reported dead. It is missing once it was alive and
@@ -372,9 +382,12 @@
 /// One report is not enough: an agent that was paused for a second reports an engine that it has
 /// not probed lately as dead, and as alive half a second later. If its group were moved at once, it
 /// would wait minutes for weights instead of that half second.
-fn dead(now: clock::Instant, agent: &holders::Agent) -> placement::Availability {
-    let confirmed = agent.was_alive && agent.dead >= DEAD_REPORTS;
-    if confirmed || !agent.was_alive && now.since(agent.since) >= timing::PRESENCE_TIMEOUT {
+fn dead_engine_availability(
+    now: clock::Instant,
+    agent: &holders::Agent,
+) -> placement::Availability {
+    let confirmed = agent.was_alive && agent.consecutive_dead_reports >= DEAD_REPORT_THRESHOLD;
+    if confirmed || !agent.was_alive && now.since(agent.first_renewal) >= timing::PRESENCE_TIMEOUT {
         placement::Availability::Missing
     } else {
         placement::Availability::Cordoned
@@ -385,22 +398,26 @@
 fn is_closing(view: &change::View, placed: &fleet::Placement) -> bool {
     placed.members.iter().any(|member| {
         matches!(
-            upstream::obstacle(view, member),
-            Some(upstream::Obstacle::Drained | upstream::Obstacle::Leaving)
+            upstream::ineligibility(view, member),
+            Some(upstream::Ineligibility::Drained | upstream::Ineligibility::Leaving)
         )
     })
 }
 
 /// Whether an unavailable member still keeps its group in place: its zone is out, so it returns
 /// with its weights, or its state is unknown yet.
-fn is_kept(view: &change::View, holders: &holders::Holders, instance: &name::Instance) -> bool {
-    let zone = matches!(
-        upstream::obstacle(view, instance),
+fn keeps_group_in_place(
+    view: &change::View,
+    holders: &holders::Holders,
+    instance: &name::Instance,
+) -> bool {
+    let zone_excluded = matches!(
+        upstream::ineligibility(view, instance),
         Some(
-            upstream::Obstacle::ZoneOut
-                | upstream::Obstacle::ZoneNotAllowed
-                | upstream::Obstacle::ZoneUndeclared
+            upstream::Ineligibility::ZoneOut
+                | upstream::Ineligibility::ZoneNotAllowed
+                | upstream::Ineligibility::ZoneUndeclared
         )
     );
-    zone || agent(view, holders, instance).is_none_or(|agent| !agent.report.alive)
+    zone_excluded || recorded_agent(view, holders, instance).is_none_or(|agent| !agent.report.alive)
 }
--- a/crates/hyssopfork-control/src/holders.rs
+++ b/crates/hyssopfork-control/src/holders.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Silence after which a holder is removed; its lease has expired long before.
-pub const MEMORY: Duration = Duration::from_secs(60);
+pub const HOLDER_RETENTION: Duration = Duration::from_secs(60);
 
 /// A holder of a lease.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// View version of its last renewal.
     pub version: number::Version,
     /// When its last renewal arrived.
-    pub heard: clock::Instant,
+    pub last_renewal: clock::Instant,
     /// State of the agent, if the holder is one.
     pub agent: Option<Agent>,
 }
@@ -25,11 +25,11 @@
     /// Boot number of its process.
     pub boot: u64,
     /// When the first renewal of this boot arrived.
-    pub since: clock::Instant,
+    pub first_renewal: clock::Instant,
     /// Whether its back end has answered a probe during this boot.
     pub was_alive: bool,
     /// Consecutive reports that the back end does not answer.
-    pub dead: u32,
+    pub consecutive_dead_reports: u32,
     /// Its latest report.
     pub report: fleet::Report,
 }
@@ -43,26 +43,31 @@
 
 impl Holders {
     /// Records a renewal; returns whether the availability of a back end may have changed.
-    pub fn note(&mut self, now: clock::Instant, renewal: &control::Renewal) -> bool {
+    pub fn record_renewal(&mut self, now: clock::Instant, renewal: &control::Renewal) -> bool {
         match &renewal.holder {
             control::Holder::Entry(instance) => {
-                let holder = Holder { version: renewal.version, heard: now, agent: None };
+                let holder = Holder { version: renewal.version, last_renewal: now, agent: None };
                 self.entries.insert(instance.clone(), holder);
                 false
             }
             control::Holder::Agent(announcement, report) => {
                 let instance = &announcement.instance;
                 let old = self.agents.get(instance).and_then(|holder| holder.agent.as_ref());
-                let same = old.filter(|agent| agent.boot == announcement.boot);
-                let changed = same.is_none_or(|agent| !agent.report.alive || !report.alive);
+                let previous = old.filter(|agent| agent.boot == announcement.boot);
+                let changed = previous.is_none_or(|agent| !agent.report.alive || !report.alive);
                 let agent = Agent {
                     boot: announcement.boot,
-                    since: same.map_or(now, |agent| agent.since),
-                    was_alive: report.alive || same.is_some_and(|agent| agent.was_alive),
-                    dead: if report.alive { 0 } else { same.map_or(0, |agent| agent.dead) + 1 },
+                    first_renewal: previous.map_or(now, |agent| agent.first_renewal),
+                    was_alive: report.alive || previous.is_some_and(|agent| agent.was_alive),
+                    consecutive_dead_reports: if report.alive {
+                        0
+                    } else {
+                        previous.map_or(0, |agent| agent.consecutive_dead_reports) + 1
+                    },
                     report: report.clone(),
                 };
-                let holder = Holder { version: renewal.version, heard: now, agent: Some(agent) };
+                let holder =
+                    Holder { version: renewal.version, last_renewal: now, agent: Some(agent) };
                 self.agents.insert(instance.clone(), holder);
                 changed
             }
@@ -70,10 +75,10 @@
     }
 
     /// When the agent of this boot last renewed.
-    pub fn heard(&self, instance: &name::Instance, boot: u64) -> Option<clock::Instant> {
+    pub fn last_renewal(&self, instance: &name::Instance, boot: u64) -> Option<clock::Instant> {
         let holder = self.agents.get(instance)?;
         holder.agent.as_ref().filter(|agent| agent.boot == boot)?;
-        Some(holder.heard)
+        Some(holder.last_renewal)
     }
 
     /// View version of the last renewal of the agent of this boot.
@@ -90,9 +95,9 @@
     }
 
     /// Removes holders that have been silent for [`HOLDER_RETENTION`].
-    pub fn forget_silent(&mut self, now: clock::Instant) {
-        self.entries.retain(|_, holder| now.since(holder.heard) < MEMORY);
-        self.agents.retain(|_, holder| now.since(holder.heard) < MEMORY);
+    pub fn remove_silent(&mut self, now: clock::Instant) {
+        self.entries.retain(|_, holder| now.since(holder.last_renewal) < HOLDER_RETENTION);
+        self.agents.retain(|_, holder| now.since(holder.last_renewal) < HOLDER_RETENTION);
     }
 
     /// Removes all holders.
@@ -102,12 +107,12 @@
     }
 
     /// All holders, as shown to operators.
-    pub fn list(&self, now: clock::Instant) -> Vec<control::Holding> {
+    pub fn holdings(&self, now: clock::Instant) -> Vec<control::Holding> {
         let holding = |(instance, holder): (&name::Instance, &Holder)| control::Holding {
             instance: instance.clone(),
             agent: holder.agent.is_some(),
             version: holder.version,
-            age: now.since(holder.heard),
+            age: now.since(holder.last_renewal),
             report: holder.agent.as_ref().map(|agent| agent.report.clone()),
         };
         self.entries.iter().chain(&self.agents).map(holding).collect()
--- a/crates/hyssopfork-control/src/interests.rs
+++ b/crates/hyssopfork-control/src/interests.rs
@@ -11,20 +11,20 @@
 
 /// The instances that one step affects.
 #[derive(Debug, Default)]
-struct Concern {
+struct Audience {
     version: number::Version,
     /// Whether it affects every instance.
-    all: bool,
+    everyone: bool,
     /// Instances whose own record or whose group's record changed.
-    told: BTreeSet<name::Instance>,
+    informed: BTreeSet<name::Instance>,
     /// Instances that were placed or unplaced.
-    moved: BTreeSet<name::Instance>,
+    reassigned: BTreeSet<name::Instance>,
 }
 
 /// Audiences of the latest steps.
 #[derive(Debug, Default)]
 pub struct Interests {
-    concerns: VecDeque<Concern>,
+    audiences: VecDeque<Audience>,
     /// Members of each group after the newest step.
     groups: BTreeMap<name::Group, Vec<name::Instance>>,
 }
@@ -32,29 +32,32 @@
 impl Interests {
     /// Creates the state for `view`, without steps.
     pub fn new(view: &change::View) -> Interests {
-        let members = |(group, placed): (&name::Group, &hyssopfork_wire::fleet::Placement)| {
-            (group.clone(), placed.members.clone())
-        };
-        let groups = view.placements.iter().map(members).collect();
-        Interests { concerns: VecDeque::new(), groups }
+        let group_members =
+            |(group, placed): (&name::Group, &hyssopfork_wire::fleet::Placement)| {
+                (group.clone(), placed.members.clone())
+            };
+        let groups = view.placements.iter().map(group_members).collect();
+        Interests { audiences: VecDeque::new(), groups }
     }
 
     /// Adds a step, and removes those up to version `floor`.
     pub fn push(&mut self, step: &change::Step, floor: number::Version) {
-        let mut concern = Concern { version: step.version, ..Concern::default() };
+        let mut audience = Audience { version: step.version, ..Audience::default() };
         for change in &step.changes {
-            self.take(change, &mut concern);
+            self.add_change(change, &mut audience);
         }
-        self.concerns.push_back(concern);
-        while self.concerns.front().is_some_and(|oldest| oldest.version <= floor) {
-            self.concerns.pop_front();
+        self.audiences.push_back(audience);
+        while self.audiences.front().is_some_and(|oldest| oldest.version <= floor) {
+            self.audiences.pop_front();
         }
     }
 
     /// Whether any step after `version` affects `instance`.
-    pub fn concerns(&self, instance: &name::Instance, have: number::Version) -> bool {
-        self.newer(have).any(|concern| {
-            concern.all || concern.told.contains(instance) || concern.moved.contains(instance)
+    pub fn affects(&self, instance: &name::Instance, version: number::Version) -> bool {
+        self.newer_than(version).any(|audience| {
+            audience.everyone
+                || audience.informed.contains(instance)
+                || audience.reassigned.contains(instance)
         })
     }
 
@@ -62,17 +65,18 @@
     pub fn narrow(
         &self,
         view: &change::View,
-        have: number::Version,
+        version: number::Version,
         update: change::Update,
         instance: &name::Instance,
     ) -> change::Update {
-        let moved = self.newer(have).any(|concern| concern.moved.contains(instance));
+        let reassigned =
+            self.newer_than(version).any(|audience| audience.reassigned.contains(instance));
         match update {
             change::Update::Current => change::Update::Current,
             change::Update::Whole(_) => {
                 change::Update::Whole(Box::new(scope::view(view, instance)))
             }
-            change::Update::Steps(_) if moved => {
+            change::Update::Steps(_) if reassigned => {
                 change::Update::Whole(Box::new(scope::view(view, instance)))
             }
             change::Update::Steps(steps) => {
@@ -83,58 +87,60 @@
 
     /// Audiences of the steps after `version`, newest first, since most watchers are only a few
     /// steps behind.
-    fn newer(&self, have: number::Version) -> impl Iterator<Item = &Concern> {
-        self.concerns.iter().rev().take_while(move |concern| concern.version > have)
+    fn newer_than(&self, version: number::Version) -> impl Iterator<Item = &Audience> {
+        self.audiences.iter().rev().take_while(move |audience| audience.version > version)
     }
 
-    fn take(&mut self, change: &change::Change, concern: &mut Concern) {
+    fn add_change(&mut self, change: &change::Change, audience: &mut Audience) {
         match change {
             change::Change::Configured { operations, .. } => {
-                operations.iter().for_each(|operation| self.take_operation(operation, concern));
+                operations.iter().for_each(|operation| self.add_operation(operation, audience));
             }
             change::Change::Joined(member) => {
-                self.tell_near(&member.announcement.instance, concern);
+                self.add_instance_and_group(&member.announcement.instance, audience);
             }
-            change::Change::Forgotten(instance) => self.tell_near(instance, concern),
+            change::Change::Forgotten(instance) => self.add_instance_and_group(instance, audience),
             change::Change::Placed(group, placement) => {
-                self.move_group(group, concern);
-                concern.moved.extend(placement.members.iter().cloned());
+                self.add_reassigned_group(group, audience);
+                audience.reassigned.extend(placement.members.iter().cloned());
                 self.groups.insert(group.clone(), placement.members.clone());
             }
             change::Change::Unplaced(group) => {
-                self.move_group(group, concern);
+                self.add_reassigned_group(group, audience);
                 self.groups.remove(group);
             }
         }
     }
 
-    fn take_operation(&self, operation: &patch::Operation, concern: &mut Concern) {
+    fn add_operation(&self, operation: &patch::Operation, audience: &mut Audience) {
         match operation {
             patch::Operation::PutRoute(..)
             | patch::Operation::RemoveRoute(_)
             | patch::Operation::PutTeam(..)
             | patch::Operation::RemoveTeam(_) => {}
             patch::Operation::PutGroup(group, _) | patch::Operation::RemoveGroup(group) => {
-                concern.told.extend(self.groups.get(group).into_iter().flatten().cloned());
+                audience.informed.extend(self.groups.get(group).into_iter().flatten().cloned());
+            }
+            patch::Operation::SetDrained(instance, _) => {
+                self.add_instance_and_group(instance, audience)
             }
-            patch::Operation::SetDrained(instance, _) => self.tell_near(instance, concern),
             patch::Operation::Declare(_)
             | patch::Operation::SetZoneOut(..)
             | patch::Operation::PutPool(..)
-            | patch::Operation::RemovePool(_) => concern.all = true,
+            | patch::Operation::RemovePool(_) => audience.everyone = true,
         }
     }
 
     /// A record of one instance affects it and the members of its group.
-    fn tell_near(&self, instance: &name::Instance, concern: &mut Concern) {
-        concern.told.insert(instance.clone());
+    fn add_instance_and_group(&self, instance: &name::Instance, audience: &mut Audience) {
+        audience.informed.insert(instance.clone());
         for members in self.groups.values().filter(|members| members.contains(instance)) {
-            concern.told.extend(members.iter().cloned());
+            audience.informed.extend(members.iter().cloned());
         }
     }
 
-    fn move_group(&self, group: &name::Group, concern: &mut Concern) {
-        concern.moved.extend(self.groups.get(group).into_iter().flatten().cloned());
+    fn add_reassigned_group(&self, group: &name::Group, audience: &mut Audience) {
+        audience.reassigned.extend(self.groups.get(group).into_iter().flatten().cloned());
     }
 }
 
@@ -147,11 +153,11 @@
     let mut narrowed: Vec<change::Step> =
         steps.iter().map(|step| scope::step(view, step, instance)).collect();
     let last = narrowed.len().saturating_sub(1);
-    let mut place = 0;
+    let mut index = 0;
     narrowed.retain(|step| {
-        let keep = place == last || !step.changes.is_empty();
-        place += 1;
-        keep
+        let retain = index == last || !step.changes.is_empty();
+        index += 1;
+        retain
     });
     narrowed
 }
--- a/crates/hyssopfork-control/src/notice.rs
+++ b/crates/hyssopfork-control/src/notice.rs
@@ -46,7 +46,7 @@
     /// A group's placement ended.
     Unplaced(name::Group),
     /// A placement that this leader proposed was rejected when it was applied.
-    Unplaceable(name::Group, placements::Obstacle),
+    Unplaceable(name::Group, placements::Violation),
     /// This many claims ended with an unknown outcome, since their holders recorded none in time.
     Expired(usize),
     /// A claim was rejected, since memory is full of claims that must be retained.
--- a/crates/hyssopfork-control/src/presence.rs
+++ b/crates/hyssopfork-control/src/presence.rs
@@ -11,59 +11,59 @@
 
 /// Time for which an absent instance is kept on record. 290 instances are replaced on an ordinary
 /// day at the planned size, so about that many are kept beyond those that run.
-pub const RECORD_KEPT: Duration = Duration::from_secs(24 * 3_600);
+pub const ABSENT_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
 /// Most presence commands proposed in one check, so that the failure of a whole zone does not fill
 /// the log's pipeline ahead of patches and claims.
-pub const BATCH: usize = 256;
+pub const MAX_COMMANDS_PER_CHECK: usize = 256;
 
 /// Since when each absent instance has been absent, as known to this leader.
 #[derive(Debug, Default)]
 pub struct Presence {
-    absent: BTreeMap<name::Instance, clock::Instant>,
+    absent_since: BTreeMap<name::Instance, clock::Instant>,
 }
 
 impl Presence {
     /// Returns commands that mark silent agents as absent and remove instances that have been
     /// absent for long. `since` is when this leader began to receive renewals without a gap.
-    pub fn survey(
+    pub fn due_commands(
         &mut self,
         now: clock::Instant,
         since: clock::Instant,
         view: &change::View,
         holders: &holders::Holders,
     ) -> Vec<command::Command> {
-        self.absent.retain(|name, _| view.members.get(name).is_some_and(|it| !it.present));
+        self.absent_since.retain(|name, _| view.members.get(name).is_some_and(|it| !it.present));
         let mut commands = Vec::new();
         for member in view.members.values() {
             let command = if member.present {
-                silent(now, since, member, holders)
+                absent_command(now, since, member, holders)
             } else {
-                self.forgotten(now, view, member)
+                self.forget_command(now, view, member)
             };
             commands.extend(command);
-            if commands.len() >= BATCH {
+            if commands.len() >= MAX_COMMANDS_PER_CHECK {
                 break;
             }
         }
         commands
     }
 
-    fn forgotten(
+    fn forget_command(
         &mut self,
         now: clock::Instant,
         view: &change::View,
         member: &fleet::Member,
     ) -> Option<command::Command> {
         let instance = &member.announcement.instance;
-        let since = *self.absent.entry(instance.clone()).or_insert(now);
-        let due = now.since(since) >= RECORD_KEPT;
-        let free = due && upstream::placement(view, instance).is_none();
+        let since = *self.absent_since.entry(instance.clone()).or_insert(now);
+        let due = now.since(since) >= ABSENT_RETENTION;
+        let free = due && upstream::placement_of(view, instance).is_none();
         free.then(|| command::Command::Forget(instance.clone()))
     }
 }
 
-fn silent(
+fn absent_command(
     now: clock::Instant,
     since: clock::Instant,
     member: &fleet::Member,
@@ -72,8 +72,9 @@
     let announcement = &member.announcement;
     // A new leader has no renewals yet, and a paused one received none meanwhile. Counted from the
     // last renewal alone, the whole fleet would be absent at once.
-    let heard = holders.heard(&announcement.instance, announcement.boot).unwrap_or(since);
-    let silence = now.since(heard.max(since));
+    let last_renewal =
+        holders.last_renewal(&announcement.instance, announcement.boot).unwrap_or(since);
+    let silence = now.since(last_renewal.max(since));
     (silence > timing::PRESENCE_TIMEOUT).then(|| command::Command::Absent {
         instance: announcement.instance.clone(),
         boot: announcement.boot,
--- a/crates/hyssopfork-control/tests/control.rs
+++ b/crates/hyssopfork-control/tests/control.rs
@@ -11,7 +11,7 @@
 
 /// Seeds that reach a rare case: a leader that was paused past its quorum lease answers an old
 /// renewal before it has detected the pause.
-const TELLING: [u64; 2] = [247, 1091];
+const RARE_CASE_SEEDS: [u64; 2] = [247, 1091];
 
 fn setting(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
@@ -23,11 +23,11 @@
 // linearizable, no lease may exceed the bound, and after the faults all clients must be served
 // again.
 #[test]
-fn histories_under_faults_read_as_one() {
+fn histories_under_faults_are_linearizable() {
     let first = setting("HYSSOPFORK_FIRST_SEED", 0);
     let seeds = setting("HYSSOPFORK_SEEDS", SEEDS);
 
-    for seed in TELLING.into_iter().chain(first..first + seeds) {
+    for seed in RARE_CASE_SEEDS.into_iter().chain(first..first + seeds) {
         println!("seed {seed}");
         let world = world::run(seed);
 
--- a/crates/hyssopfork-control/tests/histories/claimer.rs
+++ b/crates/hyssopfork-control/tests/histories/claimer.rs
@@ -5,16 +5,16 @@
 use rand::RngExt;
 
 /// Response to a claim.
-pub struct Told {
-    pub sent: u64,
-    pub at: u64,
+pub struct Response {
+    pub sent_at: u64,
+    pub received_at: u64,
     pub claim: claim::Claim,
     pub reply: claim::Reply,
 }
 
 /// An outcome that an attempt sent to be recorded.
-pub struct Ended {
-    pub sent: u64,
+pub struct Record {
+    pub sent_at: u64,
     pub key: claim::Key,
     pub attempt: attempt::Identifier,
     pub outcome: claim::Outcome,
@@ -23,15 +23,22 @@
 pub struct Claimer {
     index: u64,
     count: u64,
-    pub told: Vec<Told>,
-    pub ended: Vec<Ended>,
+    pub responses: Vec<Response>,
+    pub records: Vec<Record>,
     /// Request that is resent until it is answered.
-    open: Option<control::Request>,
+    unanswered: Option<control::Request>,
     waiting: bool,
 }
 
 pub fn new(index: u64) -> Claimer {
-    Claimer { index, count: 0, told: Vec::new(), ended: Vec::new(), open: None, waiting: false }
+    Claimer {
+        index,
+        count: 0,
+        responses: Vec::new(),
+        records: Vec::new(),
+        unanswered: None,
+        waiting: false,
+    }
 }
 
 impl Claimer {
@@ -40,45 +47,58 @@
         now: u64,
         random: &mut rand_chacha::ChaCha8Rng,
     ) -> (Vec<control::Request>, u64) {
-        let again = random.random_range(1_000..60_000);
+        let next_wake = random.random_range(1_000..60_000);
         if self.waiting {
-            return (Vec::new(), again);
+            return (Vec::new(), next_wake);
         }
         // The process crashes: its claim stays in progress.
         if random.random_bool(0.02) {
-            self.open = None;
+            self.unanswered = None;
         }
         self.waiting = true;
-        let request = match self.open.take() {
+        let request = match self.unanswered.take() {
             Some(control::Request::Record(key, attempt, outcome)) => {
-                let ended = Ended { sent: now, key, attempt, outcome };
+                let record = Record { sent_at: now, key, attempt, outcome };
                 let request = control::Request::Record(
-                    ended.key.clone(),
-                    ended.attempt,
-                    ended.outcome.clone(),
+                    record.key.clone(),
+                    record.attempt,
+                    record.outcome.clone(),
                 );
-                self.ended.push(ended);
+                self.records.push(record);
                 request
             }
-            Some(open) => open,
+            Some(request) => request,
             None => self.claim(random),
         };
-        self.open = Some(request.clone());
-        (vec![request], again)
+        self.unanswered = Some(request.clone());
+        (vec![request], next_wake)
     }
 
-    pub fn answered(&mut self, now: u64, ask: client::Ask, response: Option<control::Response>) {
+    pub fn on_response(
+        &mut self,
+        now: u64,
+        call: client::Call,
+        response: Option<control::Response>,
+    ) {
         self.waiting = false;
-        match (ask.request, response) {
+        match (call.request, response) {
             (control::Request::Claim(claim), Some(control::Response::Claimed(reply))) => {
                 let attempt = claim.attempt;
                 let key = claim.key.clone();
                 let granted = reply == claim::Reply::Granted;
-                self.told.push(Told { sent: ask.sent, at: now, claim, reply });
+                self.responses.push(Response {
+                    sent_at: call.sent_at,
+                    received_at: now,
+                    claim,
+                    reply,
+                });
                 let outcome = outcome(attempt);
-                self.open = granted.then_some(control::Request::Record(key, attempt, outcome));
+                self.unanswered =
+                    granted.then_some(control::Request::Record(key, attempt, outcome));
+            }
+            (control::Request::Record(..), Some(control::Response::Recorded)) => {
+                self.unanswered = None
             }
-            (control::Request::Record(..), Some(control::Response::Recorded)) => self.open = None,
             _ => {}
         }
     }
--- a/crates/hyssopfork-control/tests/histories/client.rs
+++ b/crates/hyssopfork-control/tests/histories/client.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 
 /// A request as it was sent.
-pub struct Ask {
+pub struct Call {
     pub request: control::Request,
     /// True time at which it was sent.
-    pub sent: u64,
+    pub sent_at: u64,
 }
 
 /// Each version's view, with the time when it was first applied.
@@ -22,27 +22,27 @@
 
 impl Client {
     /// Returns the requests to send now, and the delay until the next wake-up.
-    pub fn wake(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) -> (Vec<Ask>, u64) {
-        let (requests, again) = match self {
+    pub fn wake(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) -> (Vec<Call>, u64) {
+        let (requests, next_wake) = match self {
             Client::Operator(operator) => operator.wake(now, random),
             Client::Claimer(claimer) => claimer.wake(now, random),
             Client::Holder(holder) => holder.wake(now),
         };
-        let ask = |request| Ask { request, sent: now };
-        (requests.into_iter().map(ask).collect(), again)
+        let call = |request| Call { request, sent_at: now };
+        (requests.into_iter().map(call).collect(), next_wake)
     }
 
-    pub fn answered(
+    pub fn on_response(
         &mut self,
         now: u64,
-        ask: Ask,
+        call: Call,
         response: Option<control::Response>,
         versions: &mut Versions,
     ) {
         match self {
-            Client::Operator(operator) => operator.answered(now, ask, response),
-            Client::Claimer(claimer) => claimer.answered(now, ask, response),
-            Client::Holder(holder) => holder.answered(now, ask, response, versions),
+            Client::Operator(operator) => operator.on_response(now, call, response),
+            Client::Claimer(claimer) => claimer.on_response(now, call, response),
+            Client::Holder(holder) => holder.on_response(now, call, response, versions),
         }
     }
 
--- a/crates/hyssopfork-control/tests/histories/holder.rs
+++ b/crates/hyssopfork-control/tests/histories/holder.rs
@@ -13,12 +13,12 @@
     boot: u64,
     pub view: change::View,
     /// End of the lease, on the holder's clock.
-    lease: clock::Instant,
+    lease_end: clock::Instant,
     renewing: Option<u64>,
     watching: bool,
     down_until: u64,
     /// Newest fencing number whose model is loaded.
-    joined: number::Fence,
+    loaded_fence: number::Fence,
 }
 
 /// Creates a holder; the first four are agents, the others entries.
@@ -29,11 +29,11 @@
         clock,
         boot: 1,
         view: change::View::default(),
-        lease: clock::Instant::ORIGIN,
+        lease_end: clock::Instant::ORIGIN,
         renewing: None,
         watching: false,
         down_until: 0,
-        joined: number::Fence(0),
+        loaded_fence: number::Fence(0),
     }
 }
 
@@ -59,28 +59,28 @@
         (requests, renewal / 10)
     }
 
-    pub fn answered(
+    pub fn on_response(
         &mut self,
         now: u64,
-        ask: client::Ask,
+        call: client::Call,
         response: Option<control::Response>,
         versions: &mut client::Versions,
     ) {
         // The response belongs to a call of the previous process, or the holder is down.
-        if ask.sent < self.down_until || now < self.down_until {
+        if call.sent_at < self.down_until || now < self.down_until {
             return;
         }
-        match &ask.request {
+        match &call.request {
             control::Request::Watch(_) | control::Request::Follow(..) => self.watching = false,
-            _ => self.renewing = self.renewing.filter(|sent| *sent != ask.sent),
+            _ => self.renewing = self.renewing.filter(|sent| *sent != call.sent_at),
         }
         match response {
             Some(control::Response::Granted(grant)) => {
-                let lease = self.clock.local(ask.sent) + grant.duration;
-                self.lead(now, grant.update, versions);
-                self.lease = self.lease.max(lease);
+                let end = self.clock.local(call.sent_at) + grant.duration;
+                self.apply_update(now, grant.update, versions);
+                self.lease_end = self.lease_end.max(end);
             }
-            Some(control::Response::Updated(update)) => self.lead(now, update, versions),
+            Some(control::Response::Updated(update)) => self.apply_update(now, update, versions),
             _ => {}
         }
     }
@@ -98,7 +98,7 @@
     }
 
     pub fn check_lease(&self, now: u64, in_force: number::Version) {
-        let leased = self.clock.local(now) < self.lease;
+        let leased = self.clock.local(now) < self.lease_end;
         assert!(
             !leased || self.view.version >= in_force,
             "{} holds a lease on version {} while {in_force} must be in force",
@@ -107,18 +107,18 @@
         );
     }
 
-    fn lead(&mut self, now: u64, update: change::Update, versions: &mut client::Versions) {
-        let before = self.view.version;
+    fn apply_update(&mut self, now: u64, update: change::Update, versions: &mut client::Versions) {
+        let previous = self.view.version;
         // Skips steps that the view already contains.
-        if view::lead(&mut self.view, update).is_err() || self.view.version.0 == 0 {
+        if view::apply_update(&mut self.view, update).is_err() || self.view.version.0 == 0 {
             return;
         }
-        assert!(self.view.version >= before, "a version went down");
+        assert!(self.view.version >= previous, "a version decreased");
         // A control instance may have passed this version within one event, so that the simulation
         // did not record it.
         self.check_view(now, versions);
-        let placed = upstream::placement(&self.view, &self.instance);
-        self.joined = placed.map_or(self.joined, |(_, placement, _)| placement.fence);
+        let placed = upstream::placement_of(&self.view, &self.instance);
+        self.loaded_fence = placed.map_or(self.loaded_fence, |(_, placement, _)| placement.fence);
     }
 
     /// All entries must have the same whole view of a version, and an agent its scoped part of it.
@@ -135,7 +135,8 @@
 
     fn renewal(&self) -> control::Renewal {
         let holder = if self.agent {
-            let report = fleet::Report { alive: true, joined: self.joined, ..Default::default() };
+            let report =
+                fleet::Report { alive: true, joined: self.loaded_fence, ..Default::default() };
             control::Holder::Agent(Box::new(self.announcement()), report)
         } else {
             control::Holder::Entry(self.instance.clone())
--- a/crates/hyssopfork-control/tests/histories/operator.rs
+++ b/crates/hyssopfork-control/tests/histories/operator.rs
@@ -6,25 +6,31 @@
 use rand::RngExt;
 
 /// A patch and every outcome that was returned for it.
-pub struct Story {
+pub struct Submission {
     pub patch: patch::Patch,
-    pub first_sent: u64,
+    pub first_sent_at: u64,
     /// True time and outcome of each response.
-    pub told: Vec<(u64, patch::Outcome)>,
+    pub responses: Vec<(u64, patch::Outcome)>,
 }
 
 pub struct Operator {
     index: usize,
-    pub stories: Vec<Story>,
-    known: number::Configuration,
+    pub submissions: Vec<Submission>,
+    known_number: number::Configuration,
     waiting: bool,
     /// Index of the patch that has no outcome yet.
-    open: Option<usize>,
+    undecided: Option<usize>,
 }
 
 pub fn new(index: usize) -> Operator {
     let known = number::Configuration(0);
-    Operator { index, stories: Vec::new(), known, waiting: false, open: None }
+    Operator {
+        index,
+        submissions: Vec::new(),
+        known_number: known,
+        waiting: false,
+        undecided: None,
+    }
 }
 
 impl Operator {
@@ -33,50 +39,57 @@
         now: u64,
         random: &mut rand_chacha::ChaCha8Rng,
     ) -> (Vec<control::Request>, u64) {
-        let again = random.random_range(1_000..40_000);
+        let next_wake = random.random_range(1_000..40_000);
         if self.waiting {
-            return (Vec::new(), again);
+            return (Vec::new(), next_wake);
         }
         self.waiting = true;
-        let resend = !self.stories.is_empty() && random.random_bool(0.3);
-        let story = match self.open {
-            Some(open) => open,
-            None if resend => random.random_range(0..self.stories.len()),
-            None => self.write(now, random),
+        let resend = !self.submissions.is_empty() && random.random_bool(0.3);
+        let submission = match self.undecided {
+            Some(undecided) => undecided,
+            None if resend => random.random_range(0..self.submissions.len()),
+            None => self.new_patch(now, random),
         };
-        (vec![control::Request::Submit(self.stories[story].patch.clone())], again)
+        (vec![control::Request::Submit(self.submissions[submission].patch.clone())], next_wake)
     }
 
-    pub fn answered(&mut self, now: u64, ask: client::Ask, response: Option<control::Response>) {
+    pub fn on_response(
+        &mut self,
+        now: u64,
+        call: client::Call,
+        response: Option<control::Response>,
+    ) {
         self.waiting = false;
         let Some(control::Response::Submitted(outcome)) = response else { return };
-        let control::Request::Submit(patch) = ask.request else { return };
+        let control::Request::Submit(patch) = call.request else { return };
         match &outcome {
-            patch::Outcome::Accepted(number) => self.known = self.known.max(*number),
-            patch::Outcome::Stale { current, .. } => self.known = self.known.max(*current),
+            patch::Outcome::Accepted(number) => self.known_number = self.known_number.max(*number),
+            patch::Outcome::Stale { current, .. } => {
+                self.known_number = self.known_number.max(*current)
+            }
             patch::Outcome::Invalid(_) | patch::Outcome::Reused => {}
         }
-        let position = self.stories.iter().position(|story| story.patch == patch);
-        let position = position.expect("an answer belongs to a story");
-        self.stories[position].told.push((now, outcome));
-        self.open = self.open.filter(|open| *open != position);
+        let position = self.submissions.iter().position(|submission| submission.patch == patch);
+        let position = position.expect("a response belongs to a submission");
+        self.submissions[position].responses.push((now, outcome));
+        self.undecided = self.undecided.filter(|undecided| *undecided != position);
     }
 
-    fn write(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) -> usize {
-        let count = self.stories.len();
-        let operations = if self.known.0 == 0 || now >= world::HEALED {
+    fn new_patch(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) -> usize {
+        let count = self.submissions.len();
+        let operations = if self.known_number.0 == 0 || now >= world::FAULTS_END {
             vec![patch::Operation::Declare(Box::new(fixture::declaration()))]
         } else {
             vec![operation(random)]
         };
         let patch = patch::Patch {
             identifier: patch::Identifier(format!("o{}-{count}", self.index)),
-            base: self.known,
+            base: self.known_number,
             author: "desk".into(),
             operations,
         };
-        self.stories.push(Story { patch, first_sent: now, told: Vec::new() });
-        self.open = Some(count);
+        self.submissions.push(Submission { patch, first_sent_at: now, responses: Vec::new() });
+        self.undecided = Some(count);
         count
     }
 }
--- a/crates/hyssopfork-control/tests/histories/slot.rs
+++ b/crates/hyssopfork-control/tests/histories/slot.rs
@@ -7,19 +7,19 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Largest drift of a clock from true time: half of the drift allowed between two clocks.
-pub const RATE_SPREAD_PPM: i64 = 5_000;
+pub const MAX_DRIFT_PPM: i64 = 5_000;
 
 /// A clock that converts true microseconds to local ones.
 #[derive(Clone, Copy)]
 pub struct Clock {
     pub offset: u64,
     /// Drift in parts per million; positive when the clock runs fast.
-    pub rate: i64,
+    pub drift_ppm: i64,
 }
 
 impl Clock {
     pub fn local(&self, now: u64) -> clock::Instant {
-        let drift = now as i64 * self.rate / 1_000_000;
+        let drift = now as i64 * self.drift_ppm / 1_000_000;
         clock::Instant::from_micros(self.offset + (now as i64 + drift) as u64)
     }
 }
@@ -58,7 +58,7 @@
         let local = self.clock.local(now);
         let node = node::Node::new(identity, self.durable.clone(), settings, seed, local);
         let mut settings = core::Settings::new(self.name.clone(), BTreeMap::new());
-        settings.snapshot_entries = 50;
+        settings.snapshot_interval_entries = 50;
         self.core = Some(core::Core::new(settings, node, machine::Machine::new(), local));
         self.boot += 1;
     }
--- a/crates/hyssopfork-control/tests/solo/fixture.rs
+++ b/crates/hyssopfork-control/tests/solo/fixture.rs
@@ -15,8 +15,8 @@
     pub now: clock::Instant,
     pub durable: node::Durable,
     /// Whether writes reach the disk at once; otherwise they are collected in `held_writes`.
-    pub syncs: bool,
-    pub held: Vec<write::Write>,
+    pub sync_writes: bool,
+    pub held_writes: Vec<write::Write>,
     pub replies: BTreeMap<u64, control::Response>,
     pub notices: Vec<notice::Notice>,
     pub stopped: bool,
@@ -40,8 +40,8 @@
             core: core::Core::new(settings, node, machine::Machine::new(), now),
             now,
             durable,
-            syncs: true,
-            held: Vec::new(),
+            sync_writes: true,
+            held_writes: Vec::new(),
             replies: BTreeMap::new(),
             notices: Vec::new(),
             stopped: false,
@@ -54,18 +54,18 @@
     /// An instance that leads a declared fleet of four engines in domain d1 and two in d2.
     pub fn leading() -> Solo {
         let mut solo = Solo::start(node::Durable::default());
-        solo.pass(Duration::from_secs(3));
+        solo.advance(Duration::from_secs(3));
         solo.submit("declare", vec![patch::Operation::Declare(Box::new(declaration()))]);
         for (name, domain) in
             [("e1", "d1"), ("e2", "d1"), ("e3", "d1"), ("e4", "d1"), ("e5", "d2"), ("e6", "d2")]
         {
-            solo.add(name, domain, 1);
+            solo.add_agent(name, domain, 1);
         }
         solo
     }
 
     /// Adds an agent that renews from now on.
-    pub fn add(&mut self, name: &str, domain: &str, boot: u64) {
+    pub fn add_agent(&mut self, name: &str, domain: &str, boot: u64) {
         let report = fleet::Report { alive: true, ..Default::default() };
         self.agents.insert(name.into(), (announcement(name, domain, boot), report));
     }
@@ -90,43 +90,43 @@
     }
 
     fn persist(&mut self, write: write::Write) {
-        if !self.syncs {
-            return self.held.push(write);
+        if !self.sync_writes {
+            return self.held_writes.push(write);
         }
         self.durable.apply(&write);
         self.step(event::Event::Persisted(write.number));
     }
 
     /// Lets time pass with ticks only.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            self.now = self.now + action::TICK;
+            self.now = self.now + action::TICK_INTERVAL;
             self.step(event::Event::Tick);
         }
     }
 
     /// Lets time pass while every agent renews; engines load the models of their placements.
-    pub fn live(&mut self, time: Duration) {
+    pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            self.load();
+            self.load_models();
             let agents = self.agents.clone();
             for (name, (announcement, report)) in agents {
                 let leaving = self.leaving.contains(&name);
                 self.renew(announcement, report, leaving);
             }
-            self.pass(Duration::from_millis(500));
+            self.advance(Duration::from_millis(500));
         }
     }
 
-    fn load(&mut self) {
+    fn load_models(&mut self) {
         let placements = self.view().placements.clone();
         for placement in placements.values() {
             for member in &placement.members {
                 if let Some((_, report)) = self.agents.get_mut(member.as_str())
                     && report.alive
-                    && report.running < STUCK
+                    && report.running < NEVER_LOADING
                 {
                     report.joined = placement.fence;
                 }
@@ -136,12 +136,12 @@
 
     pub fn call(&mut self, request: control::Request) -> u64 {
         self.calls += 1;
-        self.step(event::Event::Called { call: self.calls, request });
+        self.step(event::Event::Request { call: self.calls, request });
         self.calls
     }
 
     /// Sends a request and returns the response, if there is one at once.
-    pub fn ask(&mut self, request: control::Request) -> Option<control::Response> {
+    pub fn request(&mut self, request: control::Request) -> Option<control::Response> {
         let call = self.call(request);
         self.replies.remove(&call)
     }
@@ -154,7 +154,7 @@
     ) -> Option<control::Response> {
         let holder = control::Holder::Agent(Box::new(announcement), report);
         let have = self.view().version;
-        self.ask(control::Request::Renew(control::Renewal { holder, version: have, leaving }))
+        self.request(control::Request::Renew(control::Renewal { holder, version: have, leaving }))
     }
 
     pub fn submit(
@@ -165,7 +165,7 @@
         let base = self.view().configuration.number;
         let identifier = patch::Identifier(identifier.into());
         let patch = patch::Patch { identifier, base, author: "desk".into(), operations };
-        self.ask(control::Request::Submit(patch))
+        self.request(control::Request::Submit(patch))
     }
 
     pub fn view(&self) -> &change::View {
@@ -173,7 +173,7 @@
     }
 
     /// Members of a group's placement, and its fencing number.
-    pub fn placed(&self, group: &str) -> Option<(Vec<String>, number::Fence)> {
+    pub fn placement(&self, group: &str) -> Option<(Vec<String>, number::Fence)> {
         let placement = self.view().placements.get(&group.into())?;
         let members = placement.members.iter().map(name::Instance::to_string).collect();
         Some((members, placement.fence))
@@ -181,7 +181,7 @@
 }
 
 /// Number of running requests that marks a fixture's engine as one that never loads.
-pub const STUCK: u32 = 1_000;
+pub const NEVER_LOADING: u32 = 1_000;
 
 pub fn group(size: u32) -> configuration::Group {
     configuration::Group { pool: "engines".into(), model: "m".into(), size, priority: 0 }
--- a/crates/hyssopfork-control/tests/solo/interests.rs
+++ b/crates/hyssopfork-control/tests/solo/interests.rs
@@ -62,7 +62,7 @@
 }
 
 /// The state that an agent decides by, which must not change unless the agent is woken.
-fn needs(view: &change::View) -> impl PartialEq + std::fmt::Debug + use<> {
+fn decision_state(view: &change::View) -> impl PartialEq + std::fmt::Debug + use<> {
     let drained = |other: &&name::Instance| view.configuration.drained.contains(*other);
     let drained: Vec<name::Instance> = view.members.keys().filter(drained).cloned().collect();
     (view.members.clone(), view.placements.clone(), drained)
@@ -72,35 +72,39 @@
 // as one with the whole view. If it missed a change, it would serve in a group that has ended, or
 // reject work for one that is in force.
 #[test]
-fn a_narrowed_view_is_always_the_part_of_the_whole() {
+fn a_narrowed_update_always_yields_the_scoped_view() {
     for seed in 0..300 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut whole = change::View::default();
         let mut interests = interests::Interests::new(&whole);
         let mut steps = Vec::new();
-        let mut parts = vec![change::View::default(); INSTANCES as usize];
+        let mut scoped_views = vec![change::View::default(); INSTANCES as usize];
         for version in 1..60 {
             let version = number::Version(version);
             let step = change::Step { version, changes: vec![change(&whole, &mut random)] };
-            view::apply(&mut whole, &step);
+            view::apply_step(&mut whole, &step);
             interests.push(&step, number::Version(0));
             steps.push(step);
-            for (place, part) in parts.iter_mut().enumerate() {
-                let instance = instance(place as u32);
-                let wakes = interests.concerns(&instance, part.version);
-                if !wakes {
+            for (index, scoped_view) in scoped_views.iter_mut().enumerate() {
+                let instance = instance(index as u32);
+                let is_woken = interests.affects(&instance, scoped_view.version);
+                if !is_woken {
                     let now = scope::view(&whole, &instance);
-                    assert_eq!(needs(part), needs(&now), "seed {seed}, {version}");
+                    assert_eq!(
+                        decision_state(scoped_view),
+                        decision_state(&now),
+                        "seed {seed}, {version}"
+                    );
                 }
-                if !wakes && random.random_bool(0.9) {
+                if !is_woken && random.random_bool(0.9) {
                     continue;
                 }
-                let newer = steps.iter().filter(|step| step.version > part.version);
+                let newer = steps.iter().filter(|step| step.version > scoped_view.version);
                 let update = change::Update::Steps(newer.cloned().collect());
-                let update = interests.narrow(&whole, part.version, update, &instance);
-                view::lead(part, update).unwrap();
+                let update = interests.narrow(&whole, scoped_view.version, update, &instance);
+                view::apply_update(scoped_view, update).unwrap();
 
-                assert_eq!(*part, scope::view(&whole, &instance), "seed {seed}, {version}");
+                assert_eq!(*scoped_view, scope::view(&whole, &instance), "seed {seed}, {version}");
             }
         }
     }
@@ -109,10 +113,10 @@
 // Thousands of agents follow the view. A change of teams or routes, or of an instance in another
 // group, must wake none of them; a zone that is taken out wakes all.
 #[test]
-fn agents_are_woken_by_what_concerns_them_only() {
+fn agents_are_woken_only_by_changes_in_their_scope() {
     let mut solo = fixture::Solo::leading();
-    ["e1", "e2"].into_iter().for_each(|name| solo.add(name, "d1", 1));
-    solo.live(Duration::from_secs(1));
+    ["e1", "e2"].into_iter().for_each(|name| solo.add_agent(name, "d1", 1));
+    solo.run(Duration::from_secs(1));
     let have = solo.view().version;
     let follow = |solo: &mut fixture::Solo| {
         let have = solo.view().version;
@@ -122,11 +126,11 @@
     let first = follow(&mut solo);
     let team = configuration::Team { token_sha256: ["a".repeat(64)].into(), weight: 1 };
     solo.submit("team", vec![patch::Operation::PutTeam("other".into(), team)]);
-    solo.pass(Duration::from_millis(200));
+    solo.advance(Duration::from_millis(200));
     let by_team = solo.replies.contains_key(&first);
     let zone = solo.view().configuration.zones.keys().next().cloned().unwrap();
     solo.submit("out", vec![patch::Operation::SetZoneOut(zone, true)]);
-    solo.pass(Duration::from_millis(200));
+    solo.advance(Duration::from_millis(200));
     let by_zone = solo.replies.get(&first);
 
     assert!(!by_team);
--- a/crates/hyssopfork-control/tests/solo/leases.rs
+++ b/crates/hyssopfork-control/tests/solo/leases.rs
@@ -15,10 +15,10 @@
 #[test]
 fn an_agent_is_recorded_before_it_gets_its_lease() {
     let mut solo = fixture::Solo::leading();
-    solo.syncs = false;
+    solo.sync_writes = false;
 
     let pending = solo.renew(fixture::announcement("e1", "d1", 1), Default::default(), false);
-    let mark = solo.held.last().expect("a proposal").number;
+    let mark = solo.held_writes.last().expect("a proposal").number;
     solo.step(event::Event::Persisted(mark));
 
     assert_eq!(pending, None);
@@ -64,10 +64,10 @@
 #[test]
 fn a_silent_agent_is_absent_after_its_time_and_present_when_it_renews() {
     let mut solo = fixture::Solo::leading();
-    solo.live(Duration::from_secs(1));
+    solo.run(Duration::from_secs(1));
     let (e1, report) = solo.agents.remove("e1").expect("an agent");
 
-    solo.live(timing::PRESENCE_TIMEOUT + Duration::from_millis(500));
+    solo.run(timing::PRESENCE_TIMEOUT + Duration::from_millis(500));
     let absent = !solo.view().members[&"e1".into()].present;
     solo.renew(e1, report, false);
 
@@ -81,11 +81,11 @@
 #[test]
 fn a_leader_that_was_paused_counts_nobody_as_absent() {
     let mut solo = fixture::Solo::leading();
-    solo.live(Duration::from_secs(1));
+    solo.run(Duration::from_secs(1));
 
     solo.now = solo.now + Duration::from_secs(10);
     solo.step(event::Event::Tick);
-    solo.live(Duration::from_secs(2));
+    solo.run(Duration::from_secs(2));
 
     assert!(solo.view().members.values().all(|member| member.present));
     assert!(solo.notices.iter().any(|it| matches!(it, notice::Notice::Paused(_))));
--- a/crates/hyssopfork-control/tests/solo/answering.rs
+++ b/crates/hyssopfork-control/tests/solo/responses.rs
@@ -34,17 +34,17 @@
 fn a_new_leader_gives_no_lease_before_it_has_applied_an_entry_of_its_own_term() {
     let durable = fixture::Solo::leading().durable;
     let mut solo = fixture::Solo::start(durable);
-    solo.pass(Duration::from_millis(20));
-    solo.syncs = false;
-    solo.pass(Duration::from_secs(2));
-    let ballot = solo.held.pop().expect("stands for election");
+    solo.advance(Duration::from_millis(20));
+    solo.sync_writes = false;
+    solo.advance(Duration::from_secs(2));
+    let ballot = solo.held_writes.pop().expect("stands for election");
     solo.step(event::Event::Persisted(ballot.number));
-    solo.pass(Duration::from_millis(200));
+    solo.advance(Duration::from_millis(200));
 
-    let early = solo.ask(entry(0));
-    let mark = solo.held.last().expect("appends an entry of its term").number;
+    let early = solo.request(entry(0));
+    let mark = solo.held_writes.last().expect("appends an entry of its term").number;
     solo.step(event::Event::Persisted(mark));
-    let later = solo.ask(entry(0));
+    let later = solo.request(entry(0));
 
     assert_eq!(early, Some(control::Response::NotLeader(None)));
     let Some(control::Response::Granted(grant)) = later else { panic!("{later:?}") };
@@ -55,16 +55,16 @@
 // A client's patch was appended by a leader that lost leadership, and another leader's entry was
 // committed at the same index. That entry's reply must not be returned to the client.
 #[test]
-fn an_entry_of_another_term_answers_nobody() {
+fn an_entry_of_another_term_completes_no_call() {
     let mut calls = calls::Calls::default();
     let now = clock::Instant::ORIGIN;
-    let ticket = calls.wait(now, calls::Purpose::Call(1));
-    calls.append(ticket, number::Index(5), number::Term(1));
+    let ticket = calls.register(now, calls::Purpose::Call(1));
+    calls.record_position(ticket, number::Index(5), number::Term(1));
 
-    let purpose = calls.apply(number::Index(5), number::Term(2));
+    let purpose = calls.take_applied(number::Index(5), number::Term(2));
 
     assert!(purpose.is_none());
-    assert_eq!(calls.due(now + calls::PATIENCE), [1]);
+    assert_eq!(calls.take_expired(now + calls::PROPOSAL_TIMEOUT), [1]);
 }
 
 #[test]
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn kept_steps_are_bounded_by_count() {
+fn retained_steps_are_bounded_by_count() {
     let mut steps = steps::Steps::new(number::Version(0));
-    let newest = steps::COUNT_LIMIT as u64 + 5;
+    let newest = steps::MAX_STEPS as u64 + 5;
     let view = change::View { version: number::Version(newest), ..Default::default() };
 
     for version in 1..=newest {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn kept_steps_are_bounded_by_weight() {
+fn retained_steps_are_bounded_by_bytes() {
     let mut steps = steps::Steps::new(number::Version(0));
     let view = change::View { version: number::Version(20), ..Default::default() };
     let forgotten = change::Change::Forgotten("x".repeat(1_000).as_str().into());
@@ -127,17 +127,17 @@
     durable.entries.iter_mut().for_each(unreadable);
 
     let mut solo = fixture::Solo::start(durable);
-    solo.pass(Duration::from_secs(3));
+    solo.advance(Duration::from_secs(3));
 }
 
 #[test]
-fn a_watcher_that_is_behind_when_it_asks_is_told_without_waiting() {
+fn a_stale_watcher_is_answered_without_waiting() {
     let mut solo = fixture::Solo::leading();
     let have = solo.view().version;
     solo.submit("out", zone_out(true));
 
     let watch = solo.call(control::Request::Watch(have));
-    solo.pass(Duration::from_millis(20));
+    solo.advance(Duration::from_millis(20));
 
     assert!(matches!(
         solo.replies.get(&watch),
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_watch_is_held_until_the_view_moves_or_its_time_is_up() {
+fn a_watch_is_held_until_the_view_changes_or_its_deadline() {
     let mut solo = fixture::Solo::leading();
     let have = solo.view().version;
     let moved = solo.call(control::Request::Watch(have));
@@ -157,7 +157,7 @@
     solo.submit("out", zone_out(true));
     let have = solo.view().version;
     let quiet = solo.call(control::Request::Watch(have));
-    solo.pass(timing::LONG_POLL_TIMEOUT);
+    solo.advance(timing::LONG_POLL_TIMEOUT);
 
     assert!(held);
     assert!(matches!(
@@ -171,7 +171,7 @@
 // Many changes are applied within a moment, as when a fleet starts. If each were sent by itself to
 // thousands of watchers, the leader would have no time for anything else.
 #[test]
-fn changes_that_follow_at_once_are_told_in_one_answer() {
+fn changes_in_quick_succession_are_sent_in_one_response() {
     let mut solo = fixture::Solo::leading();
     let have = solo.view().version;
     solo.call(control::Request::Watch(have));
@@ -183,7 +183,7 @@
     solo.submit("back", zone_out(false));
     solo.submit("again", zone_out(true));
     let at_once = solo.replies.contains_key(&watch);
-    solo.pass(Duration::from_millis(20));
+    solo.advance(Duration::from_millis(20));
 
     assert!(!at_once);
     assert!(matches!(
@@ -195,26 +195,26 @@
 // A leader loses its quorum while a patch is pending. The next leader may commit the patch or not,
 // so the operator must be told neither that it was accepted nor that it was rejected.
 #[test]
-fn a_call_whose_end_is_not_known_in_time_is_told_so() {
+fn a_call_that_times_out_is_answered_with_an_unknown_outcome() {
     let mut solo = fixture::Solo::leading();
-    solo.syncs = false;
+    solo.sync_writes = false;
 
     let call = solo.submit("out", zone_out(true));
-    solo.pass(calls::PATIENCE);
+    solo.advance(calls::PROPOSAL_TIMEOUT);
 
     assert_eq!(call, None);
     assert_eq!(solo.replies.values().collect::<Vec<_>>(), [&control::Response::Unknown]);
 }
 
 #[test]
-fn a_claim_whose_holder_fell_silent_becomes_unknown_by_the_leader_s_clock() {
+fn a_claim_without_an_outcome_becomes_unknown_by_the_leader_s_clock() {
     let mut solo = fixture::Solo::leading();
-    let granted = solo.ask(claim(1));
+    let granted = solo.request(claim(1));
 
-    solo.pass(claims::PROGRESS_LIMIT - claims::GRAIN);
-    let early = solo.ask(claim(2));
-    solo.pass(claims::GRAIN * 3);
-    let late = solo.ask(claim(3));
+    solo.advance(claims::IN_PROGRESS_TIMEOUT - claims::AGING_INTERVAL);
+    let early = solo.request(claim(2));
+    solo.advance(claims::AGING_INTERVAL * 3);
+    let late = solo.request(claim(3));
 
     let claimed = |reply| Some(control::Response::Claimed(reply));
     assert_eq!(granted, claimed(claim::Reply::Granted));
@@ -224,14 +224,14 @@
 }
 
 #[test]
-fn a_leader_that_stops_answers_held_calls_and_takes_no_more() {
+fn a_leader_that_stops_answers_held_calls_and_rejects_new_ones() {
     let mut solo = fixture::Solo::leading();
     let have = solo.view().version;
     let watch = solo.call(control::Request::Watch(have));
 
     solo.step(event::Event::Stop);
-    let refused = solo.ask(entry(0));
-    solo.pass(Duration::from_secs(3));
+    let refused = solo.request(entry(0));
+    solo.advance(Duration::from_secs(3));
 
     assert!(matches!(refused, Some(control::Response::NotLeader(_)) | None));
     assert!(matches!(solo.replies[&watch], control::Response::NotLeader(_)));
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_patch_too_long_for_the_log_is_refused_with_its_remedy() {
+fn a_patch_too_long_for_the_log_is_rejected_with_its_remedy() {
     let mut solo = fixture::Solo::leading();
     let put = |count: u32| {
         patch::Operation::PutGroup(
@@ -257,9 +257,9 @@
 }
 
 #[test]
-fn notices_have_numbers_of_their_own() {
+fn notices_have_distinct_numbers() {
     let mut solo = fixture::Solo::leading();
-    solo.live(Duration::from_secs(2));
+    solo.run(Duration::from_secs(2));
 
     let own = solo.notices.iter().filter(|it| !matches!(it, notice::Notice::Log(_)));
     let numbers: BTreeSet<u16> = own.clone().map(notice::Notice::number).collect();
--- a/crates/hyssopfork-daemon/src/control/role.rs
+++ b/crates/hyssopfork-daemon/src/control/role.rs
@@ -48,7 +48,7 @@
 
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
-        mailbox::drain(&mut self, inputs, action::TICK).await;
+        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 }
 
@@ -59,7 +59,7 @@
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready());
         let (term, committed) = self.core.progress();
-        self.registry.consensus(term, committed, self.core.leads());
+        self.registry.consensus(term, committed, self.core.can_answer_as_leader());
         let view = self.core.machine().view();
         self.registry.in_force(view.configuration.number, view.version);
         let closed: Vec<u64> = self
@@ -80,7 +80,7 @@
             Input::Call(request, reply) => {
                 self.count += 1;
                 self.calls.insert(self.count, reply);
-                self.step(event::Event::Called { call: self.count, request });
+                self.step(event::Event::Request { call: self.count, request });
             }
         }
     }
--- a/crates/hyssopfork-entry/tests/history/control.rs
+++ b/crates/hyssopfork-entry/tests/history/control.rs
@@ -104,7 +104,8 @@
         let groups: Vec<_> = self.view().configuration.groups.clone().into_iter().collect();
         for (name, group) in groups {
             let placed = self.view().placements.get(&name).cloned();
-            let bad = |member: &name::Instance| upstream::obstacle(self.view(), member).is_some();
+            let bad =
+                |member: &name::Instance| upstream::ineligibility(self.view(), member).is_some();
             let broken = placed.as_ref().is_none_or(|placed| placed.members.iter().any(bad));
             let moves = restless && random.random_ratio(1, 60);
             if moves || (broken && placed.as_ref().is_none_or(|placed| self.may_move(placed))) {
@@ -134,9 +135,9 @@
     ) {
         let view = self.view();
         let usable = |instance: &&name::Instance| {
-            let elsewhere = upstream::placement(view, instance).is_some_and(|at| at.0 != name);
+            let elsewhere = upstream::placement_of(view, instance).is_some_and(|at| at.0 != name);
             let pool = &view.members[*instance].announcement.pool;
-            *pool == group.pool && !elsewhere && upstream::obstacle(view, instance).is_none()
+            *pool == group.pool && !elsewhere && upstream::ineligibility(view, instance).is_none()
         };
         let mut members: Vec<_> = view.members.keys().filter(usable).cloned().collect();
         members.shuffle(random);
@@ -152,7 +153,8 @@
         members.retain(|member| *zone(member) == chosen);
         members.truncate(group.size as usize);
         let over = placed.map(|placed| placed.fence);
-        let reply = self.apply(&command::Command::Place { group: name.clone(), members, over });
+        let reply =
+            self.apply(&command::Command::Place { group: name.clone(), members, replaces: over });
         assert!(matches!(reply, machine::Reply::Placed(_)), "the group is placed: {reply:?}");
     }
 
--- a/crates/hyssopfork-state/benches/state.rs
+++ b/crates/hyssopfork-state/benches/state.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Members of a group, as at the planned size.
-const SIZE: u32 = 8;
+const GROUP_SIZE: u32 = 8;
 
 struct Log {
     machine: machine::Machine,
@@ -75,7 +75,7 @@
 }
 
 fn fleet(instances: u32) {
-    println!("fleet of {instances} instances, {} groups of {SIZE}", instances / 16);
+    println!("fleet of {instances} instances, {} groups of {GROUP_SIZE}", instances / 16);
     let mut log = populated(instances);
     let whole = bincode::serialized_size(log.machine.view()).unwrap_or(0);
     println!("  whole view           {whole:>10} bytes, {} each", whole / u64::from(instances));
@@ -89,7 +89,7 @@
     let mut watched = log.machine.view().clone();
     let mut step = |label: &str, log: &mut Log, command: &dyn Fn(&Log, u32) -> command::Command| {
         let mut applying = Duration::ZERO;
-        let mut leading = Duration::ZERO;
+        let mut updating = Duration::ZERO;
         let (mut encoded, mut sent) = (0, 0);
         const ROUNDS: u32 = 200;
         for round in 0..ROUNDS {
@@ -102,15 +102,15 @@
             let step = change::Step { version, changes: applied.changes };
             sent += bincode::serialized_size(&step).unwrap_or(0);
             let start = Instant::now();
-            view::apply(&mut watched, &step);
-            leading += start.elapsed();
+            view::apply_step(&mut watched, &step);
+            updating += start.elapsed();
         }
         println!(
             "  {label:<20} {:>10} bytes in the log, {} in a step; apply {:.1} us, lead {:.1} us",
             encoded / ROUNDS as usize,
             sent / u64::from(ROUNDS),
             micros(applying, ROUNDS),
-            micros(leading, ROUNDS)
+            micros(updating, ROUNDS)
         );
     };
     step("zone out or back", &mut log, &|log, round| {
@@ -125,8 +125,8 @@
         command::Command::Announce(Box::new(announcement(3, u64::from(round) + 2)))
     });
     step("place", &mut log, &|log, round| {
-        let over = log.machine.view().placements.get(&"group-0000".into());
-        place(0, round % 2, over.map(|placement| placement.fence))
+        let replaces = log.machine.view().placements.get(&"group-0000".into());
+        place(0, round % 2, replaces.map(|placement| placement.fence))
     });
 }
 
@@ -178,13 +178,22 @@
 }
 
 fn group() -> configuration::Group {
-    configuration::Group { pool: "engines".into(), model: "model".into(), size: SIZE, priority: 1 }
+    configuration::Group {
+        pool: "engines".into(),
+        model: "model".into(),
+        size: GROUP_SIZE,
+        priority: 1,
+    }
 }
 
-fn place(count: u32, shift: u32, over: Option<number::Fence>) -> command::Command {
-    let first = count * 16 + shift * SIZE;
-    let members = (first..first + SIZE).map(instance).collect();
-    command::Command::Place { group: name::Group::new(format!("group-{count:04}")), members, over }
+fn place(count: u32, shift: u32, replaces: Option<number::Fence>) -> command::Command {
+    let first = count * 16 + shift * GROUP_SIZE;
+    let members = (first..first + GROUP_SIZE).map(instance).collect();
+    command::Command::Place {
+        group: name::Group::new(format!("group-{count:04}")),
+        members,
+        replaces,
+    }
 }
 
 fn instance(count: u32) -> name::Instance {
--- a/crates/hyssopfork-state/src/claims.rs
+++ b/crates/hyssopfork-state/src/claims.rs
@@ -11,33 +11,33 @@
 use std::time::Duration;
 
 /// Most claims that are retained.
-pub const COUNT_LIMIT: usize = 32_768;
+pub const MAX_CLAIMS: usize = 32_768;
 
 /// Most bytes of retained claims, as estimated here. A claim in progress counts with a whole
 /// answer, so that there is always room for its outcome.
-pub const WEIGHT_LIMIT: usize = 32 << 20;
+pub const MAX_BYTES: usize = 32 << 20;
 
 /// Least time for which an outcome is retained; clients must not reuse a key later than this. It is
 /// retained longer while there is room.
-pub const RETENTION: Duration = Duration::from_secs(24 * 3_600);
+pub const OUTCOME_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
 /// Time in progress after which a claim's outcome is unknown, since its holder has not recorded
 /// one. Claims cover short work; an answer that comes later still reaches the client that waits for
 /// it.
-pub const PROGRESS_LIMIT: Duration = Duration::from_secs(600);
+pub const IN_PROGRESS_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Longest time by which claims age at once ([`crate::command::Command::Elapsed`]). A claim may
 /// have been granted at the end of the interval that ages it, so this much is added to its time.
-pub const GRAIN: Duration = Duration::from_secs(10);
+pub const AGING_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Most attempts with a released claim that are retained.
-pub const FREED_LIMIT: usize = 4_096;
+pub const MAX_RELEASED_ATTEMPTS: usize = 4_096;
 
 /// Longest Idempotency-Key, in bytes.
-pub const KEY_LIMIT: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
 /// Estimated bytes of a retained claim besides its texts and answer.
-const WEIGHT_BASE: usize = 256;
+const CLAIM_OVERHEAD_BYTES: usize = 256;
 
 /// A claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,13 +56,13 @@
 pub struct Claims {
     entries: BTreeMap<claim::Key, Entry>,
     /// Completed keys, in the order of their outcomes.
-    done: VecDeque<claim::Key>,
+    completed: VecDeque<claim::Key>,
     /// Keys in progress, in the order of their grants; may contain keys that have completed since.
-    progress: VecDeque<(claim::Key, attempt::Identifier)>,
+    in_progress: VecDeque<(claim::Key, attempt::Identifier)>,
     /// Attempts whose claim was released, oldest first.
-    freed: VecDeque<attempt::Identifier>,
+    released: VecDeque<attempt::Identifier>,
     /// Invariant: the sum of the sizes of `entries`.
-    weight: usize,
+    bytes: usize,
     /// Time that leaders counted. It never exceeds true time by more than the clock drift, and
     /// stands still while there is no leader.
     age: Duration,
@@ -72,20 +72,22 @@
     /// Grants or rejects a claim, or returns the outcome of the key's work.
     pub fn claim(&mut self, claim: &claim::Claim) -> claim::Reply {
         if let Some(entry) = self.entries.get(&claim.key) {
-            return again(entry, claim);
+            return repeated_reply(entry, claim);
         }
         // A claim that was resent or delayed can arrive after its attempt released the key. If it
         // were granted then, its holder would never run the work.
-        if self.freed.contains(&claim.attempt) {
+        if self.released.contains(&claim.attempt) {
             return claim::Reply::Done(claim::Outcome::NotRun);
         }
         let entry =
             Entry { digest: claim.digest, attempt: claim.attempt, outcome: None, since: self.age };
-        if claim.key.text.len() > KEY_LIMIT || !self.make_room(weight(&claim.key, &entry)) {
+        if claim.key.text.len() > MAX_KEY_BYTES
+            || !self.make_room(estimated_bytes(&claim.key, &entry))
+        {
             return claim::Reply::Full;
         }
-        self.weight += weight(&claim.key, &entry);
-        self.progress.push_back((claim.key.clone(), claim.attempt));
+        self.bytes += estimated_bytes(&claim.key, &entry);
+        self.in_progress.push_back((claim.key.clone(), claim.attempt));
         self.entries.insert(claim.key.clone(), entry);
         claim::Reply::Granted
     }
@@ -103,13 +105,13 @@
             return false;
         }
         match outcome {
-            claim::Outcome::NotRun => self.free(key, attempt),
+            claim::Outcome::NotRun => self.release(key, attempt),
             claim::Outcome::Answered { head, body } => {
                 let fits = body.len() <= claim::MAX_BODY_BYTES;
                 let body = if fits { body.clone() } else { Vec::new() };
-                self.finish(key, claim::Outcome::Answered { head: head.clone(), body });
+                self.complete(key, claim::Outcome::Answered { head: head.clone(), body });
             }
-            claim::Outcome::Unknown => self.finish(key, claim::Outcome::Unknown),
+            claim::Outcome::Unknown => self.complete(key, claim::Outcome::Unknown),
         }
         true
     }
@@ -119,22 +121,22 @@
     ///
     /// Returns the number of claims completed.
     pub fn age_by(&mut self, elapsed: Duration) -> usize {
-        self.age += elapsed.min(GRAIN);
-        let mut ended = 0;
-        while let Some((key, attempt)) = self.progress.front().cloned() {
+        self.age += elapsed.min(AGING_INTERVAL);
+        let mut completed = 0;
+        while let Some((key, attempt)) = self.in_progress.front().cloned() {
             match self.entries.get(&key) {
                 Some(entry) if entry.attempt == attempt && entry.outcome.is_none() => {
-                    if self.age < entry.since + PROGRESS_LIMIT + GRAIN {
+                    if self.age < entry.since + IN_PROGRESS_TIMEOUT + AGING_INTERVAL {
                         break;
                     }
-                    self.finish(&key, claim::Outcome::Unknown);
-                    ended += 1;
+                    self.complete(&key, claim::Outcome::Unknown);
+                    completed += 1;
                 }
                 _ => {}
             }
-            self.progress.pop_front();
+            self.in_progress.pop_front();
         }
-        ended
+        completed
     }
 
     /// Number of retained claims.
@@ -148,34 +150,34 @@
     }
 
     /// Estimated bytes of the retained claims, with room for the answers of those in progress.
-    pub fn weight(&self) -> usize {
-        self.weight
+    pub fn bytes(&self) -> usize {
+        self.bytes
     }
 
-    fn finish(&mut self, key: &claim::Key, outcome: claim::Outcome) {
+    fn complete(&mut self, key: &claim::Key, outcome: claim::Outcome) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        self.weight -= weight(key, entry);
+        self.bytes -= estimated_bytes(key, entry);
         entry.outcome = Some(outcome);
         entry.since = self.age;
-        self.weight += weight(key, entry);
-        self.done.push_back(key.clone());
+        self.bytes += estimated_bytes(key, entry);
+        self.completed.push_back(key.clone());
     }
 
-    fn free(&mut self, key: &claim::Key, attempt: attempt::Identifier) {
+    fn release(&mut self, key: &claim::Key, attempt: attempt::Identifier) {
         if let Some(entry) = self.entries.remove(key) {
-            self.weight -= weight(key, &entry);
+            self.bytes -= estimated_bytes(key, &entry);
         }
-        self.freed.push_back(attempt);
-        if self.freed.len() > FREED_LIMIT {
-            self.freed.pop_front();
+        self.released.push_back(attempt);
+        if self.released.len() > MAX_RELEASED_ATTEMPTS {
+            self.released.pop_front();
         }
     }
 
     /// Evicts outcomes past their retention until `needed` more bytes and one more claim fit;
     /// returns whether they do.
     fn make_room(&mut self, needed: usize) -> bool {
-        while self.entries.len() >= COUNT_LIMIT || self.weight + needed > WEIGHT_LIMIT {
-            if !self.drop_oldest() {
+        while self.entries.len() >= MAX_CLAIMS || self.bytes + needed > MAX_BYTES {
+            if !self.evict_oldest() {
                 return false;
             }
         }
@@ -183,21 +185,22 @@
     }
 
     /// Evicts the oldest outcome if its retention has passed; returns whether it did.
-    fn drop_oldest(&mut self) -> bool {
-        let Some(oldest) = self.done.front() else { return false };
-        let due = |entry: &Entry| entry.since + RETENTION + GRAIN <= self.age;
-        if !self.entries.get(oldest).is_some_and(due) {
+    fn evict_oldest(&mut self) -> bool {
+        let Some(oldest) = self.completed.front() else { return false };
+        let is_expired =
+            |entry: &Entry| entry.since + OUTCOME_RETENTION + AGING_INTERVAL <= self.age;
+        if !self.entries.get(oldest).is_some_and(is_expired) {
             return false;
         }
         if let Some(entry) = self.entries.remove(oldest) {
-            self.weight -= weight(oldest, &entry);
+            self.bytes -= estimated_bytes(oldest, &entry);
         }
-        self.done.pop_front();
+        self.completed.pop_front();
         true
     }
 }
 
-fn again(entry: &Entry, claim: &claim::Claim) -> claim::Reply {
+fn repeated_reply(entry: &Entry, claim: &claim::Claim) -> claim::Reply {
     if entry.digest != claim.digest {
         return claim::Reply::DigestDiffers;
     }
@@ -208,7 +211,7 @@
     }
 }
 
-fn weight(key: &claim::Key, entry: &Entry) -> usize {
+fn estimated_bytes(key: &claim::Key, entry: &Entry) -> usize {
     let texts = key.team.as_str().len() + key.route.as_str().len() + key.text.len();
     let answer = match &entry.outcome {
         None => claim::MAX_BODY_BYTES,
@@ -218,5 +221,5 @@
         }
         Some(claim::Outcome::NotRun | claim::Outcome::Unknown) => 0,
     };
-    WEIGHT_BASE + 2 * texts + answer
+    CLAIM_OVERHEAD_BYTES + 2 * texts + answer
 }
--- a/crates/hyssopfork-state/src/command.rs
+++ b/crates/hyssopfork-state/src/command.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Version of the encoding that this build writes, as the first byte of each command.
-pub const ENCODING: u8 = 1;
+pub const ENCODING_VERSION: u8 = 1;
 
 /// A command. Its effect is decided when it is applied, not when it is proposed: between the two
 /// the state may have changed, and another leader may have proposed the same.
@@ -41,7 +41,8 @@
         members: Vec<name::Instance>,
         /// Fencing number of the placement that this one replaces; `None` when the group has no
         /// placement. Has no effect when the group's placement is another one by now.
-        over: Option<number::Fence>,
+        #[serde(rename = "over")]
+        replaces: Option<number::Fence>,
     },
     /// Ends a group's placement.
     Unplace {
@@ -76,7 +77,7 @@
                 "a command of encoding {} is in the log but this release reads {}; run a release \
                  that reads both",
                 found,
-                ENCODING
+                ENCODING_VERSION
             )
         }
         /// The bytes are cut or damaged.
@@ -92,7 +93,7 @@
 
 /// Encodes a command.
 pub fn encode(command: &Command) -> Vec<u8> {
-    let mut bytes = vec![ENCODING];
+    let mut bytes = vec![ENCODING_VERSION];
     bincode::serialize_into(&mut bytes, command).expect("commands are plain data");
     bytes
 }
@@ -104,7 +105,7 @@
 /// When another release wrote the bytes or they are damaged.
 pub fn decode(bytes: &[u8]) -> Result<Command, Error> {
     match bytes.split_first() {
-        Some((&ENCODING, rest)) => {
+        Some((&ENCODING_VERSION, rest)) => {
             bincode::deserialize(rest).map_err(|cause| Error::Malformed(cause.to_string()))
         }
         Some((&found, _)) => Err(Error::Version(found)),
--- a/crates/hyssopfork-state/src/fleet.rs
+++ b/crates/hyssopfork-state/src/fleet.rs
@@ -11,25 +11,25 @@
 
 /// Most replaced boot numbers retained for each instance. More processes than this would have to
 /// run under one name at the same time before a replaced one could take the name back.
-pub const FORMER_LIMIT: usize = 16;
+pub const MAX_REPLACED_BOOTS: usize = 16;
 
 /// State of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
     /// Replaced boot numbers, oldest first.
-    former: BTreeMap<name::Instance, VecDeque<u64>>,
+    replaced_boots: BTreeMap<name::Instance, VecDeque<u64>>,
     /// Highest incarnation of a removed instance.
     ///
     /// Invariant: an instance that returns after its removal gets a higher one, so no incarnation
     /// of a name is assigned twice.
-    floor: number::Incarnation,
+    max_removed_incarnation: number::Incarnation,
 }
 
 /// Result of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Announced {
     /// The instance's incarnation and its new record; `None` when the record is unchanged.
-    Taken(number::Incarnation, Option<Box<fleet::Member>>),
+    Accepted(number::Incarnation, Option<Box<fleet::Member>>),
     /// A newer process runs under the name.
     Superseded,
 }
@@ -48,35 +48,35 @@
             return Announced::Superseded;
         }
         let member = match view.members.get(instance) {
-            None => joined(announcement, self.floor.next()),
+            None => new_member(announcement, self.max_removed_incarnation.next()),
             Some(old) if old.announcement.boot == announcement.boot => {
                 fleet::Member { announcement: announcement.clone(), present: true, ..old.clone() }
             }
             Some(old) => {
-                self.replace(instance, old.announcement.boot);
-                joined(announcement, old.incarnation.next())
+                self.add_replaced_boot(instance, old.announcement.boot);
+                new_member(announcement, old.incarnation.next())
             }
         };
         let changed = view.members.get(instance) != Some(&member);
-        Announced::Taken(member.incarnation, changed.then(|| Box::new(member)))
+        Announced::Accepted(member.incarnation, changed.then(|| Box::new(member)))
     }
 
     /// Whether a newer process than that of `boot` has been recorded under the instance's name.
     pub fn is_superseded(&self, instance: &name::Instance, boot: u64) -> bool {
-        self.former.get(instance).is_some_and(|boots| boots.contains(&boot))
+        self.replaced_boots.get(instance).is_some_and(|boots| boots.contains(&boot))
     }
 
     /// Handles the removal of an instance. Its replaced boot numbers are removed too: its newest
     /// process was absent for long, so the older ones have ended.
-    pub fn forget(&mut self, member: &fleet::Member) {
-        self.former.remove(&member.announcement.instance);
-        self.floor = self.floor.max(member.incarnation);
+    pub fn on_removed(&mut self, member: &fleet::Member) {
+        self.replaced_boots.remove(&member.announcement.instance);
+        self.max_removed_incarnation = self.max_removed_incarnation.max(member.incarnation);
     }
 
-    fn replace(&mut self, instance: &name::Instance, boot: u64) {
-        let boots = self.former.entry(instance.clone()).or_default();
+    fn add_replaced_boot(&mut self, instance: &name::Instance, boot: u64) {
+        let boots = self.replaced_boots.entry(instance.clone()).or_default();
         boots.push_back(boot);
-        if boots.len() > FORMER_LIMIT {
+        if boots.len() > MAX_REPLACED_BOOTS {
             boots.pop_front();
         }
     }
@@ -84,19 +84,27 @@
 
 /// New record of an agent that is leaving; `None` when the boot number differs or it is already
 /// recorded as leaving.
-pub fn leaving(view: &change::View, instance: &name::Instance, boot: u64) -> Option<fleet::Member> {
-    let member = recorded(view, instance, boot)?;
+pub fn leaving_record(
+    view: &change::View,
+    instance: &name::Instance,
+    boot: u64,
+) -> Option<fleet::Member> {
+    let member = recorded_member(view, instance, boot)?;
     (!member.leaving).then(|| fleet::Member { leaving: true, ..member.clone() })
 }
 
 /// New record of an agent that missed its renewals; `None` when the boot number differs or it is
 /// already recorded as absent.
-pub fn absent(view: &change::View, instance: &name::Instance, boot: u64) -> Option<fleet::Member> {
-    let member = recorded(view, instance, boot)?;
+pub fn absent_record(
+    view: &change::View,
+    instance: &name::Instance,
+    boot: u64,
+) -> Option<fleet::Member> {
+    let member = recorded_member(view, instance, boot)?;
     member.present.then(|| fleet::Member { present: false, ..member.clone() })
 }
 
-fn recorded<'a>(
+fn recorded_member<'a>(
     view: &'a change::View,
     instance: &name::Instance,
     boot: u64,
@@ -104,6 +112,9 @@
     view.members.get(instance).filter(|member| member.announcement.boot == boot)
 }
 
-fn joined(announcement: &fleet::Announcement, incarnation: number::Incarnation) -> fleet::Member {
+fn new_member(
+    announcement: &fleet::Announcement,
+    incarnation: number::Incarnation,
+) -> fleet::Member {
     fleet::Member { announcement: announcement.clone(), incarnation, present: true, leaving: false }
 }
--- a/crates/hyssopfork-state/src/history.rs
+++ b/crates/hyssopfork-state/src/history.rs
@@ -13,34 +13,34 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most decisions that are retained: 2.7 days at 12,000 accepted patches a day.
-pub const OUTCOME_LIMIT: usize = 32_768;
+pub const MAX_DECISIONS: usize = 32_768;
 
 /// Most bytes of retained decisions, as `Entry::estimated_bytes` counts them; beyond it the oldest
 /// are evicted. 512 bytes for each of [`MAX_DECISIONS`], against a script that submits long invalid
 /// patches in a loop.
-pub const OUTCOME_WEIGHT_LIMIT: usize = 16 << 20;
+pub const MAX_DECISION_BYTES: usize = 16 << 20;
 
 /// Most accepted patches that are retained with their summaries.
-pub const RECORD_LIMIT: usize = 4_096;
+pub const MAX_RECORDS: usize = 4_096;
 
 /// Most accepted patches that the outcome of a stale patch lists; if there are more since its base,
 /// it lists none.
-pub const SINCE_LIMIT: u64 = 256;
+pub const MAX_RECORDS_SINCE_BASE: u64 = 256;
 
 /// Most operations of one patch.
-pub const OPERATION_LIMIT: usize = 10_000;
+pub const MAX_OPERATIONS: usize = 10_000;
 
 /// Longest identifier, in bytes.
-pub const IDENTIFIER_LIMIT: usize = 128;
+pub const MAX_IDENTIFIER_BYTES: usize = 128;
 
 /// Most faults that the outcome of an invalid patch lists; the number of the others is added.
-pub const FAULT_LIMIT: usize = 64;
+pub const MAX_FAULTS: usize = 64;
 
 /// Most operations that a record lists; the number of the others is added.
-pub const SUMMARY_LIMIT: usize = 32;
+pub const MAX_SUMMARY_LINES: usize = 32;
 
 /// Estimated bytes of a retained decision besides its texts.
-const WEIGHT_BASE: usize = 128;
+const DECISION_OVERHEAD_BYTES: usize = 128;
 
 /// The stored decision on a patch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,37 +56,37 @@
 
 /// A decision and the digest of the patch that it was made on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct Entry {
     /// SHA-256 of the patch's base, author and operations.
     digest: [u8; 32],
     decision: Decision,
 }
 
-impl Kept {
-    fn weight(&self, identifier: &patch::Identifier) -> usize {
+impl Entry {
+    fn estimated_bytes(&self, identifier: &patch::Identifier) -> usize {
         let texts = match &self.decision {
             Decision::Invalid(faults) => faults.iter().map(String::len).sum(),
             Decision::Accepted(_) | Decision::Stale { .. } => 0,
         };
-        WEIGHT_BASE + 2 * identifier.0.len() + texts
+        DECISION_OVERHEAD_BYTES + 2 * identifier.0.len() + texts
     }
 }
 
 /// History of patches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    kept: BTreeMap<patch::Identifier, Kept>,
+    decisions: BTreeMap<patch::Identifier, Entry>,
     /// Invariant: holds exactly the keys of `decisions`, oldest decision first.
     order: VecDeque<patch::Identifier>,
     /// Invariant: the sum of the sizes of `decisions`.
-    weight: usize,
+    bytes: usize,
     /// Invariant: numbers increase by one from each record to the next.
     records: VecDeque<patch::Record>,
 }
 
 /// Result of submitting a patch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Submission {
     /// Outcome to be returned to the operator.
     pub outcome: patch::Outcome,
     /// The resulting configuration, when the patch was accepted by this submission and not by an
@@ -100,97 +100,102 @@
         &mut self,
         current: &configuration::Configuration,
         patch: &patch::Patch,
-    ) -> Verdict {
-        let unnamed = form_faults(patch);
-        if !unnamed.is_empty() {
-            return told(patch::Outcome::Invalid(unnamed));
+    ) -> Submission {
+        let faults = form_faults(patch);
+        if !faults.is_empty() {
+            return without_change(patch::Outcome::Invalid(faults));
         }
         let digest = digest(patch);
-        if let Some(kept) = self.kept.get(&patch.identifier) {
-            let same = kept.digest == digest;
-            return told(if same { self.outcome(kept) } else { patch::Outcome::Reused });
+        if let Some(entry) = self.decisions.get(&patch.identifier) {
+            let is_same = entry.digest == digest;
+            return without_change(if is_same {
+                self.outcome(entry)
+            } else {
+                patch::Outcome::Reused
+            });
         }
-        let (decision, accepted) = decide(current, patch);
-        let kept = Kept { digest, decision };
-        let outcome = self.outcome(&kept);
-        self.keep(patch.identifier.clone(), kept);
+        let (decision, accepted) = evaluate(current, patch);
+        let entry = Entry { digest, decision };
+        let outcome = self.outcome(&entry);
+        self.insert(patch.identifier.clone(), entry);
         if let Some(accepted) = &accepted {
-            self.record(accepted.number, patch);
+            self.add_record(accepted.number, patch);
         }
-        Verdict { outcome, accepted }
+        Submission { outcome, accepted }
     }
 
     /// Retained accepted patches after `number`, oldest first.
-    pub fn after(&self, number: number::Configuration) -> Vec<patch::Record> {
+    pub fn records_after(&self, number: number::Configuration) -> Vec<patch::Record> {
         self.records.iter().filter(|record| record.number > number).cloned().collect()
     }
 
     /// Number of retained decisions.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.decisions.len()
     }
 
     /// Whether no decision is retained.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.decisions.is_empty()
     }
 
-    fn outcome(&self, kept: &Kept) -> patch::Outcome {
-        match &kept.decision {
+    fn outcome(&self, entry: &Entry) -> patch::Outcome {
+        match &entry.decision {
             Decision::Accepted(number) => patch::Outcome::Accepted(*number),
-            Decision::Stale { base, current } => {
-                patch::Outcome::Stale { current: *current, since: self.between(*base, *current) }
-            }
+            Decision::Stale { base, current } => patch::Outcome::Stale {
+                current: *current,
+                since: self.records_since(*base, *current),
+            },
             Decision::Invalid(faults) => patch::Outcome::Invalid(faults.clone()),
         }
     }
 
-    fn between(
+    fn records_since(
         &self,
         base: number::Configuration,
         current: number::Configuration,
     ) -> Vec<patch::Record> {
-        let whole = self.records.front().is_some_and(|oldest| oldest.number <= base.next());
-        if !whole || current.0.saturating_sub(base.0) > SINCE_LIMIT {
+        let is_complete = self.records.front().is_some_and(|oldest| oldest.number <= base.next());
+        if !is_complete || current.0.saturating_sub(base.0) > MAX_RECORDS_SINCE_BASE {
             return Vec::new();
         }
         let wanted = |record: &&patch::Record| record.number > base && record.number <= current;
         self.records.iter().filter(wanted).cloned().collect()
     }
 
-    fn keep(&mut self, identifier: patch::Identifier, kept: Kept) {
-        self.weight += kept.weight(&identifier);
+    fn insert(&mut self, identifier: patch::Identifier, entry: Entry) {
+        self.bytes += entry.estimated_bytes(&identifier);
         self.order.push_back(identifier.clone());
-        self.kept.insert(identifier, kept);
-        while self.kept.len() > OUTCOME_LIMIT || self.weight > OUTCOME_WEIGHT_LIMIT {
-            self.drop_oldest();
+        self.decisions.insert(identifier, entry);
+        while self.decisions.len() > MAX_DECISIONS || self.bytes > MAX_DECISION_BYTES {
+            self.evict_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.order.pop_front() else { return };
-        if let Some(kept) = self.kept.remove(&oldest) {
-            self.weight -= kept.weight(&oldest);
+        if let Some(entry) = self.decisions.remove(&oldest) {
+            self.bytes -= entry.estimated_bytes(&oldest);
         }
     }
 
-    fn record(&mut self, number: number::Configuration, patch: &patch::Patch) {
+    fn add_record(&mut self, number: number::Configuration, patch: &patch::Patch) {
         let lines = patch.operations.iter().map(operation::summary).collect();
         let record = patch::Record {
             number,
             identifier: patch.identifier.clone(),
             author: patch.author.clone(),
-            summary: capped(lines, SUMMARY_LIMIT, "operations"),
+            summary: truncate_lines(lines, MAX_SUMMARY_LINES, "operations"),
         };
         self.records.push_back(record);
-        if self.records.len() > RECORD_LIMIT {
+        if self.records.len() > MAX_RECORDS {
             self.records.pop_front();
         }
     }
 }
 
-fn told(outcome: patch::Outcome) -> Verdict {
-    Verdict { outcome, accepted: None }
+fn without_change(outcome: patch::Outcome) -> Submission {
+    Submission { outcome, accepted: None }
 }
 
 /// Faults for which a patch is rejected without storing the decision: the identifier itself may be
@@ -198,22 +203,22 @@
 fn form_faults(patch: &patch::Patch) -> Vec<String> {
     let mut faults = Vec::new();
     let length = patch.identifier.0.len();
-    if length == 0 || length > IDENTIFIER_LIMIT {
+    if length == 0 || length > MAX_IDENTIFIER_BYTES {
         faults.push(format!(
-            "the patch's identifier has {length} bytes; choose one of 1 to {IDENTIFIER_LIMIT}"
+            "the patch's identifier has {length} bytes; choose one of 1 to {MAX_IDENTIFIER_BYTES}"
         ));
     }
     faults.extend(rules::name_fault("operator", patch.author.as_str()));
     let count = patch.operations.len();
-    if count == 0 || count > OPERATION_LIMIT {
+    if count == 0 || count > MAX_OPERATIONS {
         faults.push(format!(
-            "the patch has {count} operations; give it 1 to {OPERATION_LIMIT} or submit several"
+            "the patch has {count} operations; give it 1 to {MAX_OPERATIONS} or submit several"
         ));
     }
     faults
 }
 
-fn decide(
+fn evaluate(
     current: &configuration::Configuration,
     patch: &patch::Patch,
 ) -> (Decision, Option<configuration::Configuration>) {
@@ -225,18 +230,18 @@
     let mut result = current.clone();
     let mut faults = Vec::new();
     for operation in &patch.operations {
-        faults.extend(operation::obstacle(&result, operation));
+        faults.extend(operation::fault(&result, operation));
         operation::apply(&mut result, operation);
     }
-    faults.extend(rules::faults(&result));
+    faults.extend(rules::validate(&result));
     if !faults.is_empty() {
-        return (Decision::Invalid(capped(faults, FAULT_LIMIT, "faults")), None);
+        return (Decision::Invalid(truncate_lines(faults, MAX_FAULTS, "faults")), None);
     }
     result.number = current.number.next();
     (Decision::Accepted(result.number), Some(result))
 }
 
-fn capped(mut lines: Vec<String>, limit: usize, kind: &str) -> Vec<String> {
+fn truncate_lines(mut lines: Vec<String>, limit: usize, kind: &str) -> Vec<String> {
     let rest = lines.len().saturating_sub(limit);
     if rest > 0 {
         lines.truncate(limit);
--- a/crates/hyssopfork-state/src/machine.rs
+++ b/crates/hyssopfork-state/src/machine.rs
@@ -7,7 +7,7 @@
 use std::iter;
 
 /// Format of the snapshots that this build writes and reads.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 
 /// Reply to the proposer of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// The group is placed under this fencing number.
     Placed(number::Fence),
     /// The placement violates a rule and was rejected.
-    Unplaceable(placements::Obstacle),
+    Unplaceable(placements::Violation),
     /// Result of a claim.
     Claimed(claim::Reply),
     /// The outcome is recorded, or was before, or the attempt does not hold the claim.
@@ -51,7 +51,7 @@
                 "the snapshot has format {} but this release reads {}; run a release that reads \
                  both",
                 found,
-                FORMAT
+                FORMAT_VERSION
             )
         }
         /// The bytes are cut or damaged.
@@ -94,13 +94,13 @@
     /// When `index` is not above the last one: applying an entry twice would assign a fencing
     /// number or a configuration number twice.
     pub fn apply(&mut self, index: number::Index, command: &command::Command) -> Applied {
-        self.pass(index);
+        self.skip(index);
         let (reply, changes) = self.decide(command);
         if !changes.is_empty() {
             let step = change::Step { version: number::Version(index.0), changes };
-            view::apply(&mut self.view, &step);
-            if step.changes.iter().any(moves_placements) {
-                placements::assert_sound(&self.view, self.fence);
+            view::apply_step(&mut self.view, &step);
+            if step.changes.iter().any(affects_placements) {
+                placements::assert_invariants(&self.view, self.fence);
             }
             return Applied { reply, changes: step.changes };
         }
@@ -112,7 +112,7 @@
     /// # Panics
     ///
     /// When `index` is not above the last one.
-    pub fn pass(&mut self, index: number::Index) {
+    pub fn skip(&mut self, index: number::Index) {
         assert!(index > self.applied, "entry {index} was applied before");
         self.applied = index;
     }
@@ -144,7 +144,7 @@
 
     /// Encodes the state; equal states have equal bytes.
     pub fn encode(&self) -> Vec<u8> {
-        bincode::serialize(&(FORMAT, self)).expect("the state is plain data")
+        bincode::serialize(&(FORMAT_VERSION, self)).expect("the state is plain data")
     }
 
     /// Decodes a state.
@@ -156,7 +156,7 @@
         let malformed = |cause: bincode::Error| Error::Malformed(cause.to_string());
         let mut rest = bytes;
         let format: u16 = bincode::deserialize_from(&mut rest).map_err(malformed)?;
-        if format != FORMAT {
+        if format != FORMAT_VERSION {
             return Err(Error::Format(format));
         }
         bincode::deserialize(rest).map_err(malformed)
@@ -167,13 +167,15 @@
             command::Command::Submit(patch) => self.submit(patch),
             command::Command::Announce(announcement) => self.announce(announcement),
             command::Command::Leaving { instance, boot } => {
-                recorded(fleet::leaving(&self.view, instance, *boot))
+                member_change(fleet::leaving_record(&self.view, instance, *boot))
             }
             command::Command::Absent { instance, boot } => {
-                recorded(fleet::absent(&self.view, instance, *boot))
+                member_change(fleet::absent_record(&self.view, instance, *boot))
             }
             command::Command::Forget(instance) => self.forget(instance),
-            command::Command::Place { group, members, over } => self.place(group, members, *over),
+            command::Command::Place { group, members, replaces } => {
+                self.place(group, members, *replaces)
+            }
             command::Command::Unplace { group, fence } => self.unplace(group, *fence),
             command::Command::Claim(claim) => {
                 (Reply::Claimed(self.claims.claim(claim)), Vec::new())
@@ -189,8 +191,8 @@
     }
 
     fn submit(&mut self, patch: &patch::Patch) -> (Reply, Vec<change::Change>) {
-        let verdict = self.history.submit(&self.view.configuration, patch);
-        let changes = match &verdict.accepted {
+        let submission = self.history.submit(&self.view.configuration, patch);
+        let changes = match &submission.accepted {
             None => Vec::new(),
             Some(next) => {
                 let ended = placements::ended_by_configuration(&self.view, next);
@@ -202,16 +204,16 @@
                 iter::once(configured).chain(ended).collect()
             }
         };
-        (Reply::Submitted(verdict.outcome), changes)
+        (Reply::Submitted(submission.outcome), changes)
     }
 
     fn announce(&mut self, announcement: &record::Announcement) -> (Reply, Vec<change::Change>) {
         match self.fleet.announce(&self.view, announcement) {
             fleet::Announced::Superseded => (Reply::Superseded, Vec::new()),
-            fleet::Announced::Taken(incarnation, None) => {
+            fleet::Announced::Accepted(incarnation, None) => {
                 (Reply::Announced(incarnation), Vec::new())
             }
-            fleet::Announced::Taken(incarnation, Some(member)) => {
+            fleet::Announced::Accepted(incarnation, Some(member)) => {
                 let ended = placements::ended_by_record(&self.view, &member);
                 let ended = ended.into_iter().map(change::Change::Unplaced);
                 let changes = ended.chain([change::Change::Joined(member)]).collect();
@@ -221,10 +223,10 @@
     }
 
     fn forget(&mut self, instance: &name::Instance) -> (Reply, Vec<change::Change>) {
-        let placed = upstream::placement(&self.view, instance).is_some();
+        let placed = upstream::placement_of(&self.view, instance).is_some();
         match self.view.members.get(instance) {
             Some(member) if !member.present && !placed => {
-                self.fleet.forget(member);
+                self.fleet.on_removed(member);
                 (Reply::Done, vec![change::Change::Forgotten(instance.clone())])
             }
             _ => (Reply::Done, Vec::new()),
@@ -235,10 +237,10 @@
         &mut self,
         group: &name::Group,
         members: &[name::Instance],
-        over: Option<number::Fence>,
+        replaces: Option<number::Fence>,
     ) -> (Reply, Vec<change::Change>) {
-        if let Some(obstacle) = placements::obstacle(&self.view, group, members, over) {
-            return (Reply::Unplaceable(obstacle), Vec::new());
+        if let Some(violation) = placements::violation(&self.view, group, members, replaces) {
+            return (Reply::Unplaceable(violation), Vec::new());
         }
         self.fence = self.fence.next();
         let placement = record::Placement { fence: self.fence, members: members.to_vec() };
@@ -251,8 +253,8 @@
         group: &name::Group,
         fence: number::Fence,
     ) -> (Reply, Vec<change::Change>) {
-        let stands = |placement: &&record::Placement| placement.fence == fence;
-        let placement = self.view.placements.get(group).filter(stands);
+        let is_current = |placement: &&record::Placement| placement.fence == fence;
+        let placement = self.view.placements.get(group).filter(is_current);
         let change = placement.map(|_| change::Change::Unplaced(group.clone()));
         (Reply::Done, change.into_iter().collect())
     }
@@ -260,7 +262,7 @@
 
 /// Whether a change may affect an invariant of the placements. A member's new record does so only
 /// together with the end of its placement.
-fn moves_placements(change: &change::Change) -> bool {
+fn affects_placements(change: &change::Change) -> bool {
     match change {
         change::Change::Configured { .. }
         | change::Change::Placed(..)
@@ -270,7 +272,7 @@
     }
 }
 
-fn recorded(member: Option<record::Member>) -> (Reply, Vec<change::Change>) {
+fn member_change(member: Option<record::Member>) -> (Reply, Vec<change::Change>) {
     let change = member.map(|member| change::Change::Joined(Box::new(member)));
     (Reply::Done, change.into_iter().collect())
 }
--- a/crates/hyssopfork-state/src/operation.rs
+++ b/crates/hyssopfork-state/src/operation.rs
@@ -50,25 +50,25 @@
 }
 
 /// Why an operation cannot be applied to `configuration`, with the remedy; `None` when it can.
-pub fn obstacle(
+pub fn fault(
     configuration: &configuration::Configuration,
     operation: &patch::Operation,
 ) -> Option<String> {
     match operation {
         patch::Operation::SetZoneOut(zone, _) => {
-            missing("zone", zone, configuration.zones.contains_key(zone))
+            undeclared_fault("zone", zone, configuration.zones.contains_key(zone))
         }
         patch::Operation::RemovePool(pool) => {
-            missing("pool", pool, configuration.pools.contains_key(pool))
+            undeclared_fault("pool", pool, configuration.pools.contains_key(pool))
         }
         patch::Operation::RemoveGroup(group) => {
-            missing("group", group, configuration.groups.contains_key(group))
+            undeclared_fault("group", group, configuration.groups.contains_key(group))
         }
         patch::Operation::RemoveRoute(route) => {
-            missing("route", route, configuration.routes.contains_key(route))
+            undeclared_fault("route", route, configuration.routes.contains_key(route))
         }
         patch::Operation::RemoveTeam(team) => {
-            missing("team", team, configuration.teams.contains_key(team))
+            undeclared_fault("team", team, configuration.teams.contains_key(team))
         }
         patch::Operation::Declare(_)
         | patch::Operation::PutPool(..)
@@ -112,6 +112,6 @@
     }
 }
 
-fn missing(kind: &str, name: impl fmt::Display, there: bool) -> Option<String> {
-    (!there).then(|| format!("{kind} {name} is not declared; declare it or correct its name"))
+fn undeclared_fault(kind: &str, name: impl fmt::Display, is_declared: bool) -> Option<String> {
+    (!is_declared).then(|| format!("{kind} {name} is not declared; declare it or correct its name"))
 }
--- a/crates/hyssopfork-state/src/placements.rs
+++ b/crates/hyssopfork-state/src/placements.rs
@@ -11,7 +11,7 @@
 /// The rule that a placement violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Obstacle {
+pub enum Violation {
     /// The group is not declared.
     Undeclared,
     /// The group's placement is not the one to be replaced.
@@ -28,33 +28,33 @@
 
 /// The rule that placing `members` as `group` in place of the placement `replaces` violates; `None`
 /// when the placement is valid.
-pub fn obstacle(
+pub fn violation(
     view: &change::View,
     group: &name::Group,
     members: &[name::Instance],
-    over: Option<number::Fence>,
-) -> Option<Obstacle> {
+    replaces: Option<number::Fence>,
+) -> Option<Violation> {
     let Some(declared) = view.configuration.groups.get(group) else {
-        return Some(Obstacle::Undeclared);
+        return Some(Violation::Undeclared);
     };
-    if view.placements.get(group).map(|placement| placement.fence) != over {
-        return Some(Obstacle::Moved);
+    if view.placements.get(group).map(|placement| placement.fence) != replaces {
+        return Some(Violation::Moved);
     }
     let distinct: BTreeSet<&name::Instance> = members.iter().collect();
     if members.len() != declared.size as usize || distinct.len() != members.len() {
-        return Some(Obstacle::Size);
+        return Some(Violation::Size);
     }
-    if !members.iter().all(|member| may_join(view, declared, member)) {
-        return Some(Obstacle::Ineligible);
+    if !members.iter().all(|member| is_eligible(view, declared, member)) {
+        return Some(Violation::Ineligible);
     }
     // An instance in two placements would have to serve two groups: the second one's first member
     // would wait for its grants forever, and both groups would be unavailable in turn.
     let others = view.placements.iter().filter(|(name, _)| *name != group);
     let mut taken = others.flat_map(|(_, placement)| &placement.members);
     if taken.any(|member| distinct.contains(member)) {
-        return Some(Obstacle::Taken);
+        return Some(Violation::Taken);
     }
-    (domains(view, members) != 1).then_some(Obstacle::Domains)
+    (count_domains(view, members) != 1).then_some(Violation::Domains)
 }
 
 /// Groups whose placement ends when the configuration changes to `next`: removed ones, and those
@@ -63,7 +63,7 @@
     view: &change::View,
     next: &configuration::Configuration,
 ) -> Vec<name::Group> {
-    let stands = |group: &name::Group| match (
+    let is_unchanged = |group: &name::Group| match (
         view.configuration.groups.get(group),
         next.groups.get(group),
     ) {
@@ -72,7 +72,7 @@
         }
         _ => false,
     };
-    view.placements.keys().filter(|group| !stands(group)).cloned().collect()
+    view.placements.keys().filter(|group| !is_unchanged(group)).cloned().collect()
 }
 
 /// The group whose placement ends because the new record of a member has another pool, fabric
@@ -80,12 +80,12 @@
 pub fn ended_by_record(view: &change::View, member: &fleet::Member) -> Option<name::Group> {
     let new = &member.announcement;
     let old = &view.members.get(&new.instance)?.announcement;
-    let same =
+    let is_same =
         old.pool == new.pool && old.domain == new.domain && old.profile.kind == new.profile.kind;
-    if same {
+    if is_same {
         return None;
     }
-    upstream::placement(view, &new.instance).map(|(group, _, _)| group.clone())
+    upstream::placement_of(view, &new.instance).map(|(group, _, _)| group.clone())
 }
 
 /// Asserts the invariants of all placements.
@@ -95,7 +95,7 @@
 /// When an instance is in two placements, a placement's members are not recorded or in several
 /// fabric domains, its group is not declared with that size, or a fencing number is used twice or
 /// is above `newest`.
-pub fn assert_sound(view: &change::View, newest: number::Fence) {
+pub fn assert_invariants(view: &change::View, newest: number::Fence) {
     let mut taken = BTreeSet::new();
     let mut fences = BTreeSet::new();
     for (group, placement) in &view.placements {
@@ -107,22 +107,26 @@
             assert!(taken.insert(member), "instance {member} is in two placements");
             assert!(view.members.contains_key(member), "member {member} is recorded");
         }
-        assert_eq!(domains(view, &placement.members), 1, "group {group} has one fabric domain");
+        assert_eq!(
+            count_domains(view, &placement.members),
+            1,
+            "group {group} has one fabric domain"
+        );
     }
 }
 
-fn may_join(
+fn is_eligible(
     view: &change::View,
     declared: &configuration::Group,
     instance: &name::Instance,
 ) -> bool {
     let of_pool =
         view.members.get(instance).is_some_and(|member| member.announcement.pool == declared.pool);
-    of_pool && upstream::obstacle(view, instance).is_none()
+    of_pool && upstream::ineligibility(view, instance).is_none()
 }
 
 /// Number of fabric domains of `members`; names of domains are unique only within a zone.
-fn domains(view: &change::View, members: &[name::Instance]) -> usize {
+fn count_domains(view: &change::View, members: &[name::Instance]) -> usize {
     let domains: BTreeSet<(&name::Zone, &name::Domain)> = members
         .iter()
         .filter_map(|member| view.members.get(member))
--- a/crates/hyssopfork-state/src/rules.rs
+++ b/crates/hyssopfork-state/src/rules.rs
@@ -9,19 +9,19 @@
 use std::time::Duration;
 
 /// Most members of a group. Bounds the size of a placement; the largest planned replicas have 8.
-pub const SIZE_LIMIT: u32 = 64;
+pub const MAX_GROUP_MEMBERS: u32 = 64;
 
 /// Longest deadline of a route.
-pub const DEADLINE_LIMIT: Duration = Duration::from_secs(3_600);
+pub const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// Greatest weight of a team, so that the sum over all teams cannot overflow.
-pub const WEIGHT_LIMIT: u32 = 1_000_000;
+pub const MAX_TEAM_WEIGHT: u32 = 1_000_000;
 
 /// Number of hexadecimal digits of a SHA-256.
-const TOKEN_LENGTH: usize = 64;
+const TOKEN_DIGITS: usize = 64;
 
 /// Every rule that `configuration` violates, each with its remedy; empty when it is valid.
-pub fn faults(configuration: &configuration::Configuration) -> Vec<String> {
+pub fn validate(configuration: &configuration::Configuration) -> Vec<String> {
     let mut faults = Vec::new();
     check_names(configuration, &mut faults);
     check_pools(configuration, &mut faults);
@@ -59,7 +59,7 @@
     for (name, pool) in &configuration.pools {
         for zone in &pool.zones {
             if !configuration.zones.contains_key(zone) {
-                faults.push(undeclared(format_args!("pool {name}"), "zone", zone));
+                faults.push(undeclared_fault(format_args!("pool {name}"), "zone", zone));
             }
         }
     }
@@ -67,14 +67,16 @@
 
 fn check_groups(configuration: &configuration::Configuration, faults: &mut Vec<String>) {
     for (name, group) in &configuration.groups {
-        if !(1..=SIZE_LIMIT).contains(&group.size) {
+        if !(1..=MAX_GROUP_MEMBERS).contains(&group.size) {
             faults.push(format!(
-                "group {name} has size {}; give it 1 to {SIZE_LIMIT} members",
+                "group {name} has size {}; give it 1 to {MAX_GROUP_MEMBERS} members",
                 group.size
             ));
         }
         match configuration.pools.get(&group.pool).map(|pool| pool.kind) {
-            None => faults.push(undeclared(format_args!("group {name}"), "pool", &group.pool)),
+            None => {
+                faults.push(undeclared_fault(format_args!("group {name}"), "pool", &group.pool))
+            }
             Some(configuration::Kind::Engine) => {}
             Some(kind) => faults.push(format!(
                 "group {name} names pool {} of kind {kind}; name a pool of kind engine",
@@ -101,13 +103,13 @@
             ));
         }
         if !configuration.pools.contains_key(&route.pool) {
-            faults.push(undeclared(format_args!("route {name}"), "pool", &route.pool));
+            faults.push(undeclared_fault(format_args!("route {name}"), "pool", &route.pool));
         }
-        if route.deadline_ms == 0 || Duration::from_millis(route.deadline_ms) > DEADLINE_LIMIT {
+        if route.deadline_ms == 0 || Duration::from_millis(route.deadline_ms) > MAX_DEADLINE {
             faults.push(format!(
                 "route {name} has deadline_ms {}; give it 1 to {}",
                 route.deadline_ms,
-                DEADLINE_LIMIT.as_millis()
+                MAX_DEADLINE.as_millis()
             ));
         }
     }
@@ -116,16 +118,16 @@
 fn check_teams(configuration: &configuration::Configuration, faults: &mut Vec<String>) {
     let mut tokens = BTreeMap::new();
     for (name, team) in &configuration.teams {
-        if !(1..=WEIGHT_LIMIT).contains(&team.weight) {
+        if !(1..=MAX_TEAM_WEIGHT).contains(&team.weight) {
             faults.push(format!(
-                "team {name} has weight {}; give it 1 to {WEIGHT_LIMIT}",
+                "team {name} has weight {}; give it 1 to {MAX_TEAM_WEIGHT}",
                 team.weight
             ));
         }
         for token in &team.token_sha256 {
             if !is_digest(token) {
                 faults.push(format!(
-                    "team {name} has a token_sha256 that is no SHA-256; write {TOKEN_LENGTH} \
+                    "team {name} has a token_sha256 that is no SHA-256; write {TOKEN_DIGITS} \
                      lower-case hexadecimal digits of the token's hash, never the token"
                 ));
             } else if let Some(other) = tokens.insert(token.as_str(), name) {
@@ -137,7 +139,7 @@
     }
 }
 
-fn undeclared(owner: fmt::Arguments<'_>, kind: &str, name: impl fmt::Display) -> String {
+fn undeclared_fault(owner: fmt::Arguments<'_>, kind: &str, name: impl fmt::Display) -> String {
     format!("{owner} names {kind} {name}, which is not declared; declare it or name another")
 }
 
@@ -148,5 +150,5 @@
 
 fn is_digest(text: &str) -> bool {
     let allowed = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
-    text.len() == TOKEN_LENGTH && text.bytes().all(allowed)
+    text.len() == TOKEN_DIGITS && text.bytes().all(allowed)
 }
--- a/crates/hyssopfork-state/src/scope.rs
+++ b/crates/hyssopfork-state/src/scope.rs
@@ -16,11 +16,11 @@
         configuration: view.configuration.clone(),
         ..change::View::default()
     };
-    if let Some((group, placement)) = group(view, instance) {
+    if let Some((group, placement)) = group_of(view, instance) {
         scoped.placements.insert(group.clone(), placement.clone());
     }
-    let near = |other: &&name::Instance| is_near(view, instance, other);
-    for other in view.members.keys().filter(near) {
+    let is_near = |other: &&name::Instance| is_in_scope(view, instance, other);
+    for other in view.members.keys().filter(is_near) {
         scoped.members.insert(other.clone(), view.members[other].clone());
     }
     scoped
@@ -29,24 +29,26 @@
 /// The part of a step that is in the scope of `instance`, which must be placed in `view` as it was
 /// before the step.
 pub fn step(view: &change::View, step: &change::Step, instance: &name::Instance) -> change::Step {
-    let concerns = |change: &&change::Change| match change {
+    let in_scope = |change: &&change::Change| match change {
         change::Change::Configured { .. } => true,
-        change::Change::Joined(member) => is_near(view, instance, &member.announcement.instance),
-        change::Change::Forgotten(other) => is_near(view, instance, other),
+        change::Change::Joined(member) => {
+            is_in_scope(view, instance, &member.announcement.instance)
+        }
+        change::Change::Forgotten(other) => is_in_scope(view, instance, other),
         change::Change::Placed(_, placement) => placement.members.contains(instance),
         change::Change::Unplaced(_) => false,
     };
-    let changes = step.changes.iter().filter(concerns).cloned().collect();
+    let changes = step.changes.iter().filter(in_scope).cloned().collect();
     change::Step { version: step.version, changes }
 }
 
 /// Whether `other` is `instance` itself or a member of the same group.
-fn is_near(view: &change::View, instance: &name::Instance, other: &name::Instance) -> bool {
-    let beside = |(_, placement): (_, &fleet::Placement)| placement.members.contains(other);
-    other == instance || group(view, instance).is_some_and(beside)
+fn is_in_scope(view: &change::View, instance: &name::Instance, other: &name::Instance) -> bool {
+    let has_member = |(_, placement): (_, &fleet::Placement)| placement.members.contains(other);
+    other == instance || group_of(view, instance).is_some_and(has_member)
 }
 
-fn group<'a>(
+fn group_of<'a>(
     view: &'a change::View,
     instance: &name::Instance,
 ) -> Option<(&'a name::Group, &'a fleet::Placement)> {
--- a/crates/hyssopfork-state/src/upstream.rs
+++ b/crates/hyssopfork-state/src/upstream.rs
@@ -25,7 +25,7 @@
 /// Why an instance may take no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Obstacle {
+pub enum Ineligibility {
     /// The instance has not announced itself.
     Unrecorded,
     /// Its pool is not declared.
@@ -51,47 +51,47 @@
 /// group whose members may all take work, for a service pool each member that may.
 pub fn of_pool<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     match view.configuration.pools.get(pool).map(|declared| declared.kind) {
-        Some(configuration::Kind::Engine) => groups(view, pool),
-        Some(configuration::Kind::Service) => services(view, pool),
+        Some(configuration::Kind::Engine) => group_upstreams(view, pool),
+        Some(configuration::Kind::Service) => service_upstreams(view, pool),
         None => Vec::new(),
     }
 }
 
 /// Why `instance` may take no new work, its group aside; `None` when it may.
-pub fn obstacle(view: &change::View, instance: &name::Instance) -> Option<Obstacle> {
+pub fn ineligibility(view: &change::View, instance: &name::Instance) -> Option<Ineligibility> {
     match view.members.get(instance) {
-        None => Some(Obstacle::Unrecorded),
-        Some(member) => declared_obstacle(&view.configuration, &member.announcement)
-            .or_else(|| member.leaving.then_some(Obstacle::Leaving))
-            .or_else(|| (!member.present).then_some(Obstacle::Absent)),
+        None => Some(Ineligibility::Unrecorded),
+        Some(member) => declared_ineligibility(&view.configuration, &member.announcement)
+            .or_else(|| member.leaving.then_some(Ineligibility::Leaving))
+            .or_else(|| (!member.present).then_some(Ineligibility::Absent)),
     }
 }
 
 /// Why the configuration alone excludes an instance from work; `None` when it does not.
-pub fn declared_obstacle(
+pub fn declared_ineligibility(
     configuration: &configuration::Configuration,
     announcement: &fleet::Announcement,
-) -> Option<Obstacle> {
+) -> Option<Ineligibility> {
     let Some(pool) = configuration.pools.get(&announcement.pool) else {
-        return Some(Obstacle::PoolUndeclared);
+        return Some(Ineligibility::PoolUndeclared);
     };
     if pool.kind != announcement.profile.kind {
-        return Some(Obstacle::KindDiffers);
+        return Some(Ineligibility::KindDiffers);
     }
     let Some(zone) = configuration.zones.get(&announcement.zone) else {
-        return Some(Obstacle::ZoneUndeclared);
+        return Some(Ineligibility::ZoneUndeclared);
     };
     if zone.out {
-        return Some(Obstacle::ZoneOut);
+        return Some(Ineligibility::ZoneOut);
     }
     if !pool.zones.is_empty() && !pool.zones.contains(&announcement.zone) {
-        return Some(Obstacle::ZoneNotAllowed);
+        return Some(Ineligibility::ZoneNotAllowed);
     }
-    configuration.drained.contains(&announcement.instance).then_some(Obstacle::Drained)
+    configuration.drained.contains(&announcement.instance).then_some(Ineligibility::Drained)
 }
 
 /// The placement that contains `instance`, with its group and the instance's rank, starting at 0.
-pub fn placement<'a>(
+pub fn placement_of<'a>(
     view: &'a change::View,
     instance: &name::Instance,
 ) -> Option<(&'a name::Group, &'a fleet::Placement, usize)> {
@@ -101,7 +101,7 @@
     })
 }
 
-fn groups<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
+fn group_upstreams<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     let of_pool = |group: &name::Group| {
         view.configuration.groups.get(group).is_some_and(|declared| declared.pool == *pool)
     };
@@ -109,25 +109,25 @@
         .iter()
         .filter(|(group, _)| of_pool(group))
         .filter(|(_, placement)| {
-            placement.members.iter().all(|member| obstacle(view, member).is_none())
+            placement.members.iter().all(|member| ineligibility(view, member).is_none())
         })
         .filter_map(|(group, placement)| {
             let first = view.members.get(placement.members.first()?)?;
-            Some(upstream(first, Some((group, placement.fence))))
+            Some(upstream_of(first, Some((group, placement.fence))))
         })
         .collect()
 }
 
-fn services<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
+fn service_upstreams<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     view.members
         .values()
         .filter(|member| member.announcement.pool == *pool)
-        .filter(|member| obstacle(view, &member.announcement.instance).is_none())
-        .map(|member| upstream(member, None))
+        .filter(|member| ineligibility(view, &member.announcement.instance).is_none())
+        .map(|member| upstream_of(member, None))
         .collect()
 }
 
-fn upstream<'a>(
+fn upstream_of<'a>(
     member: &'a fleet::Member,
     group: Option<(&'a name::Group, number::Fence)>,
 ) -> Upstream<'a> {
--- a/crates/hyssopfork-state/src/view.rs
+++ b/crates/hyssopfork-state/src/view.rs
@@ -22,11 +22,11 @@
 
 /// Applies one step to `view`. A step at or below its version has been applied before and is
 /// skipped.
-pub fn apply(view: &mut change::View, step: &change::Step) {
+pub fn apply_step(view: &mut change::View, step: &change::Step) {
     if step.version <= view.version {
         return;
     }
-    step.changes.iter().for_each(|change| take(view, change));
+    step.changes.iter().for_each(|change| apply_change(view, change));
     view.version = step.version;
 }
 
@@ -40,24 +40,24 @@
 /// [`Error::Back`] when the update ends before the view's version: it comes from a control instance
 /// that did not have what this view contains, so a lease that came with it is not valid and must be
 /// dropped with it.
-pub fn lead(view: &mut change::View, update: change::Update) -> Result<bool, Error> {
-    let before = view.version;
-    if let Some(offered) = end(&update)
-        && offered < before
+pub fn apply_update(view: &mut change::View, update: change::Update) -> Result<bool, Error> {
+    let previous = view.version;
+    if let Some(offered) = end_version(&update)
+        && offered < previous
     {
-        return Err(Error::Back(before, offered));
+        return Err(Error::Back(previous, offered));
     }
     match update {
         change::Update::Current => {}
-        change::Update::Steps(steps) => steps.iter().for_each(|step| apply(view, step)),
-        change::Update::Whole(whole) if whole.version > before => *view = *whole,
+        change::Update::Steps(steps) => steps.iter().for_each(|step| apply_step(view, step)),
+        change::Update::Whole(whole) if whole.version > previous => *view = *whole,
         change::Update::Whole(_) => {}
     }
-    Ok(view.version > before)
+    Ok(view.version > previous)
 }
 
 /// Version that an update leads to; `None` when it contains no change.
-fn end(update: &change::Update) -> Option<number::Version> {
+fn end_version(update: &change::Update) -> Option<number::Version> {
     match update {
         change::Update::Current => None,
         change::Update::Steps(steps) => steps.last().map(|step| step.version),
@@ -65,7 +65,7 @@
     }
 }
 
-fn take(view: &mut change::View, change: &change::Change) {
+fn apply_change(view: &mut change::View, change: &change::Change) {
     match change {
         change::Change::Configured { number, operations } => {
             for operation in operations {
--- a/crates/hyssopfork-state/tests/aggregates/claims.rs
+++ b/crates/hyssopfork-state/tests/aggregates/claims.rs
@@ -11,8 +11,8 @@
 }
 
 fn age(claims: &mut claims::Claims, time: Duration) {
-    for _ in 0..=time.as_secs() / claims::GRAIN.as_secs() {
-        claims.age_by(claims::GRAIN);
+    for _ in 0..=time.as_secs() / claims::AGING_INTERVAL.as_secs() {
+        claims.age_by(claims::AGING_INTERVAL);
     }
 }
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_recorded_outcome_is_told_and_never_changes() {
+fn a_recorded_outcome_is_returned_and_never_changes() {
     let mut claims = claims::Claims::default();
     claims.claim(&fixture::claim("k", 1, 1));
 
@@ -48,7 +48,7 @@
 // granted, the key would be held by an attempt that nobody will run, and a client that retries
 // would be told "in progress" until the claim's timeout.
 #[test]
-fn a_freed_key_is_free_for_others_but_not_for_the_attempt_that_gave_it_back() {
+fn a_released_key_is_free_for_others_but_not_for_the_attempt_that_released_it() {
     let mut claims = claims::Claims::default();
     claims.claim(&fixture::claim("k", 1, 1));
     claims.record(&fixture::key("k"), fixture::identifier(1), &claim::Outcome::NotRun);
@@ -63,13 +63,13 @@
 // The holder of a claim crashed after it may have sent the work, so no outcome is recorded. After
 // the timeout the client is told that the work may have run, and the key is never released.
 #[test]
-fn a_claim_whose_holder_fell_silent_becomes_unknown_and_never_free() {
+fn a_claim_without_an_outcome_becomes_unknown_and_is_never_released() {
     let mut claims = claims::Claims::default();
     claims.claim(&fixture::claim("k", 1, 1));
 
-    age(&mut claims, claims::PROGRESS_LIMIT - claims::GRAIN);
+    age(&mut claims, claims::IN_PROGRESS_TIMEOUT - claims::AGING_INTERVAL);
     let before = claims.claim(&fixture::claim("k", 1, 2));
-    age(&mut claims, claims::GRAIN);
+    age(&mut claims, claims::AGING_INTERVAL);
     let after = claims.claim(&fixture::claim("k", 1, 2));
     let late = claims.record(&fixture::key("k"), fixture::identifier(1), &claim::Outcome::NotRun);
 
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn a_claim_freed_and_taken_again_has_its_own_time() {
+fn a_key_claimed_again_has_its_own_timeout() {
     let mut claims = claims::Claims::default();
     claims.claim(&fixture::claim("k", 1, 1));
-    age(&mut claims, claims::PROGRESS_LIMIT / 2);
+    age(&mut claims, claims::IN_PROGRESS_TIMEOUT / 2);
     claims.record(&fixture::key("k"), fixture::identifier(1), &claim::Outcome::NotRun);
     claims.claim(&fixture::claim("k", 1, 2));
 
-    age(&mut claims, claims::PROGRESS_LIMIT / 2 + claims::GRAIN * 2);
+    age(&mut claims, claims::IN_PROGRESS_TIMEOUT / 2 + claims::AGING_INTERVAL * 2);
 
     assert_eq!(claims.claim(&fixture::claim("k", 1, 3)), claim::Reply::InProgress);
 }
@@ -94,9 +94,9 @@
 // Memory is full. If the oldest outcome were evicted, the same work would run a second time when
 // its client retries, so new claims are rejected until outcomes are past their retention.
 #[test]
-fn full_memory_refuses_new_claims_and_keeps_every_outcome_for_its_time() {
+fn full_memory_rejects_new_claims_and_retains_every_outcome() {
     let mut claims = claims::Claims::default();
-    for count in 0..claims::COUNT_LIMIT as u64 {
+    for count in 0..claims::MAX_CLAIMS as u64 {
         let text = format!("k{count}");
         assert_eq!(claims.claim(&fixture::claim(&text, 1, count)), claim::Reply::Granted);
         claims.record(&fixture::key(&text), fixture::identifier(count), &claim::Outcome::Unknown);
@@ -104,7 +104,7 @@
 
     let full = claims.claim(&fixture::claim("new", 1, 1));
     let kept = claims.claim(&fixture::claim("k0", 1, 1_000_000));
-    age(&mut claims, claims::RETENTION + claims::GRAIN);
+    age(&mut claims, claims::OUTCOME_RETENTION + claims::AGING_INTERVAL);
     let later = claims.claim(&fixture::claim("new", 1, 1));
 
     assert_eq!(full, claim::Reply::Full);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn claims_in_progress_are_never_dropped_and_their_answers_find_room() {
+fn claims_in_progress_are_never_evicted_and_their_answers_always_fit() {
     let mut claims = claims::Claims::default();
     let mut granted = 0;
     while claims.claim(&fixture::claim(&format!("k{granted}"), 1, granted)) == claim::Reply::Granted
@@ -127,7 +127,7 @@
     }
 
     assert!(granted > 400, "{granted} at once");
-    assert!(claims.weight() <= claims::WEIGHT_LIMIT);
+    assert!(claims.bytes() <= claims::MAX_BYTES);
     for count in 0..granted {
         let reply = claims.claim(&fixture::claim(&format!("k{count}"), 1, 1_000_000));
         assert_eq!(reply, claim::Reply::Done(answer(claim::MAX_BODY_BYTES)));
--- a/crates/hyssopfork-state/tests/aggregates/fleet.rs
+++ b/crates/hyssopfork-state/tests/aggregates/fleet.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_announcement_that_says_nothing_new_moves_no_version() {
+fn an_unchanged_announcement_changes_no_version() {
     let mut log = fixture::declared();
     let version = log.view().version;
 
@@ -33,7 +33,7 @@
 // each announcement were accepted as new, they would replace each other twice a second and their
 // group would never be complete.
 #[test]
-fn a_replaced_process_cannot_win_its_name_back() {
+fn a_replaced_process_cannot_take_its_name_back() {
     let mut log = fixture::declared();
     log.announce(fixture::engine("e1", "a1", 2));
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn presence_of_an_older_boot_says_nothing_of_the_newer() {
+fn presence_changes_of_an_older_boot_do_not_affect_the_newer() {
     let mut log = fixture::declared();
     log.announce(fixture::engine("e1", "a1", 2));
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_forgotten_instance_comes_back_under_a_higher_incarnation() {
+fn a_removed_instance_returns_under_a_higher_incarnation() {
     let mut log = fixture::declared();
     log.announce(fixture::engine("e1", "a1", 2));
     log.apply(&command::Command::Forget("e1".into()));
--- a/crates/hyssopfork-state/tests/aggregates/history.rs
+++ b/crates/hyssopfork-state/tests/aggregates/history.rs
@@ -13,11 +13,11 @@
 }
 
 #[test]
-fn of_two_patches_against_one_number_the_second_is_stale_and_told_what_changed() {
+fn of_two_patches_on_one_base_the_second_is_stale_and_lists_the_first() {
     let mut log = fixture::declared();
 
-    let first = log.submit_against(1, "p1", out("zone-a"));
-    let second = log.submit_against(1, "p2", out("zone-b"));
+    let first = log.submit_on(1, "p1", out("zone-a"));
+    let second = log.submit_on(1, "p2", out("zone-b"));
 
     assert_eq!(first, patch::Outcome::Accepted(number::Configuration(2)));
     let patch::Outcome::Stale { current, since } = second else { panic!("{second:?}") };
@@ -33,9 +33,9 @@
 #[test]
 fn a_resend_gets_the_first_outcome_after_hundreds_of_changes_and_a_snapshot() {
     let mut log = fixture::declared();
-    let accepted = log.submit_against(1, "p1", out("zone-a"));
-    let stale = log.submit_against(1, "p2", out("zone-b"));
-    let invalid = log.submit_against(2, "p3", out("nowhere"));
+    let accepted = log.submit_on(1, "p1", out("zone-a"));
+    let stale = log.submit_on(1, "p2", out("zone-b"));
+    let invalid = log.submit_on(2, "p3", out("nowhere"));
     for count in 0..500 {
         let flip = if count % 2 == 0 { back("zone-a") } else { out("zone-a") };
         log.submit(&format!("later-{count}"), flip);
@@ -43,19 +43,19 @@
 
     log.machine = machine::Machine::decode(&log.machine.encode()).expect("own snapshot");
 
-    assert_eq!(log.submit_against(1, "p1", out("zone-a")), accepted);
-    assert_eq!(log.submit_against(1, "p2", out("zone-b")), stale);
-    assert_eq!(log.submit_against(2, "p3", out("nowhere")), invalid);
+    assert_eq!(log.submit_on(1, "p1", out("zone-a")), accepted);
+    assert_eq!(log.submit_on(1, "p2", out("zone-b")), stale);
+    assert_eq!(log.submit_on(2, "p3", out("nowhere")), invalid);
     assert_eq!(log.view().configuration.number, number::Configuration(502));
 }
 
 #[test]
-fn an_identifier_with_other_content_is_refused_as_reused() {
+fn an_identifier_with_other_content_is_rejected_as_reused() {
     let mut log = fixture::declared();
-    log.submit_against(1, "p1", out("zone-a"));
+    log.submit_on(1, "p1", out("zone-a"));
 
-    let other_content = log.submit_against(1, "p1", out("zone-b"));
-    let other_base = log.submit_against(2, "p1", out("zone-a"));
+    let other_content = log.submit_on(1, "p1", out("zone-b"));
+    let other_base = log.submit_on(2, "p1", out("zone-a"));
 
     assert_eq!(other_content, patch::Outcome::Reused);
     assert_eq!(other_base, patch::Outcome::Reused);
@@ -83,39 +83,39 @@
 }
 
 #[test]
-fn an_accepted_patch_whose_identifier_left_memory_is_not_accepted_twice() {
+fn an_accepted_patch_whose_identifier_was_evicted_is_not_accepted_twice() {
     let mut log = fixture::declared();
-    log.submit_against(1, "p1", out("zone-a"));
-    for count in 0..history::OUTCOME_LIMIT {
-        log.submit_against(0, &format!("stale-{count}"), out("zone-a"));
+    log.submit_on(1, "p1", out("zone-a"));
+    for count in 0..history::MAX_DECISIONS {
+        log.submit_on(0, &format!("stale-{count}"), out("zone-a"));
     }
 
-    let again = log.submit_against(1, "p1", out("zone-a"));
+    let again = log.submit_on(1, "p1", out("zone-a"));
 
     assert!(matches!(again, patch::Outcome::Stale { .. }), "{again:?}");
-    assert_eq!(log.machine.history().len(), history::OUTCOME_LIMIT);
+    assert_eq!(log.machine.history().len(), history::MAX_DECISIONS);
 }
 
 #[test]
-fn the_memory_of_long_invalid_patches_is_bounded_by_weight() {
+fn decisions_on_long_invalid_patches_are_bounded_by_bytes() {
     let mut log = fixture::declared();
     let faulty: Vec<_> = (0..100)
         .map(|count| patch::Operation::RemoveTeam(format!("team-{count}").as_str().into()))
         .collect();
 
     for count in 0..6_000 {
-        log.submit_against(1, &format!("p-{count}"), faulty.clone());
+        log.submit_on(1, &format!("p-{count}"), faulty.clone());
     }
 
     let snapshot = log.machine.encode().len();
-    assert!(snapshot < 2 * history::OUTCOME_WEIGHT_LIMIT, "{snapshot} bytes");
+    assert!(snapshot < 2 * history::MAX_DECISION_BYTES, "{snapshot} bytes");
     assert!(log.machine.history().len() < 6_000);
 }
 
 #[test]
-fn malformed_patches_are_refused_and_not_remembered() {
+fn malformed_patches_are_rejected_and_not_stored() {
     let mut log = fixture::declared();
-    let long = "x".repeat(history::IDENTIFIER_LIMIT + 1);
+    let long = "x".repeat(history::MAX_IDENTIFIER_BYTES + 1);
 
     let unnamed = log.submit("", out("zone-a"));
     let endless = log.submit(&long, out("zone-a"));
--- a/crates/hyssopfork-state/tests/aggregates/machine.rs
+++ b/crates/hyssopfork-state/tests/aggregates/machine.rs
@@ -37,10 +37,14 @@
 
 fn place() -> impl Strategy<Value = command::Command> {
     let group = prop_oneof![Just("g1"), Just("g2")];
-    let over = prop::option::of((1..8u64).prop_map(number::Fence));
-    (group, prop::collection::vec(instance(), 1..3), over).prop_map(|(group, members, over)| {
-        command::Command::Place { group: group.into(), members, over }
-    })
+    let replaces = prop::option::of((1..8u64).prop_map(number::Fence));
+    (group, prop::collection::vec(instance(), 1..3), replaces).prop_map(
+        |(group, members, replaces)| command::Command::Place {
+            group: group.into(),
+            members,
+            replaces,
+        },
+    )
 }
 
 fn presence() -> impl Strategy<Value = command::Command> {
@@ -82,16 +86,16 @@
     // the steps, and an instance that restarts from a snapshot at any point, must reach the same
     // state as one that applied all commands.
     #[test]
-    fn replay_equals_snapshot_and_rest_and_steps_lead_watchers_along(
+    fn replay_snapshots_and_steps_reach_the_same_state(
         commands in commands(),
-        cut in 0..120usize,
+        restore_at in 0..120usize,
     ) {
         let mut whole = fixture::declared();
         let mut restored = fixture::declared();
         let mut watched = whole.view().clone();
 
         for (count, command) in commands.iter().enumerate() {
-            if count == cut {
+            if count == restore_at {
                 restored.machine = machine::Machine::decode(&whole.machine.encode())
                     .expect("own snapshot");
             }
@@ -101,7 +105,7 @@
                 let version = whole.view().version;
                 prop_assert!(version > watched.version);
                 let step = change::Step { version, changes: applied.changes };
-                view::apply(&mut watched, &step);
+                view::apply_step(&mut watched, &step);
             }
         }
 
@@ -112,7 +116,7 @@
 }
 
 #[test]
-fn commands_survive_their_encoding_and_other_encodings_are_refused() {
+fn commands_round_trip_and_other_encodings_are_rejected() {
     let command = command::Command::Claim(fixture::claim("k", 1, 1));
 
     let mut bytes = command::encode(&command);
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn snapshots_of_another_format_or_cut_ones_are_refused_with_the_remedy() {
+fn truncated_snapshots_and_those_of_another_format_are_rejected() {
     let mut bytes = fixture::declared().machine.encode();
 
     let cut = machine::Machine::decode(&bytes[..bytes.len() - 1]);
--- a/crates/hyssopfork-state/tests/aggregates/placements.rs
+++ b/crates/hyssopfork-state/tests/aggregates/placements.rs
@@ -8,7 +8,7 @@
     machine::Reply::Placed(number::Fence(fence))
 }
 
-fn refused(obstacle: placements::Obstacle) -> machine::Reply {
+fn rejected(obstacle: placements::Violation) -> machine::Reply {
     machine::Reply::Unplaceable(obstacle)
 }
 
@@ -24,21 +24,21 @@
 
     let first = log.place("g1", &["e1", "e2"], None);
     let second = log.place("g2", &["e3", "e4"], None);
-    let mended = log.place("g1", &["e2", "e1"], Some(1));
+    let repaired = log.place("g1", &["e2", "e1"], Some(1));
 
     assert_eq!(first, placed(1));
     assert_eq!(second, placed(2));
-    assert_eq!(mended, placed(3));
+    assert_eq!(repaired, placed(3));
 }
 
 #[test]
-fn no_instance_stands_in_two_placements() {
+fn no_instance_is_in_two_placements() {
     let mut log = with_second_group();
     log.place("g1", &["e1", "e2"], None);
 
     let overlapping = log.place("g2", &["e2", "e3"], None);
 
-    assert_eq!(overlapping, refused(placements::Obstacle::Taken));
+    assert_eq!(overlapping, rejected(placements::Violation::Taken));
 }
 
 // Two leaders in turn propose a placement for the same lost member. The second decided on a state
@@ -53,45 +53,45 @@
     let unplaced =
         log.apply(&command::Command::Unplace { group: "g1".into(), fence: number::Fence(1) });
 
-    assert_eq!(late, refused(placements::Obstacle::Moved));
+    assert_eq!(late, rejected(placements::Violation::Moved));
     assert!(unplaced.changes.is_empty());
     assert_eq!(log.view().placements[&"g1".into()].fence, number::Fence(2));
 }
 
 #[test]
-fn a_placement_that_breaks_a_rule_is_refused() {
+fn a_placement_that_violates_a_rule_is_rejected() {
     let mut log = fixture::declared();
     log.apply(&command::Command::Absent { instance: "e4".into(), boot: 1 });
 
     let cases = [
-        ("g9", vec!["e1", "e2"], placements::Obstacle::Undeclared),
-        ("g1", vec!["e1"], placements::Obstacle::Size),
-        ("g1", vec!["e1", "e1"], placements::Obstacle::Size),
-        ("g1", vec!["e1", "e4"], placements::Obstacle::Ineligible),
-        ("g1", vec!["e1", "s1"], placements::Obstacle::Ineligible),
-        ("g1", vec!["e1", "e9"], placements::Obstacle::Ineligible),
-        ("g1", vec!["e1", "e5"], placements::Obstacle::Domains),
+        ("g9", vec!["e1", "e2"], placements::Violation::Undeclared),
+        ("g1", vec!["e1"], placements::Violation::Size),
+        ("g1", vec!["e1", "e1"], placements::Violation::Size),
+        ("g1", vec!["e1", "e4"], placements::Violation::Ineligible),
+        ("g1", vec!["e1", "s1"], placements::Violation::Ineligible),
+        ("g1", vec!["e1", "e9"], placements::Violation::Ineligible),
+        ("g1", vec!["e1", "e5"], placements::Violation::Domains),
     ];
 
     for (group, members, obstacle) in cases {
-        assert_eq!(log.place(group, &members, None), refused(obstacle), "{group} {members:?}");
+        assert_eq!(log.place(group, &members, None), rejected(obstacle), "{group} {members:?}");
     }
 }
 
 #[test]
-fn no_group_is_placed_in_a_zone_that_is_out_and_one_that_stands_there_stays() {
+fn no_group_is_placed_in_a_zone_that_is_out_and_placed_ones_stay() {
     let mut log = with_second_group();
     log.place("g1", &["e1", "e2"], None);
 
     log.submit("out", vec![patch::Operation::SetZoneOut("zone-a".into(), true)]);
     let new = log.place("g2", &["e3", "e4"], None);
 
-    assert_eq!(new, refused(placements::Obstacle::Ineligible));
+    assert_eq!(new, rejected(placements::Violation::Ineligible));
     assert!(log.view().placements.contains_key(&"g1".into()));
 }
 
 #[test]
-fn a_placement_ends_with_its_group_or_when_the_group_becomes_another() {
+fn a_placement_ends_when_its_group_is_removed_or_resized() {
     let mut log = with_second_group();
     log.place("g1", &["e1", "e2"], None);
     log.place("g2", &["e3", "e4"], None);
--- a/crates/hyssopfork-state/tests/aggregates/rules.rs
+++ b/crates/hyssopfork-state/tests/aggregates/rules.rs
@@ -8,7 +8,7 @@
 fn the_fixture_breaks_no_rule() {
     let declared = fixture::configuration();
 
-    let faults = rules::faults(&declared);
+    let faults = rules::validate(&declared);
 
     assert_eq!(faults, Vec::<String>::new());
 }
@@ -31,7 +31,7 @@
     let team = configuration::Team { token_sha256: tokens, weight: 0 };
     declared.teams.insert("other".into(), team);
 
-    let faults = rules::faults(&declared);
+    let faults = rules::validate(&declared);
 
     let expected = [
         "zone name \"Zone A\" is not valid; use",
--- a/crates/hyssopfork-state/tests/aggregates/upstream.rs
+++ b/crates/hyssopfork-state/tests/aggregates/upstream.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn each_obstacle_is_named() {
+fn each_reason_for_ineligibility_is_returned() {
     let mut log = fixture::declared();
     let name = |text: &str| name::Instance::from(text);
     log.submit("drain", vec![patch::Operation::SetDrained("e1".into(), true)]);
@@ -67,12 +67,12 @@
     let desk = configuration::Pool { zones, ..fixture::pool(configuration::Kind::Service) };
     log.submit("desk", vec![patch::Operation::PutPool("desk".into(), desk)]);
 
-    let obstacle = |instance| upstream::obstacle(log.view(), &name(instance));
+    let obstacle = |instance| upstream::ineligibility(log.view(), &name(instance));
 
-    assert_eq!(obstacle("e1"), Some(upstream::Obstacle::Drained));
-    assert_eq!(obstacle("e2"), Some(upstream::Obstacle::Leaving));
-    assert_eq!(obstacle("e3"), Some(upstream::Obstacle::Absent));
-    assert_eq!(obstacle("s1"), Some(upstream::Obstacle::ZoneNotAllowed));
-    assert_eq!(obstacle("e9"), Some(upstream::Obstacle::Unrecorded));
+    assert_eq!(obstacle("e1"), Some(upstream::Ineligibility::Drained));
+    assert_eq!(obstacle("e2"), Some(upstream::Ineligibility::Leaving));
+    assert_eq!(obstacle("e3"), Some(upstream::Ineligibility::Absent));
+    assert_eq!(obstacle("s1"), Some(upstream::Ineligibility::ZoneNotAllowed));
+    assert_eq!(obstacle("e9"), Some(upstream::Ineligibility::Unrecorded));
     assert_eq!(obstacle("e4"), None);
 }
