--- a/crates/hyssopfork-state/tests/aggregates/view.rs
+++ b/crates/hyssopfork-state/tests/aggregates/view.rs
@@ -26,24 +26,25 @@
 }
 
 #[test]
-fn steps_lead_a_watcher_to_the_state_s_own_view() {
+fn steps_update_a_watcher_to_the_view_of_the_state() {
     let (log, steps) = steps();
     let mut watched = change::View::default();
 
-    let moved = view::lead(&mut watched, change::Update::Steps(steps));
+    let moved = view::apply_update(&mut watched, change::Update::Steps(steps));
 
     assert_eq!(moved, Ok(true));
     assert_eq!(&watched, log.view());
 }
 
 #[test]
-fn overlapping_answers_are_taken_once() {
+fn overlapping_updates_are_applied_once() {
     let (log, steps) = steps();
     let mut watched = change::View::default();
-    view::lead(&mut watched, change::Update::Steps(steps[..2].to_vec())).expect("leads on");
+    view::apply_update(&mut watched, change::Update::Steps(steps[..2].to_vec()))
+        .expect("the update is newer");
 
-    let overlapping = view::lead(&mut watched, change::Update::Steps(steps.clone()));
-    let nothing = view::lead(&mut watched, change::Update::Current);
+    let overlapping = view::apply_update(&mut watched, change::Update::Steps(steps.clone()));
+    let nothing = view::apply_update(&mut watched, change::Update::Current);
 
     assert_eq!(overlapping, Ok(true));
     assert_eq!(nothing, Ok(false));
@@ -53,16 +54,18 @@
 // A control instance that was cut off responds late with an old view. If a watcher accepted it, a
 // zone that operators took out would receive work again.
 #[test]
-fn no_update_leads_back() {
+fn an_older_update_is_rejected() {
     let (log, steps) = steps();
     let mut watched = change::View::default();
-    view::lead(&mut watched, change::Update::Steps(steps[..1].to_vec())).expect("leads on");
+    view::apply_update(&mut watched, change::Update::Steps(steps[..1].to_vec()))
+        .expect("the update is newer");
     let old = watched.clone();
-    view::lead(&mut watched, change::Update::Steps(steps.clone())).expect("leads on");
+    view::apply_update(&mut watched, change::Update::Steps(steps.clone()))
+        .expect("the update is newer");
 
-    let whole = view::lead(&mut watched, change::Update::Whole(Box::new(old.clone())));
-    let part = view::lead(&mut watched, change::Update::Steps(steps[..1].to_vec()));
-    view::apply(&mut watched, &steps[1]);
+    let whole = view::apply_update(&mut watched, change::Update::Whole(Box::new(old.clone())));
+    let part = view::apply_update(&mut watched, change::Update::Steps(steps[..1].to_vec()));
+    view::apply_step(&mut watched, &steps[1]);
 
     let back = Err(view::Error::Back(log.view().version, old.version));
     assert_eq!(whole, back);
--- a/crates/hyssopfork-watch/src/watcher.rs
+++ b/crates/hyssopfork-watch/src/watcher.rs
@@ -282,7 +282,7 @@
     /// case its lease is not valid either.
     fn apply_update(&mut self, update: &change::Update, output: &mut Output) -> bool {
         let before = self.view.version;
-        let Ok(changed) = view::lead(&mut self.view, update.clone()) else {
+        let Ok(changed) = view::apply_update(&mut self.view, update.clone()) else {
             output.notices.push(notice::Notice::UpdateBack(before));
             return false;
         };
