--- a/crates/hyssopfork-control/benches/control.rs
+++ b/crates/hyssopfork-control/benches/control.rs
@@ -93,10 +93,10 @@
             let joined = joined.get(&announcement.instance).copied().unwrap_or_default();
             let report = fleet::Report { alive: true, joined, ..Default::default() };
             let holder = control::Holder::Agent(Box::new(announcement), report);
-            let have = self.version();
+            let version = self.version();
             self.call(control::Request::Renew(control::Renewal {
                 holder,
-                version: have,
+                version,
                 leaving: false,
             }));
         }
@@ -145,8 +145,8 @@
     }
     report("longest tick with a zone dark", repairing, 1);
 
-    let have = leader.version();
-    (0..agents).for_each(|_| leader.call(control::Request::Watch(have)));
+    let version = leader.version();
+    (0..agents).for_each(|_| leader.call(control::Request::Watch(version)));
     leader.replies.clear();
     let start = Instant::now();
     leader.submit(vec![patch::Operation::SetDrained("instance-00001".into(), true)]);
--- a/crates/hyssopfork-control/src/core/requests.rs
+++ b/crates/hyssopfork-control/src/core/requests.rs
@@ -17,8 +17,10 @@
         }
         match request {
             control::Request::Renew(renewal) => self.on_renew(call, renewal),
-            control::Request::Watch(have) => self.on_watch(call, have, None),
-            control::Request::Follow(have, instance) => self.on_watch(call, have, Some(instance)),
+            control::Request::Watch(version) => self.on_watch(call, version, None),
+            control::Request::Follow(version, instance) => {
+                self.on_watch(call, version, Some(instance))
+            }
             control::Request::Submit(patch) => self.on_submit(call, patch),
             control::Request::Claim(claim) => {
                 self.propose_request(call, &command::Command::Claim(claim));
@@ -153,17 +155,17 @@
         }
     }
 
-    fn on_watch(&mut self, call: u64, have: number::Version, scope: Option<name::Instance>) {
-        let version = self.machine.view().version;
-        let until = self.now + timing::LONG_POLL_TIMEOUT;
-        let watch = watches::Watch { call, version: have, deadline: until, scope };
-        if have > version || have < self.steps.base_version() {
+    fn on_watch(&mut self, call: u64, version: number::Version, scope: Option<name::Instance>) {
+        let current = self.machine.view().version;
+        let deadline = self.now + timing::LONG_POLL_TIMEOUT;
+        let watch = watches::Watch { call, version, deadline, scope };
+        if version > current || version < self.steps.base_version() {
             return self.answer_watch(&watch);
         }
         if !self.watches.hold(watch) {
             return self.reject_crowded(call);
         }
-        if have < version {
+        if version < current {
             self.watches.mark_stale();
         }
     }
@@ -213,17 +215,17 @@
     /// Update for a watcher: of the whole view, or of the part in the scope of one instance.
     fn update_for(
         &mut self,
-        have: number::Version,
+        version: number::Version,
         scope: Option<&name::Instance>,
     ) -> Option<change::Update> {
         let view = self.machine.view();
-        let Some(update) = self.steps.update(view, have) else {
-            let version = view.version;
-            self.push_notice(notice::Notice::Ahead(have, version));
+        let Some(update) = self.steps.update(view, version) else {
+            let current = view.version;
+            self.push_notice(notice::Notice::Ahead(version, current));
             return None;
         };
         let Some(instance) = scope else { return Some(update) };
-        Some(self.interests.narrow(view, have, update, instance))
+        Some(self.interests.narrow(view, version, update, instance))
     }
 }
 
--- a/crates/hyssopfork-control/src/groups.rs
+++ b/crates/hyssopfork-control/src/groups.rs
@@ -267,7 +267,7 @@
             && placed.members.iter().any(|member| !has_loaded(view, holders, member, placed.fence));
         let in_place =
             placed.members.iter().any(|member| keeps_group_in_place(view, holders, member));
-        if loading || in_place || !self.is_running_count_final(view, holders, group, placed) {
+        if loading || in_place || !self.is_running_count_conclusive(view, holders, group, placed) {
             return 1;
         }
         let first = placed.members.first().and_then(|first| recorded_agent(view, holders, first));
@@ -282,7 +282,7 @@
     /// no running requests would cut that request. Once the first member has the view with the
     /// drain, or after the bound within which it must, no new request starts and the reported
     /// number can only decrease.
-    fn is_running_count_final(
+    fn is_running_count_conclusive(
         &self,
         view: &change::View,
         holders: &holders::Holders,
--- a/crates/hyssopfork-control/tests/histories/holder.rs
+++ b/crates/hyssopfork-control/tests/histories/holder.rs
@@ -50,10 +50,10 @@
         }
         if !self.watching {
             self.watching = true;
-            let have = self.view.version;
+            let version = self.view.version;
             requests.push(match self.agent {
-                true => control::Request::Follow(have, self.instance.clone()),
-                false => control::Request::Watch(have),
+                true => control::Request::Follow(version, self.instance.clone()),
+                false => control::Request::Watch(version),
             });
         }
         (requests, renewal / 10)
--- a/crates/hyssopfork-control/tests/solo/fixture.rs
+++ b/crates/hyssopfork-control/tests/solo/fixture.rs
@@ -153,8 +153,8 @@
         leaving: bool,
     ) -> Option<control::Response> {
         let holder = control::Holder::Agent(Box::new(announcement), report);
-        let have = self.view().version;
-        self.request(control::Request::Renew(control::Renewal { holder, version: have, leaving }))
+        let version = self.view().version;
+        self.request(control::Request::Renew(control::Renewal { holder, version, leaving }))
     }
 
     pub fn submit(
--- a/crates/hyssopfork-control/tests/solo/interests.rs
+++ b/crates/hyssopfork-control/tests/solo/interests.rs
@@ -117,10 +117,10 @@
     let mut solo = fixture::Solo::leading();
     ["e1", "e2"].into_iter().for_each(|name| solo.add_agent(name, "d1", 1));
     solo.run(Duration::from_secs(1));
-    let have = solo.view().version;
+    let version = solo.view().version;
     let follow = |solo: &mut fixture::Solo| {
-        let have = solo.view().version;
-        solo.call(control::Request::Follow(have, "e1".into()))
+        let version = solo.view().version;
+        solo.call(control::Request::Follow(version, "e1".into()))
     };
 
     let first = follow(&mut solo);
@@ -135,5 +135,5 @@
 
     assert!(!by_team);
     assert!(matches!(by_zone, Some(control::Response::Updated(change::Update::Steps(_)))));
-    assert!(solo.view().version > have);
+    assert!(solo.view().version > version);
 }
--- a/crates/hyssopfork-control/tests/solo/responses.rs
+++ b/crates/hyssopfork-control/tests/solo/responses.rs
@@ -15,10 +15,10 @@
     vec![patch::Operation::SetZoneOut("zone-a".into(), out)]
 }
 
-fn entry(have: u64) -> control::Request {
+fn entry(version: u64) -> control::Request {
     let holder = control::Holder::Entry("entry".into());
-    let have = number::Version(have);
-    control::Request::Renew(control::Renewal { holder, version: have, leaving: false })
+    let version = number::Version(version);
+    control::Request::Renew(control::Renewal { holder, version, leaving: false })
 }
 
 fn claim(attempt: u64) -> control::Request {
@@ -74,7 +74,7 @@
     let view = change::View { version, ..Default::default() };
     steps.push(change::Step { version, changes: Vec::new() });
 
-    let update = |have| steps.update(&view, number::Version(have));
+    let update = |version| steps.update(&view, number::Version(version));
 
     assert_eq!(update(12), Some(change::Update::Current));
     assert!(matches!(update(10), Some(change::Update::Steps(steps)) if steps.len() == 1));
@@ -133,10 +133,10 @@
 #[test]
 fn a_stale_watcher_is_answered_without_waiting() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
+    let version = solo.view().version;
     solo.submit("out", zone_out(true));
 
-    let watch = solo.call(control::Request::Watch(have));
+    let watch = solo.call(control::Request::Watch(version));
     solo.advance(Duration::from_millis(20));
 
     assert!(matches!(
@@ -148,20 +148,20 @@
 #[test]
 fn a_watch_is_held_until_the_view_changes_or_its_deadline() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
-    let moved = solo.call(control::Request::Watch(have));
-    let abandoned = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let answered = solo.call(control::Request::Watch(version));
+    let abandoned = solo.call(control::Request::Watch(version));
     solo.step(event::Event::Abandoned(abandoned));
-    let held = !solo.replies.contains_key(&moved);
+    let held = !solo.replies.contains_key(&answered);
 
     solo.submit("out", zone_out(true));
-    let have = solo.view().version;
-    let quiet = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let quiet = solo.call(control::Request::Watch(version));
     solo.advance(timing::LONG_POLL_TIMEOUT);
 
     assert!(held);
     assert!(matches!(
-        &solo.replies[&moved],
+        &solo.replies[&answered],
         control::Response::Updated(change::Update::Steps(steps)) if steps.len() == 1
     ));
     assert_eq!(solo.replies[&quiet], control::Response::Updated(change::Update::Current));
@@ -173,13 +173,13 @@
 #[test]
 fn changes_in_quick_succession_are_sent_in_one_response() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
-    solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    solo.call(control::Request::Watch(version));
     solo.submit("out", zone_out(true));
     solo.replies.clear();
 
-    let have = solo.view().version;
-    let watch = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let watch = solo.call(control::Request::Watch(version));
     solo.submit("back", zone_out(false));
     solo.submit("again", zone_out(true));
     let at_once = solo.replies.contains_key(&watch);
@@ -226,14 +226,14 @@
 #[test]
 fn a_leader_that_stops_answers_held_calls_and_rejects_new_ones() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
-    let watch = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let watch = solo.call(control::Request::Watch(version));
 
     solo.step(event::Event::Stop);
-    let refused = solo.request(entry(0));
+    let rejected = solo.request(entry(0));
     solo.advance(Duration::from_secs(3));
 
-    assert!(matches!(refused, Some(control::Response::NotLeader(_)) | None));
+    assert!(matches!(rejected, Some(control::Response::NotLeader(_)) | None));
     assert!(matches!(solo.replies[&watch], control::Response::NotLeader(_)));
     assert!(solo.stopped);
 }
--- a/crates/hyssopfork-state/tests/aggregates/view.rs
+++ b/crates/hyssopfork-state/tests/aggregates/view.rs
@@ -30,9 +30,9 @@
     let (log, steps) = steps();
     let mut watched = change::View::default();
 
-    let moved = view::apply_update(&mut watched, change::Update::Steps(steps));
+    let changed = view::apply_update(&mut watched, change::Update::Steps(steps));
 
-    assert_eq!(moved, Ok(true));
+    assert_eq!(changed, Ok(true));
     assert_eq!(&watched, log.view());
 }
 
