--- a/crates/hyssopfork-control/src/watches.rs
+++ b/crates/hyssopfork-control/src/watches.rs
@@ -1,82 +1,90 @@
-//! Calls that are held until the view moves.
+//! Long polls: calls that are held until the view changes.
 
 use hyssopfork_wire::{clock, name, number};
 use std::collections::BTreeMap;
 use std::mem;
 use std::time::Duration;
 
-/// Most calls that are held; at the size foreseen 380 daemons and 4,800 agents hold one each.
-pub const LIMIT: usize = 16_384;
+/// Most calls held at once; at the planned size 380 daemons and 4,800 agents hold one each.
+pub const MAX_WATCHES: usize = 16_384;
 
-/// Least time between two rounds of answers for each held call.
+/// Least time between two rounds of responses, for each held call.
 ///
-/// When a fleet starts or a zone comes back, thousands of instances announce themselves within a
-/// second and every watcher would be told of each by itself: 4,800 times 5,000 answers, and the
-/// leader would send nothing else. Answered in rounds, each watcher gets the changes of a round in
-/// one answer. 30 watchers wait a millisecond for the next round, 5,000 a tenth of a second.
-pub const PAUSE_EACH: Duration = Duration::from_micros(20);
+/// When a fleet starts or a zone returns, thousands of instances announce themselves within a
+/// second. Sending each change to every watcher by itself would take 4,800 times 5,000 responses
+/// and leave the leader no time for anything else. In rounds, each watcher gets all changes since
+/// the last round in one response. 30 watchers wait a millisecond for the next round, 5,000 a tenth
+/// of a second.
+pub const MIN_ROUND_INTERVAL_PER_WATCH: Duration = Duration::from_micros(20);
 
 /// A held call.
 #[derive(Clone, Debug)]
 pub struct Watch {
-    /// The call.
+    /// Number of the call.
     pub call: u64,
-    /// Version that the watcher has.
-    pub have: number::Version,
-    /// When it is answered at the latest.
-    pub until: clock::Instant,
-    /// Instance that the watcher needs to hear of; `None` for the whole view.
+    /// Version of the watcher's view.
+    pub version: number::Version,
+    /// When the call is answered even if nothing has changed.
+    pub deadline: clock::Instant,
+    /// Instance whose part of the view is watched; `None` for the whole view.
     pub scope: Option<name::Instance>,
 }
 
-/// Held calls.
+/// The held calls.
 #[derive(Debug, Default)]
 pub struct Watches {
-    held: BTreeMap<u64, Watch>,
-    /// Whether some watcher may be behind the view.
-    behind: bool,
-    /// When the last round of answers was given.
-    answered: clock::Instant,
+    watches: BTreeMap<u64, Watch>,
+    /// Whether a watcher's view may be stale.
+    maybe_stale: bool,
+    /// When the last round of responses was given.
+    last_round: clock::Instant,
 }
 
 impl Watches {
     /// Holds a call; returns whether there was room.
     pub fn hold(&mut self, watch: Watch) -> bool {
-        if self.held.len() >= LIMIT {
+        if self.watches.len() >= MAX_WATCHES {
             return false;
         }
-        self.held.insert(watch.call, watch);
+        self.watches.insert(watch.call, watch);
         true
     }
 
-    /// Notes that watchers may be behind the view.
-    pub fn fall_behind(&mut self) {
-        self.behind = !self.held.is_empty();
+    /// Records that the view has changed, so that watchers may be stale.
+    pub fn mark_stale(&mut self) {
+        self.maybe_stale = !self.watches.is_empty();
     }
 
-    /// Takes the calls of watchers that are `behind`, if a round of answers is due.
-    pub fn round(&mut self, now: clock::Instant, behind: impl Fn(&Watch) -> bool) -> Vec<Watch> {
-        let pause = PAUSE_EACH * self.held.len() as u32;
-        if !self.behind || now.since(self.answered) < pause {
+    /// If a round is due, removes the calls for which `is_stale` holds and returns them.
+    pub fn take_stale(
+        &mut self,
+        now: clock::Instant,
+        is_stale: impl Fn(&Watch) -> bool,
+    ) -> Vec<Watch> {
+        let min_interval = MIN_ROUND_INTERVAL_PER_WATCH * self.watches.len() as u32;
+        if !self.maybe_stale || now.since(self.last_round) < min_interval {
             return Vec::new();
         }
-        self.behind = false;
-        self.answered = now;
-        self.held.extract_if(.., |_, watch| behind(watch)).map(|(_, watch)| watch).collect()
+        self.maybe_stale = false;
+        self.last_round = now;
+        self.watches.extract_if(.., |_, watch| is_stale(watch)).map(|(_, watch)| watch).collect()
     }
 
-    /// Lets go of a call whose connection closed.
-    pub fn abandon(&mut self, call: u64) {
-        self.held.remove(&call);
+    /// Removes a call whose connection closed.
+    pub fn remove(&mut self, call: u64) {
+        self.watches.remove(&call);
     }
 
-    /// Takes the calls whose time is up.
-    pub fn due(&mut self, now: clock::Instant) -> Vec<Watch> {
-        self.held.extract_if(.., |_, watch| watch.until <= now).map(|(_, watch)| watch).collect()
+    /// Removes the calls whose deadline has passed and returns them.
+    pub fn take_expired(&mut self, now: clock::Instant) -> Vec<Watch> {
+        self.watches
+            .extract_if(.., |_, watch| watch.deadline <= now)
+            .map(|(_, watch)| watch)
+            .collect()
     }
 
-    /// Takes all calls.
-    pub fn drain(&mut self) -> Vec<Watch> {
-        mem::take(&mut self.held).into_values().collect()
+    /// Removes all calls and returns them.
+    pub fn take_all(&mut self) -> Vec<Watch> {
+        mem::take(&mut self.watches).into_values().collect()
     }
 }
--- a/crates/hyssopfork-control/tests/histories/slot.rs
+++ b/crates/hyssopfork-control/tests/histories/slot.rs
@@ -6,20 +6,20 @@
 use hyssopfork_wire::{clock, consensus, name};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Clocks differ from true time by at most half the rate error each.
-pub const RATE_SPREAD_PPM: i64 = 5_000;
+/// Largest drift of a clock from true time: half of the drift allowed between two clocks.
+pub const MAX_DRIFT_PPM: i64 = 5_000;
 
-/// A clock: local microseconds from true ones.
+/// A clock that converts true microseconds to local ones.
 #[derive(Clone, Copy)]
 pub struct Clock {
     pub offset: u64,
-    /// Parts per million by which it runs fast.
-    pub rate: i64,
+    /// Drift in parts per million; positive when the clock runs fast.
+    pub drift_ppm: i64,
 }
 
 impl Clock {
     pub fn local(&self, now: u64) -> clock::Instant {
-        let drift = now as i64 * self.rate / 1_000_000;
+        let drift = now as i64 * self.drift_ppm / 1_000_000;
         clock::Instant::from_micros(self.offset + (now as i64 + drift) as u64)
     }
 }
@@ -28,7 +28,7 @@
 pub struct Slot {
     pub name: name::Instance,
     pub core: Option<core::Core>,
-    /// Counts its processes.
+    /// Number of processes started so far.
     pub boot: u64,
     pub folder: u64,
     pub clock: Clock,
@@ -58,12 +58,12 @@
         let local = self.clock.local(now);
         let node = node::Node::new(identity, self.durable.clone(), settings, seed, local);
         let mut settings = core::Settings::new(self.name.clone(), BTreeMap::new());
-        settings.snapshot_entries = 50;
+        settings.snapshot_interval_entries = 50;
         self.core = Some(core::Core::new(settings, node, machine::Machine::new(), local));
         self.boot += 1;
     }
 
-    /// Ends the process; of the writes not yet synced the first `kept` reach the disk.
+    /// Ends the process; of the writes not yet synced, the first `kept` reach the disk.
     pub fn crash(&mut self, kept: usize) {
         for write in self.unsynced.drain(..).take(kept) {
             self.durable.apply(&write);
@@ -72,7 +72,7 @@
         self.core = None;
     }
 
-    /// Loses the disk.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&mut self, folder: u64) {
         self.durable = node::Durable::default();
         self.folder = folder;
@@ -82,7 +82,7 @@
         self.unsynced.push_back(write);
     }
 
-    /// Syncs the writes up to a mark.
+    /// Syncs the writes up to a number.
     pub fn sync(&mut self, mark: u64) {
         while self.unsynced.front().is_some_and(|write| write.number <= mark) {
             let write = self.unsynced.pop_front().expect("looked at");
--- a/crates/hyssopfork-control/tests/solo/mod.rs
+++ b/crates/hyssopfork-control/tests/solo/mod.rs
@@ -1,7 +1,7 @@
-//! One control instance that is a quorum by itself, with its disk and clock in the test's hands.
+//! A single control instance that is a quorum by itself; the tests control its disk and clock.
 
-mod answering;
 pub mod fixture;
 mod groups;
 mod interests;
 mod leases;
+mod responses;
--- a/crates/hyssopfork-state/src/claims.rs
+++ b/crates/hyssopfork-state/src/claims.rs
@@ -1,52 +1,53 @@
-//! Claims on non-repeatable work.
+//! Idempotency keys: claims on non-repeatable work.
 //!
-//! A claim is committed before its work is sent, so of all entries that hold the same key one
-//! sends it. What is remembered of a key is what keeps the work from running twice: nothing is
-//! dropped before [`RETENTION`], and when memory is full of what may not be dropped, new claims
-//! are refused ([`claim::Reply::Full`]) in place of forgetting old ones.
+//! A claim is committed before its work is sent, so of all entries with the same key only one sends
+//! it. A retained claim keeps the work from running twice: no outcome is evicted before
+//! [`OUTCOME_RETENTION`] has passed, and when memory is full of claims that must be retained, new
+//! claims are rejected ([`claim::Reply::Full`]) instead.
 
 use hyssopfork_wire::{attempt, claim};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Most claims that are remembered.
-pub const COUNT_LIMIT: usize = 32_768;
+/// Most claims that are retained.
+pub const MAX_CLAIMS: usize = 32_768;
 
-/// Most bytes of remembered claims, as weighed here. A claim in progress weighs a whole answer,
-/// so that its outcome always finds room.
-pub const WEIGHT_LIMIT: usize = 32 << 20;
+/// Most bytes of retained claims, as estimated here. A claim in progress counts with a whole
+/// answer, so that there is always room for its outcome.
+pub const MAX_BYTES: usize = 32 << 20;
 
-/// Time for which an outcome is remembered at least; callers must not reuse a key later than
-/// this. Longer, while there is room.
-pub const RETENTION: Duration = Duration::from_secs(24 * 3_600);
+/// Least time for which an outcome is retained; clients must not reuse a key later than this. It is
+/// retained longer while there is room.
+pub const OUTCOME_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// Time in progress after which a claim's outcome is unknown: its holder fell silent. The work that
-/// claims cover is short; an answer that comes later still reaches the caller that waits for it.
-pub const PROGRESS_LIMIT: Duration = Duration::from_secs(600);
+/// Time in progress after which a claim's outcome is unknown, since its holder has not recorded
+/// one. Claims cover short work; an answer that comes later still reaches the client that waits for
+/// it.
+pub const IN_PROGRESS_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Longest step by which the state ages at once ([`crate::command::Command::Elapsed`]): a claim
-/// may have been granted at the end of the step that ages it, so this much is added to its time.
-pub const GRAIN: Duration = Duration::from_secs(10);
+/// Longest time by which claims age at once ([`crate::command::Command::Elapsed`]). A claim may
+/// have been granted at the end of the interval that ages it, so this much is added to its time.
+pub const AGING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Attempts whose claim was freed that are remembered.
-pub const FREED_LIMIT: usize = 4_096;
+/// Most attempts with a released claim that are retained.
+pub const MAX_RELEASED_ATTEMPTS: usize = 4_096;
 
 /// Longest Idempotency-Key, in bytes.
-pub const KEY_LIMIT: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 
-/// Estimated bytes of a remembered claim besides its texts and answer.
-const WEIGHT_BASE: usize = 256;
+/// Estimated bytes of a retained claim besides its texts and answer.
+const CLAIM_OVERHEAD_BYTES: usize = 256;
 
-/// One claim.
+/// A claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
     digest: [u8; 32],
     attempt: attempt::Identifier,
-    /// `None` while in progress. Invariant: never changes once it is there, and is never
-    /// [`claim::Outcome::NotRun`], which frees the key.
+    /// `None` while in progress. Invariant: never changes once set, and is never
+    /// [`claim::Outcome::NotRun`], which releases the key.
     outcome: Option<claim::Outcome>,
-    /// Age of the state when the claim was granted or its outcome recorded.
+    /// Value of [`Claims::age`] when the claim was granted or its outcome recorded.
     since: Duration,
 }
 
@@ -54,42 +55,44 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     entries: BTreeMap<claim::Key, Entry>,
-    /// Keys that are done, in the order of their outcomes.
-    done: VecDeque<claim::Key>,
-    /// Keys in progress, in the order of their grants; may hold ones that have ended since.
-    progress: VecDeque<(claim::Key, attempt::Identifier)>,
-    /// Attempts whose claim was freed, oldest first.
-    freed: VecDeque<attempt::Identifier>,
-    /// Invariant: the sum of the weights of `entries`.
-    weight: usize,
-    /// Time that leaders counted; never runs ahead of true time by more than the clocks' rate
-    /// error, and stands still while nobody leads.
+    /// Completed keys, in the order of their outcomes.
+    completed: VecDeque<claim::Key>,
+    /// Keys in progress, in the order of their grants; may contain keys that have completed since.
+    in_progress: VecDeque<(claim::Key, attempt::Identifier)>,
+    /// Attempts whose claim was released, oldest first.
+    released: VecDeque<attempt::Identifier>,
+    /// Invariant: the sum of the sizes of `entries`.
+    bytes: usize,
+    /// Time that leaders counted. It never exceeds true time by more than the clock drift, and
+    /// stands still while there is no leader.
     age: Duration,
 }
 
 impl Claims {
-    /// Takes a claim.
+    /// Grants or rejects a claim, or returns the outcome of the key's work.
     pub fn claim(&mut self, claim: &claim::Claim) -> claim::Reply {
         if let Some(entry) = self.entries.get(&claim.key) {
-            return again(entry, claim);
+            return repeated_reply(entry, claim);
         }
-        // A claim that was resent, or sat in the network, can arrive after its attempt gave the
-        // key back. Granted then, it would hold the key with nobody to do the work.
-        if self.freed.contains(&claim.attempt) {
+        // A claim that was resent or delayed can arrive after its attempt released the key. If it
+        // were granted then, its holder would never run the work.
+        if self.released.contains(&claim.attempt) {
             return claim::Reply::Done(claim::Outcome::NotRun);
         }
         let entry =
             Entry { digest: claim.digest, attempt: claim.attempt, outcome: None, since: self.age };
-        if claim.key.text.len() > KEY_LIMIT || !self.make_room(weight(&claim.key, &entry)) {
+        if claim.key.text.len() > MAX_KEY_BYTES
+            || !self.make_room(estimated_bytes(&claim.key, &entry))
+        {
             return claim::Reply::Full;
         }
-        self.weight += weight(&claim.key, &entry);
-        self.progress.push_back((claim.key.clone(), claim.attempt));
+        self.bytes += estimated_bytes(&claim.key, &entry);
+        self.in_progress.push_back((claim.key.clone(), claim.attempt));
         self.entries.insert(claim.key.clone(), entry);
         claim::Reply::Granted
     }
 
-    /// Records how claimed work ended; ignored unless `attempt` holds the claim and it is in
+    /// Records the outcome of claimed work; ignored unless `attempt` holds the claim and it is in
     /// progress. Returns whether it was recorded.
     pub fn record(
         &mut self,
@@ -102,101 +105,102 @@
             return false;
         }
         match outcome {
-            claim::Outcome::NotRun => self.free(key, attempt),
+            claim::Outcome::NotRun => self.release(key, attempt),
             claim::Outcome::Answered { head, body } => {
                 let fits = body.len() <= claim::MAX_BODY_BYTES;
                 let body = if fits { body.clone() } else { Vec::new() };
-                self.finish(key, claim::Outcome::Answered { head: head.clone(), body });
+                self.complete(key, claim::Outcome::Answered { head: head.clone(), body });
             }
-            claim::Outcome::Unknown => self.finish(key, claim::Outcome::Unknown),
+            claim::Outcome::Unknown => self.complete(key, claim::Outcome::Unknown),
         }
         true
     }
 
-    /// Lets the state age, and gives claims whose holder fell silent their outcome: unknown, never
-    /// free, since the work may have run.
+    /// Ages the claims, and completes those whose holder recorded no outcome in time as unknown.
+    /// They are never released, since the work may have run.
     ///
-    /// Returns how many were ended.
+    /// Returns the number of claims completed.
     pub fn age_by(&mut self, elapsed: Duration) -> usize {
-        self.age += elapsed.min(GRAIN);
-        let mut ended = 0;
-        while let Some((key, attempt)) = self.progress.front().cloned() {
+        self.age += elapsed.min(AGING_INTERVAL);
+        let mut completed = 0;
+        while let Some((key, attempt)) = self.in_progress.front().cloned() {
             match self.entries.get(&key) {
                 Some(entry) if entry.attempt == attempt && entry.outcome.is_none() => {
-                    if self.age < entry.since + PROGRESS_LIMIT + GRAIN {
+                    if self.age < entry.since + IN_PROGRESS_TIMEOUT + AGING_INTERVAL {
                         break;
                     }
-                    self.finish(&key, claim::Outcome::Unknown);
-                    ended += 1;
+                    self.complete(&key, claim::Outcome::Unknown);
+                    completed += 1;
                 }
                 _ => {}
             }
-            self.progress.pop_front();
+            self.in_progress.pop_front();
         }
-        ended
+        completed
     }
 
-    /// Number of claims that are remembered.
+    /// Number of retained claims.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Whether no claim is retained.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of remembered claims, with room for the answers of those in progress.
-    pub fn weight(&self) -> usize {
-        self.weight
+    /// Estimated bytes of the retained claims, with room for the answers of those in progress.
+    pub fn bytes(&self) -> usize {
+        self.bytes
     }
 
-    fn finish(&mut self, key: &claim::Key, outcome: claim::Outcome) {
+    fn complete(&mut self, key: &claim::Key, outcome: claim::Outcome) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        self.weight -= weight(key, entry);
+        self.bytes -= estimated_bytes(key, entry);
         entry.outcome = Some(outcome);
         entry.since = self.age;
-        self.weight += weight(key, entry);
-        self.done.push_back(key.clone());
+        self.bytes += estimated_bytes(key, entry);
+        self.completed.push_back(key.clone());
     }
 
-    fn free(&mut self, key: &claim::Key, attempt: attempt::Identifier) {
+    fn release(&mut self, key: &claim::Key, attempt: attempt::Identifier) {
         if let Some(entry) = self.entries.remove(key) {
-            self.weight -= weight(key, &entry);
+            self.bytes -= estimated_bytes(key, &entry);
         }
-        self.freed.push_back(attempt);
-        if self.freed.len() > FREED_LIMIT {
-            self.freed.pop_front();
+        self.released.push_back(attempt);
+        if self.released.len() > MAX_RELEASED_ATTEMPTS {
+            self.released.pop_front();
         }
     }
 
-    /// Drops outcomes past their time until `needed` more bytes and one more claim fit; returns
-    /// whether they do.
+    /// Evicts outcomes past their retention until `needed` more bytes and one more claim fit;
+    /// returns whether they do.
     fn make_room(&mut self, needed: usize) -> bool {
-        while self.entries.len() >= COUNT_LIMIT || self.weight + needed > WEIGHT_LIMIT {
-            if !self.drop_oldest() {
+        while self.entries.len() >= MAX_CLAIMS || self.bytes + needed > MAX_BYTES {
+            if !self.evict_oldest() {
                 return false;
             }
         }
         true
     }
 
-    /// Drops the oldest outcome if its time has passed; returns whether it did.
-    fn drop_oldest(&mut self) -> bool {
-        let Some(oldest) = self.done.front() else { return false };
-        let due = |entry: &Entry| entry.since + RETENTION + GRAIN <= self.age;
-        if !self.entries.get(oldest).is_some_and(due) {
+    /// Evicts the oldest outcome if its retention has passed; returns whether it did.
+    fn evict_oldest(&mut self) -> bool {
+        let Some(oldest) = self.completed.front() else { return false };
+        let is_expired =
+            |entry: &Entry| entry.since + OUTCOME_RETENTION + AGING_INTERVAL <= self.age;
+        if !self.entries.get(oldest).is_some_and(is_expired) {
             return false;
         }
         if let Some(entry) = self.entries.remove(oldest) {
-            self.weight -= weight(oldest, &entry);
+            self.bytes -= estimated_bytes(oldest, &entry);
         }
-        self.done.pop_front();
+        self.completed.pop_front();
         true
     }
 }
 
-fn again(entry: &Entry, claim: &claim::Claim) -> claim::Reply {
+fn repeated_reply(entry: &Entry, claim: &claim::Claim) -> claim::Reply {
     if entry.digest != claim.digest {
         return claim::Reply::DigestDiffers;
     }
@@ -207,7 +211,7 @@
     }
 }
 
-fn weight(key: &claim::Key, entry: &Entry) -> usize {
+fn estimated_bytes(key: &claim::Key, entry: &Entry) -> usize {
     let texts = key.team.as_str().len() + key.route.as_str().len() + key.text.len();
     let answer = match &entry.outcome {
         None => claim::MAX_BODY_BYTES,
@@ -217,5 +221,5 @@
         }
         Some(claim::Outcome::NotRun | claim::Outcome::Unknown) => 0,
     };
-    WEIGHT_BASE + 2 * texts + answer
+    CLAIM_OVERHEAD_BYTES + 2 * texts + answer
 }
--- a/crates/hyssopfork-state/src/upstream.rs
+++ b/crates/hyssopfork-state/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may take a pool's work, as a view has it.
+//! Upstreams that may take a pool's work, according to a view.
 
 use hyssopfork_wire::{change, configuration, fleet, name, number};
 use std::net;
@@ -6,17 +6,17 @@
 /// An upstream that may take work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Upstream<'a> {
-    /// Instance that takes the requests: a group's first member, or the service's own.
+    /// Instance that receives the requests: a group's first member, or the service's own.
     pub instance: &'a name::Instance,
-    /// Where its agent takes attempts.
+    /// Address at which its agent accepts attempts.
     pub traffic: net::SocketAddr,
-    /// Boot of its agent's process.
+    /// Boot number of its agent's process.
     pub boot: u64,
     /// Incarnation of its agent.
     pub incarnation: number::Incarnation,
-    /// The group with the fencing number of its placement; `None` for a plain service.
+    /// The group and the fencing number of its placement; `None` for a plain service.
     pub group: Option<(&'a name::Group, number::Fence)>,
-    /// What the back end can do.
+    /// Capabilities of the back end.
     pub profile: &'a fleet::Profile,
     /// Availability zone.
     pub zone: &'a name::Zone,
@@ -25,7 +25,7 @@
 /// Why an instance may take no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Obstacle {
+pub enum Ineligibility {
     /// The instance has not announced itself.
     Unrecorded,
     /// Its pool is not declared.
@@ -36,62 +36,62 @@
     ZoneUndeclared,
     /// Its zone has been taken out.
     ZoneOut,
-    /// Its pool doesn't take instances of its zone.
+    /// Its pool excludes its zone.
     ZoneNotAllowed,
-    /// Operators have drained it.
+    /// It was drained by operators.
     Drained,
     /// Its agent is leaving.
     Leaving,
-    /// Control counts it as missing. Comes last: an agent that holds a lease is present again as
+    /// Its agent missed its renewals. Checked last: an agent that holds a lease is present again as
     /// soon as its next renewal is recorded.
     Absent,
 }
 
-/// Upstreams that may take the pool's work: of an engine pool the first member of each placed
-/// group whose members may all take work, of a service pool each member that may.
+/// Upstreams that may take the pool's work: for an engine pool the first member of each placed
+/// group whose members may all take work, for a service pool each member that may.
 pub fn of_pool<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     match view.configuration.pools.get(pool).map(|declared| declared.kind) {
-        Some(configuration::Kind::Engine) => groups(view, pool),
-        Some(configuration::Kind::Service) => services(view, pool),
+        Some(configuration::Kind::Engine) => group_upstreams(view, pool),
+        Some(configuration::Kind::Service) => service_upstreams(view, pool),
         None => Vec::new(),
     }
 }
 
-/// Why `instance` may take no new work; `None` when it may. Says nothing of its group.
-pub fn obstacle(view: &change::View, instance: &name::Instance) -> Option<Obstacle> {
+/// Why `instance` may take no new work, its group aside; `None` when it may.
+pub fn ineligibility(view: &change::View, instance: &name::Instance) -> Option<Ineligibility> {
     match view.members.get(instance) {
-        None => Some(Obstacle::Unrecorded),
-        Some(member) => declared_obstacle(&view.configuration, &member.announcement)
-            .or_else(|| member.leaving.then_some(Obstacle::Leaving))
-            .or_else(|| (!member.present).then_some(Obstacle::Absent)),
+        None => Some(Ineligibility::Unrecorded),
+        Some(member) => declared_ineligibility(&view.configuration, &member.announcement)
+            .or_else(|| member.leaving.then_some(Ineligibility::Leaving))
+            .or_else(|| (!member.present).then_some(Ineligibility::Absent)),
     }
 }
 
-/// Why the configuration alone keeps work from an instance; `None` when it doesn't.
-pub fn declared_obstacle(
+/// Why the configuration alone excludes an instance from work; `None` when it does not.
+pub fn declared_ineligibility(
     configuration: &configuration::Configuration,
     announcement: &fleet::Announcement,
-) -> Option<Obstacle> {
+) -> Option<Ineligibility> {
     let Some(pool) = configuration.pools.get(&announcement.pool) else {
-        return Some(Obstacle::PoolUndeclared);
+        return Some(Ineligibility::PoolUndeclared);
     };
     if pool.kind != announcement.profile.kind {
-        return Some(Obstacle::KindDiffers);
+        return Some(Ineligibility::KindDiffers);
     }
     let Some(zone) = configuration.zones.get(&announcement.zone) else {
-        return Some(Obstacle::ZoneUndeclared);
+        return Some(Ineligibility::ZoneUndeclared);
     };
     if zone.out {
-        return Some(Obstacle::ZoneOut);
+        return Some(Ineligibility::ZoneOut);
     }
     if !pool.zones.is_empty() && !pool.zones.contains(&announcement.zone) {
-        return Some(Obstacle::ZoneNotAllowed);
+        return Some(Ineligibility::ZoneNotAllowed);
     }
-    configuration.drained.contains(&announcement.instance).then_some(Obstacle::Drained)
+    configuration.drained.contains(&announcement.instance).then_some(Ineligibility::Drained)
 }
 
-/// Placement in which `instance` stands, with its group and the instance's place in it from 0.
-pub fn placement<'a>(
+/// The placement that contains `instance`, with its group and the instance's rank, starting at 0.
+pub fn placement_of<'a>(
     view: &'a change::View,
     instance: &name::Instance,
 ) -> Option<(&'a name::Group, &'a fleet::Placement, usize)> {
@@ -101,7 +101,7 @@
     })
 }
 
-fn groups<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
+fn group_upstreams<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     let of_pool = |group: &name::Group| {
         view.configuration.groups.get(group).is_some_and(|declared| declared.pool == *pool)
     };
@@ -109,25 +109,25 @@
         .iter()
         .filter(|(group, _)| of_pool(group))
         .filter(|(_, placement)| {
-            placement.members.iter().all(|member| obstacle(view, member).is_none())
+            placement.members.iter().all(|member| ineligibility(view, member).is_none())
         })
         .filter_map(|(group, placement)| {
             let first = view.members.get(placement.members.first()?)?;
-            Some(upstream(first, Some((group, placement.fence))))
+            Some(upstream_of(first, Some((group, placement.fence))))
         })
         .collect()
 }
 
-fn services<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
+fn service_upstreams<'a>(view: &'a change::View, pool: &name::Pool) -> Vec<Upstream<'a>> {
     view.members
         .values()
         .filter(|member| member.announcement.pool == *pool)
-        .filter(|member| obstacle(view, &member.announcement.instance).is_none())
-        .map(|member| upstream(member, None))
+        .filter(|member| ineligibility(view, &member.announcement.instance).is_none())
+        .map(|member| upstream_of(member, None))
         .collect()
 }
 
-fn upstream<'a>(
+fn upstream_of<'a>(
     member: &'a fleet::Member,
     group: Option<(&'a name::Group, number::Fence)>,
 ) -> Upstream<'a> {
