--- a/crates/hyssopfork-daemon/src/entry/attempt.rs
+++ b/crates/hyssopfork-daemon/src/entry/attempt.rs
@@ -101,7 +101,11 @@
         if headed && !self.collect {
             let _conversation_over = self.parts.send(Part::Failed(fault)).await;
         } else {
-            self.post(event::Event::Failed { attempt: self.offer.attempt, fault, delivered: 0 });
+            self.post(event::Event::AttemptFailed {
+                attempt: self.offer.attempt,
+                fault,
+                delivered: 0,
+            });
         }
     }
 
@@ -168,13 +172,13 @@
         match frame {
             frame::Frame::KeepAlive => None,
             frame::Frame::Load(load) => {
-                self.post(event::Event::Loaded(attempt, load));
+                self.post(event::Event::LoadReported(attempt, load));
                 None
             }
             frame::Frame::Started => {
                 if !progress.started {
                     progress.started = true;
-                    self.post(event::Event::Started(attempt));
+                    self.post(event::Event::AttemptStarted(attempt));
                 }
                 None
             }
@@ -193,7 +197,7 @@
         if progress.head.is_some() && !self.collect {
             let _conversation_over = self.parts.send(Part::Refused(refusal)).await;
         } else {
-            self.post(event::Event::Refused(self.offer.attempt, refusal));
+            self.post(event::Event::AttemptRejected(self.offer.attempt, refusal));
         }
     }
 
@@ -202,7 +206,7 @@
             return None;
         }
         progress.head = Some(head.clone());
-        self.post(event::Event::Headed(self.offer.attempt, head.clone()));
+        self.post(event::Event::HeadReceived(self.offer.attempt, head.clone()));
         if self.collect {
             return None;
         }
@@ -211,7 +215,7 @@
 
     async fn data(&self, progress: &mut Progress, data: Bytes) -> Option<Stop> {
         if progress.received == 0 && !data.is_empty() {
-            self.post(event::Event::Begun(self.offer.attempt));
+            self.post(event::Event::ResponseStarted(self.offer.attempt));
         }
         progress.received += data.len() as u64;
         progress.checksum.update(&data);
@@ -231,7 +235,7 @@
         let Some(head) = progress.head.take() else { return Some(Stop::Corrupt) };
         if self.collect {
             let body = std::mem::take(&mut progress.collected).freeze();
-            self.post(event::Event::Collected { attempt: self.offer.attempt, head, body });
+            self.post(event::Event::ResponseCollected { attempt: self.offer.attempt, head, body });
             return Some(Stop::Over);
         }
         self.hand_over(Part::End).await;
--- a/crates/hyssopfork-daemon/src/entry/caller.rs
+++ b/crates/hyssopfork-daemon/src/entry/caller.rs
@@ -86,17 +86,17 @@
     };
     let mut headers = http::travelling(request.headers());
     headers.retain(|(name, _)| !PRIVATE_HEADERS.contains(&name.as_str()));
-    let estimate = estimate::completion(body);
+    let estimate = estimate::from_body(body);
     Some(event::Arrival {
         token_sha256: token(request.headers()),
         method,
         path,
         headers,
-        key,
+        idempotency_key: key,
         digest,
-        length: body.len() as u64,
-        prefix: estimate.prefix,
-        cost: estimate.cost,
+        body_bytes: body.len() as u64,
+        prefix_hash: estimate.prefix_hash,
+        cost_tokens: estimate.cost_tokens,
     })
 }
 
--- a/crates/hyssopfork-daemon/src/entry/conversation.rs
+++ b/crates/hyssopfork-daemon/src/entry/conversation.rs
@@ -6,7 +6,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use futures::stream;
-use hyssopfork_entry::{event, stream as events};
+use hyssopfork_entry::{event, sse};
 use hyssopfork_wire::{attempt as wire_attempt, frame, refusal};
 use std::collections::HashMap;
 use std::io;
@@ -67,7 +67,7 @@
     outlet: Option<Outlet>,
     attempts: HashMap<wire_attempt::Identifier, mpsc::Receiver<attempt::Part>>,
     forwarded: Option<(wire_attempt::Identifier, mpsc::Receiver<attempt::Part>)>,
-    splitter: Option<events::Splitter>,
+    splitter: Option<sse::Splitter>,
 }
 
 /// What the conversation has just seen.
@@ -91,7 +91,7 @@
                 Seen::Command(None) => true,
                 Seen::Part(part) => self.forward(part).await,
                 Seen::Gone => {
-                    self.post(event::Event::Gone(self.request));
+                    self.post(event::Event::ClientGone(self.request));
                     true
                 }
             };
@@ -187,9 +187,9 @@
                 false
             }
             Some(attempt::Part::Refused(refusal)) => {
-                self.post(event::Event::Delivered(attempt, self.delivered()));
+                self.post(event::Event::EventsDelivered(attempt, self.delivered()));
                 self.part_lost();
-                self.post(event::Event::Refused(attempt, refusal));
+                self.post(event::Event::AttemptRejected(attempt, refusal));
                 false
             }
             None => {
@@ -201,8 +201,8 @@
 
     fn end(&mut self, attempt: wire_attempt::Identifier) {
         self.outlet = None;
-        self.post(event::Event::Delivered(attempt, self.delivered()));
-        self.post(event::Event::Ended(attempt));
+        self.post(event::Event::EventsDelivered(attempt, self.delivered()));
+        self.post(event::Event::AttemptCompleted(attempt));
     }
 
     fn has_ended(&self) -> bool {
@@ -211,7 +211,7 @@
 
     /// Events of the stream that the caller has whole.
     fn delivered(&self) -> u64 {
-        self.splitter.as_ref().map_or(0, |splitter| splitter.delivered())
+        self.splitter.as_ref().map_or(0, |splitter| splitter.delivered_events())
     }
 
     /// The forwarded answer ended early: an event of which only a part came is dropped, since the
@@ -226,7 +226,7 @@
     fn fail(&mut self, attempt: wire_attempt::Identifier, fault: event::Fault) {
         let delivered = self.delivered();
         self.part_lost();
-        self.post(event::Event::Failed { attempt, fault, delivered });
+        self.post(event::Event::AttemptFailed { attempt, fault, delivered });
     }
 
     /// Begins the response; a resumed stream goes on in the response that was begun before.
@@ -237,7 +237,7 @@
         let (outlet, parts) = mpsc::channel(PARTS_LIMIT);
         self.outlet = Some(outlet);
         if is_event_stream(head) {
-            self.splitter = Some(events::Splitter::default());
+            self.splitter = Some(sse::Splitter::default());
         }
         self.respond(|identifier| {
             let body = stream::unfold(parts, |mut parts: mpsc::Receiver<_>| async move {
--- a/crates/hyssopfork-daemon/src/entry/role.rs
+++ b/crates/hyssopfork-daemon/src/entry/role.rs
@@ -91,7 +91,7 @@
 
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
-        mailbox::drain(&mut self, inputs, action::TICK).await;
+        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 }
 
@@ -113,7 +113,7 @@
             Input::Event(event) => self.step(event),
             Input::Arrived { request, arrival, commands } => {
                 self.requests.insert(request, commands);
-                self.step(event::Event::Arrived { request, arrival: *arrival });
+                self.step(event::Event::RequestArrived { request, arrival: *arrival });
             }
             Input::Closed(request) => {
                 self.requests.remove(&request);
@@ -135,39 +135,41 @@
 
     fn act(&mut self, action: action::Action) {
         match action {
-            action::Action::Control { call, to, request, timeout } => {
+            action::Action::CallControl { call, to, request, timeout } => {
                 let links = self.links.clone();
                 self.call_back(async move {
                     let response = links.control(to, *request, timeout).await;
-                    event::Event::Controlled { call, response }
+                    event::Event::ControlResponded { call, response }
                 });
             }
-            action::Action::Start { request, to, offer, collect } => {
+            action::Action::StartAttempt { request, to, offer, collect } => {
                 self.attempts.insert(offer.attempt, request);
                 self.command(request, Command::Start { to, offer, collect });
             }
-            action::Action::Forward { request, attempt } => {
+            action::Action::ForwardResponse { request, attempt } => {
                 self.command(request, Command::Forward(attempt))
             }
-            action::Action::Drop(attempt) => {
+            action::Action::DropAttempt(attempt) => {
                 if let Some(request) = self.attempts.remove(&attempt) {
                     self.command(request, Command::Drop(attempt));
                 }
             }
-            action::Action::Cancel { attempt, to, boot } => {
+            action::Action::CancelAttempt { attempt, to, boot } => {
                 self.call_back(cancel(attempt, to, boot));
             }
-            action::Action::Answer { request, head, body } => {
+            action::Action::Respond { request, head, body } => {
                 self.command(request, Command::Answer(head, body))
             }
-            action::Action::Refuse { request, refusal } => {
+            action::Action::Reject { request, refusal } => {
                 self.command(request, Command::Refuse(refusal))
             }
-            action::Action::Cut { request, refusal } => {
+            action::Action::Abort { request, refusal } => {
                 self.command(request, Command::Cut(refusal))
             }
             action::Action::Notice(notice) => crate::log::notice(&notice),
-            action::Action::Measure(measure) => crate::log::measure(&self.registry, &measure),
+            action::Action::RecordMeasurement(measure) => {
+                crate::log::measure(&self.registry, &measure)
+            }
             action::Action::Stopped => self.stopped = true,
         }
     }
@@ -190,5 +192,5 @@
         Ok(mut response) => response.json().await.ok(),
         Err(_) => None,
     };
-    event::Event::CancelAnswered { attempt, outcome }
+    event::Event::CancelResponded { attempt, outcome }
 }
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -4,7 +4,7 @@
 use hyssopfork_agent::notice as agent;
 use hyssopfork_consensus::notice as consensus;
 use hyssopfork_control::notice as control;
-use hyssopfork_entry::{measure, notice as entry};
+use hyssopfork_entry::{measurement, notice as entry};
 use hyssopfork_fleet::notice as fleet;
 use hyssopfork_gateway::{
     action as gateway_action, measurement as gateway_measure, notice as gateway,
@@ -92,26 +92,26 @@
 }
 
 /// Adds a finished request to the histograms.
-pub fn measure(registry: &metrics::Registry, measure: &measure::Measure) {
-    if let measure::Outcome::Refused(reason, ran) = measure.outcome {
+pub fn measure(registry: &metrics::Registry, measure: &measurement::Measurement) {
+    if let measurement::Outcome::Rejected(reason, ran) = measure.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
         registry.refused(measure.team.as_ref(), &refusal);
     }
     let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
-    registry.waited(team, class, measure.wait);
-    if let Some(first) = measure.first {
+    registry.waited(team, class, measure.wait_time);
+    if let Some(first) = measure.time_to_first_byte {
         registry.first_token(team, class, first);
     }
-    if let Some(between) = measure.between {
+    if let Some(between) = measure.mean_event_interval {
         registry.between_tokens(team, class, between);
     }
     for _ in 1..measure.attempts {
         registry.retried(team, class);
     }
     match measure.outcome {
-        measure::Outcome::Answered => registry.answered(team, class, measure.whole),
-        measure::Outcome::Cut(_) => registry.cut(team, class),
-        measure::Outcome::Refused(..) | measure::Outcome::Gone => {}
+        measurement::Outcome::Completed => registry.answered(team, class, measure.total_time),
+        measurement::Outcome::Aborted(_) => registry.cut(team, class),
+        measurement::Outcome::Rejected(..) | measurement::Outcome::ClientGone => {}
     }
 }
 
--- a/crates/hyssopfork-daemon/src/process.rs
+++ b/crates/hyssopfork-daemon/src/process.rs
@@ -227,7 +227,7 @@
             zone: self.settings.zone.clone(),
             control: self.settings.control_addresses.clone(),
             boot: self.boot,
-            stop_limit: self.settings.stop_limit,
+            stop_timeout: self.settings.stop_limit,
         };
         let core = hyssopfork_entry::core::Core::new(core_settings, self.boot, clock::now());
         let (mailbox, inputs) = mailbox::open();
--- a/crates/hyssopfork-entry/benches/entry.rs
+++ b/crates/hyssopfork-entry/benches/entry.rs
@@ -31,11 +31,11 @@
     for request in 0..REQUESTS {
         let attempt = offer(&mut entry, request).expect("there is room");
         for event in [
-            event::Event::Loaded(attempt, load()),
-            event::Event::Started(attempt),
-            event::Event::Headed(attempt, head()),
-            event::Event::Begun(attempt),
-            event::Event::Ended(attempt),
+            event::Event::LoadReported(attempt, load()),
+            event::Event::AttemptStarted(attempt),
+            event::Event::HeadReceived(attempt, head()),
+            event::Event::ResponseStarted(attempt),
+            event::Event::AttemptCompleted(attempt),
         ] {
             entry.step(now(), event);
         }
@@ -47,7 +47,7 @@
     let mut entry = entry(upstreams);
     for request in 0..HELD {
         if let Some(attempt) = offer(&mut entry, request) {
-            entry.step(now(), event::Event::Loaded(attempt, load()));
+            entry.step(now(), event::Event::LoadReported(attempt, load()));
         }
     }
     let begun = Instant::now();
@@ -59,9 +59,9 @@
 
 fn offer(entry: &mut core::Core, request: u64) -> Option<attempt::Identifier> {
     let arrival = arrival();
-    let actions = entry.step(now(), event::Event::Arrived { request, arrival });
+    let actions = entry.step(now(), event::Event::RequestArrived { request, arrival });
     actions.into_iter().find_map(|action| match action {
-        action::Action::Start { offer, .. } => Some(offer.attempt),
+        action::Action::StartAttempt { offer, .. } => Some(offer.attempt),
         _ => None,
     })
 }
@@ -76,19 +76,19 @@
         zone: "zone-a".into(),
         control: vec![address(1)],
         boot: 1,
-        stop_limit: timing::STOP_TIMEOUT,
+        stop_timeout: timing::STOP_TIMEOUT,
     };
     let mut core = core::Core::new(settings, 1, clock::Instant::from_millis(1_000));
     let actions = core.step(now(), event::Event::Tick);
     let call = actions.iter().find_map(|action| match action {
-        action::Action::Control { call, .. } => Some(*call),
+        action::Action::CallControl { call, .. } => Some(*call),
         _ => None,
     });
     let update = change::Update::Whole(Box::new(view(upstreams)));
     let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
     let response = Some(control::Response::Granted(grant));
     let call = call.expect("a renewal goes out");
-    core.step(now(), event::Event::Controlled { call, response });
+    core.step(now(), event::Event::ControlResponded { call, response });
     core
 }
 
@@ -131,11 +131,11 @@
         method: "GET".into(),
         path: "/status/7".into(),
         headers: Vec::new(),
-        key: None,
+        idempotency_key: None,
         digest: [0; 32],
-        length: 0,
-        prefix: None,
-        cost: 16,
+        body_bytes: 0,
+        prefix_hash: None,
+        cost_tokens: 16,
     }
 }
 
--- a/crates/hyssopfork-entry/src/action.rs
+++ b/crates/hyssopfork-entry/src/action.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 /// Longest time between two ticks.
-pub const TICK: Duration = Duration::from_millis(10);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An action.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Call a control instance; answered by [`super::event::Event::Controlled`].
-    Control {
+    CallControl {
         /// Number of the call.
         call: u64,
         /// Control instance to ask.
@@ -23,7 +23,7 @@
         timeout: Duration,
     },
     /// Offer an attempt to an agent and read its answer.
-    Start {
+    StartAttempt {
         /// The request it is for.
         request: u64,
         /// The agent's traffic address.
@@ -36,14 +36,14 @@
     },
     /// Forward this attempt's answer to the caller, head and all (or, for a resumed stream, from
     /// where the caller's part ends). Answers of the request's other attempts are dropped.
-    Forward {
+    ForwardResponse {
         /// The request.
         request: u64,
         /// The attempt.
         attempt: attempt::Identifier,
     },
     /// Cancel an attempt; answered by [`super::event::Event::CancelAnswered`].
-    Cancel {
+    CancelAttempt {
         /// The attempt.
         attempt: attempt::Identifier,
         /// The agent's traffic address.
@@ -52,9 +52,9 @@
         boot: u64,
     },
     /// Stop reading an attempt's answer.
-    Drop(attempt::Identifier),
+    DropAttempt(attempt::Identifier),
     /// Answer the caller whole.
-    Answer {
+    Respond {
         /// The request.
         request: u64,
         /// Head of the answer.
@@ -63,7 +63,7 @@
         body: Bytes,
     },
     /// Answer the caller with a problem document.
-    Refuse {
+    Reject {
         /// The request.
         request: u64,
         /// The refusal.
@@ -71,7 +71,7 @@
     },
     /// Part of the answer was forwarded and the rest will not come: end the caller's stream with
     /// an error mark, never cleanly.
-    Cut {
+    Abort {
         /// The request.
         request: u64,
         /// The refusal that the mark carries.
@@ -80,7 +80,7 @@
     /// Log a numbered event.
     Notice(super::notice::Notice),
     /// Measure a request that ended.
-    Measure(super::measure::Measure),
+    RecordMeasurement(super::measurement::Measurement),
     /// Everything in flight has ended and leaving is announced: the process may end.
     Stopped,
 }
--- a/crates/hyssopfork-entry/src/attempt.rs
+++ b/crates/hyssopfork-entry/src/attempt.rs
@@ -12,20 +12,20 @@
     /// The agent handed it to the upstream.
     Started,
     /// The answer's head came.
-    Headed,
+    HeadReceived,
     /// Its answer is being forwarded to the caller.
     Forwarding,
 }
 
 impl State {
-    fn may_turn(self, next: State) -> bool {
+    fn can_transition_to(self, next: State) -> bool {
         match (self, next) {
-            (State::Offered, State::Started | State::Headed)
-            | (State::Started, State::Headed)
-            | (State::Headed, State::Forwarding) => true,
+            (State::Offered, State::Started | State::HeadReceived)
+            | (State::Started, State::HeadReceived)
+            | (State::HeadReceived, State::Forwarding) => true,
             (
-                State::Offered | State::Started | State::Headed | State::Forwarding,
-                State::Offered | State::Started | State::Headed | State::Forwarding,
+                State::Offered | State::Started | State::HeadReceived | State::Forwarding,
+                State::Offered | State::Started | State::HeadReceived | State::Forwarding,
             ) => false,
         }
     }
@@ -33,17 +33,17 @@
 
 /// Where an attempt was offered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Destination {
     /// Instance whose agent has it.
     pub instance: name::Instance,
     /// Where the agent takes attempts.
-    pub traffic: net::SocketAddr,
+    pub traffic_address: net::SocketAddr,
     /// Boot of the agent's process.
     pub boot: u64,
     /// Group and fencing number.
     pub group: Option<(name::Group, number::Fence)>,
     /// Whether the back end can resume a stream.
-    pub resumes: bool,
+    pub can_resume: bool,
 }
 
 /// An attempt.
@@ -52,19 +52,23 @@
     /// Request that it is for.
     pub request: u64,
     /// Where it was offered.
-    pub place: Place,
+    pub destination: Destination,
     /// How far it has come.
     pub state: State,
     /// When it was offered.
-    pub sent: clock::Instant,
+    pub sent_at: clock::Instant,
     /// Whether a cancel was sent.
-    pub cancelled: bool,
+    pub cancel_sent: bool,
 }
 
 impl Attempt {
     /// Moves on to `next`.
-    pub fn turn(&mut self, next: State) {
-        assert!(self.state.may_turn(next), "an attempt goes {:?} to {next:?}", self.state);
+    pub fn transition_to(&mut self, next: State) {
+        assert!(
+            self.state.can_transition_to(next),
+            "an attempt can't go from {:?} to {next:?}",
+            self.state
+        );
         self.state = next;
     }
 }
@@ -76,45 +80,45 @@
 #[derive(Clone, Debug)]
 pub struct Attempts {
     boot: u64,
-    count: u64,
-    live: BTreeMap<attempt::Identifier, Attempt>,
+    last_count: u64,
+    in_flight: BTreeMap<attempt::Identifier, Attempt>,
 }
 
 impl Attempts {
     /// No attempts, of the process that drew `boot` at its start.
     pub fn new(boot: u64) -> Attempts {
-        Attempts { boot, count: 0, live: BTreeMap::new() }
+        Attempts { boot, last_count: 0, in_flight: BTreeMap::new() }
     }
 
     /// A new identifier.
-    pub fn draw(&mut self) -> attempt::Identifier {
-        self.count += 1;
-        attempt::Identifier { boot: self.boot, count: self.count }
+    pub fn next_identifier(&mut self) -> attempt::Identifier {
+        self.last_count += 1;
+        attempt::Identifier { boot: self.boot, count: self.last_count }
     }
 
     /// Takes in an attempt that is being offered.
     pub fn insert(&mut self, identifier: attempt::Identifier, attempt: Attempt) {
-        let before = self.live.insert(identifier, attempt);
-        assert!(before.is_none(), "an identifier is offered once");
+        let previous = self.in_flight.insert(identifier, attempt);
+        assert!(previous.is_none(), "an attempt identifier is used only once");
     }
 
     /// The attempt, while it is in flight.
     pub fn get(&self, identifier: attempt::Identifier) -> Option<&Attempt> {
-        self.live.get(&identifier)
+        self.in_flight.get(&identifier)
     }
 
     /// The attempt, while it is in flight.
     pub fn get_mut(&mut self, identifier: attempt::Identifier) -> Option<&mut Attempt> {
-        self.live.get_mut(&identifier)
+        self.in_flight.get_mut(&identifier)
     }
 
     /// Takes the attempt out of flight.
     pub fn remove(&mut self, identifier: attempt::Identifier) -> Option<Attempt> {
-        self.live.remove(&identifier)
+        self.in_flight.remove(&identifier)
     }
 
     /// Whether none is in flight.
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty()
+        self.in_flight.is_empty()
     }
 }
--- a/crates/hyssopfork-entry/src/claims.rs
+++ b/crates/hyssopfork-entry/src/claims.rs
@@ -7,76 +7,76 @@
 use std::time::Duration;
 
 /// Time after which an unanswered call is made again.
-const CALL_TIMEOUT: Duration = timing::RENEWAL_INTERVAL;
+const CLAIM_CALL_TIMEOUT: Duration = timing::RENEWAL_INTERVAL;
 
 /// Time before a call that failed is made again.
-const RETRY: Duration = Duration::from_millis(50);
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after its deadline that a request's claim is tried to be resolved. After that control
 /// itself counts the outcome as unknown, which is true.
-const RESOLVE_LIMIT: Duration = Duration::from_secs(60);
+const CLAIM_RESOLUTION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Header of a recorded answer whose body was too long to keep, with its length.
-const UNKEPT: &str = "hyssopfork-unkept-length";
+const OMITTED_BODY_LENGTH_HEADER: &str = "hyssopfork-unkept-length";
 
 impl core::Core {
     /// Asks for a claim on a request that has just been accepted.
-    pub(crate) fn claim(&mut self, now: clock::Instant, number: u64) {
-        let identifier = self.attempts.draw();
+    pub(crate) fn request_claim(&mut self, now: clock::Instant, number: u64) {
+        let identifier = self.attempts.next_identifier();
         let Some(request) = self.requests.get_mut(&number) else { return };
-        let Some(text) = request.arrival.key.clone() else { return };
-        let team = request.plan.team.clone();
-        let route = request.plan.route.clone();
+        let Some(text) = request.arrival.idempotency_key.clone() else { return };
+        let team = request.routing.team.clone();
+        let route = request.routing.route.clone();
         request.phase = request::Phase::Claiming;
-        request.next = Some(identifier);
+        request.next_identifier = Some(identifier);
         request.claim = Some(request::Claim {
             key: claim::Key { team, route, text },
             identifier,
-            hold: request::Hold::Asking,
+            state: request::ClaimState::Requested,
             call: None,
-            ask_at: now,
+            next_call_at: now,
         });
-        self.claiming.insert(number);
+        self.active_claims.insert(number);
     }
 
     /// Makes the calls that are due.
-    pub(crate) fn ask_claims(&mut self, now: clock::Instant) {
-        let numbers: Vec<u64> = self.claiming.iter().copied().collect();
+    pub(crate) fn send_due_claim_calls(&mut self, now: clock::Instant) {
+        let numbers: Vec<u64> = self.active_claims.iter().copied().collect();
         for number in numbers {
-            self.ask_claim(now, number);
+            self.send_claim_call_if_due(now, number);
         }
     }
 
-    fn ask_claim(&mut self, now: clock::Instant, number: u64) {
+    fn send_claim_call_if_due(&mut self, now: clock::Instant, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let deadline = request.deadline;
-        let over = request.caller == request::Caller::Done;
+        let client_done = request.client == request::Client::Done;
         let Some(claim) = request.claim.as_mut() else { return };
-        if over && claim.call.is_none() && now.since(deadline) >= RESOLVE_LIMIT {
-            claim.hold = request::Hold::Settled;
-            self.clear(now, number);
+        if client_done && claim.call.is_none() && now.since(deadline) >= CLAIM_RESOLUTION_TIMEOUT {
+            claim.state = request::ClaimState::Settled;
+            self.remove_if_finished(now, number);
             return;
         }
-        if now < claim.ask_at {
+        if now < claim.next_call_at {
             return;
         }
         let digest = request.arrival.digest;
-        let Some(body) = call_body(claim, digest) else { return };
+        let Some(body) = control_request(claim, digest) else { return };
         let Some(to) = self.watcher.target() else { return };
         let call = self.watcher.next_call();
         // A shell that loses a call must not stop the claim: an overdue one is made again.
         if let Some(overdue) = claim.call.replace(call) {
             self.claim_calls.remove(&overdue);
         }
-        claim.ask_at = now + CALL_TIMEOUT * 2;
+        claim.next_call_at = now + CLAIM_CALL_TIMEOUT * 2;
         self.claim_calls.insert(call, core::ClaimCall { request: number, to });
         let request = Box::new(body);
-        let timeout = CALL_TIMEOUT;
-        self.actions.push(action::Action::Control { call, to, request, timeout });
+        let timeout = CLAIM_CALL_TIMEOUT;
+        self.actions.push(action::Action::CallControl { call, to, request, timeout });
     }
 
     /// Control answered a call.
-    pub(crate) fn claim_answered(
+    pub(crate) fn on_claim_response(
         &mut self,
         now: clock::Instant,
         call: core::ClaimCall,
@@ -85,22 +85,22 @@
         let Some(request) = self.requests.get_mut(&call.request) else { return };
         let Some(claim) = request.claim.as_mut() else { return };
         claim.call = None;
-        claim.ask_at = now + RETRY;
-        match (claim.hold.clone(), response) {
+        claim.next_call_at = now + CLAIM_RETRY_INTERVAL;
+        match (claim.state.clone(), response) {
             (
-                request::Hold::Asking | request::Hold::Renouncing,
+                request::ClaimState::Requested | request::ClaimState::Abandoned,
                 Some(control::Response::Claimed(reply)),
-            ) => self.claimed(now, call.request, reply),
-            (request::Hold::Recording(_), Some(control::Response::Recorded)) => {
-                self.recorded(now, call.request);
+            ) => self.on_claim_reply(now, call.request, reply),
+            (request::ClaimState::Recording(_), Some(control::Response::Recorded)) => {
+                self.on_outcome_recorded(now, call.request);
             }
-            (hold, response) => self.claim_failed(call, &hold, response.as_ref()),
+            (state, response) => self.on_claim_call_failed(call, &state, response.as_ref()),
         }
     }
 
     /// The whole answer of claimed work is here: it is recorded before the caller gets it, so
     /// that whoever asks with the key later gets the same.
-    pub(crate) fn record_answer(
+    pub(crate) fn record_response(
         &mut self,
         now: clock::Instant,
         number: u64,
@@ -110,73 +110,73 @@
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.phase = request::Phase::Recording;
         request.may_have_run = true;
-        request.deadline = request.deadline.max(now + CALL_TIMEOUT * 4);
-        let outcome = outcome(&head, &body);
-        request.answer = Some(request::Answer { head, body });
-        self.record(now, number, outcome);
+        request.deadline = request.deadline.max(now + CLAIM_CALL_TIMEOUT * 4);
+        let outcome = recorded_outcome(&head, &body);
+        request.response = Some(request::Response { head, body });
+        self.record_outcome(now, number, outcome);
     }
 
     /// Settles what becomes of the claim of a request whose caller no longer waits.
-    pub(crate) fn release(&mut self, now: clock::Instant, number: u64) {
+    pub(crate) fn release_claim(&mut self, now: clock::Instant, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let may_have_run = request.may_have_run;
         let in_flight = !request.attempts.is_empty();
         if request.phase != request::Phase::Recording {
-            request.phase = request::Phase::Over;
+            request.phase = request::Phase::Finished;
         }
         let Some(claim) = request.claim.as_mut() else { return };
-        match claim.hold {
-            request::Hold::Asking => claim.hold = request::Hold::Renouncing,
-            request::Hold::Held if !in_flight && may_have_run => {
+        match claim.state {
+            request::ClaimState::Requested => claim.state = request::ClaimState::Abandoned,
+            request::ClaimState::Granted if !in_flight && may_have_run => {
                 let identifier = claim.identifier;
-                self.note(notice::Notice::OutcomeUnknown(identifier));
-                self.record(now, number, claim::Outcome::Unknown);
+                self.log_notice(notice::Notice::OutcomeUnknown(identifier));
+                self.record_outcome(now, number, claim::Outcome::Unknown);
             }
-            request::Hold::Held if !in_flight => {
-                self.record(now, number, claim::Outcome::NotRun);
+            request::ClaimState::Granted if !in_flight => {
+                self.record_outcome(now, number, claim::Outcome::NotRun);
             }
-            request::Hold::Held
-            | request::Hold::Renouncing
-            | request::Hold::Recording(_)
-            | request::Hold::Settled => {}
+            request::ClaimState::Granted
+            | request::ClaimState::Abandoned
+            | request::ClaimState::Recording(_)
+            | request::ClaimState::Settled => {}
         }
     }
 
-    fn record(&mut self, now: clock::Instant, number: u64, outcome: claim::Outcome) {
+    fn record_outcome(&mut self, now: clock::Instant, number: u64, outcome: claim::Outcome) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let Some(claim) = request.claim.as_mut() else { return };
-        claim.hold = request::Hold::Recording(outcome);
-        claim.ask_at = now;
-        self.claiming.insert(number);
+        claim.state = request::ClaimState::Recording(outcome);
+        claim.next_call_at = now;
+        self.active_claims.insert(number);
     }
 
-    fn claimed(&mut self, now: clock::Instant, number: u64, reply: claim::Reply) {
+    fn on_claim_reply(&mut self, now: clock::Instant, number: u64, reply: claim::Reply) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let Some(claim) = request.claim.as_mut() else { return };
-        let renounced = claim.hold == request::Hold::Renouncing;
+        let abandoned = claim.state == request::ClaimState::Abandoned;
         if reply == claim::Reply::Granted {
-            claim.hold = request::Hold::Held;
-            if renounced {
-                self.record(now, number, claim::Outcome::NotRun);
+            claim.state = request::ClaimState::Granted;
+            if abandoned {
+                self.record_outcome(now, number, claim::Outcome::NotRun);
             } else {
                 self.enqueue(now, number);
             }
             return;
         }
-        claim.hold = request::Hold::Settled;
-        if request.caller != request::Caller::Done {
-            self.answer_claim(now, number, reply);
+        claim.state = request::ClaimState::Settled;
+        if request.client != request::Client::Done {
+            self.respond_without_claim(now, number, reply);
         }
-        self.clear(now, number);
+        self.remove_if_finished(now, number);
     }
 
     /// Answers a caller whose work is not this request's to do.
-    fn answer_claim(&mut self, now: clock::Instant, number: u64, reply: claim::Reply) {
-        let soon = Some(core::SOON);
+    fn respond_without_claim(&mut self, now: clock::Instant, number: u64, reply: claim::Reply) {
+        let retry_after = Some(core::RETRY_AFTER);
         let refusal = match reply {
             claim::Reply::Done(claim::Outcome::Answered { head, body }) => {
-                if is_kept(&head) {
-                    self.replay(now, number, head, Bytes::from(body));
+                if has_recorded_body(&head) {
+                    self.send_response(now, number, head, Bytes::from(body));
                     return;
                 }
                 refusal::Refusal::may_have_run(refusal::Reason::OutcomeUnknown, None)
@@ -185,43 +185,45 @@
                 refusal::Refusal::may_have_run(refusal::Reason::OutcomeUnknown, None)
             }
             claim::Reply::InProgress => {
-                refusal::Refusal::may_have_run(refusal::Reason::InProgress, soon)
+                refusal::Refusal::may_have_run(refusal::Reason::InProgress, retry_after)
             }
             claim::Reply::DigestDiffers => {
                 refusal::Refusal::not_run(refusal::Reason::KeyReused, None)
             }
-            claim::Reply::Full => refusal::Refusal::not_run(refusal::Reason::Overloaded, soon),
+            claim::Reply::Full => {
+                refusal::Refusal::not_run(refusal::Reason::Overloaded, retry_after)
+            }
             claim::Reply::Done(claim::Outcome::NotRun) | claim::Reply::Granted => {
-                refusal::Refusal::not_run(refusal::Reason::Cancelled, soon)
+                refusal::Refusal::not_run(refusal::Reason::Cancelled, retry_after)
             }
         };
-        self.refuse(now, number, refusal);
+        self.send_rejection(now, number, refusal);
     }
 
-    fn recorded(&mut self, now: clock::Instant, number: u64) {
+    fn on_outcome_recorded(&mut self, now: clock::Instant, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         if let Some(claim) = request.claim.as_mut() {
-            claim.hold = request::Hold::Settled;
+            claim.state = request::ClaimState::Settled;
         }
-        request.phase = request::Phase::Over;
-        let answer = request.answer.take();
-        if request.caller == request::Caller::Waiting
-            && let Some(answer) = answer
+        request.phase = request::Phase::Finished;
+        let response = request.response.take();
+        if request.client == request::Client::Waiting
+            && let Some(response) = response
         {
-            self.replay(now, number, answer.head, answer.body);
+            self.send_response(now, number, response.head, response.body);
         }
-        self.clear(now, number);
+        self.remove_if_finished(now, number);
     }
 
-    fn replay(&mut self, now: clock::Instant, number: u64, head: frame::Head, body: Bytes) {
-        self.actions.push(action::Action::Answer { request: number, head, body });
-        self.answered(now, number);
+    fn send_response(&mut self, now: clock::Instant, number: u64, head: frame::Head, body: Bytes) {
+        self.actions.push(action::Action::Respond { request: number, head, body });
+        self.complete_request(now, number);
     }
 
-    fn claim_failed(
+    fn on_claim_call_failed(
         &mut self,
         call: core::ClaimCall,
-        hold: &request::Hold,
+        state: &request::ClaimState,
         response: Option<&control::Response>,
     ) {
         match response {
@@ -232,39 +234,39 @@
         let Some(request) = self.requests.get(&call.request) else { return };
         let Some(claim) = request.claim.as_ref() else { return };
         let identifier = claim.identifier;
-        if matches!(hold, request::Hold::Recording(_)) {
-            self.note(notice::Notice::RecordAgain(identifier));
+        if matches!(state, request::ClaimState::Recording(_)) {
+            self.log_notice(notice::Notice::RecordAgain(identifier));
         } else {
-            self.note(notice::Notice::ClaimAgain(identifier));
+            self.log_notice(notice::Notice::ClaimAgain(identifier));
         }
     }
 }
 
-fn call_body(claim: &request::Claim, digest: [u8; 32]) -> Option<control::Request> {
+fn control_request(claim: &request::Claim, digest: [u8; 32]) -> Option<control::Request> {
     let key = claim.key.clone();
-    match &claim.hold {
-        request::Hold::Asking | request::Hold::Renouncing => {
+    match &claim.state {
+        request::ClaimState::Requested | request::ClaimState::Abandoned => {
             let attempt = claim.identifier;
             Some(control::Request::Claim(claim::Claim { key, digest, attempt }))
         }
-        request::Hold::Recording(outcome) => {
+        request::ClaimState::Recording(outcome) => {
             Some(control::Request::Record(key, claim.identifier, outcome.clone()))
         }
-        request::Hold::Held | request::Hold::Settled => None,
+        request::ClaimState::Granted | request::ClaimState::Settled => None,
     }
 }
 
 /// What is recorded of an answer. One too long to keep is recorded as run without its body, and
 /// marked, so that nobody takes the empty body for the whole answer.
-fn outcome(head: &frame::Head, body: &Bytes) -> claim::Outcome {
+fn recorded_outcome(head: &frame::Head, body: &Bytes) -> claim::Outcome {
     if body.len() <= claim::MAX_BODY_BYTES {
         return claim::Outcome::Answered { head: head.clone(), body: body.to_vec() };
     }
     let mut head = head.clone();
-    head.headers.push((UNKEPT.to_owned(), body.len().to_string()));
+    head.headers.push((OMITTED_BODY_LENGTH_HEADER.to_owned(), body.len().to_string()));
     claim::Outcome::Answered { head, body: Vec::new() }
 }
 
-fn is_kept(head: &frame::Head) -> bool {
-    head.headers.iter().all(|(name, _)| name != UNKEPT)
+fn has_recorded_body(head: &frame::Head) -> bool {
+    head.headers.iter().all(|(name, _)| name != OMITTED_BODY_LENGTH_HEADER)
 }
--- a/crates/hyssopfork-entry/src/core.rs
+++ b/crates/hyssopfork-entry/src/core.rs
@@ -1,6 +1,6 @@
 //! The entry as a step function: events in, actions out.
 
-use crate::{action, arrival, attempt, event, measure, notice, pool, request};
+use crate::{action, attempt, event, measurement, notice, pool, request, routing};
 use hyssopfork_watch::watcher;
 use hyssopfork_wire::{clock, control, name, refusal, timing};
 use rand::{RngExt, SeedableRng};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// When to try again after a refusal that another entry may not give.
-pub(crate) const SOON: Duration = Duration::from_millis(1_000);
+pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// What an entry's process learns from its settings.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// Chosen at random when the process starts; never the same twice.
     pub boot: u64,
     /// Time that a graceful stop gives what is in flight.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
 }
 
 /// A call to control for a claim.
@@ -40,15 +40,15 @@
     pub(crate) watcher: watcher::Watcher,
     pub(crate) requests: BTreeMap<u64, request::Request>,
     pub(crate) pools: BTreeMap<name::Pool, pool::Pool>,
-    pub(crate) resting: BTreeSet<(clock::Instant, u64)>,
-    pub(crate) hedge_at: clock::Instant,
-    pub(crate) claiming: BTreeSet<u64>,
+    pub(crate) backing_off: BTreeSet<(clock::Instant, u64)>,
+    pub(crate) next_hedge_check_at: clock::Instant,
+    pub(crate) active_claims: BTreeSet<u64>,
     pub(crate) claim_calls: BTreeMap<u64, ClaimCall>,
     pub(crate) attempts: attempt::Attempts,
     pub(crate) actions: Vec<action::Action>,
-    stopping: Option<clock::Instant>,
+    stopping_since: Option<clock::Instant>,
     random: rand_chacha::ChaCha8Rng,
-    leave_heard: bool,
+    departure_acknowledged: bool,
     stopped: bool,
 }
 
@@ -63,21 +63,21 @@
             settings,
             requests: BTreeMap::new(),
             pools: BTreeMap::new(),
-            resting: BTreeSet::new(),
-            hedge_at: now,
-            claiming: BTreeSet::new(),
+            backing_off: BTreeSet::new(),
+            next_hedge_check_at: now,
+            active_claims: BTreeSet::new(),
             claim_calls: BTreeMap::new(),
             actions: Vec::new(),
-            stopping: None,
+            stopping_since: None,
             random,
-            leave_heard: false,
+            departure_acknowledged: false,
             stopped: false,
         }
     }
 
     /// Whether the entry takes requests now: for the platform's balancer.
     pub fn is_ready(&self, now: clock::Instant) -> bool {
-        self.stopping.is_none() && self.watcher.is_recent(now)
+        self.stopping_since.is_none() && self.watcher.is_recent(now)
     }
 
     /// The view and the lease on it, for metrics.
@@ -96,129 +96,142 @@
         if self.stopped {
             return Vec::new();
         }
-        self.take(now, event);
-        self.dispatch(now);
-        self.ask_claims(now);
-        self.renew(now);
-        self.leave(now);
+        self.handle_event(now, event);
+        self.dispatch_queued(now);
+        self.send_due_claim_calls(now);
+        self.renew_lease(now);
+        self.stop_when_drained(now);
         std::mem::take(&mut self.actions)
     }
 
-    fn take(&mut self, now: clock::Instant, event: event::Event) {
+    fn handle_event(&mut self, now: clock::Instant, event: event::Event) {
         match event {
             event::Event::Tick => {
-                self.expire(now);
-                self.hedge(now);
+                self.fail_overdue_requests(now);
+                self.hedge_stragglers(now);
             }
-            event::Event::Controlled { call, response } => self.controlled(now, call, response),
-            event::Event::Arrived { request, arrival } => self.arrived(now, request, arrival),
-            event::Event::Gone(request) => self.gone(now, request),
-            event::Event::Loaded(attempt, load) => self.loaded(now, attempt, load),
-            event::Event::Started(attempt) => self.started(now, attempt),
-            event::Event::Refused(attempt, refusal) => self.refused(now, attempt, refusal),
-            event::Event::Headed(attempt, head) => self.headed(now, attempt, &head),
-            event::Event::Begun(attempt) => self.begun(now, attempt),
-            event::Event::Delivered(attempt, events) => self.delivered(now, attempt, events),
-            event::Event::Ended(attempt) => self.ended(now, attempt),
-            event::Event::Collected { attempt, head, body } => {
-                self.collected(now, attempt, head, body);
+            event::Event::ControlResponded { call, response } => {
+                self.on_control_response(now, call, response)
             }
-            event::Event::Failed { attempt, fault, delivered } => {
-                self.failed(now, attempt, fault, delivered);
+            event::Event::RequestArrived { request, arrival } => {
+                self.on_request_arrived(now, request, arrival)
             }
-            event::Event::CancelAnswered { attempt, outcome } => {
-                self.cancel_answered(now, attempt, outcome);
+            event::Event::ClientGone(request) => self.on_client_gone(now, request),
+            event::Event::LoadReported(attempt, load) => self.on_load_reported(now, attempt, load),
+            event::Event::AttemptStarted(attempt) => self.on_attempt_started(now, attempt),
+            event::Event::AttemptRejected(attempt, refusal) => {
+                self.on_attempt_rejected(now, attempt, refusal)
             }
-            event::Event::Stop => self.stop(now),
+            event::Event::HeadReceived(attempt, head) => self.on_head_received(now, attempt, &head),
+            event::Event::ResponseStarted(attempt) => self.on_response_started(now, attempt),
+            event::Event::EventsDelivered(attempt, events) => {
+                self.on_events_delivered(now, attempt, events)
+            }
+            event::Event::AttemptCompleted(attempt) => self.on_attempt_completed(now, attempt),
+            event::Event::ResponseCollected { attempt, head, body } => {
+                self.on_response_collected(now, attempt, head, body);
+            }
+            event::Event::AttemptFailed { attempt, fault, delivered } => {
+                self.on_attempt_failed(now, attempt, fault, delivered);
+            }
+            event::Event::CancelResponded { attempt, outcome } => {
+                self.on_cancel_response(now, attempt, outcome);
+            }
+            event::Event::Stop => self.on_stop(now),
         }
     }
 
-    pub(crate) fn random(&mut self) -> u64 {
+    pub(crate) fn next_random(&mut self) -> u64 {
         self.random.random()
     }
 
-    pub(crate) fn note(&mut self, notice: notice::Notice) {
+    pub(crate) fn log_notice(&mut self, notice: notice::Notice) {
         self.actions.push(action::Action::Notice(notice));
     }
 
-    fn arrived(&mut self, now: clock::Instant, number: u64, arrival: event::Arrival) {
-        match self.plan(now, &arrival) {
-            Ok(plan) => self.accept(now, number, arrival, plan),
-            Err(refusal) => self.turn_away(number, refusal),
+    fn on_request_arrived(&mut self, now: clock::Instant, number: u64, arrival: event::Arrival) {
+        match self.admit(now, &arrival) {
+            Ok(routing) => self.start_request(now, number, arrival, routing),
+            Err(refusal) => self.reject_unadmitted(number, refusal),
         }
     }
 
-    fn plan(
+    fn admit(
         &self,
         now: clock::Instant,
         arrival: &event::Arrival,
-    ) -> Result<arrival::Plan, refusal::Refusal> {
-        if self.stopping.is_some() {
-            return Err(refusal::Refusal::not_run(refusal::Reason::Draining, Some(SOON)));
+    ) -> Result<routing::Match, refusal::Refusal> {
+        if self.stopping_since.is_some() {
+            return Err(refusal::Refusal::not_run(refusal::Reason::Draining, Some(RETRY_AFTER)));
         }
         if !self.watcher.is_recent(now) {
-            return Err(refusal::Refusal::not_run(refusal::Reason::Stale, Some(SOON)));
+            return Err(refusal::Refusal::not_run(refusal::Reason::Stale, Some(RETRY_AFTER)));
         }
-        arrival::plan(&self.watcher.view().configuration, arrival)
+        routing::resolve(&self.watcher.view().configuration, arrival)
             .map_err(|reason| refusal::Refusal::not_run(reason, None))
     }
 
-    fn accept(
+    fn start_request(
         &mut self,
         now: clock::Instant,
         number: u64,
         arrival: event::Arrival,
-        plan: arrival::Plan,
+        routing: routing::Match,
     ) {
-        let claims = !plan.repeatable && arrival.key.is_some();
-        let request = request::Request::new(now, arrival, plan);
+        let needs_claim = !routing.repeatable && arrival.idempotency_key.is_some();
+        let request = request::Request::new(now, arrival, routing);
         self.requests.insert(number, request);
-        if claims {
-            self.claim(now, number);
+        if needs_claim {
+            self.request_claim(now, number);
         } else {
             self.enqueue(now, number);
         }
     }
 
     /// Refuses a request that has no plan.
-    fn turn_away(&mut self, request: u64, refusal: refusal::Refusal) {
-        self.actions.push(action::Action::Refuse { request, refusal });
-        self.note(notice::Notice::Refused(request, refusal));
-        let outcome = measure::Outcome::Refused(refusal.reason, refusal.ran);
-        self.actions.push(action::Action::Measure(measure::Measure {
+    fn reject_unadmitted(&mut self, request: u64, refusal: refusal::Refusal) {
+        self.actions.push(action::Action::Reject { request, refusal });
+        self.log_notice(notice::Notice::Refused(request, refusal));
+        let outcome = measurement::Outcome::Rejected(refusal.reason, refusal.ran);
+        self.actions.push(action::Action::RecordMeasurement(measurement::Measurement {
             team: None,
             class: None,
             route: None,
             outcome,
             attempts: 0,
-            wait: Duration::ZERO,
-            first: None,
-            between: None,
-            whole: Duration::ZERO,
+            wait_time: Duration::ZERO,
+            time_to_first_byte: None,
+            mean_event_interval: None,
+            total_time: Duration::ZERO,
         }));
     }
 
-    fn controlled(&mut self, now: clock::Instant, call: u64, response: Option<control::Response>) {
+    fn on_control_response(
+        &mut self,
+        now: clock::Instant,
+        call: u64,
+        response: Option<control::Response>,
+    ) {
         if let Some(claim) = self.claim_calls.remove(&call) {
-            self.claim_answered(now, claim, response);
+            self.on_claim_response(now, claim, response);
         } else if let Some(output) = self.watcher.on_response(now, call, response.as_ref()) {
-            self.take_output(output);
+            self.apply_watcher_output(output);
         }
     }
 
-    fn renew(&mut self, now: clock::Instant) {
+    fn renew_lease(&mut self, now: clock::Instant) {
         let instance = &self.settings.instance;
         let holder = || control::Holder::Entry(instance.clone());
-        let output = self.watcher.tick(now, holder, self.stopping.is_some());
-        self.take_output(output);
+        let output = self.watcher.tick(now, holder, self.stopping_since.is_some());
+        self.apply_watcher_output(output);
     }
 
-    fn take_output(&mut self, output: watcher::Output) {
-        self.leave_heard |= output.leaving_granted;
+    fn apply_watcher_output(&mut self, output: watcher::Output) {
+        self.departure_acknowledged |= output.leaving_granted;
         for notice in output.notices {
-            self.note(notice::Notice::Watch(notice));
+            self.log_notice(notice::Notice::Watch(notice));
         }
-        self.actions.extend(output.calls.into_iter().map(|call| action::Action::Control {
+        self.actions.extend(output.calls.into_iter().map(|call| action::Action::CallControl {
             call: call.call,
             to: call.to,
             request: Box::new(call.request),
@@ -226,36 +239,36 @@
         }));
     }
 
-    fn stop(&mut self, now: clock::Instant) {
-        if self.stopping.is_some() {
-            self.finish(now);
+    fn on_stop(&mut self, now: clock::Instant) {
+        if self.stopping_since.is_some() {
+            self.stop_now(now);
             return;
         }
-        self.stopping = Some(now);
-        self.note(notice::Notice::Leaving(self.requests.len() as u32));
+        self.stopping_since = Some(now);
+        self.log_notice(notice::Notice::Leaving(self.requests.len() as u32));
     }
 
     /// Ends the process once nothing is in flight, or its time to stop is over.
-    fn leave(&mut self, now: clock::Instant) {
-        let Some(since) = self.stopping else { return };
-        let waited = now.since(since);
-        let announced = self.leave_heard || waited >= timing::HOLDER_LEASE;
-        let idle = self.requests.is_empty() && announced;
-        if !self.stopped && (idle || waited >= self.settings.stop_limit) {
-            self.finish(now);
+    fn stop_when_drained(&mut self, now: clock::Instant) {
+        let Some(since) = self.stopping_since else { return };
+        let elapsed = now.since(since);
+        let announced = self.departure_acknowledged || elapsed >= timing::HOLDER_LEASE;
+        let drained = self.requests.is_empty() && announced;
+        if !self.stopped && (drained || elapsed >= self.settings.stop_timeout) {
+            self.stop_now(now);
         }
     }
 
-    fn finish(&mut self, now: clock::Instant) {
-        let open: Vec<u64> = self.requests.keys().copied().collect();
-        if !open.is_empty() {
-            self.note(notice::Notice::LeaveOverdue(open.len() as u32));
+    fn stop_now(&mut self, now: clock::Instant) {
+        let unfinished: Vec<u64> = self.requests.keys().copied().collect();
+        if !unfinished.is_empty() {
+            self.log_notice(notice::Notice::LeaveOverdue(unfinished.len() as u32));
         }
-        for request in open {
-            self.give_up(now, request, refusal::Reason::Draining);
+        for request in unfinished {
+            self.fail_request(now, request, refusal::Reason::Draining);
         }
         self.stopped = true;
-        self.note(notice::Notice::Stopped);
+        self.log_notice(notice::Notice::Stopped);
         self.actions.push(action::Action::Stopped);
     }
 }
--- a/crates/hyssopfork-entry/src/estimate.rs
+++ b/crates/hyssopfork-entry/src/estimate.rs
@@ -9,25 +9,25 @@
 const BYTES_PER_TOKEN: usize = 4;
 
 /// Tokens that an answer is taken to have when the request doesn't bound them.
-const ANSWER_DEFAULT: u32 = 256;
+const DEFAULT_RESPONSE_TOKENS: u32 = 256;
 
 /// Cost of a request that is no completion: what a short plain call takes, in tokens.
-const PLAIN_COST: u32 = 16;
+const PLAIN_REQUEST_COST_TOKENS: u32 = 16;
 
 /// Longest prefix that is hashed, in bytes: engines cache whole blocks of tokens, and beyond a few
 /// blocks any prefix tells the same requests apart.
-const PREFIX_MOST: usize = 1_024;
+const MAX_PREFIX_BYTES: usize = 1_024;
 
 /// Shortest prefix worth staying with one upstream for: less is prefilled sooner than looked up.
-const PREFIX_LEAST: usize = 128;
+const MIN_PREFIX_BYTES: usize = 128;
 
 /// The estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
     /// Cost in tokens, of the prompt and the answer together; at least 1.
-    pub cost: u32,
+    pub cost_tokens: u32,
     /// Hash of the prompt's prefix; `None` where there is no prompt or it is short.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -65,20 +65,20 @@
 }
 
 /// Estimate for the body of a completion request; any other body costs as a short plain call.
-pub fn completion(body: &[u8]) -> Estimate {
-    let plain = Estimate { cost: PLAIN_COST, prefix: None };
+pub fn from_body(body: &[u8]) -> Estimate {
+    let plain = Estimate { cost_tokens: PLAIN_REQUEST_COST_TOKENS, prefix_hash: None };
     let Ok(completion) = serde_json::from_slice::<Completion>(body) else { return plain };
     if completion.prompt.is_none() && completion.messages.is_none() {
         return plain;
     }
-    let answers = completion.n.unwrap_or(1).max(1);
-    let bound = completion.max_completion_tokens.or(completion.max_tokens);
-    let answer = bound.unwrap_or(ANSWER_DEFAULT).saturating_mul(answers);
-    let cost = prompt_tokens(&completion).saturating_add(answer).max(1);
-    Estimate { cost, prefix: first_text(&completion).and_then(hash) }
+    let choices = completion.n.unwrap_or(1).max(1);
+    let max_tokens = completion.max_completion_tokens.or(completion.max_tokens);
+    let response_tokens = max_tokens.unwrap_or(DEFAULT_RESPONSE_TOKENS).saturating_mul(choices);
+    let cost_tokens = count_prompt_tokens(&completion).saturating_add(response_tokens).max(1);
+    Estimate { cost_tokens, prefix_hash: find_first_text(&completion).and_then(hash_prefix) }
 }
 
-fn prompt_tokens(completion: &Completion) -> u32 {
+fn count_prompt_tokens(completion: &Completion) -> u32 {
     let prompt = match &completion.prompt {
         Some(Prompt::Text(text)) => text.len() / BYTES_PER_TOKEN,
         Some(Prompt::Texts(texts)) => {
@@ -87,11 +87,11 @@
         Some(Prompt::Tokens(tokens)) => tokens.len(),
         None => 0,
     };
-    let messages = completion.messages.iter().flatten().map(length).sum::<usize>();
+    let messages = completion.messages.iter().flatten().map(text_bytes).sum::<usize>();
     u32::try_from(prompt + messages / BYTES_PER_TOKEN).unwrap_or(u32::MAX)
 }
 
-fn length(message: &Message) -> usize {
+fn text_bytes(message: &Message) -> usize {
     match &message.content {
         Some(Content::Text(text)) => text.len(),
         Some(Content::Parts(parts)) => {
@@ -102,7 +102,7 @@
 }
 
 /// The text that requests of one kind begin with: the first message, or the prompt.
-fn first_text(completion: &Completion) -> Option<&str> {
+fn find_first_text(completion: &Completion) -> Option<&str> {
     match &completion.prompt {
         Some(Prompt::Text(text)) => return Some(text),
         Some(Prompt::Texts(texts)) => return texts.first().map(String::as_str),
@@ -115,9 +115,9 @@
     }
 }
 
-fn hash(text: &str) -> Option<u64> {
-    let prefix = &text.as_bytes()[..text.len().min(PREFIX_MOST)];
-    if prefix.len() < PREFIX_LEAST {
+fn hash_prefix(text: &str) -> Option<u64> {
+    let prefix = &text.as_bytes()[..text.len().min(MAX_PREFIX_BYTES)];
+    if prefix.len() < MIN_PREFIX_BYTES {
         return None;
     }
     let digest = Sha256::digest(prefix);
--- a/crates/hyssopfork-entry/src/event.rs
+++ b/crates/hyssopfork-entry/src/event.rs
@@ -15,15 +15,15 @@
     /// Headers that travel to the upstream.
     pub headers: Vec<(String, String)>,
     /// The caller's Idempotency-Key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// SHA-256 of method, path and body.
     pub digest: [u8; 32],
     /// Length of the body in bytes.
-    pub length: u64,
+    pub body_bytes: u64,
     /// Prompt prefix hash for affinity; `None` where the body has no prompt.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Estimated cost in tokens.
-    pub cost: u32,
+    pub cost_tokens: u32,
 }
 
 /// Why an attempt ended without a whole answer or a refusal.
@@ -45,40 +45,40 @@
     /// Time has passed; comes at least every [`super::action::TICK`].
     Tick,
     /// A call to control was answered; `None` when it failed or its time ran out.
-    Controlled {
+    ControlResponded {
         /// Number of the call, from [`super::action::Action::Control`].
         call: u64,
         /// The answer.
         response: Option<control::Response>,
     },
     /// A caller's request arrived.
-    Arrived {
+    RequestArrived {
         /// The shell's number of the request.
         request: u64,
         /// What was asked.
         arrival: Arrival,
     },
     /// The caller went away.
-    Gone(u64),
+    ClientGone(u64),
     /// The agent told its load.
-    Loaded(attempt::Identifier, frame::Load),
+    LoadReported(attempt::Identifier, frame::Load),
     /// The agent handed the attempt to the upstream: from here on it may have run.
-    Started(attempt::Identifier),
+    AttemptStarted(attempt::Identifier),
     /// The agent or upstream refused the attempt.
-    Refused(attempt::Identifier, refusal::Refusal),
+    AttemptRejected(attempt::Identifier, refusal::Refusal),
     /// The answer's head came; forwarded to the caller only after
     /// [`super::action::Action::Forward`].
-    Headed(attempt::Identifier, frame::Head),
+    HeadReceived(attempt::Identifier, frame::Head),
     /// The first part of the answer's body came.
-    Begun(attempt::Identifier),
+    ResponseStarted(attempt::Identifier),
     /// So many events of the stream were delivered to the caller whole. Comes before
     /// [`Event::Ended`], and before a [`Event::Refused`] of an attempt that was being forwarded:
     /// without it such a stream is not resumed elsewhere.
-    Delivered(attempt::Identifier, u64),
+    EventsDelivered(attempt::Identifier, u64),
     /// The whole answer was forwarded to the caller, checked.
-    Ended(attempt::Identifier),
+    AttemptCompleted(attempt::Identifier),
     /// The whole answer of a collected attempt is here, checked.
-    Collected {
+    ResponseCollected {
         /// The attempt.
         attempt: attempt::Identifier,
         /// Head of the answer.
@@ -87,7 +87,7 @@
         body: Bytes,
     },
     /// The attempt ended without a whole answer or a refusal.
-    Failed {
+    AttemptFailed {
         /// The attempt.
         attempt: attempt::Identifier,
         /// Why.
@@ -96,7 +96,7 @@
         delivered: u64,
     },
     /// A cancel was answered; `None` when the agent could not be reached in time.
-    CancelAnswered {
+    CancelResponded {
         /// The attempt.
         attempt: attempt::Identifier,
         /// The answer.
--- a/crates/hyssopfork-entry/src/lib.rs
+++ b/crates/hyssopfork-entry/src/lib.rs
@@ -4,17 +4,17 @@
 //! answer: the whole answer, a cut that says so, or a refusal that says whether work ran.
 
 pub mod action;
-pub mod arrival;
 pub mod attempt;
+mod attempt_events;
 mod claims;
+mod completion;
 pub mod core;
-mod ending;
+mod dispatch;
 pub mod estimate;
 pub mod event;
-pub mod measure;
+pub mod measurement;
 pub mod notice;
-mod offer;
 pub mod pool;
 pub mod request;
-mod serve;
-pub mod stream;
+pub mod routing;
+pub mod sse;
--- a/crates/hyssopfork-entry/src/measure.rs
+++ b/crates/hyssopfork-entry/src/measurement.rs
@@ -7,18 +7,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The caller got the whole answer.
-    Answered,
+    Completed,
     /// The caller got a refusal.
-    Refused(refusal::Reason, refusal::Ran),
+    Rejected(refusal::Reason, refusal::Ran),
     /// The caller got a part of the answer and a mark that the rest is missing.
-    Cut(refusal::Reason),
+    Aborted(refusal::Reason),
     /// The caller went away first.
-    Gone,
+    ClientGone,
 }
 
 /// A measurement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Measure {
+pub struct Measurement {
     /// Team of the caller; `None` when its token named none.
     pub team: Option<name::Team>,
     /// Class of the work; `None` when no route matched.
@@ -30,11 +30,11 @@
     /// Attempts that were offered to upstreams.
     pub attempts: u32,
     /// Time from arrival to the first offer to an upstream, or to the end where there was none.
-    pub wait: Duration,
+    pub wait_time: Duration,
     /// Time from arrival to the first part of the answer's body.
-    pub first: Option<Duration>,
+    pub time_to_first_byte: Option<Duration>,
     /// Mean time between two events of a stream, where two or more were delivered.
-    pub between: Option<Duration>,
+    pub mean_event_interval: Option<Duration>,
     /// Time from arrival to the end.
-    pub whole: Duration,
+    pub total_time: Duration,
 }
--- a/crates/hyssopfork-entry/src/pool.rs
+++ b/crates/hyssopfork-entry/src/pool.rs
@@ -9,7 +9,7 @@
 
 /// Time for which a pool without any upstream still takes requests in: a group is repaired or an
 /// agent restarted within it, more often than not. After it, waiting is in vain.
-const EMPTY_LIMIT: Duration = Duration::from_secs(2);
+const EMPTY_POOL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The pool.
 #[derive(Debug)]
@@ -19,10 +19,10 @@
     /// Requests that wait, and those that were started.
     pub queue: queue::Queue,
     /// Budget for second tries.
-    pub budget: retry::Budget,
+    pub retry_budget: retry::Budget,
     hedges: BTreeMap<configuration::Class, hedge::Hedge>,
-    places: BTreeMap<name::Instance, attempt::Place>,
-    version: Option<number::Version>,
+    destinations: BTreeMap<name::Instance, attempt::Destination>,
+    view_version: Option<number::Version>,
     empty_since: Option<clock::Instant>,
 }
 
@@ -32,46 +32,46 @@
         Pool {
             chooser: choice::Chooser::default(),
             queue: queue::Queue::default(),
-            budget: retry::Budget::default(),
+            retry_budget: retry::Budget::default(),
             hedges: BTreeMap::new(),
-            places: BTreeMap::new(),
-            version: None,
+            destinations: BTreeMap::new(),
+            view_version: None,
             empty_since: Some(now),
         }
     }
 
     /// Takes in what the view says of the pool `name`, when the view has moved.
-    pub fn follow(&mut self, now: clock::Instant, view: &change::View, name: &name::Pool) {
-        if self.version == Some(view.version) {
+    pub fn apply_view(&mut self, now: clock::Instant, view: &change::View, name: &name::Pool) {
+        if self.view_version == Some(view.version) {
             return;
         }
-        self.version = Some(view.version);
+        self.view_version = Some(view.version);
         for (zone, declared) in &view.configuration.zones {
             self.chooser.set_zone_evacuated(zone, declared.out);
         }
         for (team, declared) in &view.configuration.teams {
             self.queue.set_weight(team, declared.weight);
         }
-        self.follow_upstreams(now, view, name);
-        self.empty_since = match self.places.is_empty() {
+        self.apply_upstreams(now, view, name);
+        self.empty_since = match self.destinations.is_empty() {
             true => self.empty_since.or(Some(now)),
             false => None,
         };
     }
 
     /// Where work goes that is sent to `instance`.
-    pub fn place(&self, instance: &name::Instance) -> Option<&attempt::Place> {
-        self.places.get(instance)
+    pub fn destination(&self, instance: &name::Instance) -> Option<&attempt::Destination> {
+        self.destinations.get(instance)
     }
 
     /// Whether the pool has had no upstream for so long that waiting for one is in vain.
-    pub fn is_deserted(&self, now: clock::Instant) -> bool {
-        self.empty_since.is_some_and(|since| now.since(since) >= EMPTY_LIMIT)
+    pub fn is_unavailable(&self, now: clock::Instant) -> bool {
+        self.empty_since.is_some_and(|since| now.since(since) >= EMPTY_POOL_TIMEOUT)
     }
 
     /// Whether the pool has no upstream now.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.destinations.is_empty()
     }
 
     /// When to send a second copy of work of `class`.
@@ -81,38 +81,38 @@
 
     /// Whether a second copy of repeatable work of `class` that has waited for `waited` may be
     /// sent; spends from the budget when it may.
-    pub fn may_hedge(&mut self, class: configuration::Class, waited: Duration) -> bool {
+    pub fn try_hedge(&mut self, class: configuration::Class, waited: Duration) -> bool {
         let hedge = self.hedges.entry(class).or_default();
-        hedge.try_hedge(true, waited, &mut self.budget)
+        hedge.try_hedge(true, waited, &mut self.retry_budget)
     }
 
-    fn follow_upstreams(&mut self, now: clock::Instant, view: &change::View, name: &name::Pool) {
-        let mut before = std::mem::take(&mut self.places);
+    fn apply_upstreams(&mut self, now: clock::Instant, view: &change::View, name: &name::Pool) {
+        let mut previous = std::mem::take(&mut self.destinations);
         for candidate in upstream::of_pool(view, name) {
-            let place = place(&candidate);
-            let known = before.remove(candidate.instance);
+            let destination = destination_of(&candidate);
+            let previous_destination = previous.remove(candidate.instance);
             // Another process or placement at the same instance starts without a record.
-            if known.is_some_and(|known| known != place) {
+            if previous_destination.is_some_and(|previous| previous != destination) {
                 self.chooser.remove(candidate.instance);
             }
             let concurrency = candidate.profile.concurrency;
             let zone = candidate.zone.clone();
             let instance = candidate.instance.clone();
             self.chooser.insert(now, choice::Upstream { instance, zone, concurrency });
-            self.places.insert(candidate.instance.clone(), place);
+            self.destinations.insert(candidate.instance.clone(), destination);
         }
-        for instance in before.keys() {
+        for instance in previous.keys() {
             self.chooser.remove(instance);
         }
     }
 }
 
-fn place(candidate: &upstream::Upstream<'_>) -> attempt::Place {
-    attempt::Place {
+fn destination_of(candidate: &upstream::Upstream<'_>) -> attempt::Destination {
+    attempt::Destination {
         instance: candidate.instance.clone(),
-        traffic: candidate.traffic,
+        traffic_address: candidate.traffic,
         boot: candidate.boot,
         group: candidate.group.map(|(group, fence)| (group.clone(), fence)),
-        resumes: candidate.profile.resumes,
+        can_resume: candidate.profile.resumes,
     }
 }
--- a/crates/hyssopfork-entry/src/arrival.rs
+++ b/crates/hyssopfork-entry/src/routing.rs
@@ -6,7 +6,7 @@
 
 /// How a request is to be treated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct Match {
     /// Team of the caller.
     pub team: name::Team,
     /// Route that matched.
@@ -26,14 +26,14 @@
 /// # Errors
 ///
 /// `Unauthorized` when its token names no team, `NoRoute` when no route's prefix matches.
-pub fn plan(
+pub fn resolve(
     configuration: &configuration::Configuration,
     arrival: &event::Arrival,
-) -> Result<Plan, refusal::Reason> {
+) -> Result<Match, refusal::Reason> {
     let token = arrival.token_sha256.as_deref();
-    let team = team(configuration, token).ok_or(refusal::Reason::Unauthorized)?;
-    let (name, route) = route(configuration, &arrival.path).ok_or(refusal::Reason::NoRoute)?;
-    Ok(Plan {
+    let team = find_team(configuration, token).ok_or(refusal::Reason::Unauthorized)?;
+    let (name, route) = find_route(configuration, &arrival.path).ok_or(refusal::Reason::NoRoute)?;
+    Ok(Match {
         team: team.clone(),
         route: name.clone(),
         pool: route.pool.clone(),
@@ -45,24 +45,25 @@
 
 /// Whether the plan is still what the view declares: a request that waited must not be sent by
 /// rules that were changed meanwhile.
-pub fn is_current(view: &change::View, plan: &Plan) -> bool {
-    let declared = view.configuration.routes.get(&plan.route);
-    view.configuration.teams.contains_key(&plan.team)
-        && declared
-            .is_some_and(|route| route.pool == plan.pool && (route.repeatable || !plan.repeatable))
+pub fn is_current(view: &change::View, routing: &Match) -> bool {
+    let declared = view.configuration.routes.get(&routing.route);
+    view.configuration.teams.contains_key(&routing.team)
+        && declared.is_some_and(|route| {
+            route.pool == routing.pool && (route.repeatable || !routing.repeatable)
+        })
 }
 
-fn team<'a>(
+fn find_team<'a>(
     configuration: &'a configuration::Configuration,
     token: Option<&str>,
 ) -> Option<&'a name::Team> {
     let token = token?;
-    let holds = |team: &configuration::Team| team.token_sha256.contains(token);
-    configuration.teams.iter().find(|(_, team)| holds(team)).map(|(name, _)| name)
+    let has_token = |team: &configuration::Team| team.token_sha256.contains(token);
+    configuration.teams.iter().find(|(_, team)| has_token(team)).map(|(name, _)| name)
 }
 
 /// Route with the longest prefix that matches the path, whose query doesn't count.
-fn route<'a>(
+fn find_route<'a>(
     configuration: &'a configuration::Configuration,
     path: &str,
 ) -> Option<(&'a name::Route, &'a configuration::Route)> {
@@ -70,13 +71,13 @@
     configuration
         .routes
         .iter()
-        .filter(|(_, route)| covers(&route.prefix, path))
+        .filter(|(_, route)| is_path_prefix(&route.prefix, path))
         .max_by_key(|(_, route)| route.prefix.len())
 }
 
 /// Whether `prefix` covers `path` at a segment's end: `/v1/status` covers `/v1/status/7`, not
 /// `/v1/statuses`.
-fn covers(prefix: &str, path: &str) -> bool {
+fn is_path_prefix(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else { return false };
     rest.is_empty() || prefix.ends_with('/') || rest.starts_with('/')
 }
--- a/crates/hyssopfork-entry/src/stream.rs
+++ b/crates/hyssopfork-entry/src/sse.rs
@@ -10,12 +10,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
-    delivered: u64,
+    delivered_events: u64,
     ended: bool,
 }
 
 /// Data of the event that ends an engine's stream.
-const END_MARK: &[u8] = b"[DONE]";
+const DONE_DATA: &[u8] = b"[DONE]";
 
 impl Splitter {
     /// Takes the next bytes of the answer; gives the events that are whole by now.
@@ -23,22 +23,22 @@
         // An end mark may straddle the old bytes and the new ones, by three bytes at most.
         let mut scanned = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(data);
-        let mut whole = 0;
-        while let Some(end) = event_end(&self.partial, scanned.max(whole)) {
-            if has_data(&self.partial[whole..end]) {
-                self.delivered += 1;
+        let mut complete = 0;
+        while let Some(end) = find_event_end(&self.partial, scanned.max(complete)) {
+            if has_data(&self.partial[complete..end]) {
+                self.delivered_events += 1;
             }
-            self.ended |= is_end(&self.partial[whole..end]);
-            whole = end;
+            self.ended |= is_done_event(&self.partial[complete..end]);
+            complete = end;
             scanned = end;
         }
-        self.partial.split_to(whole).freeze()
+        self.partial.split_to(complete).freeze()
     }
 
     /// Events with data that were given out whole. Comments don't count: engines send them as
     /// they like and don't number them.
-    pub fn delivered(&self) -> u64 {
-        self.delivered
+    pub fn delivered_events(&self) -> u64 {
+        self.delivered_events
     }
 
     /// Whether the event that ends the stream was given out: the caller has all of it, whatever
@@ -48,7 +48,7 @@
     }
 
     /// Whether the bytes so far end with a whole event.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_at_event_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
@@ -60,7 +60,7 @@
 }
 
 /// End of the first event whose end mark, an empty line, lies at or after `from`.
-fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
+fn find_event_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|index| {
         let rest = &bytes[index..];
         if rest.starts_with(b"\n\n") || rest.starts_with(b"\r\r") {
@@ -79,9 +79,9 @@
         .any(|line| line.starts_with(b"data:") || line == b"data")
 }
 
-fn is_end(event: &[u8]) -> bool {
+fn is_done_event(event: &[u8]) -> bool {
     event
         .split(|byte| matches!(byte, b'\n' | b'\r'))
         .filter_map(|line| line.strip_prefix(b"data:"))
-        .any(|data| data.trim_ascii() == END_MARK)
+        .any(|data| data.trim_ascii() == DONE_DATA)
 }
--- a/crates/hyssopfork-entry/tests/entry/claims.rs
+++ b/crates/hyssopfork-entry/tests/entry/claims.rs
@@ -33,7 +33,7 @@
     let (_, arrived) = entry.arrive(fixture::keyed("k"));
     let first = fixture::claim_call(&arrived);
 
-    entry.step(event::Event::Controlled { call: first.call, response: None });
+    entry.step(event::Event::ControlResponded { call: first.call, response: None });
     let second = fixture::claim_call(&entry.live(Duration::from_millis(100)));
     entry.reply(second.call, control::Response::NotLeader(None));
     let third = fixture::claim_call(&entry.live(Duration::from_millis(100)));
@@ -112,7 +112,7 @@
 fn started_work_is_watched_to_its_end() {
     let mut entry = fixture::entry();
     let (_, start) = entry.claimed("k");
-    entry.step(event::Event::Started(start.offer.attempt));
+    entry.step(event::Event::AttemptStarted(start.offer.attempt));
 
     let given_up = entry.live(Duration::from_secs(3));
     let collected = entry.collect(start.offer.attempt, "late");
@@ -137,7 +137,7 @@
         let (_, start) = entry.claimed("k");
         let given_up = entry.live(Duration::from_secs(3));
         let attempt = start.offer.attempt;
-        let event = event::Event::CancelAnswered { attempt, outcome: Some(said) };
+        let event = event::Event::CancelResponded { attempt, outcome: Some(said) };
         let actions = entry.step(event);
         assert_eq!(fixture::cancels(&given_up), vec![attempt]);
         assert_eq!(fixture::recorded(&actions), outcome);
@@ -167,7 +167,7 @@
     let mut entry = fixture::entry();
     let (request, start) = entry.claimed("k");
 
-    let gone = entry.step(event::Event::Gone(request));
+    let gone = entry.step(event::Event::ClientGone(request));
     let collected = entry.collect(start.offer.attempt, "done");
 
     assert!(fixture::cancels(&gone).is_empty());
--- a/crates/hyssopfork-entry/tests/entry/fixture.rs
+++ b/crates/hyssopfork-entry/tests/entry/fixture.rs
@@ -48,7 +48,7 @@
         zone: "zone-a".into(),
         control: vec![address(1), address(2)],
         boot: 99,
-        stop_limit: STOP_LIMIT,
+        stop_timeout: STOP_LIMIT,
     };
     let core = core::Core::new(settings, 1, now);
     Entry { core, now, view: view(), renewal: None, requests: 0 }
@@ -60,16 +60,16 @@
         method: "POST".into(),
         path: path.into(),
         headers: Vec::new(),
-        key: None,
+        idempotency_key: None,
         digest: [7; 32],
-        length: 10,
-        prefix: None,
-        cost: 100,
+        body_bytes: 10,
+        prefix_hash: None,
+        cost_tokens: 100,
     }
 }
 
 pub fn keyed(key: &str) -> event::Arrival {
-    event::Arrival { key: Some(key.into()), ..arrival("/lodge") }
+    event::Arrival { idempotency_key: Some(key.into()), ..arrival("/lodge") }
 }
 
 pub fn head(stream: bool) -> frame::Head {
@@ -89,7 +89,7 @@
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            self.now = (self.now + action::TICK).min(end);
+            self.now = (self.now + action::TICK_INTERVAL).min(end);
             actions.extend(self.step(event::Event::Tick));
         }
         actions
@@ -112,7 +112,7 @@
     /// Takes a lease on the fixture's view.
     pub fn hold(&mut self) -> Vec<action::Action> {
         while self.renewal.is_none() {
-            self.now = self.now + action::TICK;
+            self.now = self.now + action::TICK_INTERVAL;
             self.step(event::Event::Tick);
         }
         self.grant()
@@ -131,14 +131,14 @@
         let term = timing::HOLDER_LEASE;
         let grant = control::Grant { duration: term, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
-        self.step(event::Event::Controlled { call, response })
+        self.step(event::Event::ControlResponded { call, response })
     }
 
     /// A request arrives; its number, and what is done.
     pub fn arrive(&mut self, arrival: event::Arrival) -> (u64, Vec<action::Action>) {
         self.requests += 1;
         let request = self.requests;
-        (request, self.step(event::Event::Arrived { request, arrival }))
+        (request, self.step(event::Event::RequestArrived { request, arrival }))
     }
 
     /// A request arrives and is offered; its number and the offer.
@@ -149,9 +149,9 @@
 
     /// The answer of an attempt begins.
     pub fn begin(&mut self, attempt: attempt::Identifier, stream: bool) -> Vec<action::Action> {
-        self.step(event::Event::Started(attempt));
-        let actions = self.step(event::Event::Headed(attempt, head(stream)));
-        self.step(event::Event::Begun(attempt));
+        self.step(event::Event::AttemptStarted(attempt));
+        let actions = self.step(event::Event::HeadReceived(attempt, head(stream)));
+        self.step(event::Event::ResponseStarted(attempt));
         actions
     }
 
@@ -160,7 +160,7 @@
         attempt: attempt::Identifier,
         refusal: refusal::Refusal,
     ) -> Vec<action::Action> {
-        self.step(event::Event::Refused(attempt, refusal))
+        self.step(event::Event::AttemptRejected(attempt, refusal))
     }
 
     pub fn fail(
@@ -169,16 +169,16 @@
         fault: event::Fault,
         delivered: u64,
     ) -> Vec<action::Action> {
-        self.step(event::Event::Failed { attempt, fault, delivered })
+        self.step(event::Event::AttemptFailed { attempt, fault, delivered })
     }
 
     pub fn collect(&mut self, attempt: attempt::Identifier, body: &str) -> Vec<action::Action> {
         let body = body.to_owned().into();
-        self.step(event::Event::Collected { attempt, head: head(false), body })
+        self.step(event::Event::ResponseCollected { attempt, head: head(false), body })
     }
 
     pub fn reply(&mut self, call: u64, response: control::Response) -> Vec<action::Action> {
-        self.step(event::Event::Controlled { call, response: Some(response) })
+        self.step(event::Event::ControlResponded { call, response: Some(response) })
     }
 
     /// A keyed request arrives and its claim is granted; its number and the offer.
@@ -199,7 +199,7 @@
 
 pub fn starts(actions: &[action::Action]) -> Vec<Start> {
     let start = |action: &action::Action| match action {
-        action::Action::Start { to, offer, collect, .. } => {
+        action::Action::StartAttempt { to, offer, collect, .. } => {
             Some(Start { to: *to, offer: (**offer).clone(), collect: *collect })
         }
         _ => None,
@@ -209,28 +209,28 @@
 
 pub fn refused(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
-        action::Action::Refuse { refusal, .. } => Some(*refusal),
+        action::Action::Reject { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
 
 pub fn cut(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
-        action::Action::Cut { refusal, .. } => Some(*refusal),
+        action::Action::Abort { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
 
 pub fn answer(actions: &[action::Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
-        action::Action::Answer { body, .. } => String::from_utf8(body.to_vec()).ok(),
+        action::Action::Respond { body, .. } => String::from_utf8(body.to_vec()).ok(),
         _ => None,
     })
 }
 
 pub fn cancels(actions: &[action::Action]) -> Vec<attempt::Identifier> {
     let cancel = |action: &action::Action| match action {
-        action::Action::Cancel { attempt, .. } => Some(*attempt),
+        action::Action::CancelAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     };
     actions.iter().filter_map(cancel).collect()
@@ -238,7 +238,7 @@
 
 pub fn forwards(actions: &[action::Action]) -> Vec<attempt::Identifier> {
     let forward = |action: &action::Action| match action {
-        action::Action::Forward { attempt, .. } => Some(*attempt),
+        action::Action::ForwardResponse { attempt, .. } => Some(*attempt),
         _ => None,
     };
     actions.iter().filter_map(forward).collect()
@@ -251,7 +251,7 @@
 /// The last call about a claim among the actions.
 pub fn claim_call(actions: &[action::Action]) -> ClaimCall {
     let claims = actions.iter().rev().find_map(|action| match action {
-        action::Action::Control { call, request, .. } => match **request {
+        action::Action::CallControl { call, request, .. } => match **request {
             control::Request::Claim(_) | control::Request::Record(..) => {
                 Some(ClaimCall { call: *call, request: (**request).clone() })
             }
@@ -272,7 +272,7 @@
 
 fn renewal(action: &action::Action) -> Option<u64> {
     match action {
-        action::Action::Control { call, request, .. } => {
+        action::Action::CallControl { call, request, .. } => {
             matches!(**request, control::Request::Renew(_)).then_some(*call)
         }
         _ => None,
--- a/crates/hyssopfork-entry/tests/entry/requests.rs
+++ b/crates/hyssopfork-entry/tests/entry/requests.rs
@@ -1,7 +1,7 @@
 //! Requests: whose they are, where they go, and their one final answer.
 
 use crate::fixture;
-use hyssopfork_entry::{action, event, measure};
+use hyssopfork_entry::{action, event, measurement};
 use hyssopfork_wire::{attempt, frame, refusal, timing};
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
     let (_, start) = entry.offered(fixture::arrival("/write/7?x=1"));
     let headed = entry.begin(start.offer.attempt, false);
-    let ended = entry.step(event::Event::Ended(start.offer.attempt));
+    let ended = entry.step(event::Event::AttemptCompleted(start.offer.attempt));
 
     assert_eq!(fixture::forwards(&headed), vec![start.offer.attempt]);
     let answered = |action: &action::Action| {
-        matches!(action, action::Action::Measure(measure)
-            if measure.outcome == measure::Outcome::Answered)
+        matches!(action, action::Action::RecordMeasurement(measure)
+            if measure.outcome == measurement::Outcome::Completed)
     };
     assert!(ended.iter().any(answered));
 }
@@ -104,14 +104,14 @@
     let again = entry.fail(first.offer.attempt, event::Fault::Lost, 0);
     let second = fixture::start(&again);
     entry.begin(second.offer.attempt, false);
-    entry.step(event::Event::Ended(second.offer.attempt));
+    entry.step(event::Event::AttemptCompleted(second.offer.attempt));
 
     let mut actions = entry.begin(first.offer.attempt, false);
-    actions.extend(entry.step(event::Event::Ended(first.offer.attempt)));
-    actions.extend(entry.step(event::Event::Ended(second.offer.attempt)));
+    actions.extend(entry.step(event::Event::AttemptCompleted(first.offer.attempt)));
+    actions.extend(entry.step(event::Event::AttemptCompleted(second.offer.attempt)));
     actions.extend(entry.fail(second.offer.attempt, event::Fault::Corrupt, 0));
     let unknown = attempt::Identifier { boot: 98, count: 1 };
-    actions.extend(entry.step(event::Event::Ended(unknown)));
+    actions.extend(entry.step(event::Event::AttemptCompleted(unknown)));
 
     assert!(fixture::forwards(&actions).is_empty());
     assert!(fixture::starts(&actions).is_empty());
@@ -125,10 +125,10 @@
     let mut entry = fixture::entry();
     let (_, start) = entry.offered(fixture::arrival("/write"));
 
-    let crossed = entry.step(event::Event::Ended(start.offer.attempt));
+    let crossed = entry.step(event::Event::AttemptCompleted(start.offer.attempt));
     let headed = entry.begin(start.offer.attempt, false);
 
-    assert!(!crossed.iter().any(|action| matches!(action, action::Action::Measure(_))));
+    assert!(!crossed.iter().any(|action| matches!(action, action::Action::RecordMeasurement(_))));
     assert_eq!(fixture::forwards(&headed), vec![start.offer.attempt]);
 }
 
@@ -137,7 +137,7 @@
     let mut entry = fixture::entry();
     let (request, start) = entry.offered(fixture::arrival("/write"));
 
-    let actions = entry.step(event::Event::Gone(request));
+    let actions = entry.step(event::Event::ClientGone(request));
     let later = entry.begin(start.offer.attempt, false);
 
     assert_eq!(fixture::cancels(&actions), vec![start.offer.attempt]);
@@ -172,7 +172,7 @@
     let (_, start) = entry.offered(fixture::arrival("/lodge"));
     entry.live(Duration::from_millis(2_900));
     entry.begin(start.offer.attempt, false);
-    entry.step(event::Event::Ended(start.offer.attempt));
+    entry.step(event::Event::AttemptCompleted(start.offer.attempt));
 
     entry.live(Duration::from_millis(2_500));
     let (_, start) = entry.offered(fixture::arrival("/lodge"));
@@ -191,9 +191,9 @@
     });
     let (_, start) = entry.offered(fixture::arrival("/lodge"));
     let load = frame::Load { running: 2, limit: 1, ..frame::Load::default() };
-    entry.step(event::Event::Loaded(start.offer.attempt, load));
+    entry.step(event::Event::LoadReported(start.offer.attempt, load));
     entry.begin(start.offer.attempt, false);
-    entry.step(event::Event::Ended(start.offer.attempt));
+    entry.step(event::Event::AttemptCompleted(start.offer.attempt));
 
     entry.live(Duration::from_secs(20));
     let (_, start) = entry.offered(fixture::arrival("/lodge"));
--- a/crates/hyssopfork-entry/tests/entry/retries.rs
+++ b/crates/hyssopfork-entry/tests/entry/retries.rs
@@ -57,7 +57,7 @@
 fn unreachable_after_the_start_may_have_run() {
     let mut entry = fixture::entry();
     let (_, start) = entry.offered(fixture::arrival("/lodge"));
-    entry.step(event::Event::Started(start.offer.attempt));
+    entry.step(event::Event::AttemptStarted(start.offer.attempt));
 
     let actions = entry.fail(start.offer.attempt, event::Fault::Unreachable, 0);
 
@@ -153,7 +153,7 @@
         let (_, start) = entry.offered(fixture::arrival("/write"));
         entry.live(Duration::from_millis(10));
         entry.begin(start.offer.attempt, false);
-        entry.step(event::Event::Ended(start.offer.attempt));
+        entry.step(event::Event::AttemptCompleted(start.offer.attempt));
     }
     let (_, stuck) = entry.offered(fixture::arrival("/write"));
     let (_, once) = entry.offered(fixture::arrival("/write/once"));
--- a/crates/hyssopfork-entry/tests/entry/stop.rs
+++ b/crates/hyssopfork-entry/tests/entry/stop.rs
@@ -14,7 +14,7 @@
     entry.step(event::Event::Stop);
     let late = entry.arrive(fixture::arrival("/write")).1;
     let waiting = entry.live(Duration::from_secs(10));
-    let ended = entry.step(event::Event::Ended(start.offer.attempt));
+    let ended = entry.step(event::Event::AttemptCompleted(start.offer.attempt));
 
     assert_eq!(fixture::refused(&late).map(|r| r.reason), Some(refusal::Reason::Draining));
     assert!(!fixture::stops(&waiting));
@@ -27,7 +27,7 @@
 fn outcomes_are_recorded_before_the_end() {
     let mut entry = fixture::entry();
     let (request, start) = entry.claimed("k");
-    entry.step(event::Event::Gone(request));
+    entry.step(event::Event::ClientGone(request));
     entry.step(event::Event::Stop);
 
     let collected = entry.collect(start.offer.attempt, "done");
--- a/crates/hyssopfork-entry/tests/entry/streams.rs
+++ b/crates/hyssopfork-entry/tests/entry/streams.rs
@@ -1,6 +1,6 @@
 //! Event streams told apart, and costs estimated.
 
-use hyssopfork_entry::{estimate, stream};
+use hyssopfork_entry::{estimate, sse};
 
 const EVENTS: &[u8] =
     b"data: one\n\n: comment\n\ndata: two\r\n\r\nevent: x\ndata: three\n\ndata: [DONE]\n\n";
@@ -10,7 +10,7 @@
 #[test]
 fn only_whole_events_come_out_however_the_bytes_are_divided() {
     for size in 1..EVENTS.len() {
-        let mut splitter = stream::Splitter::default();
+        let mut splitter = sse::Splitter::default();
         let mut out = Vec::new();
         for chunk in EVENTS.chunks(size) {
             let whole = splitter.feed(chunk);
@@ -19,36 +19,36 @@
         }
 
         assert_eq!(out, EVENTS);
-        assert_eq!(splitter.delivered(), 4);
-        assert!(splitter.is_clean());
+        assert_eq!(splitter.delivered_events(), 4);
+        assert!(splitter.is_at_event_boundary());
     }
 }
 
 #[test]
 fn half_event_is_dropped_before_the_stream_goes_on() {
-    let mut splitter = stream::Splitter::default();
+    let mut splitter = sse::Splitter::default();
     splitter.feed(b"data: one\n\ndata: tw");
 
     splitter.discard_partial();
     let rest = splitter.feed(b"data: two\n\n");
 
     assert_eq!(&rest[..], b"data: two\n\n");
-    assert_eq!(splitter.delivered(), 2);
+    assert_eq!(splitter.delivered_events(), 2);
 }
 
 #[test]
 fn cost_is_prompt_and_answer_together() {
-    let prompt = estimate::completion(br#"{"prompt": "twelve bytes", "max_tokens": 50}"#);
+    let prompt = estimate::from_body(br#"{"prompt": "twelve bytes", "max_tokens": 50}"#);
     let chat =
         br#"{"messages": [{"role": "user", "content": "eight by"}], "max_tokens": 5, "n": 2}"#;
-    let chat = estimate::completion(chat);
-    let tokens = estimate::completion(br#"{"prompt": [1, 2, 3], "max_tokens": 4}"#);
-    let plain = estimate::completion(br#"{"plant": 7}"#);
-    let other = estimate::completion(b"\xff not json");
+    let chat = estimate::from_body(chat);
+    let tokens = estimate::from_body(br#"{"prompt": [1, 2, 3], "max_tokens": 4}"#);
+    let plain = estimate::from_body(br#"{"plant": 7}"#);
+    let other = estimate::from_body(b"\xff not json");
 
-    assert_eq!([prompt.cost, chat.cost, tokens.cost], [53, 12, 7]);
+    assert_eq!([prompt.cost_tokens, chat.cost_tokens, tokens.cost_tokens], [53, 12, 7]);
     assert_eq!(plain, other);
-    assert!(plain.cost > 0 && plain.prefix.is_none());
+    assert!(plain.cost_tokens > 0 && plain.prefix_hash.is_none());
 }
 
 #[test]
@@ -59,10 +59,10 @@
             r#"{{"messages": [{{"role": "system", "content": "{system}{tail}"}},
                {{"role": "user", "content": "{tail}"}}]}}"#
         );
-        estimate::completion(messages.as_bytes()).prefix
+        estimate::from_body(messages.as_bytes()).prefix_hash
     };
 
-    let short = estimate::completion(br#"{"prompt": "short"}"#).prefix;
+    let short = estimate::from_body(br#"{"prompt": "short"}"#).prefix_hash;
 
     assert!(body("a").is_some());
     assert_eq!(body("a"), body("b"));
@@ -73,7 +73,7 @@
 // mark, the stream was resumed elsewhere, and the caller got a second end mark.
 #[test]
 fn a_stream_has_ended_with_its_end_mark() {
-    let mut splitter = stream::Splitter::default();
+    let mut splitter = sse::Splitter::default();
 
     splitter.feed(b"data: {\"text\": \"[DONE]\"}\n\n");
     let named = splitter.has_ended();
--- a/crates/hyssopfork-entry/tests/history/carry.rs
+++ b/crates/hyssopfork-entry/tests/history/carry.rs
@@ -22,7 +22,7 @@
             }
             Happening::TickEntry(index) => {
                 self.step_entry(index, entry::event::Event::Tick);
-                let tick = entry::action::TICK.as_micros() as u64;
+                let tick = entry::action::TICK_INTERVAL.as_micros() as u64;
                 self.at_node(Node::Entry(index), tick, Happening::TickEntry(index));
             }
             Happening::Agent(index, event) => self.step_agent(index, event),
@@ -58,7 +58,7 @@
             Happening::Gone { entry, request } => {
                 if self.callers.all[&request].end.is_none() {
                     self.callers.end(request, callers::Final::Gone);
-                    self.step_entry(entry, entry::event::Event::Gone(request));
+                    self.step_entry(entry, entry::event::Event::ClientGone(request));
                 }
             }
         }
@@ -408,18 +408,18 @@
             method: "POST".into(),
             path: caller.path.clone(),
             headers: Vec::new(),
-            key,
+            idempotency_key: key,
             digest: [7; 32],
-            length: 10,
-            prefix: None,
-            cost: 100,
+            body_bytes: 10,
+            prefix_hash: None,
+            cost_tokens: 100,
         };
         self.callers.all.insert(request, caller);
         if !self.processes[&Node::Entry(entry)].up {
             self.callers.end(request, callers::Final::Orphaned);
             return request;
         }
-        let arrived = entry::event::Event::Arrived { request, arrival };
+        let arrived = entry::event::Event::RequestArrived { request, arrival };
         self.at_node(Node::Entry(entry), 0, Happening::Entry(entry, arrived));
         request
     }
--- a/crates/hyssopfork-entry/tests/history/shell.rs
+++ b/crates/hyssopfork-entry/tests/history/shell.rs
@@ -144,7 +144,7 @@
                 };
                 if let Some(delay) = self.travel(node, Node::Entry(entry)) {
                     let outcome = Some(outcome);
-                    let event = entry::event::Event::CancelAnswered { attempt, outcome };
+                    let event = entry::event::Event::CancelResponded { attempt, outcome };
                     let happening = Happening::Entry(entry, event);
                     self.at_life(Node::Entry(entry), life, delay, happening);
                 }
@@ -166,10 +166,10 @@
     fn act_entry(&mut self, index: usize, action: entry::action::Action) {
         let node = Node::Entry(index);
         match action {
-            entry::action::Action::Control { call, request, timeout, .. } => {
+            entry::action::Action::CallControl { call, request, timeout, .. } => {
                 self.call(node, call, *request, timeout.as_micros() as u64);
             }
-            entry::action::Action::Start { request, to, offer, collect } => {
+            entry::action::Action::StartAttempt { request, to, offer, collect } => {
                 self.callers.attempts.insert(offer.attempt, request);
                 let stream = self.callers.all[&request].stream;
                 let to = usize::from(to.port() - 1_000);
@@ -190,12 +190,12 @@
                 self.connections[index].insert(attempt, connection);
                 self.connect(index, attempt);
             }
-            entry::action::Action::Forward { attempt, .. } => {
+            entry::action::Action::ForwardResponse { attempt, .. } => {
                 if let Some(connection) = self.connections[index].get_mut(&attempt) {
                     connection.forwards = true;
                 }
             }
-            entry::action::Action::Cancel { attempt, to, boot } => {
+            entry::action::Action::CancelAttempt { attempt, to, boot } => {
                 let to = usize::from(to.port() - 1_000);
                 let copies = 1 + usize::from(self.random.random_ratio(1, 10));
                 for _ in 0..copies {
@@ -205,22 +205,22 @@
                     }
                 }
             }
-            entry::action::Action::Drop(attempt) => {
+            entry::action::Action::DropAttempt(attempt) => {
                 self.connections[index].remove(&attempt);
             }
-            entry::action::Action::Answer { request, body, .. } => {
+            entry::action::Action::Respond { request, body, .. } => {
                 let text = String::from_utf8(body.to_vec()).expect("answers are text");
                 let caller = self.callers.all.get_mut(&request).expect("callers are known");
                 caller.parts = text.split('\n').map(str::to_owned).collect();
                 self.callers.end(request, callers::Final::Answered);
             }
-            entry::action::Action::Refuse { request, refusal } => {
+            entry::action::Action::Reject { request, refusal } => {
                 self.callers.end(request, callers::Final::Refused(refusal));
             }
-            entry::action::Action::Cut { request, refusal } => {
+            entry::action::Action::Abort { request, refusal } => {
                 self.callers.end(request, callers::Final::Cut(refusal));
             }
-            entry::action::Action::Notice(_) | entry::action::Action::Measure(_) => {}
+            entry::action::Action::Notice(_) | entry::action::Action::RecordMeasurement(_) => {}
             entry::action::Action::Stopped => {
                 let process = self.processes.get_mut(&node).expect("all processes are known");
                 process.up = false;
@@ -252,7 +252,7 @@
                 Happening::Agent(index, agent::event::Event::Controlled { call, response })
             }
             Node::Entry(index) => {
-                Happening::Entry(index, entry::event::Event::Controlled { call, response })
+                Happening::Entry(index, entry::event::Event::ControlResponded { call, response })
             }
             Node::Control => panic!("control calls nobody"),
         }
@@ -308,7 +308,7 @@
     fn fail(&mut self, index: usize, attempt: attempt::Identifier, fault: entry::event::Fault) {
         let Some(connection) = self.connections[index].remove(&attempt) else { return };
         let delivered = self.callers.all[&connection.request].parts.len() as u64;
-        let event = entry::event::Event::Failed { attempt, fault, delivered };
+        let event = entry::event::Event::AttemptFailed { attempt, fault, delivered };
         self.at_node(Node::Entry(index), 0, Happening::Entry(index, event));
     }
 
@@ -427,19 +427,19 @@
     fn take_frame(&mut self, entry: usize, attempt: attempt::Identifier, frame: Frame) {
         let Some(connection) = self.connections[entry].get_mut(&attempt) else { return };
         let event = match frame {
-            Frame::Load(load) => entry::event::Event::Loaded(attempt, load),
-            Frame::Started => entry::event::Event::Started(attempt),
+            Frame::Load(load) => entry::event::Event::LoadReported(attempt, load),
+            Frame::Started => entry::event::Event::AttemptStarted(attempt),
             Frame::Refused(_) if connection.headed && !connection.collect => {
                 self.fail(entry, attempt, entry::event::Fault::Lost);
                 return;
             }
             Frame::Refused(refusal) => {
                 self.connections[entry].remove(&attempt);
-                entry::event::Event::Refused(attempt, refusal)
+                entry::event::Event::AttemptRejected(attempt, refusal)
             }
             Frame::Head { stream } => {
                 connection.headed = true;
-                entry::event::Event::Headed(attempt, head(stream))
+                entry::event::Event::HeadReceived(attempt, head(stream))
             }
             Frame::Part(_) if connection.collect => {
                 if let Frame::Part(text) = frame {
@@ -454,7 +454,7 @@
                     assert_eq!(caller.end, None, "a caller is sent nothing after its answer");
                     caller.parts.push(text);
                 }
-                entry::event::Event::Begun(attempt)
+                entry::event::Event::ResponseStarted(attempt)
             }
             Frame::End => {
                 self.ended(entry, attempt);
@@ -469,11 +469,11 @@
         if connection.collect {
             let body = connection.collected.join("\n").into();
             let head = head(connection.stream);
-            let event = entry::event::Event::Collected { attempt, head, body };
+            let event = entry::event::Event::ResponseCollected { attempt, head, body };
             self.step_entry(entry, event);
         } else if connection.forwards {
             self.callers.end(connection.request, callers::Final::Answered);
-            self.step_entry(entry, entry::event::Event::Ended(attempt));
+            self.step_entry(entry, entry::event::Event::AttemptCompleted(attempt));
         }
     }
 
--- a/crates/hyssopfork-entry/tests/history/world.rs
+++ b/crates/hyssopfork-entry/tests/history/world.rs
@@ -257,7 +257,7 @@
             zone: "zone-a".into(),
             control: vec![shell::address(1)],
             boot: self.boots,
-            stop_limit: std::time::Duration::from_secs(10),
+            stop_timeout: std::time::Duration::from_secs(10),
         }
     }
 }
