--- a/crates/hyssopfork-entry/src/action.rs
+++ b/crates/hyssopfork-entry/src/action.rs
@@ -1,86 +1,87 @@
-//! What an entry does about an event.
+//! Actions that the entry's state machine asks its shell to carry out.
 
 use bytes::Bytes;
 use hyssopfork_wire::{attempt, control, frame, refusal};
 use std::net;
 use std::time::Duration;
 
-/// Longest time between two ticks.
+/// Maximum time between two ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An action.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Call a control instance; answered by [`super::event::Event::Controlled`].
+    /// Call a control instance; answered by [`super::event::Event::ControlResponded`].
     CallControl {
         /// Number of the call.
         call: u64,
-        /// Control instance to ask.
+        /// Control instance to call.
         to: net::SocketAddr,
         /// Request.
         request: Box<control::Request>,
-        /// Time after which the call has failed.
+        /// Time after which the call counts as failed.
         timeout: Duration,
     },
-    /// Offer an attempt to an agent and read its answer.
+    /// Offer an attempt to an agent and read its response.
     StartAttempt {
-        /// The request it is for.
+        /// Request that the attempt belongs to.
         request: u64,
-        /// The agent's traffic address.
+        /// Traffic address of the agent.
         to: net::SocketAddr,
-        /// The offer; the shell adds the request's body.
+        /// Offer, to which the shell adds the body of the request.
         offer: Box<attempt::Offer>,
-        /// Whether the whole answer is collected ([`super::event::Event::Collected`]) in place of
-        /// being forwarded as it comes.
+        /// Whether the complete response is collected ([`super::event::Event::ResponseCollected`])
+        /// instead of being forwarded as it arrives.
         collect: bool,
     },
-    /// Forward this attempt's answer to the caller, head and all (or, for a resumed stream, from
-    /// where the caller's part ends). Answers of the request's other attempts are dropped.
+    /// Forward the response of this attempt to the client, including the head, or, for a resumed
+    /// stream, from the point where the client's part ends. Responses of other attempts of the
+    /// request are dropped.
     ForwardResponse {
         /// The request.
         request: u64,
         /// The attempt.
         attempt: attempt::Identifier,
     },
-    /// Cancel an attempt; answered by [`super::event::Event::CancelAnswered`].
+    /// Cancel an attempt; answered by [`super::event::Event::CancelResponded`].
     CancelAttempt {
         /// The attempt.
         attempt: attempt::Identifier,
-        /// The agent's traffic address.
+        /// Traffic address of the agent.
         to: net::SocketAddr,
-        /// Boot of the agent's process that the attempt was offered to.
+        /// Boot identifier of the agent process that the attempt was offered to.
         boot: u64,
     },
-    /// Stop reading an attempt's answer.
+    /// Stop reading the response of an attempt.
     DropAttempt(attempt::Identifier),
-    /// Answer the caller whole.
+    /// Send a complete response to the client.
     Respond {
         /// The request.
         request: u64,
-        /// Head of the answer.
+        /// Head of the response.
         head: frame::Head,
-        /// Body of the answer.
+        /// Body of the response.
         body: Bytes,
     },
-    /// Answer the caller with a problem document.
+    /// Respond to the client with a problem document.
     Reject {
         /// The request.
         request: u64,
-        /// The refusal.
+        /// The rejection.
         refusal: refusal::Refusal,
     },
-    /// Part of the answer was forwarded and the rest will not come: end the caller's stream with
-    /// an error mark, never cleanly.
+    /// End the client's stream with an error marker, never cleanly: a part of the response was
+    /// forwarded and the rest will not follow.
     Abort {
         /// The request.
         request: u64,
-        /// The refusal that the mark carries.
+        /// Rejection that the error marker carries.
         refusal: refusal::Refusal,
     },
     /// Log a numbered event.
     Notice(super::notice::Notice),
-    /// Measure a request that ended.
+    /// Record the measurement of a request that ended.
     RecordMeasurement(super::measurement::Measurement),
-    /// Everything in flight has ended and leaving is announced: the process may end.
+    /// All requests have ended and the departure is announced: the process may exit.
     Stopped,
 }
--- a/crates/hyssopfork-entry/src/attempt.rs
+++ b/crates/hyssopfork-entry/src/attempt.rs
@@ -1,19 +1,19 @@
-//! Attempts of this entry, each with its own state machine.
+//! Attempts in flight, each with a state machine of its own.
 
 use hyssopfork_wire::{attempt, clock, name, number};
 use std::collections::BTreeMap;
 use std::net;
 
-/// How far an attempt has come, as the entry knows.
+/// Progress of an attempt, as far as the entry knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// The offer was sent and nothing was heard: it may run at any moment.
+    /// The offer was sent and nothing has been heard: the work may start at any moment.
     Offered,
-    /// The agent handed it to the upstream.
+    /// The agent sent the request to the upstream.
     Started,
-    /// The answer's head came.
+    /// The head of the response has arrived.
     HeadReceived,
-    /// Its answer is being forwarded to the caller.
+    /// The response is being forwarded to the client.
     Forwarding,
 }
 
@@ -31,29 +31,29 @@
     }
 }
 
-/// Where an attempt was offered.
+/// Destination of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Destination {
-    /// Instance whose agent has it.
+    /// Instance whose agent receives the offer.
     pub instance: name::Instance,
-    /// Where the agent takes attempts.
+    /// Address at which the agent accepts attempts.
     pub traffic_address: net::SocketAddr,
-    /// Boot of the agent's process.
+    /// Boot identifier of the agent process.
     pub boot: u64,
-    /// Group and fencing number.
+    /// Serving group and fencing number.
     pub group: Option<(name::Group, number::Fence)>,
-    /// Whether the back end can resume a stream.
+    /// Whether the upstream can resume a stream.
     pub can_resume: bool,
 }
 
 /// An attempt.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Request that it is for.
+    /// Request that the attempt belongs to.
     pub request: u64,
     /// Where it was offered.
     pub destination: Destination,
-    /// How far it has come.
+    /// Progress.
     pub state: State,
     /// When it was offered.
     pub sent_at: clock::Instant,
@@ -75,8 +75,8 @@
 
 /// Attempts in flight.
 ///
-/// Invariant: an identifier is never used twice by one process; events for one that is not in
-/// flight are late copies and change nothing.
+/// Invariant: a process never uses an identifier twice. An event for an attempt that is not in
+/// flight is a late duplicate and changes nothing.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     boot: u64,
@@ -85,7 +85,7 @@
 }
 
 impl Attempts {
-    /// No attempts, of the process that drew `boot` at its start.
+    /// No attempts, for the process with the boot identifier `boot`.
     pub fn new(boot: u64) -> Attempts {
         Attempts { boot, last_count: 0, in_flight: BTreeMap::new() }
     }
@@ -96,7 +96,7 @@
         attempt::Identifier { boot: self.boot, count: self.last_count }
     }
 
-    /// Takes in an attempt that is being offered.
+    /// Adds an attempt that is being offered.
     pub fn insert(&mut self, identifier: attempt::Identifier, attempt: Attempt) {
         let previous = self.in_flight.insert(identifier, attempt);
         assert!(previous.is_none(), "an attempt identifier is used only once");
@@ -112,12 +112,12 @@
         self.in_flight.get_mut(&identifier)
     }
 
-    /// Takes the attempt out of flight.
+    /// Removes the attempt from those in flight.
     pub fn remove(&mut self, identifier: attempt::Identifier) -> Option<Attempt> {
         self.in_flight.remove(&identifier)
     }
 
-    /// Whether none is in flight.
+    /// Whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.in_flight.is_empty()
     }
--- a/crates/hyssopfork-entry/src/attempt_events.rs
+++ b/crates/hyssopfork-entry/src/attempt_events.rs
@@ -1,4 +1,5 @@
-//! Attempts of a request: answered, refused, tried elsewhere, resumed.
+//! Events of attempts: load, progress, completion, failure, and the retry or resumption that
+//! follows.
 
 use crate::{action, attempt, core, event, notice, pool, request};
 use bytes::Bytes;
@@ -6,14 +7,14 @@
 use hyssopfork_wire::{attempt as wire, clock, frame, refusal};
 use std::time::Duration;
 
-/// Attempts that one request may take, over all upstreams.
+/// Maximum number of attempts of one request, over all upstreams.
 const MAX_ATTEMPTS: u32 = 16;
 
-/// Time that an interrupted stream may take to go on from another upstream.
+/// Time within which an interrupted stream must continue from another upstream.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 impl core::Core {
-    /// The agent told its load.
+    /// Handles the load reported by an agent.
     pub(crate) fn on_load_reported(
         &mut self,
         now: clock::Instant,
@@ -24,13 +25,13 @@
         let Some(attempt) = self.attempts.get(identifier) else { return };
         let destination = attempt.destination.clone();
         let Some(pool) = self.pool_for(attempt.request) else { return };
-        // A report of another process or placement says nothing of the one there now.
+        // A report of another process or placement doesn't apply to the current one.
         if pool.destination(&destination.instance) == Some(&destination) {
             pool.chooser.on_load_report(now, &destination.instance, load);
         }
     }
 
-    /// The agent handed the attempt to the upstream.
+    /// Handles an attempt that the agent sent to the upstream.
     pub(crate) fn on_attempt_started(&mut self, now: clock::Instant, identifier: wire::Identifier) {
         self.record_activity(now, identifier);
         if let Some(attempt) = self.attempts.get_mut(identifier)
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The answer's head came.
+    /// Handles the head of a response.
     pub(crate) fn on_head_received(
         &mut self,
         now: clock::Instant,
@@ -60,8 +61,8 @@
         }
         let is_stream = is_event_stream(head);
         if request.client == request::Client::Receiving && !is_stream {
-            // An upstream that answers a resumed stream with anything else would be glued to
-            // what the caller already has.
+            // A response that is not a stream must not be appended to the stream that the client
+            // already has.
             self.fail_request(now, number, refusal::Reason::UpstreamFailed);
             return;
         }
@@ -85,7 +86,7 @@
         others.into_iter().for_each(|other| self.cancel_and_drop_attempt(now, other));
     }
 
-    /// The first part of the answer's body came.
+    /// Handles the first part of a response body.
     pub(crate) fn on_response_started(
         &mut self,
         now: clock::Instant,
@@ -108,7 +109,7 @@
         pool.hedge(class).record_start_latency(elapsed);
     }
 
-    /// Events of the stream were delivered.
+    /// Handles the delivery of stream events to the client.
     pub(crate) fn on_events_delivered(
         &mut self,
         now: clock::Instant,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The whole answer was forwarded.
+    /// Handles a response that was forwarded completely.
     pub(crate) fn on_attempt_completed(
         &mut self,
         now: clock::Instant,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The whole answer of a collected attempt is here.
+    /// Handles the complete response of a collected attempt.
     pub(crate) fn on_response_collected(
         &mut self,
         now: clock::Instant,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// The agent or upstream refused.
+    /// Handles the rejection of an attempt by the agent or the upstream.
     pub(crate) fn on_attempt_rejected(
         &mut self,
         now: clock::Instant,
@@ -174,7 +175,7 @@
         self.retry_or_fail(now, number, refusal);
     }
 
-    /// The attempt ended without a whole answer or a refusal.
+    /// Handles an attempt that ended without a complete response or a rejection.
     pub(crate) fn on_attempt_failed(
         &mut self,
         now: clock::Instant,
@@ -188,7 +189,7 @@
         self.log_notice(notice::Notice::AttemptFailed(identifier, fault));
         let never_sent = fault == event::Fault::Unreachable && offered;
         if !never_sent {
-            // The work may still run where the answer can't be had from.
+            // The work may still run, although its response can't be read.
             self.cancel_attempt(identifier);
         }
         let Some(number) = self.finish_attempt(now, identifier, choice::Outcome::Failed) else {
@@ -207,8 +208,8 @@
         self.retry_or_fail(now, number, refusal);
     }
 
-    /// A cancel was answered. It counts only for an attempt that is still in flight, one of
-    /// claimed work whose caller has been answered.
+    /// Handles the response to a cancel. It counts only for an attempt that is still in flight,
+    /// which is one of claimed work whose client has its final response.
     pub(crate) fn on_cancel_response(
         &mut self,
         now: clock::Instant,
@@ -219,7 +220,7 @@
         let refusal = match outcome {
             Some(wire::Cancelled::NeverStarted) => refusal::Refusal::not_run(reason, None),
             Some(wire::Cancelled::Unknown) => refusal::Refusal::may_have_run(reason, None),
-            // The answer, or its failure, still comes on the attempt's own connection.
+            // The response, or its failure, still arrives on the attempt's own connection.
             Some(wire::Cancelled::Started | wire::Cancelled::Finished) | None => return,
         };
         let is_cancelled = |attempt: &attempt::Attempt| attempt.cancel_sent;
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Takes an attempt out of flight; the request it was for.
+    /// Removes an attempt from those in flight and returns its request.
     pub(crate) fn finish_attempt(
         &mut self,
         now: clock::Instant,
@@ -258,8 +259,8 @@
         self.pools.get_mut(&request.routing.pool)
     }
 
-    /// An attempt came to nothing: the request is tried elsewhere, goes on with its other
-    /// attempt, or ends.
+    /// Handles an attempt that ended without success: the request is retried, continues with its
+    /// other attempt, or fails.
     fn retry_or_fail(&mut self, now: clock::Instant, number: u64, refusal: refusal::Refusal) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.may_have_run |= refusal.ran == refusal::Ran::MayHaveRun;
@@ -269,8 +270,8 @@
         }
         let may_retry = is_retryable(request, refusal) && now < response_deadline(now, request);
         let (repeatable, ran) = (request.routing.repeatable, ran_so_far(request));
-        // A refusal for want of room cost the upstream nothing, and the queue holds the request
-        // until there is room: it spends nothing from the budget.
+        // A rejection for lack of capacity cost the upstream nothing, and the queue holds the
+        // request until there is capacity, so the retry is not charged to the budget.
         let budget_exempt =
             matches!(refusal.reason, refusal::Reason::Overloaded | refusal::Reason::Cold);
         let allowed = may_retry
@@ -296,7 +297,7 @@
     }
 }
 
-/// When the request's answer must have begun, or gone on.
+/// When the response must have started, or continued.
 fn response_deadline(now: clock::Instant, request: &request::Request) -> clock::Instant {
     match request.client {
         request::Client::Receiving => now + RESUME_TIMEOUT,
@@ -308,11 +309,11 @@
     if request.may_have_run { refusal::Ran::MayHaveRun } else { refusal::Ran::NotRun }
 }
 
-/// Whether the work may be sent once more.
+/// Whether the client and the rejection permit another attempt.
 ///
-/// Work that may not be repeated goes out again only while no attempt of it may have run. A
-/// caller that has a part of an answer can only be given the rest of a stream whose delivered
-/// events were counted.
+/// Whether the work itself may be repeated is decided by [`retry`]: non-repeatable work is retried
+/// only while no attempt of it may have run. A client that has a part of a response can only be
+/// given the rest of a stream whose delivered events were counted.
 fn is_retryable(request: &request::Request, refusal: refusal::Refusal) -> bool {
     let permanent = refusal.reason == refusal::Reason::Malformed;
     let can_continue = match request.client {
--- a/crates/hyssopfork-entry/src/claims.rs
+++ b/crates/hyssopfork-entry/src/claims.rs
@@ -1,26 +1,29 @@
-//! Claims on non-repeatable work: asked for before the work is sent, recorded before the caller
-//! gets its answer, resolved in the background where the caller doesn't wait any more.
+//! Claims: idempotency of non-repeatable work by its key.
+//!
+//! A claim is requested from control before the work is sent, and its outcome is recorded before
+//! the client gets the response. When the client no longer waits, the claim is resolved in the
+//! background.
 
 use crate::{action, core, notice, request};
 use bytes::Bytes;
 use hyssopfork_wire::{claim, clock, control, frame, refusal, timing};
 use std::time::Duration;
 
-/// Time after which an unanswered call is made again.
+/// Time after which an unanswered call to control counts as failed.
 const CLAIM_CALL_TIMEOUT: Duration = timing::RENEWAL_INTERVAL;
 
-/// Time before a call that failed is made again.
+/// Time before a failed call is repeated.
 const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after its deadline that a request's claim is tried to be resolved. After that control
-/// itself counts the outcome as unknown, which is true.
+/// Time after the deadline of a request during which the entry tries to resolve its claim. Later
+/// control itself treats the outcome as unknown, which is correct.
 const CLAIM_RESOLUTION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Header of a recorded answer whose body was too long to keep, with its length.
+/// Header of a recorded response whose body was too long to keep; its value is the length.
 const OMITTED_BODY_LENGTH_HEADER: &str = "hyssopfork-unkept-length";
 
 impl core::Core {
-    /// Asks for a claim on a request that has just been accepted.
+    /// Requests a claim for a request that has just been accepted.
     pub(crate) fn request_claim(&mut self, now: clock::Instant, number: u64) {
         let identifier = self.attempts.next_identifier();
         let Some(request) = self.requests.get_mut(&number) else { return };
@@ -39,7 +42,7 @@
         self.active_claims.insert(number);
     }
 
-    /// Makes the calls that are due.
+    /// Sends the calls to control that are due.
     pub(crate) fn send_due_claim_calls(&mut self, now: clock::Instant) {
         let numbers: Vec<u64> = self.active_claims.iter().copied().collect();
         for number in numbers {
@@ -64,7 +67,7 @@
         let Some(body) = control_request(claim, digest) else { return };
         let Some(to) = self.watcher.target() else { return };
         let call = self.watcher.next_call();
-        // A shell that loses a call must not stop the claim: an overdue one is made again.
+        // A call that the shell lost must not block the claim, so an overdue call is repeated.
         if let Some(overdue) = claim.call.replace(call) {
             self.claim_calls.remove(&overdue);
         }
@@ -75,7 +78,7 @@
         self.actions.push(action::Action::CallControl { call, to, request, timeout });
     }
 
-    /// Control answered a call.
+    /// Handles the response to a call about a claim.
     pub(crate) fn on_claim_response(
         &mut self,
         now: clock::Instant,
@@ -98,8 +101,8 @@
         }
     }
 
-    /// The whole answer of claimed work is here: it is recorded before the caller gets it, so
-    /// that whoever asks with the key later gets the same.
+    /// Records the complete response of claimed work before the client gets it, so that a later
+    /// request with the same key gets the same response.
     pub(crate) fn record_response(
         &mut self,
         now: clock::Instant,
@@ -116,7 +119,7 @@
         self.record_outcome(now, number, outcome);
     }
 
-    /// Settles what becomes of the claim of a request whose caller no longer waits.
+    /// Resolves the claim of a request whose client no longer waits.
     pub(crate) fn release_claim(&mut self, now: clock::Instant, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let may_have_run = request.may_have_run;
@@ -170,7 +173,7 @@
         self.remove_if_finished(now, number);
     }
 
-    /// Answers a caller whose work is not this request's to do.
+    /// Responds to a client whose request was not granted the claim.
     fn respond_without_claim(&mut self, now: clock::Instant, number: u64, reply: claim::Reply) {
         let retry_after = Some(core::RETRY_AFTER);
         let refusal = match reply {
@@ -256,8 +259,8 @@
     }
 }
 
-/// What is recorded of an answer. One too long to keep is recorded as run without its body, and
-/// marked, so that nobody takes the empty body for the whole answer.
+/// Outcome to record for a response. A response that is too long is recorded without its body and
+/// marked, so that the empty body is not taken for the complete one.
 fn recorded_outcome(head: &frame::Head, body: &Bytes) -> claim::Outcome {
     if body.len() <= claim::MAX_BODY_BYTES {
         return claim::Outcome::Answered { head: head.clone(), body: body.to_vec() };
--- a/crates/hyssopfork-entry/src/completion.rs
+++ b/crates/hyssopfork-entry/src/completion.rs
@@ -1,11 +1,11 @@
-//! Endings: each caller gets exactly one final answer.
+//! Completion of requests: each client gets exactly one final response.
 
 use crate::{action, attempt, core, measurement, notice, request};
 use hyssopfork_policy::choice;
 use hyssopfork_wire::{attempt as wire, clock, refusal};
 
 impl core::Core {
-    /// Gives up what is past its deadline.
+    /// Fails the requests that are past their deadline.
     pub(crate) fn fail_overdue_requests(&mut self, now: clock::Instant) {
         let overdue: Vec<u64> = self
             .requests
@@ -26,8 +26,8 @@
         if waiting && empty { refusal::Reason::NoUpstream } else { refusal::Reason::Deadline }
     }
 
-    /// The caller went away. Claimed work that was sent goes on, so that its outcome is known
-    /// when the caller comes back with the same key.
+    /// Handles a client that disconnected. Claimed work that was already sent continues, so that
+    /// its outcome is known when the client returns with the same key.
     pub(crate) fn on_client_gone(&mut self, now: clock::Instant, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
         if request.client == request::Client::Done {
@@ -42,8 +42,8 @@
         self.remove_if_finished(now, number);
     }
 
-    /// Gives the request up with its final answer at once, and cancels what is in flight beside
-    /// it: waiting for the cancel's answer would hold the caller back for the sake of a word.
+    /// Sends the final rejection at once and cancels the attempts in flight. Waiting for the
+    /// responses to the cancels would delay the client only to make its rejection more precise.
     pub(crate) fn fail_request(
         &mut self,
         now: clock::Instant,
@@ -61,7 +61,7 @@
         self.remove_if_finished(now, number);
     }
 
-    /// Gives the request up before anything of it was sent, with a refusal that the queue gave.
+    /// Fails a request of which nothing was sent, with the rejection given by the queue.
     pub(crate) fn reject_queued(
         &mut self,
         now: clock::Instant,
@@ -73,14 +73,14 @@
         self.fail_request(now, number, refusal.reason);
     }
 
-    /// The whole answer went to the caller.
+    /// Finishes a request whose complete response went to the client.
     pub(crate) fn complete_request(&mut self, now: clock::Instant, number: u64) {
         self.finish_client(now, number, measurement::Outcome::Completed);
         self.cancel_attempts(now, number);
         self.remove_if_finished(now, number);
     }
 
-    /// Refuses, or cuts the answer where a part has gone out.
+    /// Rejects the request, or aborts the response where a part of it was forwarded.
     pub(crate) fn send_rejection(
         &mut self,
         now: clock::Instant,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Notes that the caller has its final answer.
+    /// Marks the client as having its final response and measures the request.
     pub(crate) fn finish_client(
         &mut self,
         now: clock::Instant,
@@ -118,7 +118,7 @@
         self.actions.push(action::Action::RecordMeasurement(measurement));
     }
 
-    /// Forgets a request for which nothing is left to do.
+    /// Removes a request for which nothing is left to do.
     pub(crate) fn remove_if_finished(&mut self, now: clock::Instant, number: u64) {
         if self.requests.get(&number).is_some_and(request::Request::is_finished) {
             if let Some(pool) = self.pool_for(number) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Sends a cancel.
+    /// Sends a cancel, once per attempt.
     pub(crate) fn cancel_attempt(&mut self, identifier: wire::Identifier) {
         let Some(attempt) = self.attempts.get_mut(identifier) else { return };
         if attempt.cancel_sent {
@@ -142,7 +142,7 @@
         self.actions.push(action::Action::CancelAttempt { attempt: identifier, to, boot });
     }
 
-    /// Cancels an attempt and takes it out of flight.
+    /// Cancels an attempt and removes it from those in flight.
     pub(crate) fn cancel_and_drop_attempt(
         &mut self,
         now: clock::Instant,
@@ -169,8 +169,9 @@
             }
     }
 
-    /// `NotRun` is said only when it is certain: nothing is in flight, and every attempt before
-    /// never reached its agent or was refused by it as not run.
+    /// Builds the final rejection. `NotRun` is claimed only when it is certain: nothing is in
+    /// flight, and each earlier attempt either never reached its agent or was rejected by it as not
+    /// run.
     fn final_rejection(
         &self,
         request: &request::Request,
@@ -188,9 +189,9 @@
         refusal::Refusal::may_have_run(reason, retry_after)
     }
 
-    /// Stops caring for the attempts of a request that was given up. Claimed work is watched to
-    /// its end, and cancelled only while it hasn't been heard to have started: a cancel that
-    /// stops it halfway would leave an outcome that nobody knows.
+    /// Abandons the attempts of a failed request. Claimed work is followed to its end and cancelled
+    /// only while its start has not been reported: a cancel that stopped it halfway would leave its
+    /// outcome unknown.
     fn abandon_attempts(&mut self, now: clock::Instant, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
         if request.claim.is_none() {
--- a/crates/hyssopfork-entry/src/core.rs
+++ b/crates/hyssopfork-entry/src/core.rs
@@ -1,4 +1,4 @@
-//! The entry as a step function: events in, actions out.
+//! Core of the entry: a deterministic state machine that turns events into actions.
 
 use crate::{action, attempt, event, measurement, notice, pool, request, routing};
 use hyssopfork_watch::watcher;
@@ -8,32 +8,32 @@
 use std::net;
 use std::time::Duration;
 
-/// When to try again after a refusal that another entry may not give.
+/// Time after which a client should retry, for rejections that another entry might not give.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What an entry's process learns from its settings.
+/// Settings of an entry's process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Instance that it runs on.
     pub instance: name::Instance,
     /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Control instances.
+    /// Addresses of the control instances.
     pub control: Vec<net::SocketAddr>,
-    /// Chosen at random when the process starts; never the same twice.
+    /// Boot identifier: chosen at random when the process starts and never used twice.
     pub boot: u64,
-    /// Time that a graceful stop gives what is in flight.
+    /// Time that a graceful stop gives the requests in flight.
     pub stop_timeout: Duration,
 }
 
-/// A call to control for a claim.
+/// A call to control about a claim.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClaimCall {
     pub(crate) request: u64,
     pub(crate) to: net::SocketAddr,
 }
 
-/// The entry.
+/// State machine of the entry.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) settings: Settings,
@@ -53,7 +53,7 @@
 }
 
 impl Core {
-    /// An entry whose process started at `now`.
+    /// Creates the entry of a process that started at `now`.
     pub fn new(settings: Settings, seed: u64, now: clock::Instant) -> Core {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let offset = random.random();
@@ -75,23 +75,23 @@
         }
     }
 
-    /// Whether the entry takes requests now: for the platform's balancer.
+    /// Whether the entry accepts requests now, for the load balancer of the platform.
     pub fn is_ready(&self, now: clock::Instant) -> bool {
         self.stopping_since.is_none() && self.watcher.is_recent(now)
     }
 
-    /// The view and the lease on it, for metrics.
+    /// Watcher with the view and its lease, for metrics.
     pub fn watcher(&self) -> &watcher::Watcher {
         &self.watcher
     }
 
-    /// Requests that wait, and all that are not over, for metrics.
+    /// Number of queued requests and of all unfinished requests, for metrics.
     pub fn occupancy(&self) -> (usize, usize) {
         let queued = self.pools.values().map(|pool| pool.queue.len()).sum();
         (queued, self.requests.len())
     }
 
-    /// Takes in an event and says what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         if self.stopped {
             return Vec::new();
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Refuses a request that has no plan.
+    /// Rejects a request that was not admitted.
     fn reject_unadmitted(&mut self, request: u64, refusal: refusal::Refusal) {
         self.actions.push(action::Action::Reject { request, refusal });
         self.log_notice(notice::Notice::Refused(request, refusal));
@@ -248,7 +248,8 @@
         self.log_notice(notice::Notice::Leaving(self.requests.len() as u32));
     }
 
-    /// Ends the process once nothing is in flight, or its time to stop is over.
+    /// Stops once no request is left and the departure is acknowledged, or once the stop timeout
+    /// has passed.
     fn stop_when_drained(&mut self, now: clock::Instant) {
         let Some(since) = self.stopping_since else { return };
         let elapsed = now.since(since);
--- a/crates/hyssopfork-entry/src/dispatch.rs
+++ b/crates/hyssopfork-entry/src/dispatch.rs
@@ -1,22 +1,22 @@
-//! Offers: waiting requests leave the queue for an upstream.
+//! Dispatch of queued requests to upstreams, with backoff and hedging.
 
 use crate::{action, attempt, core, notice, pool, request, routing};
 use hyssopfork_policy::{choice, queue};
 use hyssopfork_wire::{attempt as wire, clock, name, number, refusal};
 use std::time::Duration;
 
-/// First rest of a request that no upstream would take; doubles with each up to [`REST_MOST`].
+/// First backoff of a request that no upstream accepts; doubles each time, up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time between two looks for stragglers, each of which goes over all requests; an answer usually
-/// takes longer than this to begin.
+/// Interval between two checks for stragglers. Each check scans all requests, and a response
+/// usually takes longer than this to start.
 const HEDGE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest rest.
+/// Longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 impl core::Core {
-    /// Lets a request wait for an upstream, or refuses it at once.
+    /// Queues a request, or rejects it at once.
     pub(crate) fn enqueue(&mut self, now: clock::Instant, number: u64) {
         let random = self.next_random();
         let Some(request) = self.requests.get_mut(&number) else { return };
@@ -37,7 +37,7 @@
         self.reject_queued(now, number, refusal);
     }
 
-    /// Starts what there is room for.
+    /// Dispatches queued requests as far as capacity allows.
     pub(crate) fn dispatch_queued(&mut self, now: clock::Instant) {
         self.requeue_backed_off(now);
         let names: Vec<name::Pool> = self
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Sends the request to another upstream at once where one has room; else lets it rest for a
-    /// while and wait its turn anew. Without the rest it would run through all its tries within
-    /// the few milliseconds for which a group is not whole.
+    /// Sends the request to another upstream at once if one has capacity; otherwise backs off and
+    /// queues it again. Without the backoff a request would use up all its attempts within the few
+    /// milliseconds for which a group is incomplete.
     pub(crate) fn retry_or_back_off(&mut self, now: clock::Instant, number: u64) {
         if let Some(destination) = self.choose_destination(now, number) {
             self.offer_attempt(now, number, destination);
@@ -66,7 +66,7 @@
         self.backing_off.insert((now + backoff.min(MAX_BACKOFF), number));
     }
 
-    /// Sends second copies of repeatable requests that are stuck on a straggler.
+    /// Sends a second attempt for each repeatable request whose only attempt is a straggler.
     pub(crate) fn hedge_stragglers(&mut self, now: clock::Instant) {
         if now < self.next_hedge_check_at {
             return;
@@ -96,8 +96,8 @@
         }
     }
 
-    /// How long the only attempt of a repeatable request has been in flight without an answer;
-    /// `None` where there is nothing to hedge.
+    /// How long the only attempt of a repeatable request has been in flight without a response;
+    /// `None` when there is nothing to hedge.
     fn unanswered_time(&self, now: clock::Instant, request: &request::Request) -> Option<Duration> {
         let [identifier] = request.attempts.as_slice() else { return None };
         let attempt = self.attempts.get(*identifier)?;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Why a request that has waited may not be sent any more.
+    /// Why a request that has waited may no longer be sent.
     fn dispatch_obstacle(&self, now: clock::Instant, number: u64) -> Option<refusal::Reason> {
         let request = self.requests.get(&number)?;
         if request.phase != request::Phase::Waiting {
@@ -245,7 +245,7 @@
     }
 }
 
-/// The pool, led on to the view that is held now.
+/// The pool, updated to the current view.
 fn sync_pool<'a>(
     pools: &'a mut std::collections::BTreeMap<name::Pool, pool::Pool>,
     watcher: &hyssopfork_watch::watcher::Watcher,
@@ -267,7 +267,7 @@
     }
 }
 
-/// What the agent is told of an attempt.
+/// Offer of an attempt, for the agent.
 fn build_offer(
     now: clock::Instant,
     request: &request::Request,
--- a/crates/hyssopfork-entry/src/estimate.rs
+++ b/crates/hyssopfork-entry/src/estimate.rs
@@ -1,32 +1,33 @@
-//! Estimate of what a request costs and which prompt prefix it shares, from its body alone.
+//! Estimates the cost of a request and the prompt prefix that it shares, from its body alone.
 //!
-//! The estimate orders and balances work; nothing is refused for being estimated wrongly.
+//! The estimate only orders and balances work; no request is rejected because of it.
 
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
 
-/// Bytes of text to a token; English prose has about four.
+/// Bytes of text per token; English prose has about four.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens that an answer is taken to have when the request doesn't bound them.
+/// Assumed length of a response that the request doesn't limit, in tokens.
 const DEFAULT_RESPONSE_TOKENS: u32 = 256;
 
-/// Cost of a request that is no completion: what a short plain call takes, in tokens.
+/// Cost of a request that is not a completion: that of a short plain call, in tokens.
 const PLAIN_REQUEST_COST_TOKENS: u32 = 16;
 
-/// Longest prefix that is hashed, in bytes: engines cache whole blocks of tokens, and beyond a few
-/// blocks any prefix tells the same requests apart.
+/// Longest prefix that is hashed. Engines cache whole blocks of tokens, and a prefix longer than a
+/// few blocks doesn't distinguish requests any further.
 const MAX_PREFIX_BYTES: usize = 1_024;
 
-/// Shortest prefix worth staying with one upstream for: less is prefilled sooner than looked up.
+/// Shortest prefix that is worth affinity to an upstream: a shorter one is prefilled sooner than it
+/// is looked up.
 const MIN_PREFIX_BYTES: usize = 128;
 
-/// The estimate.
+/// Estimate for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// Cost in tokens, of the prompt and the answer together; at least 1.
+    /// Cost of the prompt and the response together; at least 1.
     pub cost_tokens: u32,
-    /// Hash of the prompt's prefix; `None` where there is no prompt or it is short.
+    /// Hash of the prompt prefix; `None` without a prompt or where it is short.
     pub prefix_hash: Option<u64>,
 }
 
@@ -64,7 +65,8 @@
     text: Option<String>,
 }
 
-/// Estimate for the body of a completion request; any other body costs as a short plain call.
+/// Estimates a request from its body. Anything but a completion costs as much as a short plain
+/// call.
 pub fn from_body(body: &[u8]) -> Estimate {
     let plain = Estimate { cost_tokens: PLAIN_REQUEST_COST_TOKENS, prefix_hash: None };
     let Ok(completion) = serde_json::from_slice::<Completion>(body) else { return plain };
@@ -101,7 +103,7 @@
     }
 }
 
-/// The text that requests of one kind begin with: the first message, or the prompt.
+/// Text that requests of one kind have in common: the first message, or the prompt.
 fn find_first_text(completion: &Completion) -> Option<&str> {
     match &completion.prompt {
         Some(Prompt::Text(text)) => return Some(text),
--- a/crates/hyssopfork-entry/src/lib.rs
+++ b/crates/hyssopfork-entry/src/lib.rs
@@ -1,7 +1,8 @@
-//! Entry role as a step function.
+//! Entry role as a deterministic state machine: events in, actions out.
 //!
-//! An entry takes callers' requests, chooses upstreams and sees each request to exactly one final
-//! answer: the whole answer, a cut that says so, or a refusal that says whether work ran.
+//! An entry accepts clients' requests, chooses upstreams and gives each request exactly one final
+//! response: the complete response, an aborted one that is marked as such, or a rejection that says
+//! whether the work may have run.
 
 pub mod action;
 pub mod attempt;
--- a/crates/hyssopfork-entry/src/measurement.rs
+++ b/crates/hyssopfork-entry/src/measurement.rs
@@ -6,34 +6,34 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The caller got the whole answer.
+    /// The client got the complete response.
     Completed,
-    /// The caller got a refusal.
+    /// The client got a rejection.
     Rejected(refusal::Reason, refusal::Ran),
-    /// The caller got a part of the answer and a mark that the rest is missing.
+    /// The client got a part of the response and an error marker.
     Aborted(refusal::Reason),
-    /// The caller went away first.
+    /// The client disconnected first.
     ClientGone,
 }
 
 /// A measurement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Measurement {
-    /// Team of the caller; `None` when its token named none.
+    /// Team of the client; `None` when its token belongs to none.
     pub team: Option<name::Team>,
-    /// Class of the work; `None` when no route matched.
+    /// Traffic class; `None` when no route matched.
     pub class: Option<configuration::Class>,
     /// Route; `None` when none matched.
     pub route: Option<name::Route>,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// Attempts that were offered to upstreams.
+    /// Number of attempts offered to upstreams.
     pub attempts: u32,
-    /// Time from arrival to the first offer to an upstream, or to the end where there was none.
+    /// Time from arrival to the first offer to an upstream, or to the end when there was none.
     pub wait_time: Duration,
-    /// Time from arrival to the first part of the answer's body.
+    /// Time from arrival to the first part of the response body.
     pub time_to_first_byte: Option<Duration>,
-    /// Mean time between two events of a stream, where two or more were delivered.
+    /// Mean time between two events of a stream, when at least two were delivered.
     pub mean_event_interval: Option<Duration>,
     /// Time from arrival to the end.
     pub total_time: Duration,
--- a/crates/hyssopfork-entry/src/notice.rs
+++ b/crates/hyssopfork-entry/src/notice.rs
@@ -1,4 +1,4 @@
-//! Numbered events of this role, for the log.
+//! Numbered events of the entry role, for the log.
 
 use hyssopfork_watch::notice as watch;
 use hyssopfork_wire::{attempt, level, name, refusal};
@@ -10,34 +10,34 @@
 pub enum Notice {
     /// An event of the watcher.
     Watch(watch::Notice),
-    /// A request was refused.
+    /// A request was rejected.
     Refused(u64, refusal::Refusal),
     /// An attempt was offered.
     Offered(u64, attempt::Identifier, name::Instance),
-    /// An attempt was refused, and the request may be tried elsewhere.
+    /// An attempt was rejected; the request may be retried on another upstream.
     AttemptRefused(attempt::Identifier, refusal::Refusal),
     /// An attempt failed.
     AttemptFailed(attempt::Identifier, crate::event::Fault),
-    /// A stream is resumed on another upstream, after so many events.
+    /// A stream is resumed on another upstream after this number of events.
     Resumed(u64, u64),
-    /// A part of an answer was forwarded and the rest did not come.
+    /// A response was aborted after a part of it was forwarded.
     Cut(u64),
-    /// A claim is asked for again, since its answer was lost.
+    /// A claim is requested again because the response was lost.
     ClaimAgain(attempt::Identifier),
-    /// An outcome could not be recorded yet.
+    /// An outcome is recorded again because the previous call failed.
     RecordAgain(attempt::Identifier),
     /// An outcome is recorded as unknown: the work may have run.
     OutcomeUnknown(attempt::Identifier),
-    /// The process was asked to stop, with so many requests in flight.
+    /// The process was asked to stop with this number of requests in flight.
     Leaving(u32),
-    /// The time to stop is over; so many requests are ended.
+    /// The stop timeout has passed; this number of requests is ended.
     LeaveOverdue(u32),
-    /// Everything has ended.
+    /// The process may exit: no request is left.
     Stopped,
 }
 
 impl Notice {
-    /// Number in the catalogue.
+    /// Number in the catalogue of events.
     pub fn number(&self) -> u16 {
         match self {
             Notice::Watch(notice) => notice.number(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Log level.
     pub fn level(&self) -> level::Level {
         match self {
             Notice::Watch(notice) => notice.level(),
@@ -79,36 +79,39 @@
         match self {
             Notice::Watch(notice) => notice.fmt(formatter),
             Notice::Refused(request, refusal) => {
-                write!(formatter, "request {request} refused: {}, {}", refusal.reason, refusal.ran)
+                write!(formatter, "request {request} rejected: {}, {}", refusal.reason, refusal.ran)
             }
             Notice::Offered(request, attempt, instance) => {
                 write!(formatter, "request {request} offered to {instance} as attempt {attempt}")
             }
             Notice::AttemptRefused(attempt, refusal) => {
-                write!(formatter, "attempt {attempt} refused: {}, {}", refusal.reason, refusal.ran)
+                write!(formatter, "attempt {attempt} rejected: {}, {}", refusal.reason, refusal.ran)
             }
             Notice::AttemptFailed(attempt, fault) => {
                 write!(formatter, "attempt {attempt} failed: {fault:?}")
             }
             Notice::Resumed(request, delivered) => {
-                write!(formatter, "request {request} resumed elsewhere after {delivered} events")
+                write!(
+                    formatter,
+                    "request {request} resumed on another upstream after {delivered} events"
+                )
             }
             Notice::Cut(request) => {
-                write!(formatter, "request {request} ended after a part of its answer")
+                write!(formatter, "request {request} aborted after a part of its response")
             }
-            Notice::ClaimAgain(claim) => write!(formatter, "claim {claim} is asked for again"),
+            Notice::ClaimAgain(claim) => write!(formatter, "claim {claim} requested again"),
             Notice::RecordAgain(claim) => {
-                write!(formatter, "the outcome of claim {claim} is sent again")
+                write!(formatter, "claim {claim} records its outcome again")
             }
             Notice::OutcomeUnknown(claim) => write!(
                 formatter,
-                "the outcome of claim {claim} is unknown; ask the upstream's owner whether it ran"
+                "claim {claim} has an unknown outcome; ask the owner of the upstream whether it ran"
             ),
             Notice::Leaving(requests) => {
-                write!(formatter, "leaving; {requests} requests are in flight")
+                write!(formatter, "entry leaving with {requests} requests in flight")
             }
             Notice::LeaveOverdue(requests) => {
-                write!(formatter, "time to leave is over; {requests} requests are ended")
+                write!(formatter, "entry reached its stop timeout; {requests} requests ended")
             }
             Notice::Stopped => write!(formatter, "stopped"),
         }
--- a/crates/hyssopfork-entry/src/pool.rs
+++ b/crates/hyssopfork-entry/src/pool.rs
@@ -1,4 +1,4 @@
-//! One pool as this entry sees it: where its work can go, and what waits for it.
+//! A pool as seen by this entry: its upstreams and its queue.
 
 use crate::attempt;
 use hyssopfork_policy::{choice, hedge, queue, retry};
@@ -7,18 +7,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a pool without any upstream still takes requests in: a group is repaired or an
-/// agent restarted within it, more often than not. After it, waiting is in vain.
+/// Time for which a pool without upstreams still accepts requests. A group is usually repaired, or
+/// an agent restarted, within it; after it, waiting is unlikely to help.
 const EMPTY_POOL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pool.
+/// A pool.
 #[derive(Debug)]
 pub struct Pool {
-    /// Choice of the upstream.
+    /// Chooses the upstream.
     pub chooser: choice::Chooser,
-    /// Requests that wait, and those that were started.
+    /// Queued requests, and those that were dispatched.
     pub queue: queue::Queue,
-    /// Budget for second tries.
+    /// Budget for retries and hedges.
     pub retry_budget: retry::Budget,
     hedges: BTreeMap<configuration::Class, hedge::Hedge>,
     destinations: BTreeMap<name::Instance, attempt::Destination>,
@@ -27,7 +27,7 @@
 }
 
 impl Pool {
-    /// A pool of which nothing is known, at `now`.
+    /// An empty pool, created at `now`.
     pub fn new(now: clock::Instant) -> Pool {
         Pool {
             chooser: choice::Chooser::default(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes in what the view says of the pool `name`, when the view has moved.
+    /// Applies what the view says about the pool `name`, if the view has changed.
     pub fn apply_view(&mut self, now: clock::Instant, view: &change::View, name: &name::Pool) {
         if self.view_version == Some(view.version) {
             return;
@@ -59,12 +59,12 @@
         };
     }
 
-    /// Where work goes that is sent to `instance`.
+    /// Destination of work that is sent to `instance`.
     pub fn destination(&self, instance: &name::Instance) -> Option<&attempt::Destination> {
         self.destinations.get(instance)
     }
 
-    /// Whether the pool has had no upstream for so long that waiting for one is in vain.
+    /// Whether the pool has been without upstreams for so long that it no longer accepts requests.
     pub fn is_unavailable(&self, now: clock::Instant) -> bool {
         self.empty_since.is_some_and(|since| now.since(since) >= EMPTY_POOL_TIMEOUT)
     }
@@ -74,13 +74,13 @@
         self.destinations.is_empty()
     }
 
-    /// When to send a second copy of work of `class`.
+    /// Hedging state of `class`, which decides when a second attempt is sent.
     pub fn hedge(&mut self, class: configuration::Class) -> &mut hedge::Hedge {
         self.hedges.entry(class).or_default()
     }
 
-    /// Whether a second copy of repeatable work of `class` that has waited for `waited` may be
-    /// sent; spends from the budget when it may.
+    /// Whether a second attempt may be sent for repeatable work of `class` that has waited for
+    /// `waited`; spends from the retry budget when it may.
     pub fn try_hedge(&mut self, class: configuration::Class, waited: Duration) -> bool {
         let hedge = self.hedges.entry(class).or_default();
         hedge.try_hedge(true, waited, &mut self.retry_budget)
@@ -91,7 +91,7 @@
         for candidate in upstream::of_pool(view, name) {
             let destination = destination_of(&candidate);
             let previous_destination = previous.remove(candidate.instance);
-            // Another process or placement at the same instance starts without a record.
+            // Statistics don't carry over to another process or placement on the same instance.
             if previous_destination.is_some_and(|previous| previous != destination) {
                 self.chooser.remove(candidate.instance);
             }
--- a/crates/hyssopfork-entry/src/request.rs
+++ b/crates/hyssopfork-entry/src/request.rs
@@ -1,45 +1,45 @@
-//! Requests in this entry.
+//! Requests of this entry.
 
 use crate::{event, measurement, routing};
 use bytes::Bytes;
 use hyssopfork_wire::{attempt, claim, clock, frame, name, refusal};
 
-/// What the caller has got so far.
+/// What the client has received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Client {
     /// Nothing.
     Waiting,
-    /// The head of the answer, and perhaps a part.
+    /// The head of the response, and possibly a part of the body.
     Receiving,
-    /// Its final answer, or it went away.
+    /// The final response, or the client disconnected.
     ///
-    /// Invariant: nothing is sent to the caller any more.
+    /// Invariant: nothing is sent to the client any more.
     Done,
 }
 
 /// What is being done for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its claim is being asked for.
+    /// Its claim is being requested.
     Claiming,
-    /// It waits for an upstream.
+    /// It waits for an upstream, queued or backing off.
     Waiting,
     /// Attempts are in flight.
     InFlight,
-    /// Its answer is being recorded.
+    /// Its response is being recorded.
     Recording,
-    /// No work is to be done for it any more.
+    /// No more work is done for it.
     Finished,
 }
 
 /// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// Asked for; whether it is held isn't known.
+    /// Requested from control; whether it is granted is not known.
     Requested,
-    /// Asked for, but given up meanwhile: to be freed when it turns out to be held.
+    /// Requested, but no longer needed: it is released if it turns out to be granted.
     Abandoned,
-    /// Held.
+    /// Granted.
     Granted,
     /// The outcome is to be recorded.
     Recording(claim::Outcome),
@@ -50,19 +50,19 @@
 /// A claim of a request.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The work.
+    /// Key of the work.
     pub key: claim::Key,
-    /// Identifier of the claim: the first attempt's.
+    /// Identifier of the claim: that of the first attempt.
     pub identifier: attempt::Identifier,
     /// State.
     pub state: ClaimState,
-    /// Call to control that is outstanding.
+    /// Outstanding call to control.
     pub call: Option<u64>,
-    /// When to ask again.
+    /// When to call control next.
     pub next_call_at: clock::Instant,
 }
 
-/// A whole answer that waits for its recording.
+/// A complete response that waits for its recording.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// Head.
@@ -74,43 +74,44 @@
 /// A request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What was asked.
+    /// The request as it arrived.
     pub arrival: event::Arrival,
-    /// How it is to be treated.
+    /// Its team, route and rules.
     pub routing: routing::Match,
     /// When it arrived.
     pub arrived_at: clock::Instant,
-    /// When its answer must have begun.
+    /// When its response must have started.
     pub deadline: clock::Instant,
     /// What is being done for it.
     pub phase: Phase,
-    /// What the caller has got.
+    /// What the client has received.
     pub client: Client,
-    /// Its claim, where it is non-repeatable work with a key.
+    /// Its claim, for non-repeatable work with a key.
     pub claim: Option<Claim>,
-    /// Identifier that the next attempt takes: the claim's, for the first.
+    /// Identifier of the next attempt, if reserved: the first attempt takes that of the claim.
     pub next_identifier: Option<attempt::Identifier>,
     /// Attempts in flight.
     pub attempts: Vec<attempt::Identifier>,
-    /// Attempts offered so far.
+    /// Number of attempts offered so far.
     pub attempt_count: u32,
-    /// Instances that it was offered to since it last waited in the queue.
+    /// Instances that it was offered to since it was last queued.
     pub excluded: Vec<name::Instance>,
-    /// Rests that it took because no upstream would take it.
+    /// Number of times that it backed off because no upstream accepted it.
     pub backoff_count: u32,
-    /// Refusal of the attempt that ended last.
+    /// Rejection of the attempt that ended last.
     pub last_rejection: Option<refusal::Refusal>,
-    /// Whether an attempt that has ended may have run work.
+    /// Whether an attempt that has ended may have run the work.
     pub may_have_run: bool,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub is_stream: bool,
-    /// Events of the stream that the caller has whole, where the shell has told.
+    /// Number of stream events that the client has received completely, if the shell has reported
+    /// it.
     pub delivered_events: Option<u64>,
     /// When the first attempt was offered.
     pub first_offered_at: Option<clock::Instant>,
-    /// When the first part of the body came.
+    /// When the first part of the body arrived.
     pub response_started_at: Option<clock::Instant>,
-    /// Whole answer, while it is being recorded.
+    /// Complete response, while it is being recorded.
     pub response: Option<Response>,
 }
 
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Whether nothing is left to do, for the caller or for its claim.
+    /// Whether nothing is left to do, for the client or for its claim.
     pub fn is_finished(&self) -> bool {
         let is_settled = |claim: &Claim| claim.state == ClaimState::Settled;
         self.client == Client::Done
--- a/crates/hyssopfork-entry/src/routing.rs
+++ b/crates/hyssopfork-entry/src/routing.rs
@@ -1,31 +1,32 @@
-//! What an arriving request is: whose, on which route, under which rules.
+//! Routing of an arriving request: its team, its route and the rules that apply to it.
 
 use crate::event;
 use hyssopfork_wire::{change, configuration, name, refusal};
 use std::time::Duration;
 
-/// How a request is to be treated.
+/// Result of matching a request to its team and route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Match {
-    /// Team of the caller.
+    /// Team of the client.
     pub team: name::Team,
     /// Route that matched.
     pub route: name::Route,
-    /// Pool that does the work.
+    /// Pool that serves the route.
     pub pool: name::Pool,
-    /// Class of the work.
+    /// Traffic class of the route.
     pub class: configuration::Class,
     /// Whether the work may run more than once.
     pub repeatable: bool,
-    /// Time within which the answer must begin.
+    /// Time within which the response must start.
     pub deadline: Duration,
 }
 
-/// Finds the plan for a request.
+/// Matches a request to its team and route.
 ///
 /// # Errors
 ///
-/// `Unauthorized` when its token names no team, `NoRoute` when no route's prefix matches.
+/// `Unauthorized` when the token belongs to no team, `NoRoute` when no route prefix matches the
+/// path.
 pub fn resolve(
     configuration: &configuration::Configuration,
     arrival: &event::Arrival,
@@ -43,8 +44,8 @@
     })
 }
 
-/// Whether the plan is still what the view declares: a request that waited must not be sent by
-/// rules that were changed meanwhile.
+/// Whether the match still agrees with the view. A queued request must not be sent under rules that
+/// changed while it waited.
 pub fn is_current(view: &change::View, routing: &Match) -> bool {
     let declared = view.configuration.routes.get(&routing.route);
     view.configuration.teams.contains_key(&routing.team)
@@ -62,7 +63,7 @@
     configuration.teams.iter().find(|(_, team)| has_token(team)).map(|(name, _)| name)
 }
 
-/// Route with the longest prefix that matches the path, whose query doesn't count.
+/// Route with the longest prefix that matches the path; the query is ignored.
 fn find_route<'a>(
     configuration: &'a configuration::Configuration,
     path: &str,
@@ -75,8 +76,8 @@
         .max_by_key(|(_, route)| route.prefix.len())
 }
 
-/// Whether `prefix` covers `path` at a segment's end: `/v1/status` covers `/v1/status/7`, not
-/// `/v1/statuses`.
+/// Whether `prefix` covers `path` up to a segment boundary: `/v1/status` covers `/v1/status/7` but
+/// not `/v1/statuses`.
 fn is_path_prefix(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else { return false };
     rest.is_empty() || prefix.ends_with('/') || rest.starts_with('/')
--- a/crates/hyssopfork-entry/src/sse.rs
+++ b/crates/hyssopfork-entry/src/sse.rs
@@ -1,12 +1,12 @@
-//! Server-sent events, told apart in an answer's bytes.
+//! Server-sent events: splits the bytes of a response into events.
 //!
-//! Only whole events reach a caller. A half event could not be completed by another upstream,
-//! which resumes a stream at an event's beginning: the caller would get the half and then the
-//! whole one.
+//! Only complete events are passed to a client. A partial event could not be completed by another
+//! upstream, which resumes a stream at the start of an event: the client would get the partial
+//! event followed by the complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Tells whole events apart and counts them.
+/// Splits a stream into complete events and counts those with data.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
@@ -18,9 +18,9 @@
 const DONE_DATA: &[u8] = b"[DONE]";
 
 impl Splitter {
-    /// Takes the next bytes of the answer; gives the events that are whole by now.
+    /// Adds the next bytes of the response and returns the events that are complete by now.
     pub fn feed(&mut self, data: &[u8]) -> Bytes {
-        // An end mark may straddle the old bytes and the new ones, by three bytes at most.
+        // A terminator may span the old and the new bytes; at most three of its bytes are old.
         let mut scanned = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(data);
         let mut complete = 0;
@@ -35,31 +35,31 @@
         self.partial.split_to(complete).freeze()
     }
 
-    /// Events with data that were given out whole. Comments don't count: engines send them as
-    /// they like and don't number them.
+    /// Number of complete events with data that were returned. Comments are not counted: engines
+    /// send them at will and don't number them.
     pub fn delivered_events(&self) -> u64 {
         self.delivered_events
     }
 
-    /// Whether the event that ends the stream was given out: the caller has all of it, whatever
-    /// becomes of the connection that brought it.
+    /// Whether the event that ends the stream was returned: the client then has all of the stream,
+    /// whatever happens to the connection to the upstream.
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether the bytes so far end with a whole event.
+    /// Whether the bytes so far end with a complete event.
     pub fn is_at_event_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Drops the half event of a stream that broke off: the upstream that resumes it sends that
-    /// event whole.
+    /// Drops the partial event of an interrupted stream. The upstream that resumes the stream sends
+    /// that event completely.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// End of the first event whose end mark, an empty line, lies at or after `from`.
+/// End of the first event whose terminating empty line starts at or after `from`.
 fn find_event_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|index| {
         let rest = &bytes[index..];
