--- a/crates/hyssopfork-entry/benches/entry.rs
+++ b/crates/hyssopfork-entry/benches/entry.rs
@@ -7,16 +7,16 @@
 use std::time::{Duration, Instant};
 
 /// Requests that are timed for each pool.
-const REQUESTS: u64 = 2_000;
+const TIMED_REQUESTS: u64 = 2_000;
 
 /// Requests in the entry, waiting or in flight, while ticks are timed.
-const HELD: u64 = 1_000;
+const PENDING_REQUESTS: u64 = 1_000;
 
 /// Ticks that are timed.
-const TICKS: u32 = 200;
+const TIMED_TICKS: u32 = 200;
 
 fn main() {
-    println!("| upstreams | a request, whole | a tick, {HELD} requests held |");
+    println!("| upstreams | a request, whole | a tick, {PENDING_REQUESTS} requests held |");
     println!("|---|---|---|");
     for upstreams in [30, 300, 3_000] {
         let request = request_time(upstreams);
@@ -28,7 +28,7 @@
 fn request_time(upstreams: u64) -> Duration {
     let mut entry = entry(upstreams);
     let begun = Instant::now();
-    for request in 0..REQUESTS {
+    for request in 0..TIMED_REQUESTS {
         let attempt = offer(&mut entry, request).expect("there is room");
         for event in [
             event::Event::LoadReported(attempt, load()),
@@ -40,21 +40,21 @@
             entry.step(now(), event);
         }
     }
-    begun.elapsed() / REQUESTS as u32
+    begun.elapsed() / TIMED_REQUESTS as u32
 }
 
 fn tick_time(upstreams: u64) -> Duration {
     let mut entry = entry(upstreams);
-    for request in 0..HELD {
+    for request in 0..PENDING_REQUESTS {
         if let Some(attempt) = offer(&mut entry, request) {
             entry.step(now(), event::Event::LoadReported(attempt, load()));
         }
     }
     let begun = Instant::now();
-    for _ in 0..TICKS {
+    for _ in 0..TIMED_TICKS {
         entry.step(now(), event::Event::Tick);
     }
-    begun.elapsed() / TICKS
+    begun.elapsed() / TIMED_TICKS
 }
 
 fn offer(entry: &mut core::Core, request: u64) -> Option<attempt::Identifier> {
--- a/crates/hyssopfork-entry/tests/entry/fixture.rs
+++ b/crates/hyssopfork-entry/tests/entry/fixture.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 /// Time that the fixture's entry gives what is in flight when it is stopped.
-pub const STOP_LIMIT: Duration = Duration::from_secs(30);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An entry and the time on its clock.
 pub struct Entry {
     pub core: core::Core,
     pub now: clock::Instant,
     pub view: change::View,
-    renewal: Option<u64>,
-    requests: u64,
+    renewal_call: Option<u64>,
+    last_request: u64,
 }
 
 /// What an entry offered.
@@ -35,23 +35,23 @@
 
 /// An entry that can serve.
 pub fn entry() -> Entry {
-    let mut entry = stranger();
-    entry.hold();
+    let mut entry = entry_without_lease();
+    entry.acquire_lease();
     entry
 }
 
 /// An entry that has not heard from control yet.
-pub fn stranger() -> Entry {
+pub fn entry_without_lease() -> Entry {
     let now = clock::Instant::from_millis(1_000);
     let settings = core::Settings {
         instance: "entry-1".into(),
         zone: "zone-a".into(),
         control: vec![address(1), address(2)],
         boot: 99,
-        stop_timeout: STOP_LIMIT,
+        stop_timeout: STOP_TIMEOUT,
     };
     let core = core::Core::new(settings, 1, now);
-    Entry { core, now, view: view(), renewal: None, requests: 0 }
+    Entry { core, now, view: view(), renewal_call: None, last_request: 0 }
 }
 
 pub fn arrival(path: &str) -> event::Arrival {
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn keyed(key: &str) -> event::Arrival {
+pub fn arrival_with_key(key: &str) -> event::Arrival {
     event::Arrival { idempotency_key: Some(key.into()), ..arrival("/lodge") }
 }
 
@@ -80,12 +80,12 @@
 impl Entry {
     pub fn step(&mut self, event: event::Event) -> Vec<action::Action> {
         let actions = self.core.step(self.now, event);
-        self.renewal = actions.iter().find_map(renewal).or(self.renewal);
+        self.renewal_call = actions.iter().find_map(find_renewal_call).or(self.renewal_call);
         actions
     }
 
     /// Time passes in ticks; no call is answered.
-    pub fn pass(&mut self, span: Duration) -> Vec<action::Action> {
+    pub fn advance_without_replies(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
@@ -96,66 +96,70 @@
     }
 
     /// Time passes in ticks, and renewals are answered.
-    pub fn live(&mut self, span: Duration) -> Vec<action::Action> {
+    pub fn advance(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            let rest = self.now.until(end).min(Duration::from_millis(100));
-            actions.extend(self.pass(rest));
-            if self.renewal.is_some() {
-                actions.extend(self.grant());
+            let step = self.now.until(end).min(Duration::from_millis(100));
+            actions.extend(self.advance_without_replies(step));
+            if self.renewal_call.is_some() {
+                actions.extend(self.grant_lease());
             }
         }
         actions
     }
 
     /// Takes a lease on the fixture's view.
-    pub fn hold(&mut self) -> Vec<action::Action> {
-        while self.renewal.is_none() {
+    pub fn acquire_lease(&mut self) -> Vec<action::Action> {
+        while self.renewal_call.is_none() {
             self.now = self.now + action::TICK_INTERVAL;
             self.step(event::Event::Tick);
         }
-        self.grant()
+        self.grant_lease()
     }
 
     /// The view moves on to another one.
-    pub fn change(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
+    pub fn change_view(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
         change(&mut self.view);
         self.view.version = self.view.version.next();
-        self.hold()
+        self.acquire_lease()
     }
 
-    fn grant(&mut self) -> Vec<action::Action> {
-        let call = self.renewal.take().expect("a renewal is outstanding");
+    fn grant_lease(&mut self) -> Vec<action::Action> {
+        let call = self.renewal_call.take().expect("a renewal is outstanding");
         let update = change::Update::Whole(Box::new(self.view.clone()));
-        let term = timing::HOLDER_LEASE;
-        let grant = control::Grant { duration: term, update, incarnation: None };
+        let duration = timing::HOLDER_LEASE;
+        let grant = control::Grant { duration, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
         self.step(event::Event::ControlResponded { call, response })
     }
 
     /// A request arrives; its number, and what is done.
     pub fn arrive(&mut self, arrival: event::Arrival) -> (u64, Vec<action::Action>) {
-        self.requests += 1;
-        let request = self.requests;
+        self.last_request += 1;
+        let request = self.last_request;
         (request, self.step(event::Event::RequestArrived { request, arrival }))
     }
 
     /// A request arrives and is offered; its number and the offer.
-    pub fn offered(&mut self, arrival: event::Arrival) -> (u64, Start) {
+    pub fn arrive_and_offer(&mut self, arrival: event::Arrival) -> (u64, Start) {
         let (request, actions) = self.arrive(arrival);
-        (request, start(&actions))
+        (request, single_start(&actions))
     }
 
     /// The answer of an attempt begins.
-    pub fn begin(&mut self, attempt: attempt::Identifier, stream: bool) -> Vec<action::Action> {
+    pub fn start_response(
+        &mut self,
+        attempt: attempt::Identifier,
+        stream: bool,
+    ) -> Vec<action::Action> {
         self.step(event::Event::AttemptStarted(attempt));
         let actions = self.step(event::Event::HeadReceived(attempt, head(stream)));
         self.step(event::Event::ResponseStarted(attempt));
         actions
     }
 
-    pub fn refuse(
+    pub fn reject_attempt(
         &mut self,
         attempt: attempt::Identifier,
         refusal: refusal::Refusal,
@@ -163,7 +167,7 @@
         self.step(event::Event::AttemptRejected(attempt, refusal))
     }
 
-    pub fn fail(
+    pub fn fail_attempt(
         &mut self,
         attempt: attempt::Identifier,
         fault: event::Fault,
@@ -172,26 +176,34 @@
         self.step(event::Event::AttemptFailed { attempt, fault, delivered })
     }
 
-    pub fn collect(&mut self, attempt: attempt::Identifier, body: &str) -> Vec<action::Action> {
+    pub fn collect_response(
+        &mut self,
+        attempt: attempt::Identifier,
+        body: &str,
+    ) -> Vec<action::Action> {
         let body = body.to_owned().into();
         self.step(event::Event::ResponseCollected { attempt, head: head(false), body })
     }
 
-    pub fn reply(&mut self, call: u64, response: control::Response) -> Vec<action::Action> {
+    pub fn respond_to_call(
+        &mut self,
+        call: u64,
+        response: control::Response,
+    ) -> Vec<action::Action> {
         self.step(event::Event::ControlResponded { call, response: Some(response) })
     }
 
     /// A keyed request arrives and its claim is granted; its number and the offer.
-    pub fn claimed(&mut self, key: &str) -> (u64, Start) {
-        let (request, actions) = self.arrive(keyed(key));
-        let call = claim_call(&actions).call;
+    pub fn arrive_and_claim(&mut self, key: &str) -> (u64, Start) {
+        let (request, actions) = self.arrive(arrival_with_key(key));
+        let call = last_claim_call(&actions).call;
         let granted = control::Response::Claimed(claim::Reply::Granted);
-        (request, start(&self.reply(call, granted)))
+        (request, single_start(&self.respond_to_call(call, granted)))
     }
 }
 
 /// The only offer among the actions.
-pub fn start(actions: &[action::Action]) -> Start {
+pub fn single_start(actions: &[action::Action]) -> Start {
     let starts = starts(actions);
     assert_eq!(starts.len(), 1, "one attempt is offered: {actions:?}");
     starts[0].clone()
@@ -207,28 +219,28 @@
     actions.iter().filter_map(start).collect()
 }
 
-pub fn refused(actions: &[action::Action]) -> Option<refusal::Refusal> {
+pub fn rejection(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
         action::Action::Reject { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
 
-pub fn cut(actions: &[action::Action]) -> Option<refusal::Refusal> {
+pub fn abort(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
         action::Action::Abort { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
 
-pub fn answer(actions: &[action::Action]) -> Option<String> {
+pub fn response_body(actions: &[action::Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
         action::Action::Respond { body, .. } => String::from_utf8(body.to_vec()).ok(),
         _ => None,
     })
 }
 
-pub fn cancels(actions: &[action::Action]) -> Vec<attempt::Identifier> {
+pub fn cancelled_attempts(actions: &[action::Action]) -> Vec<attempt::Identifier> {
     let cancel = |action: &action::Action| match action {
         action::Action::CancelAttempt { attempt, .. } => Some(*attempt),
         _ => None,
@@ -236,7 +248,7 @@
     actions.iter().filter_map(cancel).collect()
 }
 
-pub fn forwards(actions: &[action::Action]) -> Vec<attempt::Identifier> {
+pub fn forwarded_attempts(actions: &[action::Action]) -> Vec<attempt::Identifier> {
     let forward = |action: &action::Action| match action {
         action::Action::ForwardResponse { attempt, .. } => Some(*attempt),
         _ => None,
@@ -244,13 +256,13 @@
     actions.iter().filter_map(forward).collect()
 }
 
-pub fn stops(actions: &[action::Action]) -> bool {
+pub fn has_stopped(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Stopped))
 }
 
 /// The last call about a claim among the actions.
-pub fn claim_call(actions: &[action::Action]) -> ClaimCall {
-    let claims = actions.iter().rev().find_map(|action| match action {
+pub fn last_claim_call(actions: &[action::Action]) -> ClaimCall {
+    let call = actions.iter().rev().find_map(|action| match action {
         action::Action::CallControl { call, request, .. } => match **request {
             control::Request::Claim(_) | control::Request::Record(..) => {
                 Some(ClaimCall { call: *call, request: (**request).clone() })
@@ -259,18 +271,18 @@
         },
         _ => None,
     });
-    claims.expect("control is called about a claim")
+    call.expect("control is called about a claim")
 }
 
 /// What is recorded by the last call among the actions.
-pub fn recorded(actions: &[action::Action]) -> claim::Outcome {
-    match claim_call(actions).request {
+pub fn recorded_outcome(actions: &[action::Action]) -> claim::Outcome {
+    match last_claim_call(actions).request {
         control::Request::Record(_, _, outcome) => outcome,
         other => panic!("an outcome is recorded, not {other:?}"),
     }
 }
 
-fn renewal(action: &action::Action) -> Option<u64> {
+fn find_renewal_call(action: &action::Action) -> Option<u64> {
     match action {
         action::Action::CallControl { call, request, .. } => {
             matches!(**request, control::Request::Renew(_)).then_some(*call)
--- a/crates/hyssopfork-entry/tests/entry/retries.rs
+++ b/crates/hyssopfork-entry/tests/entry/retries.rs
@@ -8,12 +8,12 @@
 const INCOMPLETE: refusal::Reason = refusal::Reason::GroupIncomplete;
 
 #[test]
-fn repeatable_work_is_tried_elsewhere() {
+fn repeatable_work_is_retried_on_another_upstream() {
     let mut entry = fixture::entry();
-    let (_, first) = entry.offered(fixture::arrival("/write"));
+    let (_, first) = entry.arrive_and_offer(fixture::arrival("/write"));
 
     let lost = refusal::Refusal::may_have_run(INCOMPLETE, None);
-    let second = fixture::start(&entry.refuse(first.offer.attempt, lost));
+    let second = fixture::single_start(&entry.reject_attempt(first.offer.attempt, lost));
 
     assert_ne!(second.to, first.to);
     assert_ne!(second.offer.attempt, first.offer.attempt);
@@ -21,34 +21,34 @@
 
 // A certificate issue may have run: whatever ended the attempt, it is never sent again.
 #[test]
-fn work_that_may_have_run_is_not_sent_again() {
+fn non_repeatable_work_that_may_have_run_is_not_retried() {
     for fault in [event::Fault::Lost, event::Fault::Restarted, event::Fault::Corrupt] {
         let mut entry = fixture::entry();
-        let (_, start) = entry.offered(fixture::arrival("/lodge"));
+        let (_, start) = entry.arrive_and_offer(fixture::arrival("/lodge"));
 
-        let mut actions = entry.fail(start.offer.attempt, fault, 0);
-        actions.extend(entry.live(Duration::from_secs(4)));
+        let mut actions = entry.fail_attempt(start.offer.attempt, fault, 0);
+        actions.extend(entry.advance(Duration::from_secs(4)));
 
         assert!(fixture::starts(&actions).is_empty());
-        let refusal = fixture::refused(&actions).expect("it is refused");
+        let refusal = fixture::rejection(&actions).expect("it is refused");
         assert_eq!(refusal.ran, refusal::Ran::MayHaveRun);
         assert_eq!(refusal.retry_after, None, "coming back would run it again");
     }
 }
 
 #[test]
-fn work_that_surely_did_not_run_is_tried_elsewhere() {
+fn non_repeatable_work_that_did_not_run_is_retried() {
     let mut entry = fixture::entry();
-    let (_, first) = entry.offered(fixture::arrival("/lodge"));
+    let (_, first) = entry.arrive_and_offer(fixture::arrival("/lodge"));
     let stale = refusal::Refusal::not_run(refusal::Reason::Stale, None);
-    let second = fixture::start(&entry.refuse(first.offer.attempt, stale));
+    let second = fixture::single_start(&entry.reject_attempt(first.offer.attempt, stale));
 
-    let third = entry.fail(second.offer.attempt, event::Fault::Unreachable, 0);
-    let rested = entry.live(Duration::from_millis(100));
+    let third = entry.fail_attempt(second.offer.attempt, event::Fault::Unreachable, 0);
+    let after_backoff = entry.advance(Duration::from_millis(100));
 
     assert_ne!(second.to, first.to);
     assert!(fixture::starts(&third).is_empty(), "both were asked: it rests first");
-    assert_eq!(fixture::starts(&rested).len(), 1);
+    assert_eq!(fixture::starts(&after_backoff).len(), 1);
 }
 
 // An attempt that was heard to have started can't have been unreachable, whatever the shell says
@@ -56,114 +56,114 @@
 #[test]
 fn unreachable_after_the_start_may_have_run() {
     let mut entry = fixture::entry();
-    let (_, start) = entry.offered(fixture::arrival("/lodge"));
+    let (_, start) = entry.arrive_and_offer(fixture::arrival("/lodge"));
     entry.step(event::Event::AttemptStarted(start.offer.attempt));
 
-    let actions = entry.fail(start.offer.attempt, event::Fault::Unreachable, 0);
+    let actions = entry.fail_attempt(start.offer.attempt, event::Fault::Unreachable, 0);
 
     assert!(fixture::starts(&actions).is_empty());
-    assert_eq!(fixture::refused(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
+    assert_eq!(fixture::rejection(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
 }
 
 // A stream is cut in the middle. Another upstream goes on after the last event that the caller has
 // whole.
 #[test]
-fn cut_stream_is_resumed_elsewhere() {
+fn interrupted_stream_is_resumed_on_another_upstream() {
     let mut entry = fixture::entry();
-    let (_, first) = entry.offered(fixture::arrival("/write"));
-    entry.begin(first.offer.attempt, true);
+    let (_, first) = entry.arrive_and_offer(fixture::arrival("/write"));
+    entry.start_response(first.offer.attempt, true);
 
-    let lost = entry.fail(first.offer.attempt, event::Fault::Lost, 3);
-    let second = fixture::start(&lost);
-    let headed = entry.begin(second.offer.attempt, true);
+    let lost = entry.fail_attempt(first.offer.attempt, event::Fault::Lost, 3);
+    let second = fixture::single_start(&lost);
+    let started = entry.start_response(second.offer.attempt, true);
 
     assert_ne!(second.to, first.to);
     assert_eq!(second.offer.resume_from, 3);
-    assert_eq!(fixture::forwards(&headed), vec![second.offer.attempt]);
-    assert!(fixture::cut(&lost).is_none());
+    assert_eq!(fixture::forwarded_attempts(&started), vec![second.offer.attempt]);
+    assert!(fixture::abort(&lost).is_none());
 }
 
 // What can't be resumed is cut with a mark, never glued together or ended cleanly: an answer that
 // is no stream, and a stream whose other upstream can't resume.
 #[test]
-fn unresumable_answer_is_cut() {
+fn unresumable_response_is_aborted() {
     let mut plain = fixture::entry();
-    let (_, start) = plain.offered(fixture::arrival("/write"));
-    plain.begin(start.offer.attempt, false);
-    let mut stiff = fixture::entry();
-    stiff.change(|view| {
+    let (_, start) = plain.arrive_and_offer(fixture::arrival("/write"));
+    plain.start_response(start.offer.attempt, false);
+    let mut unresumable = fixture::entry();
+    unresumable.change_view(|view| {
         let members = view.members.values_mut();
         members.for_each(|member| member.announcement.profile.resumes = false);
     });
-    let (_, other) = stiff.offered(fixture::arrival("/write"));
-    stiff.begin(other.offer.attempt, true);
+    let (_, other) = unresumable.arrive_and_offer(fixture::arrival("/write"));
+    unresumable.start_response(other.offer.attempt, true);
 
-    let plain = plain.fail(start.offer.attempt, event::Fault::Lost, 0);
-    let mut stream = stiff.fail(other.offer.attempt, event::Fault::Lost, 3);
-    stream.extend(stiff.live(Duration::from_secs(6)));
+    let plain = plain.fail_attempt(start.offer.attempt, event::Fault::Lost, 0);
+    let mut stream = unresumable.fail_attempt(other.offer.attempt, event::Fault::Lost, 3);
+    stream.extend(unresumable.advance(Duration::from_secs(6)));
 
     for actions in [plain, stream] {
         assert!(fixture::starts(&actions).is_empty());
-        assert_eq!(fixture::cut(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
+        assert_eq!(fixture::abort(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
     }
 }
 
 // The upstream that is to resume the stream answers with something else, an error document for
 // example: it is not glued to what the caller has.
 #[test]
-fn other_answer_is_not_glued_to_a_stream() {
+fn non_stream_response_is_not_appended_to_a_stream() {
     let mut entry = fixture::entry();
-    let (_, first) = entry.offered(fixture::arrival("/write"));
-    entry.begin(first.offer.attempt, true);
-    let lost = entry.fail(first.offer.attempt, event::Fault::Lost, 3);
-    let second = fixture::start(&lost);
+    let (_, first) = entry.arrive_and_offer(fixture::arrival("/write"));
+    entry.start_response(first.offer.attempt, true);
+    let lost = entry.fail_attempt(first.offer.attempt, event::Fault::Lost, 3);
+    let second = fixture::single_start(&lost);
 
-    let actions = entry.begin(second.offer.attempt, false);
+    let actions = entry.start_response(second.offer.attempt, false);
 
-    assert!(fixture::forwards(&actions).is_empty());
-    assert!(fixture::cut(&actions).is_some());
+    assert!(fixture::forwarded_attempts(&actions).is_empty());
+    assert!(fixture::abort(&actions).is_some());
 }
 
 // A group is not whole for a moment and refuses within microseconds. The request must not run
 // through all its tries meanwhile.
 #[test]
-fn refused_request_rests_and_is_served_in_the_end() {
+fn rejected_request_backs_off_and_is_served_later() {
     let mut entry = fixture::entry();
-    entry.change(|view| drop(view.placements.remove(&"g2".into())));
-    let (_, mut start) = entry.offered(fixture::arrival("/write"));
+    entry.change_view(|view| drop(view.placements.remove(&"g2".into())));
+    let (_, mut start) = entry.arrive_and_offer(fixture::arrival("/write"));
     let refusal = refusal::Refusal::not_run(INCOMPLETE, None);
 
     for _ in 0..4 {
-        let mut actions = entry.refuse(start.offer.attempt, refusal);
+        let mut actions = entry.reject_attempt(start.offer.attempt, refusal);
         assert!(fixture::starts(&actions).is_empty());
-        actions.extend(entry.live(Duration::from_millis(500)));
-        start = fixture::start(&actions);
+        actions.extend(entry.advance(Duration::from_millis(500)));
+        start = fixture::single_start(&actions);
     }
-    let headed = entry.begin(start.offer.attempt, false);
+    let started = entry.start_response(start.offer.attempt, false);
 
-    assert_eq!(fixture::forwards(&headed), vec![start.offer.attempt]);
+    assert_eq!(fixture::forwarded_attempts(&started), vec![start.offer.attempt]);
 }
 
 // A straggler holds a repeatable request for many times the usual: a second copy goes out, the
 // first that answers is forwarded and the other cancelled.
 #[test]
-fn straggler_is_overtaken_by_a_second_copy() {
+fn straggler_is_hedged_by_a_second_attempt() {
     let mut entry = fixture::entry();
     for _ in 0..200 {
-        let (_, start) = entry.offered(fixture::arrival("/write"));
-        entry.live(Duration::from_millis(10));
-        entry.begin(start.offer.attempt, false);
+        let (_, start) = entry.arrive_and_offer(fixture::arrival("/write"));
+        entry.advance(Duration::from_millis(10));
+        entry.start_response(start.offer.attempt, false);
         entry.step(event::Event::AttemptCompleted(start.offer.attempt));
     }
-    let (_, stuck) = entry.offered(fixture::arrival("/write"));
-    let (_, once) = entry.offered(fixture::arrival("/write/once"));
+    let (_, straggler) = entry.arrive_and_offer(fixture::arrival("/write"));
+    let (_, once) = entry.arrive_and_offer(fixture::arrival("/write/once"));
 
-    let actions = entry.live(Duration::from_millis(200));
-    let copy = fixture::start(&actions);
-    let headed = entry.begin(copy.offer.attempt, false);
+    let actions = entry.advance(Duration::from_millis(200));
+    let hedge = fixture::single_start(&actions);
+    let started = entry.start_response(hedge.offer.attempt, false);
 
-    assert_ne!(copy.to, stuck.to);
-    assert_eq!(fixture::forwards(&headed), vec![copy.offer.attempt]);
-    assert_eq!(fixture::cancels(&headed), vec![stuck.offer.attempt]);
-    assert_ne!(once.offer.attempt, copy.offer.attempt);
+    assert_ne!(hedge.to, straggler.to);
+    assert_eq!(fixture::forwarded_attempts(&started), vec![hedge.offer.attempt]);
+    assert_eq!(fixture::cancelled_attempts(&started), vec![straggler.offer.attempt]);
+    assert_ne!(once.offer.attempt, hedge.offer.attempt);
 }
--- a/crates/hyssopfork-entry/tests/entry/stop.rs
+++ b/crates/hyssopfork-entry/tests/entry/stop.rs
@@ -6,55 +6,55 @@
 use std::time::Duration;
 
 #[test]
-fn what_is_in_flight_is_finished() {
+fn requests_in_flight_finish_before_a_stop() {
     let mut entry = fixture::entry();
-    let (_, start) = entry.offered(fixture::arrival("/write"));
-    entry.begin(start.offer.attempt, true);
+    let (_, start) = entry.arrive_and_offer(fixture::arrival("/write"));
+    entry.start_response(start.offer.attempt, true);
 
     entry.step(event::Event::Stop);
     let late = entry.arrive(fixture::arrival("/write")).1;
-    let waiting = entry.live(Duration::from_secs(10));
+    let waiting = entry.advance(Duration::from_secs(10));
     let ended = entry.step(event::Event::AttemptCompleted(start.offer.attempt));
 
-    assert_eq!(fixture::refused(&late).map(|r| r.reason), Some(refusal::Reason::Draining));
-    assert!(!fixture::stops(&waiting));
-    assert!(fixture::cut(&waiting).is_none());
-    assert!(fixture::stops(&ended));
+    assert_eq!(fixture::rejection(&late).map(|r| r.reason), Some(refusal::Reason::Draining));
+    assert!(!fixture::has_stopped(&waiting));
+    assert!(fixture::abort(&waiting).is_none());
+    assert!(fixture::has_stopped(&ended));
 }
 
 // A claimed answer that the caller no longer waits for is still recorded before the process ends.
 #[test]
-fn outcomes_are_recorded_before_the_end() {
+fn outcomes_are_recorded_before_a_stop() {
     let mut entry = fixture::entry();
-    let (request, start) = entry.claimed("k");
+    let (request, start) = entry.arrive_and_claim("k");
     entry.step(event::Event::ClientGone(request));
     entry.step(event::Event::Stop);
 
-    let collected = entry.collect(start.offer.attempt, "done");
-    let waiting = entry.live(Duration::from_millis(600));
-    let record = fixture::claim_call(&collected);
-    let recorded = entry.reply(record.call, control::Response::Recorded);
+    let collected = entry.collect_response(start.offer.attempt, "done");
+    let waiting = entry.advance(Duration::from_millis(600));
+    let record = fixture::last_claim_call(&collected);
+    let recorded = entry.respond_to_call(record.call, control::Response::Recorded);
 
-    assert!(!fixture::stops(&collected) && !fixture::stops(&waiting));
-    assert!(fixture::stops(&recorded));
+    assert!(!fixture::has_stopped(&collected) && !fixture::has_stopped(&waiting));
+    assert!(fixture::has_stopped(&recorded));
 }
 
 #[test]
-fn overdue_requests_and_a_second_stop_end_with_an_error() {
+fn stop_timeout_and_a_second_stop_abort_requests() {
     let mut overdue = fixture::entry();
-    let (_, start) = overdue.offered(fixture::arrival("/write"));
-    overdue.begin(start.offer.attempt, true);
+    let (_, start) = overdue.arrive_and_offer(fixture::arrival("/write"));
+    overdue.start_response(start.offer.attempt, true);
     let mut twice = fixture::entry();
-    let (_, start) = twice.offered(fixture::arrival("/write"));
-    twice.begin(start.offer.attempt, true);
+    let (_, start) = twice.arrive_and_offer(fixture::arrival("/write"));
+    twice.start_response(start.offer.attempt, true);
 
     overdue.step(event::Event::Stop);
-    let late = overdue.live(fixture::STOP_LIMIT);
+    let late = overdue.advance(fixture::STOP_TIMEOUT);
     twice.step(event::Event::Stop);
     let second = twice.step(event::Event::Stop);
 
     for actions in [late, second] {
-        assert!(fixture::stops(&actions));
-        assert_eq!(fixture::cut(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
+        assert!(fixture::has_stopped(&actions));
+        assert_eq!(fixture::abort(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
     }
 }
--- a/crates/hyssopfork-entry/tests/entry/streams.rs
+++ b/crates/hyssopfork-entry/tests/entry/streams.rs
@@ -8,14 +8,16 @@
 // An upstream breaks off in the middle of an event. The half must not reach the caller, wherever
 // the bytes were divided on their way.
 #[test]
-fn only_whole_events_come_out_however_the_bytes_are_divided() {
+fn only_complete_events_are_returned_for_any_chunk_size() {
     for size in 1..EVENTS.len() {
         let mut splitter = sse::Splitter::default();
         let mut out = Vec::new();
         for chunk in EVENTS.chunks(size) {
-            let whole = splitter.feed(chunk);
-            assert!(whole.is_empty() || whole.ends_with(b"\n\n") || whole.ends_with(b"\n\r\n"));
-            out.extend_from_slice(&whole);
+            let complete = splitter.feed(chunk);
+            assert!(
+                complete.is_empty() || complete.ends_with(b"\n\n") || complete.ends_with(b"\n\r\n")
+            );
+            out.extend_from_slice(&complete);
         }
 
         assert_eq!(out, EVENTS);
@@ -25,7 +27,7 @@
 }
 
 #[test]
-fn half_event_is_dropped_before_the_stream_goes_on() {
+fn partial_event_is_dropped_before_a_stream_resumes() {
     let mut splitter = sse::Splitter::default();
     splitter.feed(b"data: one\n\ndata: tw");
 
@@ -37,7 +39,7 @@
 }
 
 #[test]
-fn cost_is_prompt_and_answer_together() {
+fn cost_is_the_sum_of_prompt_and_response() {
     let prompt = estimate::from_body(br#"{"prompt": "twelve bytes", "max_tokens": 50}"#);
     let chat =
         br#"{"messages": [{"role": "user", "content": "eight by"}], "max_tokens": 5, "n": 2}"#;
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn requests_with_the_same_beginning_share_a_prefix() {
+fn requests_with_the_same_beginning_share_a_prefix_hash() {
     let body = |tail: &str| {
         let system = "s".repeat(2_000);
         let messages = format!(
@@ -72,15 +74,15 @@
 // Found by a long run of real processes (seed 12): the upstream's connection broke after the end
 // mark, the stream was resumed elsewhere, and the caller got a second end mark.
 #[test]
-fn a_stream_has_ended_with_its_end_mark() {
+fn stream_has_ended_after_its_done_event() {
     let mut splitter = sse::Splitter::default();
 
     splitter.feed(b"data: {\"text\": \"[DONE]\"}\n\n");
-    let named = splitter.has_ended();
+    let after_data = splitter.has_ended();
     splitter.feed(b"data: [DO");
-    let half = splitter.has_ended();
+    let after_partial_event = splitter.has_ended();
     splitter.feed(b"NE]\n\n");
 
-    assert!(!named && !half);
+    assert!(!after_data && !after_partial_event);
     assert!(splitter.has_ended());
 }
--- a/crates/hyssopfork-entry/tests/history.rs
+++ b/crates/hyssopfork-entry/tests/history.rs
@@ -5,52 +5,52 @@
 //! back; control moves groups for no reason. The promises are judged in true time, which no
 //! process knows: clocks differ in origin, and in rate by up to the stated bound.
 
-#[path = "history/callers.rs"]
-mod callers;
-#[path = "history/carry.rs"]
-mod carry;
+#[path = "history/clients.rs"]
+mod clients;
 #[path = "history/control.rs"]
 mod control;
+#[path = "history/events.rs"]
+mod events;
 #[path = "history/shell.rs"]
 mod shell;
+#[path = "history/simulation.rs"]
+mod simulation;
 #[path = "history/upstream.rs"]
 mod upstream;
-#[path = "history/world.rs"]
-mod world;
 
 /// Histories of an ordinary run; the environment may ask for more.
-const HISTORIES: u64 = 120;
+const DEFAULT_HISTORIES: u64 = 120;
 
 /// True time of each history, in microseconds.
-const SPAN: u64 = 12_000 * world::MILLI;
+const FAULT_PHASE_MICROS: u64 = 12_000 * simulation::MILLIS;
 
 /// Quiet after it, in which everything must come to an end.
-const QUIET: u64 = 20_000 * world::MILLI;
+const RECOVERY_PHASE_MICROS: u64 = 20_000 * simulation::MILLIS;
 
-fn environment(name: &str, default: u64) -> u64 {
+fn environment_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 /// Plays one history; returns the callers that were answered, and all.
-fn play(seed: u64) -> (usize, usize) {
-    let mut world = world::World::new(seed);
-    world.run(SPAN);
-    world.calm();
-    world.run(QUIET / 2);
-    let last: Vec<u64> = (0..world::ENTRIES)
+fn run_history(seed: u64) -> (usize, usize) {
+    let mut simulation = simulation::Simulation::new(seed);
+    simulation.run(FAULT_PHASE_MICROS);
+    simulation.end_faults();
+    simulation.run(RECOVERY_PHASE_MICROS / 2);
+    let last: Vec<u64> = (0..simulation::ENTRIES)
         .flat_map(|entry| ["/write", "/once", "/lodge"].map(|route| (entry, route)))
-        .map(|(entry, route)| world.ask(entry, route, None))
+        .map(|(entry, route)| simulation.send_request(entry, route, None))
         .collect();
-    world.run(QUIET / 2);
-    world.callers.check();
-    for (request, caller) in &world.callers.all {
-        assert!(caller.end.is_some(), "request {request} never got an answer: {caller:?}");
+    simulation.run(RECOVERY_PHASE_MICROS / 2);
+    simulation.clients.check_guarantees();
+    for (request, client) in &simulation.clients.all {
+        assert!(client.outcome.is_some(), "request {request} never got an answer: {client:?}");
     }
     for request in last {
-        let end = &world.callers.all[&request].end;
-        assert_eq!(*end, Some(callers::Final::Answered), "service is back after the faults");
+        let outcome = &simulation.clients.all[&request].outcome;
+        assert_eq!(*outcome, Some(clients::Outcome::Completed), "service is back after the faults");
     }
-    (world.callers.answered(), world.callers.all.len())
+    (simulation.clients.completed(), simulation.clients.all.len())
 }
 
 // A caller sees a second certificate, a half answer, "not run" for work that ran, or work taken by
@@ -58,23 +58,23 @@
 // together; each seed is one order of them.
 #[test]
 fn random_histories_keep_the_promises() {
-    let first = environment("HYSSOPFORK_SEED", 1);
-    let count = environment("HYSSOPFORK_HISTORIES", HISTORIES);
+    let first = environment_number("HYSSOPFORK_SEED", 1);
+    let count = environment_number("HYSSOPFORK_HISTORIES", DEFAULT_HISTORIES);
     let (mut answered, mut asked) = (0, 0);
-    let mut broken = Vec::new();
+    let mut failed = Vec::new();
 
     for seed in first..first + count {
-        match std::panic::catch_unwind(|| play(seed)) {
-            Ok((more, all)) => {
-                answered += more;
-                asked += all;
+        match std::panic::catch_unwind(|| run_history(seed)) {
+            Ok((history_answered, history_asked)) => {
+                answered += history_answered;
+                asked += history_asked;
             }
-            Err(_) => broken.push(seed),
+            Err(_) => failed.push(seed),
         }
     }
 
     println!("{count} histories, {asked} requests, {answered} answered in full");
-    assert_eq!(broken, Vec::<u64>::new(), "these seeds break a promise");
+    assert_eq!(failed, Vec::<u64>::new(), "these seeds break a promise");
     assert!(answered * 2 > asked, "most requests are answered even so");
 }
 
@@ -83,28 +83,34 @@
 #[test]
 fn graceful_stops_cut_nothing_off() {
     for seed in 1..=20 {
-        let mut world = world::World::new(seed);
-        world.calm();
-        world.run(3_000 * world::MILLI);
-        let first = world.first_members();
+        let mut simulation = simulation::Simulation::new(seed);
+        simulation.end_faults();
+        simulation.run(3_000 * simulation::MILLIS);
+        let first = simulation.first_members();
         let stops = [
-            [world::Node::Agent(first[0]), world::Node::Agent(world::ENGINES)],
-            [world::Node::Agent(first[1]), world::Node::Entry(0)],
-            [world::Node::Agent(world.other_member()), world::Node::Agent(world::ENGINES + 1)],
+            [simulation::Node::Agent(first[0]), simulation::Node::Agent(simulation::ENGINES)],
+            [simulation::Node::Agent(first[1]), simulation::Node::Entry(0)],
+            [
+                simulation::Node::Agent(simulation.other_member()),
+                simulation::Node::Agent(simulation::ENGINES + 1),
+            ],
         ];
 
         for pair in stops {
-            world.serve(1_000 * world::MILLI);
-            pair.into_iter().for_each(|node| world.stop(node));
-            world.serve(4_000 * world::MILLI);
+            simulation.run_with_requests(1_000 * simulation::MILLIS);
+            pair.into_iter().for_each(|node| simulation.stop(node));
+            simulation.run_with_requests(4_000 * simulation::MILLIS);
         }
-        world.run(QUIET / 2);
+        simulation.run(RECOVERY_PHASE_MICROS / 2);
 
-        world.callers.check();
-        for (request, caller) in &world.callers.all {
-            let ended = caller.end.as_ref().expect("every request has its end");
-            assert!(!callers::is_cut(ended), "seed {seed}, request {request}: {caller:?}");
+        simulation.clients.check_guarantees();
+        for (request, client) in &simulation.clients.all {
+            let outcome = client.outcome.as_ref().expect("every request has its end");
+            assert!(
+                !clients::is_interrupted(outcome),
+                "seed {seed}, request {request}: {client:?}"
+            );
         }
-        assert!(world.callers.answered() * 10 > world.callers.all.len() * 8);
+        assert!(simulation.clients.completed() * 10 > simulation.clients.all.len() * 8);
     }
 }
--- a/crates/hyssopfork-entry/tests/history/control.rs
+++ b/crates/hyssopfork-entry/tests/history/control.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 
 /// Steps that are kept; a watcher further behind gets the whole view.
-const STEPS_KEPT: usize = 8;
+const MAX_RETAINED_STEPS: usize = 8;
 
 /// What an agent said last.
 #[derive(Clone)]
-struct Heard {
-    at: u64,
+struct Report {
+    received_at: u64,
     boot: u64,
-    have: number::Version,
+    version: number::Version,
     running: u32,
 }
 
@@ -21,7 +21,7 @@
     pub machine: machine::Machine,
     index: number::Index,
     steps: Vec<change::Step>,
-    heard: BTreeMap<name::Instance, Heard>,
+    reports: BTreeMap<name::Instance, Report>,
     /// When each zone was last taken out, in true microseconds; absent while it is in.
     pub out_since: BTreeMap<name::Zone, u64>,
 }
@@ -32,7 +32,7 @@
             machine: machine::Machine::new(),
             index: number::Index(0),
             steps: Vec::new(),
-            heard: BTreeMap::new(),
+            reports: BTreeMap::new(),
             out_since: BTreeMap::new(),
         };
         control.submit(patch::Operation::Declare(Box::new(declared)));
@@ -64,7 +64,11 @@
     }
 
     /// Answers a call; `None` for a watch that has nothing to tell yet.
-    pub fn call(&mut self, now: u64, request: &control::Request) -> Option<control::Response> {
+    pub fn handle_request(
+        &mut self,
+        now: u64,
+        request: &control::Request,
+    ) -> Option<control::Response> {
         match request {
             control::Request::Renew(renewal) => Some(self.renew(now, renewal)),
             control::Request::Watch(have) | control::Request::Follow(have, _)
@@ -74,7 +78,7 @@
             }
             control::Request::Watch(have) => Some(control::Response::Updated(self.update(*have))),
             control::Request::Follow(have, instance) => {
-                Some(control::Response::Updated(self.part(*have, instance)))
+                Some(control::Response::Updated(self.scoped_update(*have, instance)))
             }
             control::Request::Claim(claim) => {
                 match self.apply(&command::Command::Claim(claim.clone())) {
@@ -93,20 +97,22 @@
 
     /// Counts silent agents as missing, and moves groups: where they must, and sometimes where
     /// they need not.
-    pub fn manage(&mut self, now: u64, random: &mut impl rand::Rng, restless: bool) {
+    pub fn reconcile(&mut self, now: u64, random: &mut impl rand::Rng, move_freely: bool) {
         let limit = timing::PRESENCE_TIMEOUT.as_micros() as u64;
-        for (instance, Heard { at, boot, .. }) in self.heard.clone() {
+        for (instance, Report { received_at, boot, .. }) in self.reports.clone() {
             let present = self.view().members.get(&instance).is_some_and(|member| member.present);
-            if present && now - at > limit {
+            if present && now - received_at > limit {
                 self.apply(&command::Command::Absent { instance, boot });
             }
         }
         let groups: Vec<_> = self.view().configuration.groups.clone().into_iter().collect();
         for (name, group) in groups {
             let placed = self.view().placements.get(&name).cloned();
-            let bad = |member: &name::Instance| upstream::obstacle(self.view(), member).is_some();
-            let broken = placed.as_ref().is_none_or(|placed| placed.members.iter().any(bad));
-            let moves = restless && random.random_ratio(1, 60);
+            let is_unusable =
+                |member: &name::Instance| upstream::obstacle(self.view(), member).is_some();
+            let broken =
+                placed.as_ref().is_none_or(|placed| placed.members.iter().any(is_unusable));
+            let moves = move_freely && random.random_ratio(1, 60);
             if moves || (broken && placed.as_ref().is_none_or(|placed| self.may_move(placed))) {
                 self.place(&name, &group, placed, random);
             }
@@ -116,13 +122,13 @@
     /// Whether a placement is lost, or runs nothing and takes nothing more.
     fn may_move(&self, placed: &fleet::Placement) -> bool {
         let view = self.view();
-        let lost =
+        let is_lost =
             |member: &name::Instance| view.members.get(member).is_none_or(|member| !member.present);
         let idle = self
-            .heard
+            .reports
             .get(&placed.members[0])
-            .is_some_and(|heard| heard.have >= view.version && heard.running == 0);
-        idle || placed.members.iter().any(lost)
+            .is_some_and(|report| report.version >= view.version && report.running == 0);
+        idle || placed.members.iter().any(is_lost)
     }
 
     fn place(
@@ -133,20 +139,22 @@
         random: &mut impl rand::Rng,
     ) {
         let view = self.view();
-        let usable = |instance: &&name::Instance| {
+        let is_usable = |instance: &&name::Instance| {
             let elsewhere = upstream::placement(view, instance).is_some_and(|at| at.0 != name);
             let pool = &view.members[*instance].announcement.pool;
             *pool == group.pool && !elsewhere && upstream::obstacle(view, instance).is_none()
         };
-        let mut members: Vec<_> = view.members.keys().filter(usable).cloned().collect();
+        let mut members: Vec<_> = view.members.keys().filter(is_usable).cloned().collect();
         members.shuffle(random);
         // One fabric domain lies within a zone.
         let zone = |member: &name::Instance| &view.members[member].announcement.zone;
-        let enough = |first: &name::Instance| {
+        let has_enough_members = |first: &name::Instance| {
             let inside = members.iter().filter(|member| zone(member) == zone(first));
             inside.count() >= group.size as usize
         };
-        let Some(chosen) = members.iter().find(|member| enough(member)).map(zone).cloned() else {
+        let Some(chosen) =
+            members.iter().find(|member| has_enough_members(member)).map(zone).cloned()
+        else {
             return;
         };
         members.retain(|member| *zone(member) == chosen);
@@ -166,8 +174,8 @@
                 _ => return control::Response::Unavailable,
             }
             let running = report.running;
-            let heard = Heard { at: now, boot, have: renewal.version, running };
-            self.heard.insert(instance.clone(), heard);
+            let report = Report { received_at: now, boot, version: renewal.version, running };
+            self.reports.insert(instance.clone(), report);
             if renewal.leaving {
                 self.apply(&command::Command::Leaving { instance, boot });
             }
@@ -175,7 +183,7 @@
         let update = match &renewal.holder {
             control::Holder::Entry(_) => self.update(renewal.version),
             control::Holder::Agent(announcement, _) => {
-                self.part(renewal.version, &announcement.instance)
+                self.scoped_update(renewal.version, &announcement.instance)
             }
         };
         control::Response::Granted(control::Grant {
@@ -186,7 +194,7 @@
     }
 
     /// The part of the view that an agent follows, whole each time.
-    fn part(&self, have: number::Version, instance: &name::Instance) -> change::Update {
+    fn scoped_update(&self, have: number::Version, instance: &name::Instance) -> change::Update {
         if have == self.view().version {
             return change::Update::Current;
         }
@@ -198,8 +206,8 @@
         if have == version {
             return change::Update::Current;
         }
-        let kept = self.steps.first().is_some_and(|step| step.version <= have);
-        if !kept {
+        let is_retained = self.steps.first().is_some_and(|step| step.version <= have);
+        if !is_retained {
             return change::Update::Whole(Box::new(self.view().clone()));
         }
         let after = self.steps.iter().filter(|step| step.version > have);
@@ -212,7 +220,7 @@
         if !applied.changes.is_empty() {
             let version = number::Version(self.index.0);
             self.steps.push(change::Step { version, changes: applied.changes });
-            let surplus = self.steps.len().saturating_sub(STEPS_KEPT);
+            let surplus = self.steps.len().saturating_sub(MAX_RETAINED_STEPS);
             self.steps.drain(..surplus);
         }
         applied.reply
--- a/crates/hyssopfork-entry/tests/history/carry.rs
+++ b/crates/hyssopfork-entry/tests/history/events.rs
@@ -1,8 +1,10 @@
 //! What each happening does, the faults, and the promises that are checked as they happen.
 
-use crate::callers;
+use crate::clients;
 use crate::shell;
-use crate::world::{AGENTS, ENGINES, ENTRIES, Happening, MILLI, Node, TOKEN, Watch, World};
+use crate::simulation::{
+    AGENTS, ENGINES, ENTRIES, Event, HeldWatch, MILLIS, Node, Simulation, TOKEN,
+};
 use hyssopfork_agent as agent;
 use hyssopfork_entry as entry;
 use hyssopfork_wire::{attempt, number, timing};
@@ -10,100 +12,112 @@
 
 /// Time within which an agent finds a new process of its back end: the age of a probe that it
 /// still goes by, on a clock that may run slow.
-const FOUND_WITHIN: u64 = 1_010 * MILLI;
+const MAX_DETECTION_MICROS: u64 = 1_010 * MILLIS;
 
-impl World {
-    pub fn carry(&mut self, happening: Happening) {
-        match happening {
-            Happening::TickAgent(index) => {
+impl Simulation {
+    pub fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::TickAgent(index) => {
                 self.step_agent(index, agent::event::Event::Tick);
                 let tick = agent::action::TICK.as_micros() as u64;
-                self.at_node(Node::Agent(index), tick, Happening::TickAgent(index));
+                self.schedule_for(Node::Agent(index), tick, Event::TickAgent(index));
             }
-            Happening::TickEntry(index) => {
+            Event::TickEntry(index) => {
                 self.step_entry(index, entry::event::Event::Tick);
                 let tick = entry::action::TICK_INTERVAL.as_micros() as u64;
-                self.at_node(Node::Entry(index), tick, Happening::TickEntry(index));
+                self.schedule_for(Node::Entry(index), tick, Event::TickEntry(index));
             }
-            Happening::Agent(index, event) => self.step_agent(index, event),
-            Happening::Entry(index, event) => self.step_entry(index, event),
-            Happening::Call { from, call, request } => self.call_control(from, call, request),
-            Happening::Stand { from, call, to, request } => self.asked(from, call, to, request),
-            Happening::Offer { entry, to, offer, stream } => {
+            Event::Agent(index, event) => self.step_agent(index, event),
+            Event::Entry(index, event) => self.step_entry(index, event),
+            Event::Call { from, call, request } => self.on_control_call(from, call, request),
+            Event::GrantRequest { from, call, to, request } => {
+                self.on_grant_call(from, call, to, request)
+            }
+            Event::Offer { entry, to, offer, stream } => {
                 self.deliver_offer(entry, to, offer, stream);
             }
-            Happening::Frame { entry, attempt, index, frame } => {
-                self.received(entry, attempt, index, frame);
+            Event::Frame { entry, attempt, index, frame } => {
+                self.on_frame(entry, attempt, index, frame);
+            }
+            Event::Cancel { entry, to, attempt, boot } => {
+                self.on_cancel(entry, to, attempt, boot);
             }
-            Happening::Cancel { entry, to, attempt, boot } => {
-                self.cancelled(entry, to, attempt, boot);
+            Event::Reconnect { entry, attempt } => self.reconnect(entry, attempt),
+            Event::Probe(index) => self.probe(index),
+            Event::SendPart { at, incarnation, attempt, part } => {
+                self.send_part(at, incarnation, attempt, part)
             }
-            Happening::Reconnect { entry, attempt } => self.reconnect(entry, attempt),
-            Happening::Probe(index) => self.probe(index),
-            Happening::Work { at, life, attempt, part } => self.work(at, life, attempt, part),
-            Happening::Load { at, fence } => self.load(at, fence),
-            Happening::Rise(index) => self.upstreams[index].rise(self.now),
-            Happening::Restart(node) => {
+            Event::LoadModel { at, fence } => self.load_model(at, fence),
+            Event::RestartUpstream(index) => self.upstreams[index].restart(self.now),
+            Event::Restart(node) => {
                 if !self.processes[&node].up {
                     self.start(node);
                 }
             }
-            Happening::Manage => self.manage(),
-            Happening::Fault => self.fault(),
-            Happening::ZoneIn(zone) => {
+            Event::Reconcile => self.reconcile(),
+            Event::InjectFault => self.inject_fault(),
+            Event::ZoneIn(zone) => {
                 self.control.set_zone(self.now, &zone, false);
-                self.tell_watchers();
+                self.notify_watchers();
             }
-            Happening::Arrive => self.arrive(),
-            Happening::Gone { entry, request } => {
-                if self.callers.all[&request].end.is_none() {
-                    self.callers.end(request, callers::Final::Gone);
+            Event::SendRequest => self.send_random_request(),
+            Event::DisconnectClient { entry, request } => {
+                if self.clients.all[&request].outcome.is_none() {
+                    self.clients.finish(request, clients::Outcome::Disconnected);
                     self.step_entry(entry, entry::event::Event::ClientGone(request));
                 }
             }
         }
     }
 
-    fn call_control(&mut self, from: Node, call: u64, request: hyssopfork_wire::control::Request) {
-        match self.control.call(self.now, &request) {
-            Some(response) => self.reply_control(from, self.life(from), call, response),
+    fn on_control_call(
+        &mut self,
+        from: Node,
+        call: u64,
+        request: hyssopfork_wire::control::Request,
+    ) {
+        match self.control.handle_request(self.now, &request) {
+            Some(response) => {
+                self.send_control_response(from, self.incarnation(from), call, response)
+            }
             None => {
-                let have = self.control.view().version;
-                let life = self.life(from);
-                self.watches.push(Watch { node: from, life, call, have, request });
+                let version = self.control.view().version;
+                let incarnation = self.incarnation(from);
+                self.watches.push(HeldWatch { node: from, incarnation, call, version, request });
             }
         }
-        self.tell_watchers();
+        self.notify_watchers();
     }
 
-    fn reply_control(
+    fn send_control_response(
         &mut self,
         to: Node,
-        life: u32,
+        incarnation: u32,
         call: u64,
         response: hyssopfork_wire::control::Response,
     ) {
-        let copies = 1 + usize::from(!self.quiet && self.random.random_ratio(1, 20));
+        let copies = 1 + usize::from(!self.faultless && self.random.random_ratio(1, 20));
         for _ in 0..copies {
-            if let Some(delay) = self.travel(Node::Control, to) {
-                let happening = self.controlled(to, call, Some(response.clone()));
-                self.at_life(to, life, delay, happening);
+            if let Some(delay) = self.message_delay(Node::Control, to) {
+                let delivery = self.control_response(to, call, Some(response.clone()));
+                self.schedule_for_incarnation(to, incarnation, delay, delivery);
             }
         }
     }
 
-    fn tell_watchers(&mut self) {
+    fn notify_watchers(&mut self) {
         let version = self.control.view().version;
         for (group, placement) in &self.control.view().placements {
             assert!(self.control.view().configuration.groups.contains_key(group));
             self.placements.insert(placement.fence, placement.members.clone());
         }
-        let (due, kept): (Vec<Watch>, Vec<Watch>) =
-            std::mem::take(&mut self.watches).into_iter().partition(|watch| watch.have < version);
+        let (due, kept): (Vec<HeldWatch>, Vec<HeldWatch>) = std::mem::take(&mut self.watches)
+            .into_iter()
+            .partition(|watch| watch.version < version);
         self.watches = kept;
         for watch in due {
-            if let Some(response) = self.control.call(self.now, &watch.request) {
-                self.reply_control(watch.node, watch.life, watch.call, response);
+            if let Some(response) = self.control.handle_request(self.now, &watch.request) {
+                self.send_control_response(watch.node, watch.incarnation, watch.call, response);
             }
         }
     }
@@ -111,29 +125,29 @@
     fn deliver_offer(&mut self, entry: usize, to: usize, offer: attempt::Offer, stream: bool) {
         let process = &self.processes[&Node::Agent(to)];
         if !process.up {
-            self.break_off(entry, offer.attempt, 50 * MILLI);
+            self.break_connection(entry, offer.attempt, 50 * MILLIS);
             return;
         }
         if process.paused_until > self.now {
             let delay = process.paused_until - self.now;
-            self.after(delay, Happening::Offer { entry, to, offer, stream });
+            self.schedule(delay, Event::Offer { entry, to, offer, stream });
             return;
         }
-        self.offered(entry, to, offer, stream);
+        self.on_offer(entry, to, offer, stream);
     }
 
     fn probe(&mut self, index: usize) {
         let upstream = &self.upstreams[index];
         let health = upstream.alive.then(|| agent::event::Health {
-            incarnation: Some(format!("{}", upstream.life)),
+            incarnation: Some(format!("{}", upstream.incarnation)),
             running: Some(upstream.running.len() as u32),
-            loaded: upstream.loaded,
+            loaded: upstream.loaded_fence,
         });
         let node = Node::Agent(index);
         let sent = self.clock(node);
         let event = agent::event::Event::ProbedAt { sent, health };
-        self.at_node(node, 500, Happening::Agent(index, event));
-        self.at_node(node, timing::PROBE_INTERVAL.as_micros() as u64, Happening::Probe(index));
+        self.schedule_for(node, 500, Event::Agent(index, event));
+        self.schedule_for(node, timing::PROBE_INTERVAL.as_micros() as u64, Event::Probe(index));
     }
 
     /// The agent writes a request to its back end: here the promises are judged.
@@ -144,26 +158,27 @@
         if let Some((_, fence)) = &offer.group {
             self.check_group(index, *fence);
         }
-        assert!(!self.callers.runs.contains(&attempt), "attempt {attempt} ran twice");
-        self.callers.runs.push(attempt);
-        self.frame(index, attempt, shell::Frame::Started);
+        assert!(!self.clients.runs.contains(&attempt), "attempt {attempt} ran twice");
+        self.clients.runs.push(attempt);
+        self.append_frame(index, attempt, shell::Frame::Started);
         let upstream = &mut self.upstreams[index];
         if !upstream.alive {
             let fault = agent::event::Event::Failed(attempt, agent::event::Fault::Broken);
-            self.at_node(Node::Agent(index), 300, Happening::Agent(index, fault));
+            self.schedule_for(Node::Agent(index), 300, Event::Agent(index, fault));
             return;
         }
-        let parts = callers::parts(&offer.path, slot.stream);
+        let parts = clients::expected_parts(&offer.path, slot.stream);
         let fence = offer.group.map(|(_, fence)| fence);
         let running = crate::upstream::Running { fence, parts, stream: slot.stream };
         upstream.running.insert(attempt, running);
-        let found = self.now > upstream.started + FOUND_WITHIN || upstream.started == 0;
-        let (runs, bears) = (upstream.running.len() as u32, upstream.bears());
-        assert!(!found || runs <= bears, "{runs} run at i{index}, which bears {bears}");
-        let life = upstream.life;
+        let is_detected =
+            self.now > upstream.started_at + MAX_DETECTION_MICROS || upstream.started_at == 0;
+        let (runs, capacity) = (upstream.running.len() as u32, upstream.capacity());
+        assert!(!is_detected || runs <= capacity, "{runs} run at i{index}, which bears {capacity}");
+        let incarnation = upstream.incarnation;
         let part = offer.resume_from as usize;
-        let delay = self.random.random_range(5 * MILLI..150 * MILLI);
-        self.after(delay, Happening::Work { at: index, life, attempt, part });
+        let delay = self.random.random_range(5 * MILLIS..150 * MILLIS);
+        self.schedule(delay, Event::SendPart { at: index, incarnation, attempt, part });
     }
 
     fn check_zone(&self, index: usize) {
@@ -178,16 +193,16 @@
     /// Every member's engine is loaded for this placement, but for one that died within the
     /// grants' term; and nothing of another placement runs beside it.
     fn check_group(&self, index: usize, fence: number::Fence) {
-        let bound = timing::GROUP_GRANT_GUARD.as_micros() as u64 + FOUND_WITHIN;
+        let bound = timing::GROUP_GRANT_GUARD.as_micros() as u64 + MAX_DETECTION_MICROS;
         for member in &self.placements[&fence] {
             let member: usize = member.as_str()[1..].parse().expect("instances are numbered");
             let upstream = &self.upstreams[member];
-            if upstream.alive && upstream.loaded == Some(fence) {
+            if upstream.alive && upstream.loaded_fence == Some(fence) {
                 continue;
             }
-            let fell = upstream.fell.expect("only an engine that fell may be missing");
-            let gone = self.now - fell;
-            assert!(gone <= bound, "group {fence} served {gone} us after i{member} fell");
+            let failed_at = upstream.failed_at.expect("only an engine that fell may be missing");
+            let elapsed = self.now - failed_at;
+            assert!(elapsed <= bound, "group {fence} served {elapsed} us after i{member} fell");
         }
         let mut others = self.upstreams[index].running.values();
         let alone = others.all(|running| running.fence == Some(fence));
@@ -202,19 +217,25 @@
         assert!(placed.contains(&instance), "an order under a placement of others");
     }
 
-    fn load(&mut self, index: usize, fence: number::Fence) {
+    fn load_model(&mut self, index: usize, fence: number::Fence) {
         let upstream = &mut self.upstreams[index];
         if upstream.alive {
             upstream.load(fence);
         }
         let done = upstream.alive;
         let event = agent::event::Event::Ordered { fence, done };
-        self.at_node(Node::Agent(index), 300, Happening::Agent(index, event));
+        self.schedule_for(Node::Agent(index), 300, Event::Agent(index, event));
     }
 
-    fn work(&mut self, index: usize, life: u32, attempt: attempt::Identifier, part: usize) {
+    fn send_part(
+        &mut self,
+        index: usize,
+        incarnation: u32,
+        attempt: attempt::Identifier,
+        part: usize,
+    ) {
         let upstream = &mut self.upstreams[index];
-        if upstream.life != life {
+        if upstream.incarnation != incarnation {
             return;
         }
         let Some(running) = upstream.running.get(&attempt).cloned() else { return };
@@ -225,61 +246,61 @@
         }
         let first = self.shells[index].slots[&attempt].offer.as_ref().map(|o| o.resume_from);
         if first == Some(part as u64) {
-            self.frame(index, attempt, shell::Frame::Head { stream: running.stream });
+            self.append_frame(index, attempt, shell::Frame::Head { stream: running.stream });
             let begun = agent::event::Event::Begun(attempt);
-            self.at_node(Node::Agent(index), 0, Happening::Agent(index, begun));
+            self.schedule_for(Node::Agent(index), 0, Event::Agent(index, begun));
         }
         if let Some(text) = running.parts.get(part) {
-            self.frame(index, attempt, shell::Frame::Part(text.clone()));
-            let delay = self.random.random_range(MILLI..60 * MILLI);
+            self.append_frame(index, attempt, shell::Frame::Part(text.clone()));
+            let delay = self.random.random_range(MILLIS..60 * MILLIS);
             let part = part + 1;
-            self.after(delay, Happening::Work { at: index, life, attempt, part });
+            self.schedule(delay, Event::SendPart { at: index, incarnation, attempt, part });
             return;
         }
         self.upstreams[index].complete(attempt);
-        self.frame(index, attempt, shell::Frame::End);
+        self.append_frame(index, attempt, shell::Frame::End);
         let ended = agent::event::Event::Ended(attempt);
-        self.at_node(Node::Agent(index), 0, Happening::Agent(index, ended));
+        self.schedule_for(Node::Agent(index), 0, Event::Agent(index, ended));
     }
 
-    fn manage(&mut self) {
-        let restless = !self.quiet;
-        self.control.manage(self.now, &mut self.random, restless);
-        self.tell_watchers();
-        self.after(100 * MILLI, Happening::Manage);
+    fn reconcile(&mut self) {
+        let move_freely = !self.faultless;
+        self.control.reconcile(self.now, &mut self.random, move_freely);
+        self.notify_watchers();
+        self.schedule(100 * MILLIS, Event::Reconcile);
     }
 
-    fn fault(&mut self) {
-        if self.quiet {
+    fn inject_fault(&mut self) {
+        if self.faultless {
             return;
         }
-        let delay = self.random.random_range(50 * MILLI..1_400 * MILLI);
-        self.after(delay, Happening::Fault);
+        let delay = self.random.random_range(50 * MILLIS..1_400 * MILLIS);
+        self.schedule(delay, Event::InjectFault);
         let agent = Node::Agent(self.random.random_range(0..AGENTS));
         let entry = Node::Entry(self.random.random_range(0..ENTRIES));
         let any = if self.random.random_ratio(1, 4) { entry } else { agent };
-        let span = self.random.random_range(10 * MILLI..4_000 * MILLI);
+        let span = self.random.random_range(10 * MILLIS..4_000 * MILLIS);
         match self.random.random_range(0..12) {
             0 | 1 => self.pause(any, span),
             2 => self.crash(any),
             3 => {
                 let index = self.random.random_range(0..AGENTS);
-                self.fell_engine(index, span);
+                self.crash_upstream(index, span);
             }
-            4 => self.cut(any, Node::Control, span),
-            5 => self.cut(agent, entry, span),
+            4 => self.partition(any, Node::Control, span),
+            5 => self.partition(agent, entry, span),
             6 | 7 => {
                 let other = Node::Agent(self.random.random_range(0..ENGINES));
-                self.cut(agent, other, span);
+                self.partition(agent, other, span);
             }
             8 => {
                 let zone = if self.random.random() { "zone-a" } else { "zone-b" };
                 let out = self.random.random_ratio(1, 3);
                 self.control.set_zone(self.now, &zone.into(), out);
-                self.tell_watchers();
+                self.notify_watchers();
             }
-            9 if self.random.random_ratio(1, 3) => self.island(agent, entry),
-            10 if self.random.random_ratio(1, 8) => self.darken(agent, span),
+            9 if self.random.random_ratio(1, 3) => self.isolate(agent, entry),
+            10 if self.random.random_ratio(1, 8) => self.fail_domain(agent, span),
             _ => self.stop(any),
         }
     }
@@ -292,121 +313,125 @@
 
     pub fn crash(&mut self, node: Node) {
         self.processes.get_mut(&node).expect("all processes are known").up = false;
-        let delay = self.random.random_range(MILLI..1_000 * MILLI);
-        self.after(delay, Happening::Restart(node));
+        let delay = self.random.random_range(MILLIS..1_000 * MILLIS);
+        self.schedule(delay, Event::Restart(node));
         match node {
-            Node::Entry(index) => self.orphan(index),
-            Node::Agent(index) => self.lose_agent(index),
+            Node::Entry(index) => self.orphan_clients(index),
+            Node::Agent(index) => self.disconnect_agent(index),
             Node::Control => {}
         }
     }
 
     /// Connections to the agent's process break; so do its own to the back end, which stops work
     /// where it can cancel.
-    fn lose_agent(&mut self, index: usize) {
+    fn disconnect_agent(&mut self, index: usize) {
         if self.upstreams[index].cancels {
             self.upstreams[index].running.clear();
         }
         let attempts: Vec<_> = self.shells[index].slots.keys().copied().collect();
         self.shells[index] = shell::Agent::default();
         for attempt in attempts {
-            (0..ENTRIES).for_each(|entry| self.break_off(entry, attempt, 50 * MILLI));
+            (0..ENTRIES).for_each(|entry| self.break_connection(entry, attempt, 50 * MILLIS));
         }
     }
 
     /// Every agent and back end of one fabric domain goes.
-    fn darken(&mut self, agent: Node, span: u64) {
+    fn fail_domain(&mut self, agent: Node, span: u64) {
         let Node::Agent(index) = agent else { return };
         let domain = |index: usize| shell::announcement(index, 0, &self.upstreams[index]).domain;
         let inside: Vec<usize> =
             (0..AGENTS).filter(|other| domain(*other) == domain(index)).collect();
         for index in inside {
-            self.fell_engine(index, span);
+            self.crash_upstream(index, span);
             if self.processes[&Node::Agent(index)].up {
                 self.crash(Node::Agent(index));
             }
         }
     }
 
-    fn fell_engine(&mut self, index: usize, span: u64) {
+    fn crash_upstream(&mut self, index: usize, span: u64) {
         let running: Vec<_> = self.upstreams[index].running.keys().copied().collect();
         if !self.upstreams[index].alive {
             return;
         }
-        self.upstreams[index].fall(self.now);
+        self.upstreams[index].crash(self.now);
         for attempt in running {
             let fault = agent::event::Event::Failed(attempt, agent::event::Fault::Broken);
-            self.at_node(Node::Agent(index), 300, Happening::Agent(index, fault));
+            self.schedule_for(Node::Agent(index), 300, Event::Agent(index, fault));
         }
-        self.after(span / 4, Happening::Rise(index));
+        self.schedule(span / 4, Event::RestartUpstream(index));
     }
 
-    fn cut(&mut self, one: Node, other: Node, span: u64) {
+    fn partition(&mut self, one: Node, other: Node, span: u64) {
         let pair = (one.min(other), one.max(other));
-        self.cuts.insert(pair, self.now + span);
+        self.partitions.insert(pair, self.now + span);
     }
 
     /// An agent and an entry are cut off from control but not from each other, and the agent's
     /// zone goes out for a while.
-    fn island(&mut self, agent: Node, entry: Node) {
+    fn isolate(&mut self, agent: Node, entry: Node) {
         let Node::Agent(index) = agent else { return };
-        self.cut(agent, Node::Control, 6_000 * MILLI);
-        self.cut(entry, Node::Control, 6_000 * MILLI);
+        self.partition(agent, Node::Control, 6_000 * MILLIS);
+        self.partition(entry, Node::Control, 6_000 * MILLIS);
         let zone = shell::announcement(index, 0, &self.upstreams[index]).zone;
         self.control.set_zone(self.now, &zone, true);
-        self.tell_watchers();
-        self.after(6_000 * MILLI, Happening::ZoneIn(zone));
+        self.notify_watchers();
+        self.schedule(6_000 * MILLIS, Event::ZoneIn(zone));
     }
 
     pub fn stop(&mut self, node: Node) {
         match node {
             Node::Agent(index) => {
                 let event = agent::event::Event::Stop;
-                self.at_node(node, 0, Happening::Agent(index, event));
+                self.schedule_for(node, 0, Event::Agent(index, event));
             }
             Node::Entry(index) => {
                 let event = entry::event::Event::Stop;
-                self.at_node(node, 0, Happening::Entry(index, event));
+                self.schedule_for(node, 0, Event::Entry(index, event));
             }
             Node::Control => {}
         }
     }
 
-    fn arrive(&mut self) {
-        if self.quiet {
+    fn send_random_request(&mut self) {
+        if self.faultless {
             return;
         }
-        let delay = self.random.random_range(MILLI..40 * MILLI);
-        self.after(delay, Happening::Arrive);
+        let delay = self.random.random_range(MILLIS..40 * MILLIS);
+        self.schedule(delay, Event::SendRequest);
         let route = ["/write", "/write", "/once", "/lodge"][self.random.random_range(0..4)];
         let key = (route == "/lodge" && self.random.random_ratio(2, 3))
-            .then(|| format!("key-{}", self.requests / 4));
+            .then(|| format!("key-{}", self.last_request / 4));
         let entry = self.random.random_range(0..ENTRIES);
-        let request = self.ask(entry, route, key);
+        let request = self.send_request(entry, route, key);
         if self.random.random_ratio(1, 20) {
-            let delay = self.random.random_range(MILLI..300 * MILLI);
-            self.at_node(Node::Entry(entry), delay, Happening::Gone { entry, request });
+            let delay = self.random.random_range(MILLIS..300 * MILLIS);
+            self.schedule_for(
+                Node::Entry(entry),
+                delay,
+                Event::DisconnectClient { entry, request },
+            );
         }
     }
 
     /// A caller asks an entry.
-    pub fn ask(&mut self, entry: usize, route: &str, key: Option<String>) -> u64 {
-        self.requests += 1;
-        let request = self.requests;
+    pub fn send_request(&mut self, entry: usize, route: &str, key: Option<String>) -> u64 {
+        self.last_request += 1;
+        let request = self.last_request;
         let named = key.clone().unwrap_or_else(|| format!("r{request}"));
-        let caller = callers::Caller {
+        let client = clients::Client {
             entry,
             path: format!("{route}/{named}"),
             key: key.clone(),
             repeatable: route == "/write",
             stream: route == "/write" && request.is_multiple_of(2),
             parts: Vec::new(),
-            end: None,
+            outcome: None,
         };
         let arrival = entry::event::Arrival {
             token_sha256: Some(TOKEN.repeat(32)),
             method: "POST".into(),
-            path: caller.path.clone(),
+            path: client.path.clone(),
             headers: Vec::new(),
             idempotency_key: key,
             digest: [7; 32],
@@ -414,13 +439,13 @@
             prefix_hash: None,
             cost_tokens: 100,
         };
-        self.callers.all.insert(request, caller);
+        self.clients.all.insert(request, client);
         if !self.processes[&Node::Entry(entry)].up {
-            self.callers.end(request, callers::Final::Orphaned);
+            self.clients.finish(request, clients::Outcome::Orphaned);
             return request;
         }
         let arrived = entry::event::Event::RequestArrived { request, arrival };
-        self.at_node(Node::Entry(entry), 0, Happening::Entry(entry, arrived));
+        self.schedule_for(Node::Entry(entry), 0, Event::Entry(entry, arrived));
         request
     }
 }
--- a/crates/hyssopfork-entry/tests/history/shell.rs
+++ b/crates/hyssopfork-entry/tests/history/shell.rs
@@ -1,8 +1,8 @@
 //! The shells of agents and entries: they carry out what the cores ask for, and decide nothing.
 
-use crate::callers;
+use crate::clients;
+use crate::simulation::{Event, MILLIS, Node, Simulation};
 use crate::upstream;
-use crate::world::{Happening, MILLI, Node, World};
 use hyssopfork_agent as agent;
 use hyssopfork_entry as entry;
 use hyssopfork_wire::{attempt, clock, configuration, control, fleet, frame, member, refusal};
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub struct Agent {
     pub slots: BTreeMap<attempt::Identifier, Slot>,
-    asks: BTreeMap<u64, (usize, u32, u64)>,
+    grant_requests: BTreeMap<u64, (usize, u32, u64)>,
     cancels: BTreeMap<u64, (usize, u32, attempt::Identifier)>,
     calls: u64,
 }
@@ -46,11 +46,11 @@
     offer: attempt::Offer,
     collect: bool,
     stream: bool,
-    seen: usize,
+    next_frame: usize,
     broken: bool,
-    tries: u32,
-    headed: bool,
-    forwards: bool,
+    connects: u32,
+    has_head: bool,
+    is_forwarding: bool,
     collected: Vec<String>,
 }
 
@@ -82,18 +82,18 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn step_agent(&mut self, index: usize, event: agent::event::Event) {
         let now = self.clock(Node::Agent(index));
         for action in self.agents[index].step(now, event) {
-            self.act_agent(index, action);
+            self.execute_for_agent(index, action);
         }
     }
 
     pub fn step_entry(&mut self, index: usize, event: entry::event::Event) {
         let now = self.clock(Node::Entry(index));
         for action in self.entries[index].step(now, event) {
-            self.act_entry(index, action);
+            self.execute_for_entry(index, action);
         }
     }
 
@@ -101,77 +101,78 @@
         self.processes[&node].clock(self.now)
     }
 
-    fn act_agent(&mut self, index: usize, action: agent::action::Action) {
+    fn execute_for_agent(&mut self, index: usize, action: agent::action::Action) {
         let node = Node::Agent(index);
         match action {
             agent::action::Action::Control { call, request, timeout, .. } => {
-                self.call(node, call, *request, timeout.as_micros() as u64);
+                self.call_control(node, call, *request, timeout.as_micros() as u64);
             }
             agent::action::Action::Stand { call, to, request, timeout } => {
                 let to = usize::from(to.port() - 2_000);
                 let timeout = timeout.as_micros() as u64;
                 let none = agent::event::Event::Stood { call, response: None };
-                self.at_node(node, timeout, Happening::Agent(index, none));
-                if let Some(delay) = self.travel(node, Node::Agent(to)) {
-                    let stand = Happening::Stand { from: index, call, to, request };
-                    self.at_node(Node::Agent(to), delay, stand);
+                self.schedule_for(node, timeout, Event::Agent(index, none));
+                if let Some(delay) = self.message_delay(node, Node::Agent(to)) {
+                    let grant_request = Event::GrantRequest { from: index, call, to, request };
+                    self.schedule_for(Node::Agent(to), delay, grant_request);
                 }
             }
             agent::action::Action::ReplyStand { call, response } => {
-                self.reply_stand(index, call, response);
+                self.send_grant_response(index, call, response);
             }
             agent::action::Action::Prepare { attempt, load } => {
-                self.frame(index, attempt, Frame::Load(load));
+                self.append_frame(index, attempt, Frame::Load(load));
                 // Opening the upstream's connection may take as long as it likes.
-                let slow = !self.quiet && self.random.random_ratio(1, 20);
-                let most = if slow { 3_000 * MILLI } else { 2 * MILLI };
-                let delay = self.random.random_range(10..most);
+                let is_slow = !self.faultless && self.random.random_ratio(1, 20);
+                let max_delay = if is_slow { 3_000 * MILLIS } else { 2 * MILLIS };
+                let delay = self.random.random_range(10..max_delay);
                 let ready = agent::event::Event::Ready(attempt);
-                self.at_node(node, delay, Happening::Agent(index, ready));
+                self.schedule_for(node, delay, Event::Agent(index, ready));
             }
             agent::action::Action::TakeUp(attempt) => self.replay(index, attempt),
             agent::action::Action::Forward(attempt) => self.forward(index, attempt),
             agent::action::Action::Refuse { attempt, refusal, load } => {
-                self.frame(index, attempt, Frame::Load(load));
-                self.frame(index, attempt, Frame::Refused(refusal));
+                self.append_frame(index, attempt, Frame::Load(load));
+                self.append_frame(index, attempt, Frame::Refused(refusal));
             }
             agent::action::Action::Abort(attempt) => {
                 self.upstreams[index].running.remove(&attempt);
             }
             agent::action::Action::ReplyCancel { call, outcome } => {
-                let Some((entry, life, attempt)) = self.shells[index].cancels.remove(&call) else {
+                let Some((entry, incarnation, attempt)) = self.shells[index].cancels.remove(&call)
+                else {
                     panic!("a cancel is answered once");
                 };
-                if let Some(delay) = self.travel(node, Node::Entry(entry)) {
+                if let Some(delay) = self.message_delay(node, Node::Entry(entry)) {
                     let outcome = Some(outcome);
                     let event = entry::event::Event::CancelResponded { attempt, outcome };
-                    let happening = Happening::Entry(entry, event);
-                    self.at_life(Node::Entry(entry), life, delay, happening);
+                    let delivery = Event::Entry(entry, event);
+                    self.schedule_for_incarnation(Node::Entry(entry), incarnation, delay, delivery);
                 }
             }
             agent::action::Action::Order(order) => {
                 self.check_order(index, order.fence);
-                let delay = self.random.random_range(20 * MILLI..200 * MILLI);
-                self.after(delay, Happening::Load { at: index, fence: order.fence });
+                let delay = self.random.random_range(20 * MILLIS..200 * MILLIS);
+                self.schedule(delay, Event::LoadModel { at: index, fence: order.fence });
             }
             agent::action::Action::Notice(_) => {}
             agent::action::Action::Stopped => {
                 let process = self.processes.get_mut(&node).expect("all processes are known");
                 process.up = false;
-                self.after(500 * MILLI, Happening::Restart(node));
+                self.schedule(500 * MILLIS, Event::Restart(node));
             }
         }
     }
 
-    fn act_entry(&mut self, index: usize, action: entry::action::Action) {
+    fn execute_for_entry(&mut self, index: usize, action: entry::action::Action) {
         let node = Node::Entry(index);
         match action {
             entry::action::Action::CallControl { call, request, timeout, .. } => {
-                self.call(node, call, *request, timeout.as_micros() as u64);
+                self.call_control(node, call, *request, timeout.as_micros() as u64);
             }
             entry::action::Action::StartAttempt { request, to, offer, collect } => {
-                self.callers.attempts.insert(offer.attempt, request);
-                let stream = self.callers.all[&request].stream;
+                self.clients.attempts.insert(offer.attempt, request);
+                let stream = self.clients.all[&request].stream;
                 let to = usize::from(to.port() - 1_000);
                 let attempt = offer.attempt;
                 let connection = Connection {
@@ -180,11 +181,11 @@
                     offer: *offer,
                     collect,
                     stream,
-                    seen: 0,
+                    next_frame: 0,
                     broken: false,
-                    tries: 0,
-                    headed: false,
-                    forwards: false,
+                    connects: 0,
+                    has_head: false,
+                    is_forwarding: false,
                     collected: Vec::new(),
                 };
                 self.connections[index].insert(attempt, connection);
@@ -192,16 +193,16 @@
             }
             entry::action::Action::ForwardResponse { attempt, .. } => {
                 if let Some(connection) = self.connections[index].get_mut(&attempt) {
-                    connection.forwards = true;
+                    connection.is_forwarding = true;
                 }
             }
             entry::action::Action::CancelAttempt { attempt, to, boot } => {
                 let to = usize::from(to.port() - 1_000);
                 let copies = 1 + usize::from(self.random.random_ratio(1, 10));
                 for _ in 0..copies {
-                    if let Some(delay) = self.travel(node, Node::Agent(to)) {
-                        let cancel = Happening::Cancel { entry: index, to, attempt, boot };
-                        self.at_node(Node::Agent(to), delay, cancel);
+                    if let Some(delay) = self.message_delay(node, Node::Agent(to)) {
+                        let cancel = Event::Cancel { entry: index, to, attempt, boot };
+                        self.schedule_for(Node::Agent(to), delay, cancel);
                     }
                 }
             }
@@ -210,49 +211,49 @@
             }
             entry::action::Action::Respond { request, body, .. } => {
                 let text = String::from_utf8(body.to_vec()).expect("answers are text");
-                let caller = self.callers.all.get_mut(&request).expect("callers are known");
-                caller.parts = text.split('\n').map(str::to_owned).collect();
-                self.callers.end(request, callers::Final::Answered);
+                let client = self.clients.all.get_mut(&request).expect("callers are known");
+                client.parts = text.split('\n').map(str::to_owned).collect();
+                self.clients.finish(request, clients::Outcome::Completed);
             }
             entry::action::Action::Reject { request, refusal } => {
-                self.callers.end(request, callers::Final::Refused(refusal));
+                self.clients.finish(request, clients::Outcome::Rejected(refusal));
             }
             entry::action::Action::Abort { request, refusal } => {
-                self.callers.end(request, callers::Final::Cut(refusal));
+                self.clients.finish(request, clients::Outcome::Aborted(refusal));
             }
             entry::action::Action::Notice(_) | entry::action::Action::RecordMeasurement(_) => {}
             entry::action::Action::Stopped => {
                 let process = self.processes.get_mut(&node).expect("all processes are known");
                 process.up = false;
-                self.orphan(index);
-                self.after(500 * MILLI, Happening::Restart(node));
+                self.orphan_clients(index);
+                self.schedule(500 * MILLIS, Event::Restart(node));
             }
         }
     }
 
     /// A call to control: it may be lost either way, and its answer may come twice.
-    fn call(&mut self, from: Node, call: u64, request: control::Request, timeout: u64) {
-        let none = self.controlled(from, call, None);
-        self.at_node(from, timeout, none);
-        if let Some(delay) = self.travel(from, Node::Control) {
-            let life = self.life(from);
-            let call = Happening::Call { from, call, request };
-            self.at_life(from, life, delay, call);
+    fn call_control(&mut self, from: Node, call: u64, request: control::Request, timeout: u64) {
+        let none = self.control_response(from, call, None);
+        self.schedule_for(from, timeout, none);
+        if let Some(delay) = self.message_delay(from, Node::Control) {
+            let incarnation = self.incarnation(from);
+            let call = Event::Call { from, call, request };
+            self.schedule_for_incarnation(from, incarnation, delay, call);
         }
     }
 
-    pub fn controlled(
+    pub fn control_response(
         &self,
         to: Node,
         call: u64,
         response: Option<control::Response>,
-    ) -> Happening {
+    ) -> Event {
         match to {
             Node::Agent(index) => {
-                Happening::Agent(index, agent::event::Event::Controlled { call, response })
+                Event::Agent(index, agent::event::Event::Controlled { call, response })
             }
             Node::Entry(index) => {
-                Happening::Entry(index, entry::event::Event::ControlResponded { call, response })
+                Event::Entry(index, entry::event::Event::ControlResponded { call, response })
             }
             Node::Control => panic!("control calls nobody"),
         }
@@ -263,42 +264,42 @@
         let from = Node::Entry(index);
         let Some(connection) = self.connections[index].get_mut(&attempt) else { return };
         connection.broken = false;
-        connection.seen = 0;
+        connection.next_frame = 0;
         connection.collected.clear();
-        let first = connection.tries == 0;
-        connection.tries += 1;
+        let first = connection.connects == 0;
+        connection.connects += 1;
         let (to, stream) = (connection.to, connection.stream);
         let mut offer = connection.offer.clone();
         offer.first = first;
         let receiver = Node::Agent(to);
-        let refuses = !self.processes[&receiver].up && !self.is_cut(from, receiver);
+        let refuses = !self.processes[&receiver].up && !self.is_partitioned(from, receiver);
         if refuses && first {
             self.fail(index, attempt, entry::event::Fault::Unreachable);
             return;
         }
-        match self.travel(from, receiver) {
+        match self.message_delay(from, receiver) {
             Some(delay) if !refuses => {
-                let offer = Happening::Offer { entry: index, to, offer, stream };
-                self.after(delay, offer);
+                let offer = Event::Offer { entry: index, to, offer, stream };
+                self.schedule(delay, offer);
             }
-            _ => self.break_off(index, attempt, 1_000 * MILLI),
+            _ => self.break_connection(index, attempt, 1_000 * MILLIS),
         }
     }
 
     /// The connection is dead; the entry's shell finds out after `delay`.
-    pub fn break_off(&mut self, index: usize, attempt: attempt::Identifier, delay: u64) {
+    pub fn break_connection(&mut self, index: usize, attempt: attempt::Identifier, delay: u64) {
         let Some(connection) = self.connections[index].get_mut(&attempt) else { return };
         if !connection.broken {
             connection.broken = true;
-            let reconnect = Happening::Reconnect { entry: index, attempt };
-            self.at_node(Node::Entry(index), delay, reconnect);
+            let reconnect = Event::Reconnect { entry: index, attempt };
+            self.schedule_for(Node::Entry(index), delay, reconnect);
         }
     }
 
     pub fn reconnect(&mut self, index: usize, attempt: attempt::Identifier) {
         let Some(connection) = self.connections[index].get(&attempt) else { return };
-        let headed = connection.headed && !connection.collect;
-        if connection.tries >= 3 || headed {
+        let is_forwarded = connection.has_head && !connection.collect;
+        if connection.connects >= 3 || is_forwarded {
             self.fail(index, attempt, entry::event::Fault::Lost);
         } else {
             self.connect(index, attempt);
@@ -307,13 +308,13 @@
 
     fn fail(&mut self, index: usize, attempt: attempt::Identifier, fault: entry::event::Fault) {
         let Some(connection) = self.connections[index].remove(&attempt) else { return };
-        let delivered = self.callers.all[&connection.request].parts.len() as u64;
+        let delivered = self.clients.all[&connection.request].parts.len() as u64;
         let event = entry::event::Event::AttemptFailed { attempt, fault, delivered };
-        self.at_node(Node::Entry(index), 0, Happening::Entry(index, event));
+        self.schedule_for(Node::Entry(index), 0, Event::Entry(index, event));
     }
 
     /// An offer reached the agent's shell.
-    pub fn offered(&mut self, entry: usize, to: usize, offer: attempt::Offer, stream: bool) {
+    pub fn on_offer(&mut self, entry: usize, to: usize, offer: attempt::Offer, stream: bool) {
         let attempt = offer.attempt;
         let shell = &mut self.shells[to];
         let known = shell.slots.contains_key(&attempt);
@@ -330,42 +331,43 @@
     }
 
     /// A cancel reached the agent's shell.
-    pub fn cancelled(&mut self, entry: usize, to: usize, attempt: attempt::Identifier, boot: u64) {
-        let life = self.life(Node::Entry(entry));
+    pub fn on_cancel(&mut self, entry: usize, to: usize, attempt: attempt::Identifier, boot: u64) {
+        let incarnation = self.incarnation(Node::Entry(entry));
         let shell = &mut self.shells[to];
         shell.calls += 1;
         let call = shell.calls;
-        shell.cancels.insert(call, (entry, life, attempt));
+        shell.cancels.insert(call, (entry, incarnation, attempt));
         self.step_agent(to, agent::event::Event::Cancelled { call, attempt, boot });
     }
 
     /// A request for a grant reached the agent's shell.
-    pub fn asked(&mut self, from: usize, call: u64, to: usize, request: member::Request) {
-        let life = self.life(Node::Agent(from));
+    pub fn on_grant_call(&mut self, from: usize, call: u64, to: usize, request: member::Request) {
+        let incarnation = self.incarnation(Node::Agent(from));
         let shell = &mut self.shells[to];
         shell.calls += 1;
         let number = shell.calls;
-        shell.asks.insert(number, (from, life, call));
+        shell.grant_requests.insert(number, (from, incarnation, call));
         self.step_agent(to, agent::event::Event::Asked { call: number, request });
     }
 
-    fn reply_stand(&mut self, index: usize, call: u64, response: member::Response) {
-        let Some((from, life, call)) = self.shells[index].asks.remove(&call) else {
+    fn send_grant_response(&mut self, index: usize, call: u64, response: member::Response) {
+        let Some((from, incarnation, call)) = self.shells[index].grant_requests.remove(&call)
+        else {
             panic!("a request for a grant is answered once");
         };
-        let copies = 1 + usize::from(!self.quiet && self.random.random_ratio(1, 10));
+        let copies = 1 + usize::from(!self.faultless && self.random.random_ratio(1, 10));
         for _ in 0..copies {
-            if let Some(delay) = self.travel(Node::Agent(index), Node::Agent(from)) {
+            if let Some(delay) = self.message_delay(Node::Agent(index), Node::Agent(from)) {
                 let response = Some(response.clone());
                 let event = agent::event::Event::Stood { call, response };
-                let happening = Happening::Agent(from, event);
-                self.at_life(Node::Agent(from), life, delay, happening);
+                let delivery = Event::Agent(from, event);
+                self.schedule_for_incarnation(Node::Agent(from), incarnation, delay, delivery);
             }
         }
     }
 
     /// Adds a frame to an attempt's answer and sends it to whoever reads.
-    pub fn frame(&mut self, index: usize, attempt: attempt::Identifier, frame: Frame) {
+    pub fn append_frame(&mut self, index: usize, attempt: attempt::Identifier, frame: Frame) {
         let Some(slot) = self.shells[index].slots.get_mut(&attempt) else { return };
         let at = slot.frames.len();
         slot.frames.push(frame.clone());
@@ -391,17 +393,17 @@
         index: usize,
         frame: Frame,
     ) {
-        match self.travel(Node::Agent(from), Node::Entry(entry)) {
+        match self.message_delay(Node::Agent(from), Node::Entry(entry)) {
             Some(delay) => {
-                let frame = Happening::Frame { entry, attempt, index, frame };
-                self.at_node(Node::Entry(entry), delay, frame);
+                let frame = Event::Frame { entry, attempt, index, frame };
+                self.schedule_for(Node::Entry(entry), delay, frame);
             }
-            None => self.break_off(entry, attempt, 1_000 * MILLI),
+            None => self.break_connection(entry, attempt, 1_000 * MILLIS),
         }
     }
 
     /// A frame reached the entry's shell, which takes frames in their order and once.
-    pub fn received(
+    pub fn on_frame(
         &mut self,
         entry: usize,
         attempt: attempt::Identifier,
@@ -409,27 +411,27 @@
         frame: Frame,
     ) {
         let Some(connection) = self.connections[entry].get_mut(&attempt) else { return };
-        if index > connection.seen {
+        if index > connection.next_frame {
             // Overtaken: the connection would hold it back until the one before has come.
-            let frame = Happening::Frame { entry, attempt, index, frame };
+            let frame = Event::Frame { entry, attempt, index, frame };
             if !connection.broken {
-                self.at_node(Node::Entry(entry), MILLI, frame);
+                self.schedule_for(Node::Entry(entry), MILLIS, frame);
             }
             return;
         }
-        if index < connection.seen || connection.broken {
+        if index < connection.next_frame || connection.broken {
             return;
         }
-        connection.seen += 1;
-        self.take_frame(entry, attempt, frame);
+        connection.next_frame += 1;
+        self.handle_frame(entry, attempt, frame);
     }
 
-    fn take_frame(&mut self, entry: usize, attempt: attempt::Identifier, frame: Frame) {
+    fn handle_frame(&mut self, entry: usize, attempt: attempt::Identifier, frame: Frame) {
         let Some(connection) = self.connections[entry].get_mut(&attempt) else { return };
         let event = match frame {
             Frame::Load(load) => entry::event::Event::LoadReported(attempt, load),
             Frame::Started => entry::event::Event::AttemptStarted(attempt),
-            Frame::Refused(_) if connection.headed && !connection.collect => {
+            Frame::Refused(_) if connection.has_head && !connection.collect => {
                 self.fail(entry, attempt, entry::event::Fault::Lost);
                 return;
             }
@@ -438,7 +440,7 @@
                 entry::event::Event::AttemptRejected(attempt, refusal)
             }
             Frame::Head { stream } => {
-                connection.headed = true;
+                connection.has_head = true;
                 entry::event::Event::HeadReceived(attempt, head(stream))
             }
             Frame::Part(_) if connection.collect => {
@@ -448,40 +450,40 @@
                 return;
             }
             Frame::Part(text) => {
-                if connection.forwards {
+                if connection.is_forwarding {
                     let request = connection.request;
-                    let caller = self.callers.all.get_mut(&request).expect("callers are known");
-                    assert_eq!(caller.end, None, "a caller is sent nothing after its answer");
-                    caller.parts.push(text);
+                    let client = self.clients.all.get_mut(&request).expect("callers are known");
+                    assert_eq!(client.outcome, None, "a client is sent nothing after its answer");
+                    client.parts.push(text);
                 }
                 entry::event::Event::ResponseStarted(attempt)
             }
             Frame::End => {
-                self.ended(entry, attempt);
+                self.on_response_end(entry, attempt);
                 return;
             }
         };
         self.step_entry(entry, event);
     }
 
-    fn ended(&mut self, entry: usize, attempt: attempt::Identifier) {
+    fn on_response_end(&mut self, entry: usize, attempt: attempt::Identifier) {
         let Some(connection) = self.connections[entry].remove(&attempt) else { return };
         if connection.collect {
             let body = connection.collected.join("\n").into();
             let head = head(connection.stream);
             let event = entry::event::Event::ResponseCollected { attempt, head, body };
             self.step_entry(entry, event);
-        } else if connection.forwards {
-            self.callers.end(connection.request, callers::Final::Answered);
+        } else if connection.is_forwarding {
+            self.clients.finish(connection.request, clients::Outcome::Completed);
             self.step_entry(entry, entry::event::Event::AttemptCompleted(attempt));
         }
     }
 
     /// Callers of an entry whose process ended get nothing more.
-    pub fn orphan(&mut self, entry: usize) {
-        for caller in self.callers.all.values_mut() {
-            if caller.entry == entry && caller.end.is_none() {
-                caller.end = Some(callers::Final::Orphaned);
+    pub fn orphan_clients(&mut self, entry: usize) {
+        for client in self.clients.all.values_mut() {
+            if client.entry == entry && client.outcome.is_none() {
+                client.outcome = Some(clients::Outcome::Orphaned);
             }
         }
     }
--- a/crates/hyssopfork-entry/tests/history/world.rs
+++ b/crates/hyssopfork-entry/tests/history/simulation.rs
@@ -1,7 +1,7 @@
 //! The loop: true time, processes with clocks of their own, and a network that loses, doubles,
 //! delays and reorders.
 
-use crate::{callers, control, shell, upstream};
+use crate::{clients, control, shell, upstream};
 use hyssopfork_agent as agent;
 use hyssopfork_entry as entry;
 use hyssopfork_wire::{
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-pub const MILLI: u64 = 1_000;
+pub const MILLIS: u64 = 1_000;
 pub const ENGINES: usize = 6;
 pub const AGENTS: usize = 10;
 pub const ENTRIES: usize = 2;
@@ -29,7 +29,7 @@
 /// State of a process that its cores don't know.
 #[derive(Clone, Debug)]
 pub struct Process {
-    pub life: u32,
+    pub incarnation: u32,
     pub up: bool,
     pub paused_until: u64,
     /// Rate of its clock in thousandths; any two differ by less than a hundredth.
@@ -45,81 +45,82 @@
 
 /// What happens next.
 #[derive(Clone, Debug)]
-pub enum Happening {
+pub enum Event {
     TickAgent(usize),
     TickEntry(usize),
     Agent(usize, agent::event::Event),
     Entry(usize, entry::event::Event),
     Call { from: Node, call: u64, request: calls::Request },
-    Stand { from: usize, call: u64, to: usize, request: member::Request },
+    GrantRequest { from: usize, call: u64, to: usize, request: member::Request },
     Offer { entry: usize, to: usize, offer: attempt::Offer, stream: bool },
     Frame { entry: usize, attempt: attempt::Identifier, index: usize, frame: shell::Frame },
     Cancel { entry: usize, to: usize, attempt: attempt::Identifier, boot: u64 },
     Reconnect { entry: usize, attempt: attempt::Identifier },
     Probe(usize),
-    Work { at: usize, life: u32, attempt: attempt::Identifier, part: usize },
-    Load { at: usize, fence: number::Fence },
-    Rise(usize),
+    SendPart { at: usize, incarnation: u32, attempt: attempt::Identifier, part: usize },
+    LoadModel { at: usize, fence: number::Fence },
+    RestartUpstream(usize),
     Restart(Node),
-    Manage,
-    Fault,
+    Reconcile,
+    InjectFault,
     ZoneIn(name::Zone),
-    Arrive,
-    Gone { entry: usize, request: u64 },
+    SendRequest,
+    DisconnectClient { entry: usize, request: u64 },
 }
 
 /// A happening that is to come; dropped when the process it is for lives no more.
-struct Planned {
+struct Scheduled {
     receiver: Option<(Node, u32)>,
-    happening: Happening,
+    event: Event,
 }
 
 /// A watch that control holds until its view has moved past `have`.
-pub struct Watch {
+pub struct HeldWatch {
     pub node: Node,
-    pub life: u32,
+    pub incarnation: u32,
     pub call: u64,
-    pub have: hyssopfork_wire::number::Version,
+    pub version: hyssopfork_wire::number::Version,
     pub request: hyssopfork_wire::control::Request,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub random: rand_chacha::ChaCha8Rng,
-    queue: BTreeMap<(u64, u64), Planned>,
+    queue: BTreeMap<(u64, u64), Scheduled>,
     sequence: u64,
     pub agents: Vec<agent::core::Core>,
     pub entries: Vec<entry::core::Core>,
     pub processes: BTreeMap<Node, Process>,
     pub upstreams: Vec<upstream::Upstream>,
     pub control: control::Control,
-    pub watches: Vec<Watch>,
-    pub callers: callers::Callers,
+    pub watches: Vec<HeldWatch>,
+    pub clients: clients::Clients,
     pub shells: Vec<shell::Agent>,
     pub connections: Vec<BTreeMap<attempt::Identifier, shell::Connection>>,
-    pub cuts: BTreeMap<(Node, Node), u64>,
-    pub boots: u64,
-    pub requests: u64,
-    pub quiet: bool,
+    pub partitions: BTreeMap<(Node, Node), u64>,
+    pub last_boot: u64,
+    pub last_request: u64,
+    pub faultless: bool,
     /// Members of every placement that there was, by fencing number.
     pub placements: BTreeMap<number::Fence, Vec<name::Instance>>,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut processes = BTreeMap::new();
         let agents = (0..AGENTS).map(Node::Agent);
         for node in agents.chain((0..ENTRIES).map(Node::Entry)) {
             let rate = random.random_range(995..=1_004);
             let offset = random.random_range(0..1_000_000_000);
-            processes.insert(node, Process { life: 0, up: false, paused_until: 0, rate, offset });
+            processes
+                .insert(node, Process { incarnation: 0, up: false, paused_until: 0, rate, offset });
         }
         let service = |index: usize| index >= ENGINES;
         let upstreams = (0..AGENTS)
             .map(|index| upstream::Upstream::new(!service(index), index % 2 == 0))
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
             random,
             queue: BTreeMap::new(),
@@ -130,21 +131,21 @@
             upstreams,
             control: control::Control::new(declared()),
             watches: Vec::new(),
-            callers: callers::Callers::default(),
+            clients: clients::Clients::default(),
             shells: (0..AGENTS).map(|_| shell::Agent::default()).collect(),
             connections: vec![BTreeMap::new(); ENTRIES],
-            cuts: BTreeMap::new(),
-            boots: seed << 20,
-            requests: 0,
-            quiet: false,
+            partitions: BTreeMap::new(),
+            last_boot: seed << 20,
+            last_request: 0,
+            faultless: false,
             placements: BTreeMap::new(),
         };
-        (0..AGENTS).for_each(|index| world.start(Node::Agent(index)));
-        (0..ENTRIES).for_each(|index| world.start(Node::Entry(index)));
-        world.after(0, Happening::Manage);
-        world.after(3_000 * MILLI, Happening::Fault);
-        world.after(1_500 * MILLI, Happening::Arrive);
-        world
+        (0..AGENTS).for_each(|index| simulation.start(Node::Agent(index)));
+        (0..ENTRIES).for_each(|index| simulation.start(Node::Entry(index)));
+        simulation.schedule(0, Event::Reconcile);
+        simulation.schedule(3_000 * MILLIS, Event::InjectFault);
+        simulation.schedule(1_500 * MILLIS, Event::SendRequest);
+        simulation
     }
 
     /// Runs for `span` microseconds of true time.
@@ -154,9 +155,9 @@
             if first.key().0 > end {
                 break;
             }
-            let ((at, sequence), planned) = first.remove_entry();
+            let ((at, sequence), scheduled) = first.remove_entry();
             self.now = at;
-            self.happen(sequence, planned.receiver, planned.happening);
+            self.deliver(sequence, scheduled.receiver, scheduled.event);
         }
         self.now = end;
     }
@@ -164,89 +165,95 @@
     /// Starts a process, or the next one at the same addresses.
     pub fn start(&mut self, node: Node) {
         let process = self.processes.get_mut(&node).expect("all processes are known");
-        process.life += 1;
+        process.incarnation += 1;
         process.up = true;
         process.paused_until = 0;
         let now = process.clock(self.now);
-        self.boots += 1;
+        self.last_boot += 1;
         let seed = self.random.random();
         match node {
             Node::Agent(index) => {
                 let core = agent::core::Core::new(self.agent_settings(index), seed, now);
-                put(&mut self.agents, index, core);
+                set_or_push(&mut self.agents, index, core);
                 self.shells[index] = shell::Agent::default();
-                self.at_node(node, 0, Happening::TickAgent(index));
-                self.at_node(node, 0, Happening::Probe(index));
+                self.schedule_for(node, 0, Event::TickAgent(index));
+                self.schedule_for(node, 0, Event::Probe(index));
             }
             Node::Entry(index) => {
                 let core = entry::core::Core::new(self.entry_settings(index), seed, now);
-                put(&mut self.entries, index, core);
+                set_or_push(&mut self.entries, index, core);
                 self.connections[index].clear();
-                self.at_node(node, 0, Happening::TickEntry(index));
+                self.schedule_for(node, 0, Event::TickEntry(index));
             }
             Node::Control => {}
         }
     }
 
     /// Puts a happening into the future, whoever lives then.
-    pub fn after(&mut self, delay: u64, happening: Happening) {
-        self.push(delay, None, happening);
+    pub fn schedule(&mut self, delay: u64, event: Event) {
+        self.push(delay, None, event);
     }
 
     /// Puts a happening into the future of the process that lives at `node` now.
-    pub fn at_node(&mut self, node: Node, delay: u64, happening: Happening) {
-        let life = self.life(node);
-        self.push(delay, Some((node, life)), happening);
+    pub fn schedule_for(&mut self, node: Node, delay: u64, event: Event) {
+        let incarnation = self.incarnation(node);
+        self.push(delay, Some((node, incarnation)), event);
     }
 
     /// As [`World::at_node`], for a given life of it.
-    pub fn at_life(&mut self, node: Node, life: u32, delay: u64, happening: Happening) {
-        self.push(delay, Some((node, life)), happening);
+    pub fn schedule_for_incarnation(
+        &mut self,
+        node: Node,
+        incarnation: u32,
+        delay: u64,
+        event: Event,
+    ) {
+        self.push(delay, Some((node, incarnation)), event);
     }
 
-    pub fn life(&self, node: Node) -> u32 {
-        self.processes.get(&node).map_or(0, |process| process.life)
+    pub fn incarnation(&self, node: Node) -> u32 {
+        self.processes.get(&node).map_or(0, |process| process.incarnation)
     }
 
     /// Time that a message takes from one process to another; `None` when it is lost.
-    pub fn travel(&mut self, from: Node, to: Node) -> Option<u64> {
-        if self.is_cut(from, to) || (!self.quiet && self.random.random_ratio(1, 50)) {
+    pub fn message_delay(&mut self, from: Node, to: Node) -> Option<u64> {
+        if self.is_partitioned(from, to) || (!self.faultless && self.random.random_ratio(1, 50)) {
             return None;
         }
-        let slow = !self.quiet && self.random.random_ratio(1, 30);
-        let most = if slow { 900 * MILLI } else { 3 * MILLI };
-        Some(self.random.random_range(200..most))
+        let is_slow = !self.faultless && self.random.random_ratio(1, 30);
+        let max_delay = if is_slow { 900 * MILLIS } else { 3 * MILLIS };
+        Some(self.random.random_range(200..max_delay))
     }
 
-    pub fn is_cut(&self, from: Node, to: Node) -> bool {
+    pub fn is_partitioned(&self, from: Node, to: Node) -> bool {
         let pair = (from.min(to), from.max(to));
-        self.cuts.get(&pair).is_some_and(|until| *until > self.now)
+        self.partitions.get(&pair).is_some_and(|until| *until > self.now)
     }
 
-    fn push(&mut self, delay: u64, receiver: Option<(Node, u32)>, happening: Happening) {
+    fn push(&mut self, delay: u64, receiver: Option<(Node, u32)>, event: Event) {
         self.sequence += 1;
-        self.queue.insert((self.now + delay, self.sequence), Planned { receiver, happening });
+        self.queue.insert((self.now + delay, self.sequence), Scheduled { receiver, event });
     }
 
-    fn happen(&mut self, sequence: u64, receiver: Option<(Node, u32)>, happening: Happening) {
-        if let Some((node, life)) = receiver
+    fn deliver(&mut self, sequence: u64, receiver: Option<(Node, u32)>, event: Event) {
+        if let Some((node, incarnation)) = receiver
             && let Some(process) = self.processes.get(&node)
         {
-            if process.life != life || !process.up {
+            if process.incarnation != incarnation || !process.up {
                 return;
             }
             if process.paused_until > self.now {
                 // What waited keeps its order.
                 let at = (process.paused_until, sequence);
-                self.queue.insert(at, Planned { receiver, happening });
+                self.queue.insert(at, Scheduled { receiver, event });
                 return;
             }
         }
-        self.carry(happening);
+        self.handle_event(event);
     }
 
     fn agent_settings(&self, index: usize) -> agent::core::Settings {
-        let announcement = shell::announcement(index, self.boots, &self.upstreams[index]);
+        let announcement = shell::announcement(index, self.last_boot, &self.upstreams[index]);
         let control = vec![shell::address(1)];
         agent::core::Settings { announcement, control, stop_limit: timing::STOP_TIMEOUT }
     }
@@ -256,13 +263,13 @@
             instance: format!("entry-{index}").as_str().into(),
             zone: "zone-a".into(),
             control: vec![shell::address(1)],
-            boot: self.boots,
+            boot: self.last_boot,
             stop_timeout: std::time::Duration::from_secs(10),
         }
     }
 }
 
-fn put<T>(list: &mut Vec<T>, index: usize, value: T) {
+fn set_or_push<T>(list: &mut Vec<T>, index: usize, value: T) {
     if index < list.len() {
         list[index] = value;
     } else {
@@ -292,28 +299,28 @@
         .expect("the declaration is well-formed")
 }
 
-impl World {
+impl Simulation {
     /// Ends all faults: links join, paused processes go on, zones are in, everybody is up.
-    pub fn calm(&mut self) {
-        self.quiet = true;
-        self.cuts.clear();
+    pub fn end_faults(&mut self) {
+        self.faultless = true;
+        self.partitions.clear();
         for zone in ["zone-a", "zone-b"] {
             self.control.set_zone(self.now, &zone.into(), false);
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// Runs for `span` while callers ask the entries that are up.
-    pub fn serve(&mut self, span: u64) {
+    pub fn run_with_requests(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
             let route = ["/write", "/once", "/lodge"][self.random.random_range(0..3)];
             let entry = self.random.random_range(0..ENTRIES);
             if self.processes[&Node::Entry(entry)].up {
-                self.ask(entry, route, None);
+                self.send_request(entry, route, None);
             }
-            self.run(20 * MILLI);
+            self.run(20 * MILLIS);
         }
     }
 
--- a/crates/hyssopfork-entry/tests/history/upstream.rs
+++ b/crates/hyssopfork-entry/tests/history/upstream.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 
 /// Concurrent work that a cold back end bears.
-const COLD_BEARS: f64 = 2.0;
+const COLD_CAPACITY: f64 = 2.0;
 
 /// Growth of what it bears with each completed piece of work.
-const WARMS_BY: f64 = 0.5;
+const WARM_UP_STEP: f64 = 0.5;
 
 #[derive(Clone, Debug)]
 pub struct Running {
@@ -17,68 +17,68 @@
 }
 
 pub struct Upstream {
-    pub life: u32,
+    pub incarnation: u32,
     pub alive: bool,
     pub engine: bool,
     pub cancels: bool,
     pub concurrency: u32,
     /// Fencing number of the last order that it took, also a late one.
-    pub loaded: Option<number::Fence>,
+    pub loaded_fence: Option<number::Fence>,
     pub running: BTreeMap<attempt::Identifier, Running>,
-    bears: f64,
+    warm_capacity: f64,
     /// True time of the last start.
-    pub started: u64,
+    pub started_at: u64,
     /// True time of the last end, while it is down or had its model taken.
-    pub fell: Option<u64>,
+    pub failed_at: Option<u64>,
 }
 
 impl Upstream {
     pub fn new(engine: bool, cancels: bool) -> Upstream {
         Upstream {
-            life: 1,
+            incarnation: 1,
             alive: true,
             engine,
             cancels,
             concurrency: 6,
-            loaded: None,
+            loaded_fence: None,
             running: BTreeMap::new(),
-            bears: COLD_BEARS,
-            started: 0,
-            fell: None,
+            warm_capacity: COLD_CAPACITY,
+            started_at: 0,
+            failed_at: None,
         }
     }
 
-    pub fn bears(&self) -> u32 {
-        self.bears.min(f64::from(self.concurrency)) as u32
+    pub fn capacity(&self) -> u32 {
+        self.warm_capacity.min(f64::from(self.concurrency)) as u32
     }
 
     pub fn complete(&mut self, attempt: attempt::Identifier) -> Option<Running> {
         let running = self.running.remove(&attempt)?;
-        self.bears += WARMS_BY;
+        self.warm_capacity += WARM_UP_STEP;
         Some(running)
     }
 
     /// Takes an order, whatever its fencing number.
     pub fn load(&mut self, fence: number::Fence) {
-        if self.loaded != Some(fence) {
+        if self.loaded_fence != Some(fence) {
             self.running.clear();
         }
-        self.loaded = Some(fence);
-        self.bears = COLD_BEARS;
+        self.loaded_fence = Some(fence);
+        self.warm_capacity = COLD_CAPACITY;
     }
 
     /// Dies and, unless it stays away, is back at once as a new process.
-    pub fn fall(&mut self, now: u64) {
+    pub fn crash(&mut self, now: u64) {
         self.alive = false;
-        self.fell = Some(now);
+        self.failed_at = Some(now);
         self.running.clear();
     }
 
-    pub fn rise(&mut self, now: u64) {
+    pub fn restart(&mut self, now: u64) {
         self.alive = true;
-        self.life += 1;
-        self.loaded = None;
-        self.bears = COLD_BEARS;
-        self.started = now;
+        self.incarnation += 1;
+        self.loaded_fence = None;
+        self.warm_capacity = COLD_CAPACITY;
+        self.started_at = now;
     }
 }
