--- a/crates/hyssopfork-entry/benches/entry.rs
+++ b/crates/hyssopfork-entry/benches/entry.rs
@@ -1,22 +1,22 @@
-//! Prints what a request and a tick cost an entry, for pools of several sizes: the slopes for
-//! docs/CAPACITY.md. `cargo bench -p hyssopfork-entry`.
+//! Prints the cost of a request and of a tick for pools of several sizes, for the slopes in
+//! docs/CAPACITY.md. Run with `cargo bench -p hyssopfork-entry`.
 
 use hyssopfork_entry::{action, core, event};
 use hyssopfork_wire::{attempt, change, clock, control, fleet, frame, number, timing};
 use std::net;
 use std::time::{Duration, Instant};
 
-/// Requests that are timed for each pool.
+/// Requests timed per pool.
 const TIMED_REQUESTS: u64 = 2_000;
 
-/// Requests in the entry, waiting or in flight, while ticks are timed.
+/// Requests queued or in flight while ticks are timed.
 const PENDING_REQUESTS: u64 = 1_000;
 
-/// Ticks that are timed.
+/// Ticks timed per pool.
 const TIMED_TICKS: u32 = 200;
 
 fn main() {
-    println!("| upstreams | a request, whole | a tick, {PENDING_REQUESTS} requests held |");
+    println!("| upstreams | complete request | tick with {PENDING_REQUESTS} pending requests |");
     println!("|---|---|---|");
     for upstreams in [30, 300, 3_000] {
         let request = request_time(upstreams);
@@ -29,7 +29,7 @@
     let mut entry = entry(upstreams);
     let begun = Instant::now();
     for request in 0..TIMED_REQUESTS {
-        let attempt = offer(&mut entry, request).expect("there is room");
+        let attempt = offer(&mut entry, request).expect("the upstream has capacity");
         for event in [
             event::Event::LoadReported(attempt, load()),
             event::Event::AttemptStarted(attempt),
@@ -87,7 +87,7 @@
     let update = change::Update::Whole(Box::new(view(upstreams)));
     let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
     let response = Some(control::Response::Granted(grant));
-    let call = call.expect("a renewal goes out");
+    let call = call.expect("a renewal is sent");
     core.step(now(), event::Event::ControlResponded { call, response });
     core
 }
--- a/crates/hyssopfork-entry/tests/entry.rs
+++ b/crates/hyssopfork-entry/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry's core, by the failures that it must bear.
+//! Tests of the entry's core, grouped by the failures that it must handle.
 
 #[path = "entry/claims.rs"]
 mod claims;
--- a/crates/hyssopfork-entry/tests/entry/claims.rs
+++ b/crates/hyssopfork-entry/tests/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: non-repeatable work with a key runs once, and its outcome is kept.
+//! Claims: non-repeatable work with a key runs once, and its outcome is recorded.
 
 use crate::fixture;
 use hyssopfork_entry::event;
@@ -25,8 +25,8 @@
     assert_eq!(fixture::response_body(&recorded).as_deref(), Some("done"));
 }
 
-// The claim's answer is lost, or its leader changes: it is asked for again under the same
-// identifier, which the replicated log grants once.
+// The response to a claim is lost, or the control leader changes: the claim is requested again
+// under the same identifier, which the replicated log grants once.
 #[test]
 fn lost_claim_responses_are_requested_again_under_the_same_identifier() {
     let mut entry = fixture::entry();
@@ -62,7 +62,7 @@
         let mut entry = fixture::entry();
         let call = fixture::last_claim_call(&entry.arrive(fixture::arrival_with_key("k")).1).call;
         let actions = entry.respond_to_call(call, control::Response::Claimed(reply));
-        let refusal = fixture::rejection(&actions).expect("it is refused");
+        let refusal = fixture::rejection(&actions).expect("the request is rejected");
         assert_eq!((refusal.reason, refusal.ran), (reason, ran));
         assert!(fixture::starts(&actions).is_empty());
     }
@@ -73,15 +73,15 @@
     assert_eq!(fixture::response_body(&actions).as_deref(), Some("old"));
 }
 
-// The claim's answer doesn't come before the deadline. Nothing was sent, so the caller is told "not
-// run"; the claim may have been granted all the same and is given back when that is heard.
+// The claim is not answered before the deadline. Nothing was sent, so the client is told "not run".
+// The claim may have been granted nevertheless and must be released as soon as that is known.
 #[test]
 fn claim_granted_after_the_deadline_is_released() {
     let mut entry = fixture::entry();
     let (_, arrived) = entry.arrive(fixture::arrival_with_key("k"));
     let first = fixture::last_claim_call(&arrived);
     let actions = entry.advance(Duration::from_secs(3));
-    let refusal = fixture::rejection(&actions).expect("it is refused");
+    let refusal = fixture::rejection(&actions).expect("the request is rejected");
 
     let again = fixture::last_claim_call(&actions);
     let granted = control::Response::Claimed(claim::Reply::Granted);
@@ -93,7 +93,7 @@
     assert_eq!(fixture::recorded_outcome(&released), claim::Outcome::NotRun);
 }
 
-// Nobody can say whether claimed work ran: it is recorded so, and not sent again.
+// It is unknown whether claimed work ran: it must be recorded as unknown and not sent again.
 #[test]
 fn lost_claimed_work_is_recorded_as_unknown() {
     let mut entry = fixture::entry();
@@ -106,8 +106,9 @@
     assert_eq!(fixture::recorded_outcome(&actions), claim::Outcome::Unknown);
 }
 
-// The work began but its answer doesn't by the deadline. The caller is told so at once; the work is
-// watched to its end, not stopped halfway, so that the key's next caller gets its answer.
+// The work has started but is not answered by the deadline. The client is told at once. The work
+// must be followed to its end rather than cancelled halfway, so that the next request with the key
+// gets its response.
 #[test]
 fn started_claimed_work_is_followed_to_its_end() {
     let mut entry = fixture::entry();
@@ -123,8 +124,8 @@
     assert_eq!(fixture::response_body(&collected), None);
 }
 
-// The offer was not heard to have started by the deadline. It is cancelled, and the agent's word
-// decides whether the key is free.
+// The start of the work was not reported by the deadline. The attempt is cancelled, and the agent's
+// response to the cancel decides whether the key is released.
 #[test]
 fn cancelled_claim_is_released_only_on_the_agents_response() {
     let cases = [
@@ -144,8 +145,8 @@
     }
 }
 
-// The answer is here but can't be recorded in time: the caller is told that the outcome is not
-// known yet, never "not run", and the record goes on.
+// The response has arrived but can't be recorded in time. The client must be told that the outcome
+// is unknown, never "not run", and recording must continue.
 #[test]
 fn unrecorded_response_is_not_rejected_as_not_run() {
     let mut entry = fixture::entry();
@@ -155,13 +156,13 @@
     let actions = entry.advance(Duration::from_secs(4));
     let record = fixture::last_claim_call(&actions);
 
-    let refusal = fixture::rejection(&actions).expect("it is refused");
+    let refusal = fixture::rejection(&actions).expect("the request is rejected");
     assert_eq!((refusal.reason, refusal.ran), (UNKNOWN, refusal::Ran::MayHaveRun));
     assert!(matches!(record.request, control::Request::Record(..)));
 }
 
-// The caller went away while its certificate is being issued: the outcome is recorded for when it
-// comes back with the key.
+// The client disconnects while its certificate is being issued: the outcome must be recorded for
+// when it returns with the key.
 #[test]
 fn outcome_is_recorded_after_the_client_disconnects() {
     let mut entry = fixture::entry();
@@ -183,7 +184,7 @@
         entry.collect_response(start.offer.attempt, &"x".repeat(claim::MAX_BODY_BYTES + 1));
 
     let claim::Outcome::Answered { head, body } = fixture::recorded_outcome(&actions) else {
-        panic!("the answer is recorded");
+        panic!("expected a recorded response");
     };
     assert!(body.is_empty());
     assert!(head.headers.iter().any(|(name, _)| name == "hyssopfork-unkept-length"));
--- a/crates/hyssopfork-entry/tests/entry/fixture.rs
+++ b/crates/hyssopfork-entry/tests/entry/fixture.rs
@@ -1,4 +1,4 @@
-//! Fixtures: an entry with a view and a lease before three services and two groups.
+//! Test fixture: an entry with a view and a lease, two services and two serving groups.
 
 use hyssopfork_entry::{action, core, event};
 use hyssopfork_wire::{
@@ -7,7 +7,7 @@
 use std::net;
 use std::time::Duration;
 
-/// Time that the fixture's entry gives what is in flight when it is stopped.
+/// Stop timeout of the fixture's entry.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An entry and the time on its clock.
@@ -19,7 +19,7 @@
     last_request: u64,
 }
 
-/// What an entry offered.
+/// An attempt that the entry offered.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub to: net::SocketAddr,
@@ -27,13 +27,13 @@
     pub collect: bool,
 }
 
-/// A call about a claim.
+/// A call to control about a claim.
 pub struct ClaimCall {
     pub call: u64,
     pub request: control::Request,
 }
 
-/// An entry that can serve.
+/// An entry that holds a lease.
 pub fn entry() -> Entry {
     let mut entry = entry_without_lease();
     entry.acquire_lease();
@@ -84,7 +84,7 @@
         actions
     }
 
-    /// Time passes in ticks; no call is answered.
+    /// Advances the time in ticks; calls to control stay unanswered.
     pub fn advance_without_replies(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -95,7 +95,7 @@
         actions
     }
 
-    /// Time passes in ticks, and renewals are answered.
+    /// Advances the time in ticks; renewals are answered.
     pub fn advance(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -109,7 +109,7 @@
         actions
     }
 
-    /// Takes a lease on the fixture's view.
+    /// Acquires a lease on the fixture's view.
     pub fn acquire_lease(&mut self) -> Vec<action::Action> {
         while self.renewal_call.is_none() {
             self.now = self.now + action::TICK_INTERVAL;
@@ -118,7 +118,7 @@
         self.grant_lease()
     }
 
-    /// The view moves on to another one.
+    /// Changes the view and renews the lease on it.
     pub fn change_view(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
         change(&mut self.view);
         self.view.version = self.view.version.next();
@@ -134,20 +134,20 @@
         self.step(event::Event::ControlResponded { call, response })
     }
 
-    /// A request arrives; its number, and what is done.
+    /// A request arrives; returns its number and the resulting actions.
     pub fn arrive(&mut self, arrival: event::Arrival) -> (u64, Vec<action::Action>) {
         self.last_request += 1;
         let request = self.last_request;
         (request, self.step(event::Event::RequestArrived { request, arrival }))
     }
 
-    /// A request arrives and is offered; its number and the offer.
+    /// A request arrives and is offered; returns its number and the offer.
     pub fn arrive_and_offer(&mut self, arrival: event::Arrival) -> (u64, Start) {
         let (request, actions) = self.arrive(arrival);
         (request, single_start(&actions))
     }
 
-    /// The answer of an attempt begins.
+    /// The response to an attempt starts.
     pub fn start_response(
         &mut self,
         attempt: attempt::Identifier,
@@ -193,7 +193,7 @@
         self.step(event::Event::ControlResponded { call, response: Some(response) })
     }
 
-    /// A keyed request arrives and its claim is granted; its number and the offer.
+    /// A request with a key arrives and its claim is granted; returns its number and the offer.
     pub fn arrive_and_claim(&mut self, key: &str) -> (u64, Start) {
         let (request, actions) = self.arrive(arrival_with_key(key));
         let call = last_claim_call(&actions).call;
@@ -202,10 +202,10 @@
     }
 }
 
-/// The only offer among the actions.
+/// The only attempt offered by the actions.
 pub fn single_start(actions: &[action::Action]) -> Start {
     let starts = starts(actions);
-    assert_eq!(starts.len(), 1, "one attempt is offered: {actions:?}");
+    assert_eq!(starts.len(), 1, "expected exactly one offered attempt: {actions:?}");
     starts[0].clone()
 }
 
@@ -271,14 +271,14 @@
         },
         _ => None,
     });
-    call.expect("control is called about a claim")
+    call.expect("expected a call about a claim")
 }
 
-/// What is recorded by the last call among the actions.
+/// The outcome recorded by the last call among the actions.
 pub fn recorded_outcome(actions: &[action::Action]) -> claim::Outcome {
     match last_claim_call(actions).request {
         control::Request::Record(_, _, outcome) => outcome,
-        other => panic!("an outcome is recorded, not {other:?}"),
+        other => panic!("expected a recorded outcome, got {other:?}"),
     }
 }
 
--- a/crates/hyssopfork-entry/tests/entry/requests.rs
+++ b/crates/hyssopfork-entry/tests/entry/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: whose they are, where they go, and their one final answer.
+//! Requests: routing, admission, deadlines and their one final response.
 
 use crate::fixture;
 use hyssopfork_entry::{action, event, measurement};
@@ -33,7 +33,7 @@
     let failed = entry.fail_attempt(once.offer.attempt, event::Fault::Lost, 0);
     assert!(fixture::rejection(&failed).is_some(), "the longer route is not repeatable");
     let retried = entry.fail_attempt(other.offer.attempt, event::Fault::Lost, 0);
-    assert_eq!(fixture::starts(&retried).len(), 1, "the shorter one is");
+    assert_eq!(fixture::starts(&retried).len(), 1, "the shorter route is repeatable");
     assert_eq!(fixture::rejection(&none).map(|r| r.reason), Some(refusal::Reason::NoRoute));
 }
 
@@ -49,7 +49,7 @@
     let after_lease = entry.arrive(fixture::arrival("/write")).1;
 
     let reasons = [unauthorized, before_lease, after_lease].map(|actions| {
-        let refusal = fixture::rejection(&actions).expect("it is refused at once");
+        let refusal = fixture::rejection(&actions).expect("the request is rejected at once");
         assert_eq!(refusal.ran, refusal::Ran::NotRun);
         refusal.reason
     });
@@ -58,8 +58,8 @@
     assert!(!entry.core.is_ready(entry.now));
 }
 
-// An entry is cut off from control in silence while a zone goes out. Once its lease has lapsed it
-// sends nothing more, not even what waited or is tried again.
+// The entry loses contact with control while a zone is taken out. Once its lease has lapsed it must
+// send nothing more, neither queued requests nor retries.
 #[test]
 fn lapsed_lease_sends_nothing_more() {
     let mut entry = fixture::entry();
@@ -74,8 +74,9 @@
     assert_eq!(fixture::rejection(&actions).map(|r| r.ran), Some(refusal::Ran::NotRun));
 }
 
-// The deadline passes while nothing was sent, or while an offer is in flight. The caller has its
-// answer at once; the cancel goes out beside it, and only certainty is called "not run".
+// The deadline passes before anything was sent, or while an offer is in flight. The client must get
+// its rejection at once, with the cancel sent beside it, and "not run" must be claimed only when
+// that is certain.
 #[test]
 fn overdue_request_is_rejected_at_once() {
     let mut empty = fixture::entry();
@@ -87,16 +88,16 @@
     let unsent = empty.advance(Duration::from_secs(4));
     let overdue = sent.advance(Duration::from_secs(4));
 
-    let unsent = fixture::rejection(&unsent).expect("it is refused");
+    let unsent = fixture::rejection(&unsent).expect("the request is rejected");
     assert_eq!((unsent.reason, unsent.ran), (refusal::Reason::NoUpstream, refusal::Ran::NotRun));
-    let overdue_refusal = fixture::rejection(&overdue).expect("it is refused");
+    let overdue_refusal = fixture::rejection(&overdue).expect("the request is rejected");
     assert_eq!(overdue_refusal.reason, refusal::Reason::Deadline);
     assert_eq!(overdue_refusal.ran, refusal::Ran::MayHaveRun);
     assert!(fixture::cancelled_attempts(&overdue).contains(&start.offer.attempt));
 }
 
-// Answers come late, doubled or crossed: after the caller was answered by a second attempt, the
-// first one's answer arrives, and then again.
+// Responses arrive late, twice or out of order: after a second attempt has answered the client, the
+// response to the first attempt arrives, and then once more.
 #[test]
 fn late_and_duplicate_responses_are_ignored() {
     let mut entry = fixture::entry();
@@ -118,8 +119,8 @@
     assert!(fixture::rejection(&actions).is_none());
 }
 
-// The end of an answer that isn't being forwarded, a crossed one, ends nothing: the caller would be
-// left with a clean end to an answer that it never got.
+// The end of a response that isn't being forwarded arrives out of order. It must not complete the
+// request: the client would get a clean end to a response that it never received.
 #[test]
 fn end_of_an_unforwarded_response_is_ignored() {
     let mut entry = fixture::entry();
@@ -144,8 +145,8 @@
     assert!(fixture::forwarded_attempts(&later).is_empty());
 }
 
-// A request waited while operators changed its route to another pool: it is not sent by the rules
-// of before.
+// Operators change the rules of a route while a request waits. It must not be sent under the old
+// rules.
 #[test]
 fn queued_request_is_not_sent_after_its_route_changes() {
     let mut entry = fixture::entry();
@@ -163,9 +164,9 @@
     assert_eq!(fixture::rejection(&actions).map(|r| r.ran), Some(refusal::Ran::NotRun));
 }
 
-// Found by random histories (seed 48): one answer began late, as the entry's process had been
-// paused. The estimate of the time until answers begin then refused every later request of the
-// class, and, since none was admitted, was never corrected.
+// One response started late because the entry's process had been paused. The estimated time until a
+// response starts then rejected all later requests of the class and, as none was admitted, was
+// never corrected. Found by random history seed 48.
 #[test]
 fn one_late_response_does_not_lock_out_a_class() {
     let mut entry = fixture::entry();
@@ -180,9 +181,9 @@
     assert_eq!(start.offer.path, "/lodge");
 }
 
-// Found by random histories (seeds 181, 1097 and 1142): each upstream bore one piece of work and had
-// last said that another entry's ran there. The trace of it never faded to nothing, so that the
-// entry sent no more and heard no more, for good.
+// Each upstream could run one request and had last reported that another entry's request was
+// running there. That report never expired, so the entry sent no more requests, heard no more
+// reports and stayed blocked. Found by random history seeds 181, 1097 and 1142.
 #[test]
 fn upstream_with_a_limit_of_one_is_used_again() {
     let mut entry = fixture::entry();
--- a/crates/hyssopfork-entry/tests/entry/retries.rs
+++ b/crates/hyssopfork-entry/tests/entry/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, resumed streams and second copies.
+//! Retries, resumed streams and hedges.
 
 use crate::fixture;
 use hyssopfork_entry::event;
@@ -19,7 +19,8 @@
     assert_ne!(second.offer.attempt, first.offer.attempt);
 }
 
-// A certificate issue may have run: whatever ended the attempt, it is never sent again.
+// Non-repeatable work, such as issuing a certificate, may have run: whatever ended the attempt, it
+// must not be sent again.
 #[test]
 fn non_repeatable_work_that_may_have_run_is_not_retried() {
     for fault in [event::Fault::Lost, event::Fault::Restarted, event::Fault::Corrupt] {
@@ -30,9 +31,9 @@
         actions.extend(entry.advance(Duration::from_secs(4)));
 
         assert!(fixture::starts(&actions).is_empty());
-        let refusal = fixture::rejection(&actions).expect("it is refused");
+        let refusal = fixture::rejection(&actions).expect("the request is rejected");
         assert_eq!(refusal.ran, refusal::Ran::MayHaveRun);
-        assert_eq!(refusal.retry_after, None, "coming back would run it again");
+        assert_eq!(refusal.retry_after, None, "a retry by the client would run it again");
     }
 }
 
@@ -47,12 +48,12 @@
     let after_backoff = entry.advance(Duration::from_millis(100));
 
     assert_ne!(second.to, first.to);
-    assert!(fixture::starts(&third).is_empty(), "both were asked: it rests first");
+    assert!(fixture::starts(&third).is_empty(), "both upstreams were tried, so it backs off");
     assert_eq!(fixture::starts(&after_backoff).len(), 1);
 }
 
-// An attempt that was heard to have started can't have been unreachable, whatever the shell says
-// of the connection that broke last.
+// An attempt whose start was reported can't have been unreachable, whatever the shell reports about
+// the connection that broke last.
 #[test]
 fn unreachable_after_the_start_may_have_run() {
     let mut entry = fixture::entry();
@@ -65,8 +66,8 @@
     assert_eq!(fixture::rejection(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
 }
 
-// A stream is cut in the middle. Another upstream goes on after the last event that the caller has
-// whole.
+// A stream is interrupted. Another upstream must continue after the last event that the client
+// received completely.
 #[test]
 fn interrupted_stream_is_resumed_on_another_upstream() {
     let mut entry = fixture::entry();
@@ -83,8 +84,8 @@
     assert!(fixture::abort(&lost).is_none());
 }
 
-// What can't be resumed is cut with a mark, never glued together or ended cleanly: an answer that
-// is no stream, and a stream whose other upstream can't resume.
+// A response that can't be resumed must be aborted with an error marker, never appended to or ended
+// cleanly: one that is not a stream, and a stream whose other upstream can't resume.
 #[test]
 fn unresumable_response_is_aborted() {
     let mut plain = fixture::entry();
@@ -108,8 +109,8 @@
     }
 }
 
-// The upstream that is to resume the stream answers with something else, an error document for
-// example: it is not glued to what the caller has.
+// The upstream that is to resume a stream sends another kind of response, such as an error
+// document. It must not be appended to what the client has.
 #[test]
 fn non_stream_response_is_not_appended_to_a_stream() {
     let mut entry = fixture::entry();
@@ -124,8 +125,8 @@
     assert!(fixture::abort(&actions).is_some());
 }
 
-// A group is not whole for a moment and refuses within microseconds. The request must not run
-// through all its tries meanwhile.
+// A group is incomplete for a moment and rejects within microseconds. The request must not use up
+// all its attempts meanwhile.
 #[test]
 fn rejected_request_backs_off_and_is_served_later() {
     let mut entry = fixture::entry();
@@ -144,8 +145,8 @@
     assert_eq!(fixture::forwarded_attempts(&started), vec![start.offer.attempt]);
 }
 
-// A straggler holds a repeatable request for many times the usual: a second copy goes out, the
-// first that answers is forwarded and the other cancelled.
+// A straggler holds a repeatable request for many times the usual time. A second attempt must be
+// sent, the first response forwarded and the other attempt cancelled.
 #[test]
 fn straggler_is_hedged_by_a_second_attempt() {
     let mut entry = fixture::entry();
--- a/crates/hyssopfork-entry/tests/entry/stop.rs
+++ b/crates/hyssopfork-entry/tests/entry/stop.rs
@@ -1,4 +1,4 @@
-//! Graceful stop: nothing new, and nothing in flight is cut off.
+//! Graceful stop: no new requests are accepted, and those in flight are finished.
 
 use crate::fixture;
 use hyssopfork_entry::event;
@@ -22,7 +22,8 @@
     assert!(fixture::has_stopped(&ended));
 }
 
-// A claimed answer that the caller no longer waits for is still recorded before the process ends.
+// The response of claimed work must be recorded before the process exits, even when the client no
+// longer waits for it.
 #[test]
 fn outcomes_are_recorded_before_a_stop() {
     let mut entry = fixture::entry();
--- a/crates/hyssopfork-entry/tests/entry/streams.rs
+++ b/crates/hyssopfork-entry/tests/entry/streams.rs
@@ -1,12 +1,12 @@
-//! Event streams told apart, and costs estimated.
+//! Splitting of event streams, and cost estimates.
 
 use hyssopfork_entry::{estimate, sse};
 
 const EVENTS: &[u8] =
     b"data: one\n\n: comment\n\ndata: two\r\n\r\nevent: x\ndata: three\n\ndata: [DONE]\n\n";
 
-// An upstream breaks off in the middle of an event. The half must not reach the caller, wherever
-// the bytes were divided on their way.
+// An upstream fails in the middle of an event. The partial event must not reach the client, however
+// the bytes were divided in transit.
 #[test]
 fn only_complete_events_are_returned_for_any_chunk_size() {
     for size in 1..EVENTS.len() {
@@ -71,8 +71,9 @@
     assert_eq!(short, None);
 }
 
-// Found by a long run of real processes (seed 12): the upstream's connection broke after the end
-// mark, the stream was resumed elsewhere, and the caller got a second end mark.
+// The upstream's connection broke after the final event, the stream was resumed on another
+// upstream, and the client got a second final event. Found by a soak run of real processes, seed
+// 12.
 #[test]
 fn stream_has_ended_after_its_done_event() {
     let mut splitter = sse::Splitter::default();
--- a/crates/hyssopfork-entry/tests/history.rs
+++ b/crates/hyssopfork-entry/tests/history.rs
@@ -1,9 +1,9 @@
-//! Seeded random histories of agents and entries, joined by a small delivery loop.
+//! Seeded random histories of agents and entries in a deterministic simulation.
 //!
-//! Messages are lost, doubled, delayed and reordered; processes pause, crash, stop and start again
-//! at the same addresses; back ends die and come back cold; links are cut; zones go out and come
-//! back; control moves groups for no reason. The promises are judged in true time, which no
-//! process knows: clocks differ in origin, and in rate by up to the stated bound.
+//! Messages are lost, duplicated, delayed and reordered; processes pause, crash, stop and restart
+//! at the same addresses; back ends fail and return cold; links are partitioned; zones are taken
+//! out and brought back; control moves groups for no reason. The guarantees are checked in true
+//! time, which no process knows: clocks differ in origin and, up to the stated bound, in rate.
 
 #[path = "history/clients.rs"]
 mod clients;
@@ -18,20 +18,20 @@
 #[path = "history/upstream.rs"]
 mod upstream;
 
-/// Histories of an ordinary run; the environment may ask for more.
+/// Histories of an ordinary run; `HYSSOPFORK_HISTORIES` sets another number.
 const DEFAULT_HISTORIES: u64 = 120;
 
-/// True time of each history, in microseconds.
+/// True time during which faults are injected.
 const FAULT_PHASE_MICROS: u64 = 12_000 * simulation::MILLIS;
 
-/// Quiet after it, in which everything must come to an end.
+/// True time without faults after it, in which every request must end.
 const RECOVERY_PHASE_MICROS: u64 = 20_000 * simulation::MILLIS;
 
 fn environment_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Plays one history; returns the callers that were answered, and all.
+/// Runs one history; returns the number of requests answered in full and of all requests.
 fn run_history(seed: u64) -> (usize, usize) {
     let mut simulation = simulation::Simulation::new(seed);
     simulation.run(FAULT_PHASE_MICROS);
@@ -44,18 +44,22 @@
     simulation.run(RECOVERY_PHASE_MICROS / 2);
     simulation.clients.check_guarantees();
     for (request, client) in &simulation.clients.all {
-        assert!(client.outcome.is_some(), "request {request} never got an answer: {client:?}");
+        assert!(client.outcome.is_some(), "request {request} got no final response: {client:?}");
     }
     for request in last {
         let outcome = &simulation.clients.all[&request].outcome;
-        assert_eq!(*outcome, Some(clients::Outcome::Completed), "service is back after the faults");
+        assert_eq!(
+            *outcome,
+            Some(clients::Outcome::Completed),
+            "requests are served again after the faults"
+        );
     }
     (simulation.clients.completed(), simulation.clients.all.len())
 }
 
-// A caller sees a second certificate, a half answer, "not run" for work that ran, or work taken by
-// a group with a member missing. Any of the faults named above may stand before it, alone or
-// together; each seed is one order of them.
+// A client gets a second certificate, a partial response taken for a complete one, "not run" for
+// work that ran, or work of a group with a missing member. Any of the faults named above may cause
+// it, alone or in combination; each seed is one sequence of them.
 #[test]
 fn random_histories_keep_the_promises() {
     let first = environment_number("HYSSOPFORK_SEED", 1);
@@ -74,12 +78,12 @@
     }
 
     println!("{count} histories, {asked} requests, {answered} answered in full");
-    assert_eq!(failed, Vec::<u64>::new(), "these seeds break a promise");
-    assert!(answered * 2 > asked, "most requests are answered even so");
+    assert_eq!(failed, Vec::<u64>::new(), "these seeds violate a guarantee");
+    assert!(answered * 2 > asked, "most requests are answered despite the faults");
 }
 
-// Agents and an entry are asked to stop, two at a time, under load with long answers, and come back.
-// No caller loses a part of its answer by it, and none is told that its work may have run.
+// Agents and an entry are asked to stop, two at a time, under load with long responses, and are
+// restarted. No client may lose a part of its response by it or be told that its work may have run.
 #[test]
 fn graceful_stops_cut_nothing_off() {
     for seed in 1..=20 {
@@ -105,7 +109,7 @@
 
         simulation.clients.check_guarantees();
         for (request, client) in &simulation.clients.all {
-            let outcome = client.outcome.as_ref().expect("every request has its end");
+            let outcome = client.outcome.as_ref().expect("every request has ended");
             assert!(
                 !clients::is_interrupted(outcome),
                 "seed {seed}, request {request}: {client:?}"
--- a/crates/hyssopfork-entry/tests/history/clients.rs
+++ b/crates/hyssopfork-entry/tests/history/clients.rs
@@ -1,4 +1,4 @@
-//! Callers: what each asked and what it got.
+//! Clients: what each requested and what it received.
 
 use hyssopfork_wire::{attempt, refusal};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
     Rejected(refusal::Refusal),
     Aborted(refusal::Refusal),
     Disconnected,
-    /// The entry's process ended under the caller.
+    /// The entry's process ended while the client waited.
     Orphaned,
 }
 
@@ -35,16 +35,16 @@
 
 impl Clients {
     pub fn finish(&mut self, request: u64, outcome: Outcome) {
-        let client = self.all.get_mut(&request).expect("only known callers are answered");
+        let client = self.all.get_mut(&request).expect("the request is known");
         let before = client.outcome.replace(outcome.clone());
-        assert_eq!(before, None, "request {request} got a second final answer: {outcome:?}");
+        assert_eq!(before, None, "request {request} got a second final response: {outcome:?}");
         if outcome == Outcome::Completed {
             let expected = expected_parts(&client.path, client.stream);
-            assert_eq!(client.parts, expected, "request {request} got another answer than its own");
+            assert_eq!(client.parts, expected, "request {request} got a wrong response");
         }
     }
 
-    /// The promises that are judged over the whole history.
+    /// Checks the guarantees that concern the whole history.
     pub fn check_guarantees(&self) {
         let mut runs_by_request: BTreeMap<u64, u32> = BTreeMap::new();
         let mut runs_by_key: BTreeMap<&str, u32> = BTreeMap::new();
@@ -56,7 +56,7 @@
             }
         }
         for (key, runs) in runs_by_key {
-            assert!(runs <= 1, "work of key {key} ran {runs} times");
+            assert!(runs <= 1, "work with key {key} ran {runs} times");
         }
         for (request, client) in &self.all {
             let runs = runs_by_request.get(request).copied().unwrap_or(0);
@@ -65,7 +65,7 @@
                 let not_run = refusal.ran == refusal::Ran::NotRun;
                 assert!(
                     !not_run || runs == 0,
-                    "request {request} was refused as not run: {refusal:?}"
+                    "request {request} was rejected as not run: {refusal:?}"
                 );
             }
         }
@@ -76,13 +76,13 @@
     }
 }
 
-/// The whole answer to a path.
+/// The complete response for a path.
 pub fn expected_parts(path: &str, stream: bool) -> Vec<String> {
     let count = if stream { 5 } else { 1 };
     (0..count).map(|part| format!("{path}#{part}")).collect()
 }
 
-/// Whether a caller lost what was in flight.
+/// Whether a client lost work that was in flight.
 pub fn is_interrupted(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Aborted(_) => true,
--- a/crates/hyssopfork-entry/tests/history/control.rs
+++ b/crates/hyssopfork-entry/tests/history/control.rs
@@ -1,14 +1,14 @@
-//! Stand-in for control: one state machine that answers at once while it can be reached.
+//! Stand-in for control: a single state machine that answers at once while it is reachable.
 
 use hyssopfork_state::{command, machine, scope, upstream};
 use hyssopfork_wire::{change, configuration, control, fleet, name, number, patch, timing};
 use rand::{RngExt, seq::SliceRandom};
 use std::collections::BTreeMap;
 
-/// Steps that are kept; a watcher further behind gets the whole view.
+/// Steps of the view that are retained; a watcher further behind gets the whole view.
 const MAX_RETAINED_STEPS: usize = 8;
 
-/// What an agent said last.
+/// Last renewal of an agent.
 #[derive(Clone)]
 struct Report {
     received_at: u64,
@@ -22,7 +22,7 @@
     index: number::Index,
     steps: Vec<change::Step>,
     reports: BTreeMap<name::Instance, Report>,
-    /// When each zone was last taken out, in true microseconds; absent while it is in.
+    /// True time at which each zone was last taken out, in microseconds; absent while it is in.
     pub out_since: BTreeMap<name::Zone, u64>,
 }
 
@@ -52,7 +52,7 @@
             operations: vec![operation],
         }));
         let accepted = matches!(reply, machine::Reply::Submitted(patch::Outcome::Accepted(_)));
-        assert!(accepted, "the patch is taken: {reply:?}");
+        assert!(accepted, "the patch is accepted: {reply:?}");
     }
 
     pub fn set_zone(&mut self, now: u64, zone: &name::Zone, out: bool) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Answers a call; `None` for a watch that has nothing to tell yet.
+    /// Handles a call; `None` for a watch without news.
     pub fn handle_request(
         &mut self,
         now: u64,
@@ -83,7 +83,7 @@
             control::Request::Claim(claim) => {
                 match self.apply(&command::Command::Claim(claim.clone())) {
                     machine::Reply::Claimed(reply) => Some(control::Response::Claimed(reply)),
-                    other => panic!("a claim is answered by its reply, not {other:?}"),
+                    other => panic!("expected a claim reply, got {other:?}"),
                 }
             }
             control::Request::Record(key, attempt, outcome) => {
@@ -91,12 +91,12 @@
                 self.apply(&command::Command::Record { key, attempt, outcome });
                 Some(control::Response::Recorded)
             }
-            other => panic!("entries and agents don't ask for {other:?}"),
+            other => panic!("unexpected request from an entry or agent: {other:?}"),
         }
     }
 
-    /// Counts silent agents as missing, and moves groups: where they must, and sometimes where
-    /// they need not.
+    /// Marks silent agents as absent and moves groups: where necessary and, with `move_freely`, now
+    /// and then without need.
     pub fn reconcile(&mut self, now: u64, random: &mut impl rand::Rng, move_freely: bool) {
         let limit = timing::PRESENCE_TIMEOUT.as_micros() as u64;
         for (instance, Report { received_at, boot, .. }) in self.reports.clone() {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether a placement is lost, or runs nothing and takes nothing more.
+    /// Whether a placement has lost a member, or runs nothing and knows that it takes nothing more.
     fn may_move(&self, placed: &fleet::Placement) -> bool {
         let view = self.view();
         let is_lost =
@@ -146,7 +146,7 @@
         };
         let mut members: Vec<_> = view.members.keys().filter(is_usable).cloned().collect();
         members.shuffle(random);
-        // One fabric domain lies within a zone.
+        // A fabric domain lies within one zone.
         let zone = |member: &name::Instance| &view.members[member].announcement.zone;
         let has_enough_members = |first: &name::Instance| {
             let inside = members.iter().filter(|member| zone(member) == zone(first));
@@ -193,7 +193,7 @@
         })
     }
 
-    /// The part of the view that an agent follows, whole each time.
+    /// The part of the view that concerns an agent, always as a whole.
     fn scoped_update(&self, have: number::Version, instance: &name::Instance) -> change::Update {
         if have == self.view().version {
             return change::Update::Current;
--- a/crates/hyssopfork-entry/tests/history/events.rs
+++ b/crates/hyssopfork-entry/tests/history/events.rs
@@ -1,4 +1,5 @@
-//! What each happening does, the faults, and the promises that are checked as they happen.
+//! Effects of the simulation's events, fault injection, and the guarantees that are checked on the
+//! way.
 
 use crate::clients;
 use crate::shell;
@@ -10,8 +11,8 @@
 use hyssopfork_wire::{attempt, number, timing};
 use rand::RngExt;
 
-/// Time within which an agent finds a new process of its back end: the age of a probe that it
-/// still goes by, on a clock that may run slow.
+/// Time within which an agent detects a new process of its back end: the maximum age of a probe
+/// result, on a clock that may run slow.
 const MAX_DETECTION_MICROS: u64 = 1_010 * MILLIS;
 
 impl Simulation {
@@ -150,10 +151,10 @@
         self.schedule_for(node, timing::PROBE_INTERVAL.as_micros() as u64, Event::Probe(index));
     }
 
-    /// The agent writes a request to its back end: here the promises are judged.
+    /// The agent writes a request to its back end; the guarantees are checked here.
     pub fn forward(&mut self, index: usize, attempt: attempt::Identifier) {
         let slot = self.shells[index].slots[&attempt].clone();
-        let offer = slot.offer.expect("a forwarded attempt was offered");
+        let offer = slot.offer.expect("a forwarded attempt has an offer");
         self.check_zone(index);
         if let Some((_, fence)) = &offer.group {
             self.check_group(index, *fence);
@@ -174,7 +175,10 @@
         let is_detected =
             self.now > upstream.started_at + MAX_DETECTION_MICROS || upstream.started_at == 0;
         let (runs, capacity) = (upstream.running.len() as u32, upstream.capacity());
-        assert!(!is_detected || runs <= capacity, "{runs} run at i{index}, which bears {capacity}");
+        assert!(
+            !is_detected || runs <= capacity,
+            "{runs} run at i{index}, whose capacity is {capacity}"
+        );
         let incarnation = upstream.incarnation;
         let part = offer.resume_from as usize;
         let delay = self.random.random_range(5 * MILLIS..150 * MILLIS);
@@ -190,8 +194,8 @@
         }
     }
 
-    /// Every member's engine is loaded for this placement, but for one that died within the
-    /// grants' term; and nothing of another placement runs beside it.
+    /// Checks that the engine of every member is loaded for this placement, except one that crashed
+    /// within the term of the grants, and that no work of another placement runs beside it.
     fn check_group(&self, index: usize, fence: number::Fence) {
         let bound = timing::GROUP_GRANT_GUARD.as_micros() as u64 + MAX_DETECTION_MICROS;
         for member in &self.placements[&fence] {
@@ -200,21 +204,21 @@
             if upstream.alive && upstream.loaded_fence == Some(fence) {
                 continue;
             }
-            let failed_at = upstream.failed_at.expect("only an engine that fell may be missing");
+            let failed_at = upstream.failed_at.expect("only an engine that crashed may be missing");
             let elapsed = self.now - failed_at;
-            assert!(elapsed <= bound, "group {fence} served {elapsed} us after i{member} fell");
+            assert!(elapsed <= bound, "group {fence} served {elapsed} us after i{member} crashed");
         }
         let mut others = self.upstreams[index].running.values();
         let alone = others.all(|running| running.fence == Some(fence));
         assert!(alone, "i{index} serves {fence} beside another placement");
     }
 
-    /// An order takes the engine away from whatever it was loaded for: no first member may still
-    /// be able to serve with it.
+    /// Checks that an order goes to a member of its placement: an order takes the engine away from
+    /// any other model, and no first member may still be able to serve with it.
     pub fn check_order(&mut self, index: usize, fence: number::Fence) {
         let placed = &self.placements[&fence];
         let instance = format!("i{index}").as_str().into();
-        assert!(placed.contains(&instance), "an order under a placement of others");
+        assert!(placed.contains(&instance), "an order for an instance outside the placement");
     }
 
     fn load_model(&mut self, index: usize, fence: number::Fence) {
@@ -240,7 +244,7 @@
         }
         let Some(running) = upstream.running.get(&attempt).cloned() else { return };
         if self.shells[index].slots.get(&attempt).is_none_or(|slot| slot.offer.is_none()) {
-            // The agent that asked is gone.
+            // The agent that sent the request is gone.
             upstream.complete(attempt);
             return;
         }
@@ -322,8 +326,8 @@
         }
     }
 
-    /// Connections to the agent's process break; so do its own to the back end, which stops work
-    /// where it can cancel.
+    /// Breaks the connections to the agent's process and its own to the back end, which stops work
+    /// that it can cancel.
     fn disconnect_agent(&mut self, index: usize) {
         if self.upstreams[index].cancels {
             self.upstreams[index].running.clear();
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Every agent and back end of one fabric domain goes.
+    /// Crashes every agent and back end of one fabric domain.
     fn fail_domain(&mut self, agent: Node, span: u64) {
         let Node::Agent(index) = agent else { return };
         let domain = |index: usize| shell::announcement(index, 0, &self.upstreams[index]).domain;
@@ -367,8 +371,8 @@
         self.partitions.insert(pair, self.now + span);
     }
 
-    /// An agent and an entry are cut off from control but not from each other, and the agent's
-    /// zone goes out for a while.
+    /// Partitions an agent and an entry from control but not from each other, and takes the agent's
+    /// zone out for a while.
     fn isolate(&mut self, agent: Node, entry: Node) {
         let Node::Agent(index) = agent else { return };
         self.partition(agent, Node::Control, 6_000 * MILLIS);
@@ -414,7 +418,7 @@
         }
     }
 
-    /// A caller asks an entry.
+    /// A client sends a request to an entry.
     pub fn send_request(&mut self, entry: usize, route: &str, key: Option<String>) -> u64 {
         self.last_request += 1;
         let request = self.last_request;
--- a/crates/hyssopfork-entry/tests/history/shell.rs
+++ b/crates/hyssopfork-entry/tests/history/shell.rs
@@ -1,4 +1,4 @@
-//! The shells of agents and entries: they carry out what the cores ask for, and decide nothing.
+//! Shells of agents and entries: they execute the actions of the cores and decide nothing.
 
 use crate::clients;
 use crate::simulation::{Event, MILLIS, Node, Simulation};
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net;
 
-/// A frame of an attempt's answer.
+/// A frame of an attempt's response.
 #[derive(Clone, Debug)]
 pub enum Frame {
     Load(frame::Load),
@@ -21,7 +21,7 @@
     End,
 }
 
-/// One attempt at an agent's shell.
+/// An attempt in an agent's shell.
 #[derive(Clone, Debug, Default)]
 pub struct Slot {
     pub offer: Option<attempt::Offer>,
@@ -38,7 +38,7 @@
     calls: u64,
 }
 
-/// One attempt at an entry's shell.
+/// An attempt in an entry's shell.
 #[derive(Clone, Debug)]
 pub struct Connection {
     request: u64,
@@ -122,7 +122,7 @@
             }
             agent::action::Action::Prepare { attempt, load } => {
                 self.append_frame(index, attempt, Frame::Load(load));
-                // Opening the upstream's connection may take as long as it likes.
+                // Opening the connection to the upstream may take arbitrarily long.
                 let is_slow = !self.faultless && self.random.random_ratio(1, 20);
                 let max_delay = if is_slow { 3_000 * MILLIS } else { 2 * MILLIS };
                 let delay = self.random.random_range(10..max_delay);
@@ -141,7 +141,7 @@
             agent::action::Action::ReplyCancel { call, outcome } => {
                 let Some((entry, incarnation, attempt)) = self.shells[index].cancels.remove(&call)
                 else {
-                    panic!("a cancel is answered once");
+                    panic!("a cancel is answered more than once");
                 };
                 if let Some(delay) = self.message_delay(node, Node::Entry(entry)) {
                     let outcome = Some(outcome);
@@ -157,7 +157,7 @@
             }
             agent::action::Action::Notice(_) => {}
             agent::action::Action::Stopped => {
-                let process = self.processes.get_mut(&node).expect("all processes are known");
+                let process = self.processes.get_mut(&node).expect("the process is known");
                 process.up = false;
                 self.schedule(500 * MILLIS, Event::Restart(node));
             }
@@ -210,8 +210,8 @@
                 self.connections[index].remove(&attempt);
             }
             entry::action::Action::Respond { request, body, .. } => {
-                let text = String::from_utf8(body.to_vec()).expect("answers are text");
-                let client = self.clients.all.get_mut(&request).expect("callers are known");
+                let text = String::from_utf8(body.to_vec()).expect("responses are text");
+                let client = self.clients.all.get_mut(&request).expect("the client is known");
                 client.parts = text.split('\n').map(str::to_owned).collect();
                 self.clients.finish(request, clients::Outcome::Completed);
             }
@@ -223,7 +223,7 @@
             }
             entry::action::Action::Notice(_) | entry::action::Action::RecordMeasurement(_) => {}
             entry::action::Action::Stopped => {
-                let process = self.processes.get_mut(&node).expect("all processes are known");
+                let process = self.processes.get_mut(&node).expect("the process is known");
                 process.up = false;
                 self.orphan_clients(index);
                 self.schedule(500 * MILLIS, Event::Restart(node));
@@ -231,7 +231,8 @@
         }
     }
 
-    /// A call to control: it may be lost either way, and its answer may come twice.
+    /// Sends a call to control. The call or its response may be lost, and the response may arrive
+    /// twice.
     fn call_control(&mut self, from: Node, call: u64, request: control::Request, timeout: u64) {
         let none = self.control_response(from, call, None);
         self.schedule_for(from, timeout, none);
@@ -255,11 +256,11 @@
             Node::Entry(index) => {
                 Event::Entry(index, entry::event::Event::ControlResponded { call, response })
             }
-            Node::Control => panic!("control calls nobody"),
+            Node::Control => panic!("control makes no calls"),
         }
     }
 
-    /// Offers the attempt, anew or for the first time.
+    /// Offers the attempt, for the first time or again.
     pub fn connect(&mut self, index: usize, attempt: attempt::Identifier) {
         let from = Node::Entry(index);
         let Some(connection) = self.connections[index].get_mut(&attempt) else { return };
@@ -286,7 +287,7 @@
         }
     }
 
-    /// The connection is dead; the entry's shell finds out after `delay`.
+    /// Breaks the connection; the entry's shell notices after `delay`.
     pub fn break_connection(&mut self, index: usize, attempt: attempt::Identifier, delay: u64) {
         let Some(connection) = self.connections[index].get_mut(&attempt) else { return };
         if !connection.broken {
@@ -313,7 +314,7 @@
         self.schedule_for(Node::Entry(index), 0, Event::Entry(index, event));
     }
 
-    /// An offer reached the agent's shell.
+    /// Handles an offer that reached the agent's shell.
     pub fn on_offer(&mut self, entry: usize, to: usize, offer: attempt::Offer, stream: bool) {
         let attempt = offer.attempt;
         let shell = &mut self.shells[to];
@@ -330,7 +331,7 @@
         self.step_agent(to, agent::event::Event::Offered(offer));
     }
 
-    /// A cancel reached the agent's shell.
+    /// Handles a cancel that reached the agent's shell.
     pub fn on_cancel(&mut self, entry: usize, to: usize, attempt: attempt::Identifier, boot: u64) {
         let incarnation = self.incarnation(Node::Entry(entry));
         let shell = &mut self.shells[to];
@@ -340,7 +341,7 @@
         self.step_agent(to, agent::event::Event::Cancelled { call, attempt, boot });
     }
 
-    /// A request for a grant reached the agent's shell.
+    /// Handles a grant request that reached the agent's shell.
     pub fn on_grant_call(&mut self, from: usize, call: u64, to: usize, request: member::Request) {
         let incarnation = self.incarnation(Node::Agent(from));
         let shell = &mut self.shells[to];
@@ -353,7 +354,7 @@
     fn send_grant_response(&mut self, index: usize, call: u64, response: member::Response) {
         let Some((from, incarnation, call)) = self.shells[index].grant_requests.remove(&call)
         else {
-            panic!("a request for a grant is answered once");
+            panic!("a grant request is answered more than once");
         };
         let copies = 1 + usize::from(!self.faultless && self.random.random_ratio(1, 10));
         for _ in 0..copies {
@@ -366,7 +367,7 @@
         }
     }
 
-    /// Adds a frame to an attempt's answer and sends it to whoever reads.
+    /// Appends a frame to an attempt's response and sends it to the readers.
     pub fn append_frame(&mut self, index: usize, attempt: attempt::Identifier, frame: Frame) {
         let Some(slot) = self.shells[index].slots.get_mut(&attempt) else { return };
         let at = slot.frames.len();
@@ -402,7 +403,7 @@
         }
     }
 
-    /// A frame reached the entry's shell, which takes frames in their order and once.
+    /// Handles a frame that reached the entry's shell, which takes each frame once and in order.
     pub fn on_frame(
         &mut self,
         entry: usize,
@@ -412,7 +413,7 @@
     ) {
         let Some(connection) = self.connections[entry].get_mut(&attempt) else { return };
         if index > connection.next_frame {
-            // Overtaken: the connection would hold it back until the one before has come.
+            // Out of order: a connection would deliver it after its predecessor.
             let frame = Event::Frame { entry, attempt, index, frame };
             if !connection.broken {
                 self.schedule_for(Node::Entry(entry), MILLIS, frame);
@@ -452,8 +453,8 @@
             Frame::Part(text) => {
                 if connection.is_forwarding {
                     let request = connection.request;
-                    let client = self.clients.all.get_mut(&request).expect("callers are known");
-                    assert_eq!(client.outcome, None, "a client is sent nothing after its answer");
+                    let client = self.clients.all.get_mut(&request).expect("the client is known");
+                    assert_eq!(client.outcome, None, "no data after the final response");
                     client.parts.push(text);
                 }
                 entry::event::Event::ResponseStarted(attempt)
@@ -479,7 +480,7 @@
         }
     }
 
-    /// Callers of an entry whose process ended get nothing more.
+    /// Orphans the clients of an entry whose process ended.
     pub fn orphan_clients(&mut self, entry: usize) {
         for client in self.clients.all.values_mut() {
             if client.entry == entry && client.outcome.is_none() {
--- a/crates/hyssopfork-entry/tests/history/simulation.rs
+++ b/crates/hyssopfork-entry/tests/history/simulation.rs
@@ -1,5 +1,5 @@
-//! The loop: true time, processes with clocks of their own, and a network that loses, doubles,
-//! delays and reorders.
+//! Event loop of the simulation: true time, processes with clocks of their own, and a network that
+//! loses, duplicates, delays and reorders messages.
 
 use crate::{clients, control, shell, upstream};
 use hyssopfork_agent as agent;
@@ -10,12 +10,13 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
+/// Microseconds per millisecond.
 pub const MILLIS: u64 = 1_000;
 pub const ENGINES: usize = 6;
 pub const AGENTS: usize = 10;
 pub const ENTRIES: usize = 2;
 
-/// Repeated, the hash of the team's only token.
+/// Unit that, repeated, forms the hash of the team's only token.
 pub const TOKEN: &str = "ab";
 
 /// A process.
@@ -26,13 +27,13 @@
     Control,
 }
 
-/// State of a process that its cores don't know.
+/// State of a process outside its core.
 #[derive(Clone, Debug)]
 pub struct Process {
     pub incarnation: u32,
     pub up: bool,
     pub paused_until: u64,
-    /// Rate of its clock in thousandths; any two differ by less than a hundredth.
+    /// Rate of its clock in thousandths; any two rates differ by less than a hundredth.
     rate: u64,
     offset: u64,
 }
@@ -43,7 +44,7 @@
     }
 }
 
-/// What happens next.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub enum Event {
     TickAgent(usize),
@@ -68,13 +69,13 @@
     DisconnectClient { entry: usize, request: u64 },
 }
 
-/// A happening that is to come; dropped when the process it is for lives no more.
+/// A scheduled event; dropped if its receiver is no longer the same process.
 struct Scheduled {
     receiver: Option<(Node, u32)>,
     event: Event,
 }
 
-/// A watch that control holds until its view has moved past `have`.
+/// A watch held by control until its view is newer than `version`.
 pub struct HeldWatch {
     pub node: Node,
     pub incarnation: u32,
@@ -101,7 +102,7 @@
     pub last_boot: u64,
     pub last_request: u64,
     pub faultless: bool,
-    /// Members of every placement that there was, by fencing number.
+    /// Members of every placement so far, by fencing number.
     pub placements: BTreeMap<number::Fence, Vec<name::Instance>>,
 }
 
@@ -162,9 +163,9 @@
         self.now = end;
     }
 
-    /// Starts a process, or the next one at the same addresses.
+    /// Starts a process, or restarts it at the same addresses.
     pub fn start(&mut self, node: Node) {
-        let process = self.processes.get_mut(&node).expect("all processes are known");
+        let process = self.processes.get_mut(&node).expect("the process is known");
         process.incarnation += 1;
         process.up = true;
         process.paused_until = 0;
@@ -189,18 +190,18 @@
         }
     }
 
-    /// Puts a happening into the future, whoever lives then.
+    /// Schedules an event regardless of which processes are then up.
     pub fn schedule(&mut self, delay: u64, event: Event) {
         self.push(delay, None, event);
     }
 
-    /// Puts a happening into the future of the process that lives at `node` now.
+    /// Schedules an event for the current incarnation of `node`.
     pub fn schedule_for(&mut self, node: Node, delay: u64, event: Event) {
         let incarnation = self.incarnation(node);
         self.push(delay, Some((node, incarnation)), event);
     }
 
-    /// As [`World::at_node`], for a given life of it.
+    /// Schedules an event for the given incarnation of `node`.
     pub fn schedule_for_incarnation(
         &mut self,
         node: Node,
@@ -215,7 +216,7 @@
         self.processes.get(&node).map_or(0, |process| process.incarnation)
     }
 
-    /// Time that a message takes from one process to another; `None` when it is lost.
+    /// Delay of a message between two processes; `None` when it is lost.
     pub fn message_delay(&mut self, from: Node, to: Node) -> Option<u64> {
         if self.is_partitioned(from, to) || (!self.faultless && self.random.random_ratio(1, 50)) {
             return None;
@@ -243,7 +244,7 @@
                 return;
             }
             if process.paused_until > self.now {
-                // What waited keeps its order.
+                // Deferred events keep their order.
                 let at = (process.paused_until, sequence);
                 self.queue.insert(at, Scheduled { receiver, event });
                 return;
@@ -300,7 +301,7 @@
 }
 
 impl Simulation {
-    /// Ends all faults: links join, paused processes go on, zones are in, everybody is up.
+    /// Ends all faults: partitions heal, and the zones are in.
     pub fn end_faults(&mut self) {
         self.faultless = true;
         self.partitions.clear();
@@ -311,7 +312,7 @@
 }
 
 impl Simulation {
-    /// Runs for `span` while callers ask the entries that are up.
+    /// Runs for `span` while clients send requests to the entries that are up.
     pub fn run_with_requests(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
--- a/crates/hyssopfork-entry/tests/history/upstream.rs
+++ b/crates/hyssopfork-entry/tests/history/upstream.rs
@@ -1,12 +1,12 @@
-//! Back end of one instance, which checks in true time what it is given.
+//! Back end of one instance. It checks the work that it is given in true time.
 
 use hyssopfork_wire::{attempt, number};
 use std::collections::BTreeMap;
 
-/// Concurrent work that a cold back end bears.
+/// Concurrent work of a cold back end.
 const COLD_CAPACITY: f64 = 2.0;
 
-/// Growth of what it bears with each completed piece of work.
+/// Growth of the capacity per completed piece of work.
 const WARM_UP_STEP: f64 = 0.5;
 
 #[derive(Clone, Debug)]
@@ -22,13 +22,13 @@
     pub engine: bool,
     pub cancels: bool,
     pub concurrency: u32,
-    /// Fencing number of the last order that it took, also a late one.
+    /// Fencing number of the last order that it executed, even a late one.
     pub loaded_fence: Option<number::Fence>,
     pub running: BTreeMap<attempt::Identifier, Running>,
     warm_capacity: f64,
     /// True time of the last start.
     pub started_at: u64,
-    /// True time of the last end, while it is down or had its model taken.
+    /// True time of the last crash.
     pub failed_at: Option<u64>,
 }
 
@@ -58,7 +58,7 @@
         Some(running)
     }
 
-    /// Takes an order, whatever its fencing number.
+    /// Executes an order, whatever its fencing number.
     pub fn load(&mut self, fence: number::Fence) {
         if self.loaded_fence != Some(fence) {
             self.running.clear();
@@ -67,7 +67,7 @@
         self.warm_capacity = COLD_CAPACITY;
     }
 
-    /// Dies and, unless it stays away, is back at once as a new process.
+    /// Crashes, and stays down until [`Upstream::restart`].
     pub fn crash(&mut self, now: u64) {
         self.alive = false;
         self.failed_at = Some(now);
