--- a/crates/hyssopfork-entry/tests/history.rs
+++ b/crates/hyssopfork-entry/tests/history.rs
@@ -85,7 +85,7 @@
 // Agents and an entry are asked to stop, two at a time, under load with long responses, and are
 // restarted. No client may lose a part of its response by it or be told that its work may have run.
 #[test]
-fn graceful_stops_cut_nothing_off() {
+fn graceful_stops_abort_no_responses() {
     for seed in 1..=20 {
         let mut simulation = simulation::Simulation::new(seed);
         simulation.end_faults();
