--- a/crates/hyssopfork-entry/benches/entry.rs
+++ b/crates/hyssopfork-entry/benches/entry.rs
@@ -1,22 +1,22 @@
-//! Prints what a request and a tick cost an entry, for pools of several sizes: the slopes for
-//! docs/CAPACITY.md. `cargo bench -p hyssopfork-entry`.
+//! Prints the cost of a request and of a tick for pools of several sizes, for the slopes in
+//! docs/CAPACITY.md. Run with `cargo bench -p hyssopfork-entry`.
 
 use hyssopfork_entry::{action, core, event};
 use hyssopfork_wire::{attempt, change, clock, control, fleet, frame, number, timing};
 use std::net;
 use std::time::{Duration, Instant};
 
-/// Requests that are timed for each pool.
-const REQUESTS: u64 = 2_000;
+/// Requests timed per pool.
+const TIMED_REQUESTS: u64 = 2_000;
 
-/// Requests in the entry, waiting or in flight, while ticks are timed.
-const HELD: u64 = 1_000;
+/// Requests queued or in flight while ticks are timed.
+const PENDING_REQUESTS: u64 = 1_000;
 
-/// Ticks that are timed.
-const TICKS: u32 = 200;
+/// Ticks timed per pool.
+const TIMED_TICKS: u32 = 200;
 
 fn main() {
-    println!("| upstreams | a request, whole | a tick, {HELD} requests held |");
+    println!("| upstreams | complete request | tick with {PENDING_REQUESTS} pending requests |");
     println!("|---|---|---|");
     for upstreams in [30, 300, 3_000] {
         let request = request_time(upstreams);
@@ -28,40 +28,40 @@
 fn request_time(upstreams: u64) -> Duration {
     let mut entry = entry(upstreams);
     let begun = Instant::now();
-    for request in 0..REQUESTS {
-        let attempt = offer(&mut entry, request).expect("there is room");
+    for request in 0..TIMED_REQUESTS {
+        let attempt = offer(&mut entry, request).expect("the upstream has capacity");
         for event in [
-            event::Event::Loaded(attempt, load()),
-            event::Event::Started(attempt),
-            event::Event::Headed(attempt, head()),
-            event::Event::Begun(attempt),
-            event::Event::Ended(attempt),
+            event::Event::LoadReported(attempt, load()),
+            event::Event::AttemptStarted(attempt),
+            event::Event::HeadReceived(attempt, head()),
+            event::Event::ResponseStarted(attempt),
+            event::Event::AttemptCompleted(attempt),
         ] {
             entry.step(now(), event);
         }
     }
-    begun.elapsed() / REQUESTS as u32
+    begun.elapsed() / TIMED_REQUESTS as u32
 }
 
 fn tick_time(upstreams: u64) -> Duration {
     let mut entry = entry(upstreams);
-    for request in 0..HELD {
+    for request in 0..PENDING_REQUESTS {
         if let Some(attempt) = offer(&mut entry, request) {
-            entry.step(now(), event::Event::Loaded(attempt, load()));
+            entry.step(now(), event::Event::LoadReported(attempt, load()));
         }
     }
     let begun = Instant::now();
-    for _ in 0..TICKS {
+    for _ in 0..TIMED_TICKS {
         entry.step(now(), event::Event::Tick);
     }
-    begun.elapsed() / TICKS
+    begun.elapsed() / TIMED_TICKS
 }
 
 fn offer(entry: &mut core::Core, request: u64) -> Option<attempt::Identifier> {
     let arrival = arrival();
-    let actions = entry.step(now(), event::Event::Arrived { request, arrival });
+    let actions = entry.step(now(), event::Event::RequestArrived { request, arrival });
     actions.into_iter().find_map(|action| match action {
-        action::Action::Start { offer, .. } => Some(offer.attempt),
+        action::Action::StartAttempt { offer, .. } => Some(offer.attempt),
         _ => None,
     })
 }
@@ -76,19 +76,19 @@
         zone: "zone-a".into(),
         control: vec![address(1)],
         boot: 1,
-        stop_limit: timing::STOP_TIMEOUT,
+        stop_timeout: timing::STOP_TIMEOUT,
     };
     let mut core = core::Core::new(settings, 1, clock::Instant::from_millis(1_000));
     let actions = core.step(now(), event::Event::Tick);
     let call = actions.iter().find_map(|action| match action {
-        action::Action::Control { call, .. } => Some(*call),
+        action::Action::CallControl { call, .. } => Some(*call),
         _ => None,
     });
     let update = change::Update::Whole(Box::new(view(upstreams)));
     let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
     let response = Some(control::Response::Granted(grant));
-    let call = call.expect("a renewal goes out");
-    core.step(now(), event::Event::Controlled { call, response });
+    let call = call.expect("a renewal is sent");
+    core.step(now(), event::Event::ControlResponded { call, response });
     core
 }
 
@@ -131,11 +131,11 @@
         method: "GET".into(),
         path: "/status/7".into(),
         headers: Vec::new(),
-        key: None,
+        idempotency_key: None,
         digest: [0; 32],
-        length: 0,
-        prefix: None,
-        cost: 16,
+        body_bytes: 0,
+        prefix_hash: None,
+        cost_tokens: 16,
     }
 }
 
