--- a/crates/hyssopfork-daemon/src/agent/engine.rs
+++ b/crates/hyssopfork-daemon/src/agent/engine.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// Time in which a probe must be answered.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time in which an engine must have loaded a model.
-const LOAD_LIMIT: Duration = Duration::from_secs(600);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
@@ -38,14 +38,14 @@
     loop {
         ticks.tick().await;
         let sent = clock::now();
-        let health = look(upstream).await;
+        let health = request_health(upstream).await;
         mailbox.post(role::Input::Event(event::Event::ProbedAt { sent, health }));
     }
 }
 
-async fn look(upstream: net::SocketAddr) -> Option<event::Health> {
+async fn request_health(upstream: net::SocketAddr) -> Option<event::Health> {
     let request = http::clients().fresh.get(format!("http://{upstream}/health"));
-    let mut response = request.timeout(PROBE_LIMIT).send().await.ok()?;
+    let mut response = request.timeout(PROBE_TIMEOUT).send().await.ok()?;
     if !response.status().is_success() {
         return None;
     }
@@ -59,7 +59,7 @@
 }
 
 /// Orders the engine to load and says how that ended.
-pub async fn order(upstream: net::SocketAddr, order: action::Order) -> event::Event {
+pub async fn load_model(upstream: net::SocketAddr, order: action::Order) -> event::Event {
     let load = Load {
         fence: order.fence,
         group: order.group.as_str(),
@@ -68,7 +68,7 @@
         members: order.members.iter().map(|member| member.as_str()).collect(),
     };
     let request = http::clients().fresh.post(format!("http://{upstream}/orders/load"));
-    let sent = request.timeout(LOAD_LIMIT).send_json(&load).await;
+    let sent = request.timeout(LOAD_TIMEOUT).send_json(&load).await;
     let done = sent.is_ok_and(|response| response.status().is_success());
     event::Event::Ordered { fence: order.fence, done }
 }
--- a/crates/hyssopfork-daemon/src/agent/gate.rs
+++ b/crates/hyssopfork-daemon/src/agent/http_server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server on which entries offer, take up and cancel attempts.
 
-use crate::agent::{answer, role, upstream};
+use crate::agent::{response, role, upstream};
 use crate::{http, mailbox};
 use actix_http::body::BodyStream;
 use actix_http::{HttpMessage, Method, Request, Response, StatusCode};
@@ -13,107 +13,107 @@
 pub const OFFER_HEADER: &str = "hyssopfork-offer";
 
 /// Longest request body that an agent takes, in bytes; entries have their own, lower limit.
-const BODY_LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Where the gate's requests go.
+/// Where the http_server's requests go.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct Server {
     /// The agent's loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
     /// The back end.
     pub upstream: net::SocketAddr,
 }
 
-impl Gate {
+impl Server {
     /// Answers one request of an entry.
-    pub async fn handle(self, request: Request) -> http::Answer {
-        let Some(attempt) = attempt_of(request.path()) else {
+    pub async fn handle(self, request: Request) -> http::Response {
+        let Some(attempt) = parse_attempt(request.path()) else {
             return http::text(StatusCode::NOT_FOUND, "ask for /attempts/IDENTIFIER\n");
         };
         match *request.method() {
             Method::POST => self.offer(request, attempt).await,
-            Method::GET => self.take_up(&request, attempt).await,
+            Method::GET => self.resume(&request, attempt).await,
             Method::DELETE => self.cancel(&request, attempt).await,
             _ => http::text(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE\n"),
         }
     }
 
-    async fn offer(self, mut request: Request, attempt: attempt::Identifier) -> http::Answer {
-        let offer = match offer_of(&request) {
+    async fn offer(self, mut request: Request, attempt: attempt::Identifier) -> http::Response {
+        let offer = match parse_offer(&request) {
             Some(offer) if offer.attempt == attempt => offer,
             _ => return http::text(StatusCode::BAD_REQUEST, "the offer header is malformed\n"),
         };
-        let body = match http::read_body(&mut request, BODY_LIMIT).await {
+        let body = match http::read_body(&mut request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => return http::text(StatusCode::BAD_REQUEST, error.to_string()),
         };
-        let (reply, offered) = oneshot::channel();
+        let (reply, registered) = oneshot::channel();
         self.mailbox.post(role::Input::Offer(Box::new(offer.clone()), reply));
-        match offered.await {
-            Ok(role::Offered::Known(answer)) => stream(answer, 0),
-            Ok(role::Offered::New(answer, orders)) => {
-                let work = upstream::Work {
+        match registered.await {
+            Ok(role::Registration::Known(response)) => stream_response(response, 0),
+            Ok(role::Registration::New(response, commands)) => {
+                let work = upstream::Exchange {
                     offer,
                     body,
-                    answer: answer.clone(),
+                    response: response.clone(),
                     mailbox: self.mailbox,
                     upstream: self.upstream,
                 };
-                actix_rt::spawn(work.run(orders));
-                stream(answer, 0)
+                actix_rt::spawn(work.run(commands));
+                stream_response(response, 0)
             }
-            Err(_) => leaving(),
+            Err(_) => stopping_response(),
         }
     }
 
-    async fn take_up(self, request: &Request, attempt: attempt::Identifier) -> http::Answer {
-        let Some(offset) = parameter(request, "from") else {
+    async fn resume(self, request: &Request, attempt: attempt::Identifier) -> http::Response {
+        let Some(offset) = query_parameter(request, "from") else {
             return http::text(StatusCode::BAD_REQUEST, "say from which byte: ?from=BYTES\n");
         };
         let (reply, known) = oneshot::channel();
-        self.mailbox.post(role::Input::TakeUp(attempt, reply));
+        self.mailbox.post(role::Input::Resume(attempt, reply));
         match known.await {
-            Ok(Some(answer)) => stream(answer, offset as usize),
+            Ok(Some(response)) => stream_response(response, offset as usize),
             Ok(None) => http::text(StatusCode::NOT_FOUND, "no such attempt is known here\n"),
-            Err(_) => leaving(),
+            Err(_) => stopping_response(),
         }
     }
 
-    async fn cancel(self, request: &Request, attempt: attempt::Identifier) -> http::Answer {
-        let Some(boot) = parameter(request, "boot") else {
+    async fn cancel(self, request: &Request, attempt: attempt::Identifier) -> http::Response {
+        let Some(boot) = query_parameter(request, "boot") else {
             return http::text(StatusCode::BAD_REQUEST, "say which process: ?boot=NUMBER\n");
         };
         let (reply, outcome) = oneshot::channel();
         self.mailbox.post(role::Input::Cancel { attempt, boot, reply });
         match outcome.await {
             Ok(outcome) => http::json(StatusCode::OK, "application/json", &outcome),
-            Err(_) => leaving(),
+            Err(_) => stopping_response(),
         }
     }
 }
 
-fn leaving() -> http::Answer {
+fn stopping_response() -> http::Response {
     http::text(StatusCode::SERVICE_UNAVAILABLE, "the process is ending\n")
 }
 
-fn attempt_of(path: &str) -> Option<attempt::Identifier> {
+fn parse_attempt(path: &str) -> Option<attempt::Identifier> {
     path.strip_prefix("/attempts/")?.parse().ok()
 }
 
-fn offer_of(request: &Request) -> Option<attempt::Offer> {
+fn parse_offer(request: &Request) -> Option<attempt::Offer> {
     let header = request.headers().get(OFFER_HEADER)?;
     serde_json::from_slice(header.as_bytes()).ok()
 }
 
-fn parameter(request: &Request, name: &str) -> Option<u64> {
+fn query_parameter(request: &Request, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-fn stream(answer: Arc<answer::Answer>, offset: usize) -> http::Answer {
+fn stream_response(response: Arc<response::Response>, offset: usize) -> http::Response {
     Response::build(StatusCode::OK)
         .insert_header(("content-type", "application/octet-stream"))
-        .body(BodyStream::new(answer::read(answer, offset)))
+        .body(BodyStream::new(response::stream_frames(response, offset)))
         .map_into_boxed_body()
 }
--- a/crates/hyssopfork-daemon/src/agent/member.rs
+++ b/crates/hyssopfork-daemon/src/agent/member.rs
@@ -20,7 +20,7 @@
         let refused = member::Response::Refused { version: number::Version::default() };
         let Ok(request) = request.open() else { return refused };
         let (reply, answered) = oneshot::channel();
-        self.0.post(role::Input::Ask(request, reply));
+        self.0.post(role::Input::RequestGrant(request, reply));
         answered.await.unwrap_or(refused)
     }
 }
--- a/crates/hyssopfork-daemon/src/agent/mod.rs
+++ b/crates/hyssopfork-daemon/src/agent/mod.rs
@@ -1,8 +1,8 @@
 //! Shell of the agent role.
 
-pub mod answer;
 pub mod engine;
-pub mod gate;
+pub mod http_server;
 pub mod member;
+pub mod response;
 pub mod role;
 pub mod upstream;
--- a/crates/hyssopfork-daemon/src/agent/answer.rs
+++ b/crates/hyssopfork-daemon/src/agent/response.rs
@@ -1,4 +1,4 @@
-//! The answer of one attempt, kept so that an entry can read it on more than one connection.
+//! The response of one attempt, kept so that an entry can read it on more than one connection.
 
 use bytes::{Bytes, BytesMut};
 use futures::{Stream, stream};
@@ -8,19 +8,19 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::Notify;
 
-/// Longest answer that an agent keeps, in bytes; a longer one fails.
-pub const LENGTH_LIMIT: usize = 64 << 20;
+/// Longest response that an agent keeps, in bytes; a longer one fails.
+pub const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// Answer of one attempt: written by one task, read by any number of connections.
 #[derive(Debug, Default)]
-pub struct Answer {
-    parts: Mutex<Parts>,
-    changed: Notify,
+pub struct Response {
+    state: Mutex<State>,
+    change_notification: Notify,
 }
 
 /// Invariant: once `end` is set nothing changes any more.
 #[derive(Debug, Default)]
-struct Parts {
+struct State {
     load: Option<frame::Load>,
     started: bool,
     head: Option<frame::Head>,
@@ -30,70 +30,70 @@
 
 #[derive(Clone, Copy, Debug)]
 enum End {
-    Whole(frame::End),
-    Refused(refusal::Refusal),
+    Complete(frame::End),
+    Rejected(refusal::Refusal),
 }
 
 /// How far one connection has read.
 #[derive(Debug, Default)]
 struct Cursor {
-    load: bool,
-    started: bool,
-    head: bool,
+    has_load: bool,
+    has_started: bool,
+    has_head: bool,
     offset: usize,
-    ended: bool,
+    has_ended: bool,
 }
 
-impl Answer {
-    fn lock(&self) -> MutexGuard<'_, Parts> {
-        self.parts.lock().expect("no holder of this lock panics")
+impl Response {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder of this lock panics")
     }
 
-    fn change(&self, change: impl FnOnce(&mut Parts)) {
+    fn update(&self, change: impl FnOnce(&mut State)) {
         let mut parts = self.lock();
         if parts.end.is_none() {
             change(&mut parts);
         }
         drop(parts);
-        self.changed.notify_waiters();
+        self.change_notification.notify_waiters();
     }
 
     /// Tells the load ahead of everything else.
-    pub fn load(&self, load: frame::Load) {
-        self.change(|parts| parts.load = Some(load));
+    pub fn set_load(&self, load: frame::Load) {
+        self.update(|parts| parts.load = Some(load));
     }
 
     /// The request is about to be written to the upstream.
-    pub fn started(&self) {
-        self.change(|parts| parts.started = true);
+    pub fn set_started(&self) {
+        self.update(|parts| parts.started = true);
     }
 
     /// The upstream's head came.
-    pub fn head(&self, head: frame::Head) {
-        self.change(|parts| parts.head = Some(head));
+    pub fn set_head(&self, head: frame::Head) {
+        self.update(|parts| parts.head = Some(head));
     }
 
     /// A part of the body came; whether it still fits.
-    pub fn data(&self, data: &[u8]) -> bool {
-        if self.lock().data.len() + data.len() > LENGTH_LIMIT {
+    pub fn append(&self, data: &[u8]) -> bool {
+        if self.lock().data.len() + data.len() > MAX_BODY_BYTES {
             return false;
         }
-        self.change(|parts| parts.data.extend_from_slice(data));
+        self.update(|parts| parts.data.extend_from_slice(data));
         true
     }
 
-    /// The answer is whole.
-    pub fn end(&self) {
-        self.change(|parts| {
+    /// The response is whole.
+    pub fn complete(&self) {
+        self.update(|parts| {
             let length = parts.data.len() as u64;
             let checksum = crc32fast::hash(&parts.data);
-            parts.end = Some(End::Whole(frame::End { length, checksum }));
+            parts.end = Some(End::Complete(frame::End { length, checksum }));
         });
     }
 
     /// The attempt ends with a refusal, unless it has ended before.
-    pub fn refuse(&self, refusal: refusal::Refusal) {
-        self.change(|parts| parts.end = Some(End::Refused(refusal)));
+    pub fn reject(&self, refusal: refusal::Refusal) {
+        self.update(|parts| parts.end = Some(End::Rejected(refusal)));
     }
 
     /// Whether nothing more will come.
@@ -102,30 +102,30 @@
     }
 }
 
-/// Frames of an answer from byte `offset` of its data on, encoded for the connection, with a keep
+/// Frames of an response from byte `offset` of its data on, encoded for the connection, with a keep
 /// alive whenever there is nothing else to say for a while.
-pub fn read(
-    answer: Arc<Answer>,
+pub fn stream_frames(
+    response: Arc<Response>,
     offset: usize,
 ) -> impl Stream<Item = Result<Bytes, Infallible>> + 'static {
     let cursor = Cursor { offset, ..Cursor::default() };
-    stream::unfold((answer, cursor), |(answer, mut cursor)| async move {
-        if cursor.ended {
+    stream::unfold((response, cursor), |(response, mut cursor)| async move {
+        if cursor.has_ended {
             return None;
         }
-        let encoded = answer.next(&mut cursor).await;
-        Some((Ok(encoded), (answer, cursor)))
+        let encoded = response.next_frames(&mut cursor).await;
+        Some((Ok(encoded), (response, cursor)))
     })
 }
 
-impl Answer {
+impl Response {
     /// What is new for this cursor, or a keep alive when nothing is for a while.
-    async fn next(&self, cursor: &mut Cursor) -> Bytes {
+    async fn next_frames(&self, cursor: &mut Cursor) -> Bytes {
         loop {
-            let mut changed = pin::pin!(self.changed.notified());
+            let mut changed = pin::pin!(self.change_notification.notified());
             // Enabled before the look, so that a change between look and wait wakes the wait.
             changed.as_mut().enable();
-            let encoded = cursor.take(&self.lock());
+            let encoded = cursor.encode_new(&self.lock());
             if !encoded.is_empty() {
                 return encoded;
             }
@@ -140,31 +140,31 @@
 
 impl Cursor {
     /// Encodes what is new since the last call.
-    fn take(&mut self, parts: &Parts) -> Bytes {
+    fn encode_new(&mut self, parts: &State) -> Bytes {
         let mut buffer = BytesMut::new();
-        if let (false, Some(load)) = (self.load, parts.load) {
-            self.load = true;
+        if let (false, Some(load)) = (self.has_load, parts.load) {
+            self.has_load = true;
             frame::encode(&frame::Frame::Load(load), &mut buffer);
         }
-        if !self.started && parts.started {
-            self.started = true;
+        if !self.has_started && parts.started {
+            self.has_started = true;
             frame::encode(&frame::Frame::Started, &mut buffer);
         }
-        if let (false, Some(head)) = (self.head, &parts.head) {
-            self.head = true;
+        if let (false, Some(head)) = (self.has_head, &parts.head) {
+            self.has_head = true;
             frame::encode(&frame::Frame::Head(head.clone()), &mut buffer);
         }
-        self.take_data(&parts.data, &mut buffer);
+        self.encode_data(&parts.data, &mut buffer);
         if let Some(end) = parts.end {
-            self.ended = true;
-            frame::encode(&end.frame(), &mut buffer);
+            self.has_ended = true;
+            frame::encode(&end.to_frame(), &mut buffer);
         }
         buffer.freeze()
     }
 
-    fn take_data(&mut self, data: &[u8], buffer: &mut BytesMut) {
-        let Some(fresh) = data.get(self.offset..) else { return };
-        for chunk in fresh.chunks(frame::MAX_PAYLOAD_BYTES) {
+    fn encode_data(&mut self, data: &[u8], buffer: &mut BytesMut) {
+        let Some(unread) = data.get(self.offset..) else { return };
+        for chunk in unread.chunks(frame::MAX_PAYLOAD_BYTES) {
             frame::encode(&frame::Frame::Data(Bytes::copy_from_slice(chunk)), buffer);
         }
         self.offset = data.len();
@@ -172,10 +172,10 @@
 }
 
 impl End {
-    fn frame(self) -> frame::Frame {
+    fn to_frame(self) -> frame::Frame {
         match self {
-            End::Whole(end) => frame::Frame::End(end),
-            End::Refused(refusal) => frame::Frame::Refused(refusal),
+            End::Complete(end) => frame::Frame::End(end),
+            End::Rejected(refusal) => frame::Frame::Refused(refusal),
         }
     }
 }
--- a/crates/hyssopfork-daemon/src/agent/role.rs
+++ b/crates/hyssopfork-daemon/src/agent/role.rs
@@ -1,7 +1,7 @@
 //! The loop that owns the agent's core: inputs become events, actions become calls of the shell.
 
-use crate::agent::{answer, engine, upstream};
-use crate::{clock, link, mailbox, monitor};
+use crate::agent::{engine, response, upstream};
+use crate::{clock, mailbox, monitor, rpc};
 use hyssopfork_agent::{action, core, event};
 use hyssopfork_telemetry::metrics;
 use hyssopfork_wire::{attempt, clock as wire_clock, member, timing};
@@ -17,9 +17,9 @@
     /// An event of the core that needs nothing of the shell.
     Event(event::Event),
     /// An entry offers an attempt.
-    Offer(Box<attempt::Offer>, oneshot::Sender<Offered>),
+    Offer(Box<attempt::Offer>, oneshot::Sender<Registration>),
     /// An entry takes up an attempt's answer.
-    TakeUp(attempt::Identifier, oneshot::Sender<Option<Arc<answer::Answer>>>),
+    Resume(attempt::Identifier, oneshot::Sender<Option<Arc<response::Response>>>),
     /// An entry cancels an attempt.
     Cancel {
         /// The attempt.
@@ -30,38 +30,38 @@
         reply: oneshot::Sender<attempt::Cancelled>,
     },
     /// The first member of a group asks.
-    Ask(member::Request, oneshot::Sender<member::Response>),
+    RequestGrant(member::Request, oneshot::Sender<member::Response>),
 }
 
 /// How an offer was taken.
 #[derive(Debug)]
-pub enum Offered {
+pub enum Registration {
     /// The identifier is new; the receiver carries the orders for its upstream's side.
-    New(Arc<answer::Answer>, mpsc::UnboundedReceiver<upstream::Order>),
+    New(Arc<response::Response>, mpsc::UnboundedReceiver<upstream::Command>),
     /// The identifier is known.
-    Known(Arc<answer::Answer>),
+    Known(Arc<response::Response>),
 }
 
 /// What the loop keeps of one attempt.
 #[derive(Debug)]
-struct Slot {
-    answer: Arc<answer::Answer>,
-    orders: mpsc::UnboundedSender<upstream::Order>,
-    ended: Option<wire_clock::Instant>,
+struct Attempt {
+    response: Arc<response::Response>,
+    commands: mpsc::UnboundedSender<upstream::Command>,
+    ended_at: Option<wire_clock::Instant>,
 }
 
 /// The loop.
 pub struct Role {
     core: core::Core,
     mailbox: mailbox::Mailbox<Input>,
-    links: Rc<link::Links>,
+    clients: Rc<rpc::Clients>,
     readiness: Arc<monitor::Readiness>,
     registry: Arc<metrics::Registry>,
     upstream: net::SocketAddr,
-    slots: HashMap<attempt::Identifier, Slot>,
-    cancels: HashMap<u64, oneshot::Sender<attempt::Cancelled>>,
-    asks: HashMap<u64, oneshot::Sender<member::Response>>,
-    calls: u64,
+    attempts: HashMap<attempt::Identifier, Attempt>,
+    cancel_replies: HashMap<u64, oneshot::Sender<attempt::Cancelled>>,
+    grant_replies: HashMap<u64, oneshot::Sender<member::Response>>,
+    last_call: u64,
     stopped: bool,
 }
 
@@ -77,14 +77,14 @@
         Role {
             core,
             mailbox,
-            links: Rc::default(),
+            clients: Rc::default(),
             readiness,
             registry,
             upstream,
-            slots: HashMap::new(),
-            cancels: HashMap::new(),
-            asks: HashMap::new(),
-            calls: 0,
+            attempts: HashMap::new(),
+            cancel_replies: HashMap::new(),
+            grant_replies: HashMap::new(),
+            last_call: 0,
             stopped: false,
         }
     }
@@ -92,42 +92,42 @@
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
         actix_rt::spawn(engine::probe(self.upstream, self.mailbox.clone()));
-        mailbox::drain(&mut self, inputs, action::TICK).await;
+        mailbox::run(&mut self, inputs, action::TICK).await;
     }
 }
 
-impl mailbox::Owner for Role {
+impl mailbox::Actor for Role {
     type Input = Input;
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready(clock::now()));
-        crate::log::watched(&self.registry, self.core.watcher());
+        crate::log::record_watcher(&self.registry, self.core.watcher());
         let oldest = clock::now() - timing::RESPONSE_RETENTION;
-        self.slots.retain(|_, slot| {
-            if slot.ended.is_none() && slot.answer.has_ended() {
-                slot.ended = Some(clock::now());
+        self.attempts.retain(|_, attempt| {
+            if attempt.ended_at.is_none() && attempt.response.has_ended() {
+                attempt.ended_at = Some(clock::now());
             }
-            slot.ended.is_none_or(|ended| ended > oldest)
+            attempt.ended_at.is_none_or(|ended| ended > oldest)
         });
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => self.step(event),
-            Input::Offer(offer, reply) => self.offer(*offer, reply),
-            Input::TakeUp(attempt, reply) => {
-                let known = self.slots.get(&attempt).map(|slot| slot.answer.clone());
+            Input::Offer(offer, reply) => self.on_offer(*offer, reply),
+            Input::Resume(attempt, reply) => {
+                let known = self.attempts.get(&attempt).map(|attempt| attempt.response.clone());
                 let _receiver_gone = reply.send(known);
             }
             Input::Cancel { attempt, boot, reply } => {
                 let call = self.next_call();
-                self.cancels.insert(call, reply);
+                self.cancel_replies.insert(call, reply);
                 self.step(event::Event::Cancelled { call, attempt, boot });
             }
-            Input::Ask(request, reply) => {
+            Input::RequestGrant(request, reply) => {
                 let call = self.next_call();
-                self.asks.insert(call, reply);
+                self.grant_replies.insert(call, reply);
                 self.step(event::Event::Asked { call, request });
             }
         }
@@ -139,92 +139,94 @@
 }
 
 impl Role {
-    fn offer(&mut self, offer: attempt::Offer, reply: oneshot::Sender<Offered>) {
-        let attempt = offer.attempt;
-        if let Some(known) = self.slots.get(&attempt) {
-            let _receiver_gone = reply.send(Offered::Known(known.answer.clone()));
+    fn on_offer(&mut self, offer: attempt::Offer, reply: oneshot::Sender<Registration>) {
+        let identifier = offer.attempt;
+        if let Some(known) = self.attempts.get(&identifier) {
+            let _receiver_gone = reply.send(Registration::Known(known.response.clone()));
             return;
         }
-        let (orders, receiver) = mpsc::unbounded_channel();
-        let answer = Arc::<answer::Answer>::default();
-        let slot = Slot { answer: answer.clone(), orders, ended: None };
-        self.slots.insert(attempt, slot);
+        let (commands, receiver) = mpsc::unbounded_channel();
+        let response = Arc::<response::Response>::default();
+        let attempt = Attempt { response: response.clone(), commands, ended_at: None };
+        self.attempts.insert(identifier, attempt);
         self.step(event::Event::Offered(offer));
-        let _receiver_gone = reply.send(Offered::New(answer, receiver));
+        let _receiver_gone = reply.send(Registration::New(response, receiver));
     }
 
     fn next_call(&mut self) -> u64 {
-        self.calls += 1;
-        self.calls
+        self.last_call += 1;
+        self.last_call
     }
 
     fn step(&mut self, event: event::Event) {
         for action in self.core.step(clock::now(), event) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: action::Action) {
+    fn perform(&mut self, action: action::Action) {
         match action {
             action::Action::Control { call, to, request, timeout } => {
-                let links = self.links.clone();
-                self.call_back(async move {
-                    let response = links.control(to, *request, timeout).await;
+                let clients = self.clients.clone();
+                self.post_result(async move {
+                    let response = clients.call_control(to, *request, timeout).await;
                     event::Event::Controlled { call, response }
                 });
             }
             action::Action::Stand { call, to, request, timeout } => {
-                let links = self.links.clone();
-                self.call_back(async move {
-                    let response = links.stand(to, request, timeout).await;
+                let clients = self.clients.clone();
+                self.post_result(async move {
+                    let response = clients.request_grant(to, request, timeout).await;
                     event::Event::Stood { call, response }
                 });
             }
             action::Action::ReplyStand { call, response } => {
-                answer(self.asks.remove(&call), response)
+                send_reply(self.grant_replies.remove(&call), response)
             }
             action::Action::ReplyCancel { call, outcome } => {
-                answer(self.cancels.remove(&call), outcome)
+                send_reply(self.cancel_replies.remove(&call), outcome)
             }
-            action::Action::Prepare { attempt, load } => self.prepare(attempt, load),
+            action::Action::Prepare { attempt, load } => self.connect(attempt, load),
             action::Action::TakeUp(_) => {}
-            action::Action::Forward(attempt) => self.order(attempt, upstream::Order::Forward),
+            action::Action::Forward(attempt) => {
+                self.send_command(attempt, upstream::Command::Forward)
+            }
             action::Action::Refuse { attempt, refusal, load } => {
-                if let Some(slot) = self.slots.get(&attempt) {
-                    slot.answer.load(load);
-                    slot.answer.refuse(refusal);
+                if let Some(attempt) = self.attempts.get(&attempt) {
+                    attempt.response.set_load(load);
+                    attempt.response.reject(refusal);
                 }
-                self.order(attempt, upstream::Order::Abort);
+                self.send_command(attempt, upstream::Command::Abort);
             }
-            action::Action::Abort(attempt) => self.order(attempt, upstream::Order::Abort),
+            action::Action::Abort(attempt) => self.send_command(attempt, upstream::Command::Abort),
             action::Action::Order(order) => {
                 let upstream = self.upstream;
-                self.call_back(engine::order(upstream, order));
+                self.post_result(engine::load_model(upstream, order));
             }
             action::Action::Notice(notice) => crate::log::notice(&notice),
             action::Action::Stopped => self.stopped = true,
         }
     }
 
-    fn prepare(&mut self, attempt: attempt::Identifier, load: hyssopfork_wire::frame::Load) {
-        if let Some(slot) = self.slots.get(&attempt) {
-            slot.answer.load(load);
+    fn connect(&mut self, attempt: attempt::Identifier, load: hyssopfork_wire::frame::Load) {
+        if let Some(attempt) = self.attempts.get(&attempt) {
+            attempt.response.set_load(load);
         }
-        self.order(attempt, upstream::Order::Prepare);
+        self.send_command(attempt, upstream::Command::Connect);
     }
 
-    fn order(&self, attempt: attempt::Identifier, order: upstream::Order) {
-        if let Some(slot) = self.slots.get(&attempt) {
-            let _task_gone = slot.orders.send(order);
+    fn send_command(&self, attempt: attempt::Identifier, command: upstream::Command) {
+        if let Some(attempt) = self.attempts.get(&attempt) {
+            let _task_gone = attempt.commands.send(command);
         }
     }
 
-    fn call_back(&self, call: impl Future<Output = event::Event> + 'static) {
+    fn post_result(&self, call: impl Future<Output = event::Event> + 'static) {
         self.mailbox.post_when(async move { Input::Event(call.await) });
     }
 }
 
-fn answer<T>(reply: Option<oneshot::Sender<T>>, value: T) {
+fn send_reply<T>(reply: Option<oneshot::Sender<T>>, value: T) {
     if let Some(reply) = reply {
         let _receiver_gone = reply.send(value);
     }
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -1,6 +1,6 @@
 //! The upstream's side of one attempt.
 
-use crate::agent::{answer, role};
+use crate::agent::{response, role};
 use crate::{http, mailbox};
 use bytes::Bytes;
 use hyssopfork_agent::event;
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 /// Time in which the upstream's connection must be there.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Header that tells the engine the fencing number of the group that serves.
 const FENCE_HEADER: &str = "hyssopfork-fence";
@@ -32,19 +32,19 @@
 /// Passed on as an answer, the caller would get it in place of another engine's work, and the gate
 /// would stay open until the next probe: six requests went to an engine without a model. A service's
 /// failures are answers to its callers and pass.
-const SERVER_ERROR: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 /// Last event of an engine's stream.
-const END_MARK: &[u8] = b"data: [DONE]";
+const END_MARKER: &[u8] = b"data: [DONE]";
 
 /// Bytes of the end of a stream in which its end mark must stand.
-const END_WINDOW: usize = 32;
+const END_MARKER_WINDOW_BYTES: usize = 32;
 
 /// An order of the agent's core for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     /// Get ready and ask again just before the first byte.
-    Prepare,
+    Connect,
     /// Write the request now.
     Forward,
     /// Stop, whatever has been reached.
@@ -53,26 +53,26 @@
 
 /// One attempt's work.
 #[derive(Debug)]
-pub struct Work {
+pub struct Exchange {
     /// What the entry offered.
     pub offer: attempt::Offer,
     /// Body of the caller's request.
     pub body: Bytes,
     /// Where the answer goes.
-    pub answer: Arc<answer::Answer>,
+    pub response: Arc<response::Response>,
     /// The agent's loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
     /// The back end.
     pub upstream: net::SocketAddr,
 }
 
-impl Work {
+impl Exchange {
     /// Carries the attempt through under the core's orders.
     ///
     /// The core is asked a second time once the connection is open, so that nothing that takes
     /// time lies between its last look at the clock and the first byte.
-    pub async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
-        if orders.recv().await != Some(Order::Prepare) {
+    pub async fn run(self, mut commands: mpsc::UnboundedReceiver<Command>) {
+        if commands.recv().await != Some(Command::Connect) {
             return;
         }
         let connection = match self.connect().await {
@@ -80,17 +80,17 @@
             Err(fault) => return self.post(event::Event::Failed(self.offer.attempt, fault)),
         };
         self.post(event::Event::Ready(self.offer.attempt));
-        if orders.recv().await != Some(Order::Forward) {
+        if commands.recv().await != Some(Command::Forward) {
             return;
         }
-        self.answer.started();
+        self.response.set_started();
         let result = tokio::select! {
-            result = self.exchange(connection) => result,
-            () = aborted(&mut orders) => return,
+            result = self.transfer(connection) => result,
+            () = wait_for_abort(&mut commands) => return,
         };
         match result {
             Ok(()) => {
-                self.answer.end();
+                self.response.complete();
                 self.post(event::Event::Ended(self.offer.attempt));
             }
             Err(fault) => self.post(event::Event::Failed(self.offer.attempt, fault)),
@@ -104,30 +104,30 @@
     /// Not by awc: it reports a connection that was closed before the answer's head as one that
     /// could not be made, and ends a cut body like a whole one. The first runs work twice, the
     /// second gives half an answer as a whole one.
-    async fn exchange(&self, mut connection: connection::Connection) -> Result<(), event::Fault> {
+    async fn transfer(&self, mut connection: connection::Connection) -> Result<(), event::Fault> {
         let headers = self.headers();
         let request = connection::Request {
             method: &self.offer.method,
             path: &self.offer.path,
             headers: &headers,
         };
-        connection.send(&request, self.body.clone()).await.map_err(fault)?;
-        let head = connection.read_head().await.map_err(fault)?;
-        if self.offer.group.is_some() && head.status >= SERVER_ERROR {
+        connection.send(&request, self.body.clone()).await.map_err(to_fault)?;
+        let head = connection.read_head().await.map_err(to_fault)?;
+        if self.offer.group.is_some() && head.status >= MIN_SERVER_ERROR_STATUS {
             return Err(event::Fault::Broken);
         }
-        let head = frame::Head { status: head.status, headers: travelling(head.headers) };
-        let marked = is_event_stream(&head) && self.offer.group.is_some();
-        self.answer.head(head);
+        let head = frame::Head { status: head.status, headers: forwarded_headers(head.headers) };
+        let needs_end_marker = is_event_stream(&head) && self.offer.group.is_some();
+        self.response.set_head(head);
         self.post(event::Event::Begun(self.offer.attempt));
         let mut tail = Vec::new();
-        while let Some(part) = connection.read_part().await.map_err(fault)? {
-            if !self.answer.data(&part) {
+        while let Some(part) = connection.read_part().await.map_err(to_fault)? {
+            if !self.response.append(&part) {
                 return Err(event::Fault::Broken);
             }
             keep_tail(&mut tail, &part);
         }
-        if marked && !tail.windows(END_MARK.len()).any(|window| window == END_MARK) {
+        if needs_end_marker && !tail.windows(END_MARKER.len()).any(|window| window == END_MARKER) {
             return Err(event::Fault::Broken);
         }
         Ok(())
@@ -135,8 +135,8 @@
 
     async fn connect(&self) -> Result<connection::Connection, event::Fault> {
         let opened = connection::Connection::connect(self.upstream);
-        let opened = tokio::time::timeout(CONNECT_LIMIT, opened).await;
-        opened.map_err(|_| event::Fault::Unreachable)?.map_err(fault)
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, opened).await;
+        opened.map_err(|_| event::Fault::Unreachable)?.map_err(to_fault)
     }
 
     fn headers(&self) -> Vec<(String, String)> {
@@ -152,9 +152,9 @@
     }
 }
 
-async fn aborted(orders: &mut mpsc::UnboundedReceiver<Order>) {
-    while let Some(order) = orders.recv().await {
-        if order == Order::Abort {
+async fn wait_for_abort(commands: &mut mpsc::UnboundedReceiver<Command>) {
+    while let Some(order) = commands.recv().await {
+        if order == Command::Abort {
             return;
         }
     }
@@ -162,7 +162,7 @@
 }
 
 /// Whether any byte may have reached the upstream decides what the core may say.
-fn fault(error: error::Error) -> event::Fault {
+fn to_fault(error: error::Error) -> event::Fault {
     match error {
         error::Error::Unreachable(..) | error::Error::Unsendable(_) => event::Fault::Unreachable,
         error::Error::ConnectionLost | error::Error::Malformed(_) | error::Error::Unframed => {
@@ -171,8 +171,8 @@
     }
 }
 
-fn travelling(headers: Vec<(String, String)>) -> Vec<(String, String)> {
-    headers.into_iter().filter(|(name, _)| http::travels(name)).collect()
+fn forwarded_headers(headers: Vec<(String, String)>) -> Vec<(String, String)> {
+    headers.into_iter().filter(|(name, _)| http::is_forwarded(name)).collect()
 }
 
 fn is_event_stream(head: &frame::Head) -> bool {
@@ -184,6 +184,6 @@
 
 fn keep_tail(tail: &mut Vec<u8>, part: &[u8]) {
     tail.extend_from_slice(part);
-    let excess = tail.len().saturating_sub(END_WINDOW);
+    let excess = tail.len().saturating_sub(END_MARKER_WINDOW_BYTES);
     tail.drain(..excess);
 }
--- a/crates/hyssopfork-daemon/src/control/journal.rs
+++ b/crates/hyssopfork-daemon/src/control/journal.rs
@@ -8,10 +8,10 @@
 use std::{io, process, thread};
 
 /// Exit code of a process whose journal can no longer be trusted.
-const JOURNAL_FAILED: i32 = 74;
+const JOURNAL_FAILED_EXIT_CODE: i32 = 74;
 
 /// Most writes that are synced together, besides the first.
-const TOGETHER_LIMIT: usize = 255;
+const MAX_BATCHED_WRITES: usize = 255;
 
 /// Hands writes to the journal's thread.
 #[derive(Debug)]
@@ -48,13 +48,13 @@
     mailbox: &mailbox::Mailbox<role::Input>,
 ) {
     while let Ok(first) = writes.recv() {
-        let mut waiting = vec![first];
-        waiting.extend(writes.try_iter().take(TOGETHER_LIMIT));
-        if let Err(error) = journal.write_all(&waiting) {
+        let mut batch = vec![first];
+        batch.extend(writes.try_iter().take(MAX_BATCHED_WRITES));
+        if let Err(error) = journal.write_all(&batch) {
             crate::log::notice(&crate::notice::Notice::JournalFailed(error.to_string()));
-            process::exit(JOURNAL_FAILED);
+            process::exit(JOURNAL_FAILED_EXIT_CODE);
         }
-        let newest = waiting.last().map_or(0, |write| write.number);
-        mailbox.post(role::Input::Event(event::Event::Persisted(newest)));
+        let last_number = batch.last().map_or(0, |write| write.number);
+        mailbox.post(role::Input::Event(event::Event::Persisted(last_number)));
     }
 }
--- a/crates/hyssopfork-daemon/src/control/peers.rs
+++ b/crates/hyssopfork-daemon/src/control/peers.rs
@@ -1,6 +1,6 @@
 //! Sending messages of the replicated log to the other voters.
 
-use crate::link;
+use crate::rpc;
 use hyssopfork_wire::{consensus, name};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -9,11 +9,11 @@
 
 /// Messages on their way to one voter at once; more are dropped, which the log's rules allow,
 /// since a voter that doesn't keep up would otherwise cost memory without bound.
-const IN_FLIGHT_LIMIT: usize = 64;
+const MAX_IN_FLIGHT_MESSAGES: usize = 64;
 
 /// Senders to all other voters.
 pub struct Peers {
-    links: Rc<link::Links>,
+    clients: Rc<rpc::Clients>,
     addresses: HashMap<name::Instance, net::SocketAddr>,
     in_flight: HashMap<name::Instance, Rc<Cell<usize>>>,
 }
@@ -22,20 +22,20 @@
     /// Senders to the voters at `addresses`.
     pub fn new(addresses: HashMap<name::Instance, net::SocketAddr>) -> Peers {
         let in_flight = addresses.keys().map(|name| (name.clone(), Rc::default())).collect();
-        Peers { links: Rc::default(), addresses, in_flight }
+        Peers { clients: Rc::default(), addresses, in_flight }
     }
 
     /// Sends a message, or drops it.
     pub fn send(&self, packet: consensus::Packet) {
         let Some(to) = self.addresses.get(&packet.to).copied() else { return };
         let Some(in_flight) = self.in_flight.get(&packet.to).cloned() else { return };
-        if in_flight.get() >= IN_FLIGHT_LIMIT {
+        if in_flight.get() >= MAX_IN_FLIGHT_MESSAGES {
             return;
         }
         in_flight.set(in_flight.get() + 1);
-        let links = self.links.clone();
+        let clients = self.clients.clone();
         actix_rt::spawn(async move {
-            links.deliver(to, packet).await;
+            clients.deliver(to, packet).await;
             in_flight.set(in_flight.get() - 1);
         });
     }
--- a/crates/hyssopfork-daemon/src/control/role.rs
+++ b/crates/hyssopfork-daemon/src/control/role.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Exit code of a process whose release cannot read the replicated log.
-const LOG_UNREADABLE: i32 = 65;
+const LOG_UNREADABLE_EXIT_CODE: i32 = 65;
 
 /// What servers and timers hand to the loop.
 #[derive(Debug)]
@@ -28,8 +28,8 @@
     journal: journal::Writer,
     readiness: Arc<monitor::Readiness>,
     registry: Arc<metrics::Registry>,
-    calls: HashMap<u64, oneshot::Sender<control::Response>>,
-    count: u64,
+    pending_calls: HashMap<u64, oneshot::Sender<control::Response>>,
+    last_call: u64,
     stopped: bool,
 }
 
@@ -43,44 +43,53 @@
         registry: Arc<metrics::Registry>,
     ) -> Role {
         let calls = HashMap::new();
-        Role { core, peers, journal, readiness, registry, calls, count: 0, stopped: false }
+        Role {
+            core,
+            peers,
+            journal,
+            readiness,
+            registry,
+            pending_calls: calls,
+            last_call: 0,
+            stopped: false,
+        }
     }
 
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
-        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
+        mailbox::run(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 }
 
-impl mailbox::Owner for Role {
+impl mailbox::Actor for Role {
     type Input = Input;
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready());
         let (term, committed) = self.core.progress();
         self.registry.consensus(term, committed, self.core.can_answer_as_leader());
         let view = self.core.machine().view();
         self.registry.in_force(view.configuration.number, view.version);
-        let closed: Vec<u64> = self
-            .calls
+        let abandoned: Vec<u64> = self
+            .pending_calls
             .iter()
             .filter(|(_, reply)| reply.is_closed())
             .map(|(call, _)| *call)
             .collect();
-        for call in closed {
-            self.calls.remove(&call);
+        for call in abandoned {
+            self.pending_calls.remove(&call);
             self.step(event::Event::Abandoned(call));
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => self.step(event),
             Input::Call(request, reply) => {
-                self.count += 1;
-                self.calls.insert(self.count, reply);
-                self.step(event::Event::Request { call: self.count, request });
+                self.last_call += 1;
+                self.pending_calls.insert(self.last_call, reply);
+                self.step(event::Event::Request { call: self.last_call, request });
             }
         }
     }
@@ -93,16 +102,16 @@
 impl Role {
     fn step(&mut self, event: event::Event) {
         for action in self.core.step(clock::now(), event) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: action::Action) {
+    fn perform(&mut self, action: action::Action) {
         match action {
             action::Action::Send(packet) => self.peers.send(packet),
             action::Action::Persist(write) => self.journal.write(write),
             action::Action::Reply { call, response } => {
-                if let Some(reply) = self.calls.remove(&call) {
+                if let Some(reply) = self.pending_calls.remove(&call) {
                     let _receiver_gone = reply.send(response);
                 }
             }
@@ -110,7 +119,7 @@
             action::Action::Stopped => self.stopped = true,
             action::Action::Fail(reason) => {
                 crate::log::notice(&crate::notice::Notice::LogUnreadable(reason));
-                std::process::exit(LOG_UNREADABLE);
+                std::process::exit(LOG_UNREADABLE_EXIT_CODE);
             }
         }
     }
--- a/crates/hyssopfork-daemon/src/edge/control.rs
+++ b/crates/hyssopfork-daemon/src/edge/control.rs
@@ -66,7 +66,7 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
-        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
+        mailbox::run(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 
     fn step(&mut self, event: event::Event) {
@@ -175,10 +175,10 @@
     }
 }
 
-impl mailbox::Owner for Role {
+impl mailbox::Actor for Role {
     type Input = Input;
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         self.step(event::Event::Tick);
         if let Some((term, committed)) = self.core.progress() {
             self.registry.consensus(term, committed, self.core.is_active_leader());
@@ -195,7 +195,7 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => self.step(*event),
             Input::Call(request, reply) => {
--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -1,7 +1,7 @@
 //! Calls between the system's processes.
 
 use crate::edge::{control, engine};
-use crate::{link, listener, mailbox};
+use crate::{listener, mailbox, rpc};
 use hyssopfork_fleet::groups::order;
 use hyssopfork_fleet::{action, event, peer};
 use hyssopfork_wire::{consensus, envelope};
@@ -22,52 +22,62 @@
 
 /// Calls to peers.
 #[derive(Default)]
-pub struct Peers(link::Clients<peer::PeerClient>);
+pub struct Peers(rpc::Cache<peer::PeerClient>);
 
 impl Peers {
     /// Delivers a message of the replicated log; whether it arrived.
     pub async fn deliver(&self, to: net::SocketAddr, packet: consensus::Packet) -> bool {
-        let limit = link::DELIVER_LIMIT;
+        let limit = rpc::DELIVERY_TIMEOUT;
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.deliver(link::until(limit), envelope::Envelope::new(packet));
-        self.0.settle(to, number, link::within(limit, call).await).is_some()
+        let call =
+            client.deliver(rpc::context_with_timeout(limit), envelope::Envelope::new(packet));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(limit, call).await).is_some()
     }
 
     /// Greets a peer.
     pub async fn greet(&self, to: net::SocketAddr, hello: peer::Hello) -> Option<peer::Greeting> {
         let (number, client) = self.client(to).await?;
-        let call = client.greet(link::until(GREET_LIMIT), envelope::Envelope::new(hello));
-        self.0.settle(to, number, link::within(GREET_LIMIT, call).await)
+        let call =
+            client.greet(rpc::context_with_timeout(GREET_LIMIT), envelope::Envelope::new(hello));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(GREET_LIMIT, call).await)
     }
 
     /// Asks the leader for what is new.
     pub async fn watch(&self, to: net::SocketAddr, watch: peer::Watch) -> Option<peer::Answer> {
         let limit = action::WATCH_TIMEOUT;
         let (number, client) = self.client(to).await?;
-        let call = client.watch(link::until(limit), envelope::Envelope::new(watch));
-        self.0.settle(to, number, link::within(limit, call).await)
+        let call = client.watch(rpc::context_with_timeout(limit), envelope::Envelope::new(watch));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(limit, call).await)
     }
 
     /// Tells the leader what was seen; it is told again with the next watch.
     pub async fn note(&self, to: net::SocketAddr, from: net::SocketAddr, seen: peer::Evidence) {
         let Some((number, client)) = self.client(to).await else { return };
-        let call = client.note(link::until(GREET_LIMIT), from, envelope::Envelope::new(seen));
-        self.0.settle(to, number, link::within(GREET_LIMIT, call).await);
+        let call = client.note(
+            rpc::context_with_timeout(GREET_LIMIT),
+            from,
+            envelope::Envelope::new(seen),
+        );
+        self.0.remove_if_failed(to, number, rpc::with_timeout(GREET_LIMIT, call).await);
     }
 
     /// Has a peer ask an upstream for a sign of life; whether it got one.
     pub async fn probe(&self, to: net::SocketAddr, upstream: net::SocketAddr) -> bool {
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.probe(link::until(PROBE_LIMIT), envelope::Envelope::new(upstream));
-        self.0.settle(to, number, link::within(PROBE_LIMIT, call).await).unwrap_or(false)
+        let call =
+            client.probe(rpc::context_with_timeout(PROBE_LIMIT), envelope::Envelope::new(upstream));
+        self.0
+            .remove_if_failed(to, number, rpc::with_timeout(PROBE_LIMIT, call).await)
+            .unwrap_or(false)
     }
 
     /// Passes an upstream's call on to the leader; whether it has it.
     pub async fn register(&self, to: net::SocketAddr, registration: peer::Registration) -> bool {
         let limit = REGISTER_LIMIT;
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.register(link::until(limit), envelope::Envelope::new(registration));
-        self.0.settle(to, number, link::within(limit, call).await).unwrap_or(false)
+        let call = client
+            .register(rpc::context_with_timeout(limit), envelope::Envelope::new(registration));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(limit, call).await).unwrap_or(false)
     }
 
     async fn client(&self, to: net::SocketAddr) -> Option<(u64, peer::PeerClient)> {
@@ -77,8 +87,8 @@
 
 async fn connect(to: net::SocketAddr) -> Option<peer::PeerClient> {
     let mut connecting = serde_transport::tcp::connect(to, tokio_serde::formats::Bincode::default);
-    connecting.config_mut().max_frame_length(listener::MESSAGE_LIMIT);
-    let transport = link::opened(connecting).await?;
+    connecting.config_mut().max_frame_length(listener::MAX_MESSAGE_BYTES);
+    let transport = rpc::connect(connecting).await?;
     Some(peer::PeerClient::new(client::Config::default(), transport).spawn())
 }
 
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -94,7 +94,9 @@
                 action::Action::Decide(of, decided) => self.wake(of, decided),
                 action::Action::Probe(process, address) => self.probe(process, address),
                 action::Action::Notice(notice) => log::notice(&notice),
-                action::Action::Measure(measure) => log::measure_edge(&self.registry, &measure),
+                action::Action::Measure(measure) => {
+                    log::record_edge_measurement(&self.registry, &measure)
+                }
                 action::Action::Report(evidence) => {
                     let seen = fleet_event::Event::Observed(self.own, evidence);
                     self.mailbox.post(control::Input::Event(Box::new(seen)));
--- a/crates/hyssopfork-daemon/src/entry/attempt.rs
+++ b/crates/hyssopfork-daemon/src/entry/attempt.rs
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc;
 
 /// Connections that are tried for one attempt: the first, and others after silence or a cut.
-const CONNECTION_LIMIT: u32 = 3;
+const MAX_CONNECTIONS: u32 = 3;
 
 /// Wait between two connections of one attempt.
-const RECONNECT_WAIT: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// What an attempt hands to its conversation, in order.
 #[derive(Debug)]
@@ -28,11 +28,11 @@
     /// The answer will not be whole.
     Failed(event::Fault),
     /// The agent ended the answer after its head.
-    Refused(refusal::Refusal),
+    Rejected(refusal::Refusal),
 }
 
 /// One attempt.
-pub struct Work {
+pub struct Attempt {
     /// The agent.
     pub to: net::SocketAddr,
     /// The offer.
@@ -50,55 +50,55 @@
 /// What has come so far, over all connections.
 #[derive(Default)]
 struct Progress {
-    offered: bool,
-    started: bool,
+    was_offered: bool,
+    has_started: bool,
     head: Option<frame::Head>,
-    received: u64,
+    received_bytes: u64,
     checksum: crc32fast::Hasher,
     collected: BytesMut,
 }
 
 /// How one connection ended.
-enum Stop {
+enum Outcome {
     /// The attempt is over.
-    Over,
+    Finished,
     /// The connection could not be made.
     Unreachable,
     /// The connection went silent or ended early.
     Lost,
     /// The agent knows no such attempt: the offer never came to it, or it was restarted.
-    Absent,
+    NotFound,
     /// The frames are wrong.
     Corrupt,
 }
 
-impl Work {
+impl Attempt {
     /// Carries the attempt through.
     pub async fn run(self) {
         let mut progress = Progress::default();
         let mut fault = event::Fault::Unreachable;
-        for connection in 0..CONNECTION_LIMIT {
+        for connection in 0..MAX_CONNECTIONS {
             if connection > 0 {
-                actix_rt::time::sleep(RECONNECT_WAIT).await;
+                actix_rt::time::sleep(RECONNECT_DELAY).await;
             }
-            let stop = self.connect(&mut progress, connection == 0).await;
-            fault = match stop {
-                Stop::Over => return,
-                Stop::Unreachable if !progress.offered => event::Fault::Unreachable,
-                Stop::Unreachable | Stop::Lost => event::Fault::Lost,
-                Stop::Absent if progress.started => event::Fault::Restarted,
-                Stop::Absent => event::Fault::Lost,
-                Stop::Corrupt => event::Fault::Corrupt,
+            let outcome = self.run_connection(&mut progress, connection == 0).await;
+            fault = match outcome {
+                Outcome::Finished => return,
+                Outcome::Unreachable if !progress.was_offered => event::Fault::Unreachable,
+                Outcome::Unreachable | Outcome::Lost => event::Fault::Lost,
+                Outcome::NotFound if progress.has_started => event::Fault::Restarted,
+                Outcome::NotFound => event::Fault::Lost,
+                Outcome::Corrupt => event::Fault::Corrupt,
             };
             if matches!(fault, event::Fault::Corrupt | event::Fault::Restarted) {
                 break;
             }
         }
-        self.fail(fault, progress.head.is_some()).await;
+        self.report_fault(fault, progress.head.is_some()).await;
     }
 
-    async fn fail(&self, fault: event::Fault, headed: bool) {
-        if headed && !self.collect {
+    async fn report_fault(&self, fault: event::Fault, has_head: bool) {
+        if has_head && !self.collect {
             let _conversation_over = self.parts.send(Part::Failed(fault)).await;
         } else {
             self.post(event::Event::AttemptFailed {
@@ -114,60 +114,66 @@
     }
 
     /// Offers the attempt, or takes its answer up where bytes of it have come before.
-    async fn connect(&self, progress: &mut Progress, first: bool) -> Stop {
+    async fn run_connection(&self, progress: &mut Progress, first: bool) -> Outcome {
         let clients = http::clients();
         let client = if first { &clients.pooled } else { &clients.fresh };
         let path = format!("http://{}/attempts/{}", self.to, self.offer.attempt);
-        let sent = if progress.started {
-            let url = format!("{path}?from={}", progress.received);
+        let sent = if progress.has_started {
+            let url = format!("{path}?from={}", progress.received_bytes);
             client.get(url).timeout(timing::CONNECTION_IDLE_TIMEOUT).send().await
         } else {
-            progress.offered = true;
+            progress.was_offered = true;
             let offer = attempt::Offer { first, ..self.offer.clone() };
             let offer = serde_json::to_string(&offer).expect("an offer is plain data");
             let request = client.post(path).timeout(timing::CONNECTION_IDLE_TIMEOUT);
-            let request = request.insert_header((crate::agent::gate::OFFER_HEADER, offer));
+            let request = request.insert_header((crate::agent::http_server::OFFER_HEADER, offer));
             request.send_body(self.body.clone()).await
         };
         match sent {
-            Ok(response) if response.status().as_u16() == 404 => Stop::Absent,
-            Ok(response) if response.status().is_success() => self.read(progress, response).await,
-            Ok(_) => Stop::Lost,
+            Ok(response) if response.status().as_u16() == 404 => Outcome::NotFound,
+            Ok(response) if response.status().is_success() => {
+                self.read_frames(progress, response).await
+            }
+            Ok(_) => Outcome::Lost,
             Err(error) if is_unreachable(&error) => {
                 if first {
-                    progress.offered = false;
+                    progress.was_offered = false;
                 }
-                Stop::Unreachable
+                Outcome::Unreachable
             }
-            Err(_) => Stop::Lost,
+            Err(_) => Outcome::Lost,
         }
     }
 
-    async fn read<S>(&self, progress: &mut Progress, response: awc::ClientResponse<S>) -> Stop
+    async fn read_frames<S>(
+        &self,
+        progress: &mut Progress,
+        response: awc::ClientResponse<S>,
+    ) -> Outcome
     where
         S: futures::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
     {
         let mut body = response.timeout(Duration::from_secs(3_600));
         let mut buffer = BytesMut::new();
         loop {
-            let read = tokio::time::timeout(timing::CONNECTION_IDLE_TIMEOUT, body.next()).await;
-            let Ok(Some(Ok(bytes))) = read else { return Stop::Lost };
+            let received = tokio::time::timeout(timing::CONNECTION_IDLE_TIMEOUT, body.next()).await;
+            let Ok(Some(Ok(bytes))) = received else { return Outcome::Lost };
             buffer.extend_from_slice(&bytes);
             loop {
                 match frame::decode(&mut buffer) {
                     Ok(Some(frame)) => {
-                        if let Some(stop) = self.take(progress, frame).await {
-                            return stop;
+                        if let Some(outcome) = self.on_frame(progress, frame).await {
+                            return outcome;
                         }
                     }
                     Ok(None) => break,
-                    Err(_) => return Stop::Corrupt,
+                    Err(_) => return Outcome::Corrupt,
                 }
             }
         }
     }
 
-    async fn take(&self, progress: &mut Progress, frame: frame::Frame) -> Option<Stop> {
+    async fn on_frame(&self, progress: &mut Progress, frame: frame::Frame) -> Option<Outcome> {
         let attempt = self.offer.attempt;
         match frame {
             frame::Frame::KeepAlive => None,
@@ -176,32 +182,32 @@
                 None
             }
             frame::Frame::Started => {
-                if !progress.started {
-                    progress.started = true;
+                if !progress.has_started {
+                    progress.has_started = true;
                     self.post(event::Event::AttemptStarted(attempt));
                 }
                 None
             }
             frame::Frame::Refused(refusal) => {
-                self.refused(progress, refusal).await;
-                Some(Stop::Over)
+                self.on_rejected(progress, refusal).await;
+                Some(Outcome::Finished)
             }
-            frame::Frame::Head(head) => self.head(progress, head).await,
-            frame::Frame::Data(data) => self.data(progress, data).await,
-            frame::Frame::End(end) => self.end(progress, end).await,
+            frame::Frame::Head(head) => self.on_head(progress, head).await,
+            frame::Frame::Data(data) => self.on_data(progress, data).await,
+            frame::Frame::End(end) => self.on_end(progress, end).await,
         }
     }
 
     /// A refusal after the head is a cut answer: the conversation ends it in order.
-    async fn refused(&self, progress: &Progress, refusal: refusal::Refusal) {
+    async fn on_rejected(&self, progress: &Progress, refusal: refusal::Refusal) {
         if progress.head.is_some() && !self.collect {
-            let _conversation_over = self.parts.send(Part::Refused(refusal)).await;
+            let _conversation_over = self.parts.send(Part::Rejected(refusal)).await;
         } else {
             self.post(event::Event::AttemptRejected(self.offer.attempt, refusal));
         }
     }
 
-    async fn head(&self, progress: &mut Progress, head: frame::Head) -> Option<Stop> {
+    async fn on_head(&self, progress: &mut Progress, head: frame::Head) -> Option<Outcome> {
         if progress.head.is_some() {
             return None;
         }
@@ -210,41 +216,41 @@
         if self.collect {
             return None;
         }
-        self.hand_over(Part::Head(head)).await
+        self.forward(Part::Head(head)).await
     }
 
-    async fn data(&self, progress: &mut Progress, data: Bytes) -> Option<Stop> {
-        if progress.received == 0 && !data.is_empty() {
+    async fn on_data(&self, progress: &mut Progress, data: Bytes) -> Option<Outcome> {
+        if progress.received_bytes == 0 && !data.is_empty() {
             self.post(event::Event::ResponseStarted(self.offer.attempt));
         }
-        progress.received += data.len() as u64;
+        progress.received_bytes += data.len() as u64;
         progress.checksum.update(&data);
         if self.collect {
             progress.collected.extend_from_slice(&data);
             return None;
         }
-        self.hand_over(Part::Data(data)).await
+        self.forward(Part::Data(data)).await
     }
 
     /// The whole answer must be the one that the agent sent: a lost or doubled part shows here.
-    async fn end(&self, progress: &mut Progress, end: frame::End) -> Option<Stop> {
+    async fn on_end(&self, progress: &mut Progress, end: frame::End) -> Option<Outcome> {
         let checksum = progress.checksum.clone().finalize();
-        if end.length != progress.received || end.checksum != checksum {
-            return Some(Stop::Corrupt);
+        if end.length != progress.received_bytes || end.checksum != checksum {
+            return Some(Outcome::Corrupt);
         }
-        let Some(head) = progress.head.take() else { return Some(Stop::Corrupt) };
+        let Some(head) = progress.head.take() else { return Some(Outcome::Corrupt) };
         if self.collect {
             let body = std::mem::take(&mut progress.collected).freeze();
             self.post(event::Event::ResponseCollected { attempt: self.offer.attempt, head, body });
-            return Some(Stop::Over);
+            return Some(Outcome::Finished);
         }
-        self.hand_over(Part::End).await;
-        Some(Stop::Over)
+        self.forward(Part::End).await;
+        Some(Outcome::Finished)
     }
 
     /// Nobody to hand over to means that the core dropped the attempt.
-    async fn hand_over(&self, part: Part) -> Option<Stop> {
-        self.parts.send(part).await.err().map(|_| Stop::Over)
+    async fn forward(&self, part: Part) -> Option<Outcome> {
+        self.parts.send(part).await.err().map(|_| Outcome::Finished)
     }
 }
 
--- a/crates/hyssopfork-daemon/src/entry/conversation.rs
+++ b/crates/hyssopfork-daemon/src/entry/handler.rs
@@ -14,39 +14,39 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Parts of an answer that wait for a slow caller; then the reading from the agent waits too.
-const PARTS_LIMIT: usize = 16;
+const MAX_BUFFERED_PARTS: usize = 16;
 
 /// Time in which the server writes a part that it has taken.
-const MARK_WAIT: Duration = Duration::from_millis(20);
+const ERROR_EVENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits for a slow caller to take its last parts; 2 s in all.
-const MARK_WAITS: u32 = 100;
+const MAX_ERROR_EVENT_POLLS: u32 = 100;
 
 /// Header that carries the request's identifier to the caller.
 const REQUEST_HEADER: &str = "hyssopfork-request";
 
-type Outlet = mpsc::Sender<Result<Bytes, io::Error>>;
+type BodySender = mpsc::Sender<Result<Bytes, io::Error>>;
 
 /// Holds the conversation and gives the response; what comes after the response's head goes on in
 /// a task of this thread.
 ///
 /// When the caller goes away before the response, this future is dropped, the reply's receiver
 /// with it, and the task notices.
-pub async fn hold(
+pub async fn handle(
     request: u64,
     identifier: String,
     body: Bytes,
     mailbox: mailbox::Mailbox<role::Input>,
     commands: mpsc::UnboundedReceiver<role::Command>,
-) -> http::Answer {
+) -> http::Response {
     let (reply, answered) = oneshot::channel();
-    let conversation = Conversation {
+    let conversation = Handler {
         request,
         identifier: identifier.clone(),
         body,
         mailbox,
         reply: Some(reply),
-        outlet: None,
+        body_sender: None,
         attempts: HashMap::new(),
         forwarded: None,
         splitter: None,
@@ -58,45 +58,45 @@
     }
 }
 
-struct Conversation {
+struct Handler {
     request: u64,
     identifier: String,
     body: Bytes,
     mailbox: mailbox::Mailbox<role::Input>,
-    reply: Option<oneshot::Sender<http::Answer>>,
-    outlet: Option<Outlet>,
+    reply: Option<oneshot::Sender<http::Response>>,
+    body_sender: Option<BodySender>,
     attempts: HashMap<wire_attempt::Identifier, mpsc::Receiver<attempt::Part>>,
     forwarded: Option<(wire_attempt::Identifier, mpsc::Receiver<attempt::Part>)>,
     splitter: Option<sse::Splitter>,
 }
 
 /// What the conversation has just seen.
-enum Seen {
+enum Input {
     Command(Option<role::Command>),
     Part(Option<attempt::Part>),
-    Gone,
+    ClientGone,
 }
 
-impl Conversation {
+impl Handler {
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<role::Command>) {
         loop {
-            let seen = tokio::select! {
+            let input = tokio::select! {
                 biased;
-                command = commands.recv() => Seen::Command(command),
-                part = next(&mut self.forwarded) => Seen::Part(part),
-                () = gone(&mut self.reply, &self.outlet) => Seen::Gone,
+                command = commands.recv() => Input::Command(command),
+                part = next_part(&mut self.forwarded) => Input::Part(part),
+                () = wait_for_client_gone(&mut self.reply, &self.body_sender) => Input::ClientGone,
             };
-            let over = match seen {
-                Seen::Command(Some(command)) => self.obey(command).await,
-                Seen::Command(None) => true,
-                Seen::Part(part) => self.forward(part).await,
-                Seen::Gone => {
+            let is_finished = match input {
+                Input::Command(Some(command)) => self.on_command(command).await,
+                Input::Command(None) => true,
+                Input::Part(part) => self.forward(part).await,
+                Input::ClientGone => {
                     self.post(event::Event::ClientGone(self.request));
                     true
                 }
             };
-            if over {
-                self.mailbox.post(role::Input::Closed(self.request));
+            if is_finished {
+                self.mailbox.post(role::Input::RequestClosed(self.request));
                 return;
             }
         }
@@ -107,44 +107,49 @@
     }
 
     /// Carries out a command; whether the conversation is over.
-    async fn obey(&mut self, command: role::Command) -> bool {
+    async fn on_command(&mut self, command: role::Command) -> bool {
         match command {
-            role::Command::Start { to, offer, collect } => {
-                self.start(to, *offer, collect);
+            role::Command::StartAttempt { to, offer, collect } => {
+                self.start_attempt(to, *offer, collect);
                 false
             }
-            role::Command::Forward(attempt) => {
+            role::Command::ForwardResponse(attempt) => {
                 if let Some(parts) = self.attempts.remove(&attempt) {
                     self.forwarded = Some((attempt, parts));
                 }
                 false
             }
-            role::Command::Drop(attempt) => {
+            role::Command::DropAttempt(attempt) => {
                 self.attempts.remove(&attempt);
                 if self.forwarded.as_ref().is_some_and(|(current, _)| *current == attempt) {
                     self.forwarded = None;
                 }
                 false
             }
-            role::Command::Answer(head, body) => {
-                self.respond(|identifier| answer(&head, body, identifier));
+            role::Command::Respond(head, body) => {
+                self.respond(|identifier| complete_response(&head, body, identifier));
                 true
             }
-            role::Command::Refuse(refusal) => {
-                self.respond(|identifier| refuse(&refusal, identifier));
+            role::Command::Reject(refusal) => {
+                self.respond(|identifier| problem_response(&refusal, identifier));
                 true
             }
-            role::Command::Cut(refusal) => {
-                self.cut(&refusal).await;
+            role::Command::Abort(refusal) => {
+                self.abort(&refusal).await;
                 true
             }
         }
     }
 
-    fn start(&mut self, to: std::net::SocketAddr, offer: wire_attempt::Offer, collect: bool) {
-        let (parts, receiver) = mpsc::channel(PARTS_LIMIT);
+    fn start_attempt(
+        &mut self,
+        to: std::net::SocketAddr,
+        offer: wire_attempt::Offer,
+        collect: bool,
+    ) {
+        let (parts, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
         self.attempts.insert(offer.attempt, receiver);
-        let work = attempt::Work {
+        let work = attempt::Attempt {
             to,
             offer,
             body: self.body.clone(),
@@ -155,7 +160,7 @@
         actix_rt::spawn(work.run());
     }
 
-    fn respond(&mut self, build: impl FnOnce(&str) -> http::Answer) {
+    fn respond(&mut self, build: impl FnOnce(&str) -> http::Response) {
         if let Some(reply) = self.reply.take() {
             let _caller_gone = reply.send(build(&self.identifier));
         }
@@ -166,29 +171,29 @@
         let Some((attempt, _)) = self.forwarded else { return false };
         match part {
             Some(attempt::Part::Head(head)) => {
-                self.open(&head);
+                self.start_response(&head);
                 false
             }
             Some(attempt::Part::Data(data)) => {
-                self.push(&data).await;
+                self.send_data(&data).await;
                 false
             }
             Some(attempt::Part::End) => {
-                self.end(attempt);
+                self.complete(attempt);
                 true
             }
             // The caller has the stream's end mark; resumed elsewhere, it would get another.
-            Some(attempt::Part::Failed(_) | attempt::Part::Refused(_)) if self.has_ended() => {
-                self.end(attempt);
+            Some(attempt::Part::Failed(_) | attempt::Part::Rejected(_)) if self.has_ended() => {
+                self.complete(attempt);
                 true
             }
             Some(attempt::Part::Failed(fault)) => {
-                self.fail(attempt, fault);
+                self.on_failed(attempt, fault);
                 false
             }
-            Some(attempt::Part::Refused(refusal)) => {
-                self.post(event::Event::EventsDelivered(attempt, self.delivered()));
-                self.part_lost();
+            Some(attempt::Part::Rejected(refusal)) => {
+                self.post(event::Event::EventsDelivered(attempt, self.delivered_events()));
+                self.discard_partial_event();
                 self.post(event::Event::AttemptRejected(attempt, refusal));
                 false
             }
@@ -199,9 +204,9 @@
         }
     }
 
-    fn end(&mut self, attempt: wire_attempt::Identifier) {
-        self.outlet = None;
-        self.post(event::Event::EventsDelivered(attempt, self.delivered()));
+    fn complete(&mut self, attempt: wire_attempt::Identifier) {
+        self.body_sender = None;
+        self.post(event::Event::EventsDelivered(attempt, self.delivered_events()));
         self.post(event::Event::AttemptCompleted(attempt));
     }
 
@@ -210,32 +215,32 @@
     }
 
     /// Events of the stream that the caller has whole.
-    fn delivered(&self) -> u64 {
+    fn delivered_events(&self) -> u64 {
         self.splitter.as_ref().map_or(0, |splitter| splitter.delivered_events())
     }
 
     /// The forwarded answer ended early: an event of which only a part came is dropped, since the
     /// resumed stream brings it anew.
-    fn part_lost(&mut self) {
+    fn discard_partial_event(&mut self) {
         self.forwarded = None;
         if let Some(splitter) = &mut self.splitter {
             splitter.discard_partial();
         }
     }
 
-    fn fail(&mut self, attempt: wire_attempt::Identifier, fault: event::Fault) {
-        let delivered = self.delivered();
-        self.part_lost();
+    fn on_failed(&mut self, attempt: wire_attempt::Identifier, fault: event::Fault) {
+        let delivered = self.delivered_events();
+        self.discard_partial_event();
         self.post(event::Event::AttemptFailed { attempt, fault, delivered });
     }
 
     /// Begins the response; a resumed stream goes on in the response that was begun before.
-    fn open(&mut self, head: &frame::Head) {
-        if self.outlet.is_some() {
+    fn start_response(&mut self, head: &frame::Head) {
+        if self.body_sender.is_some() {
             return;
         }
-        let (outlet, parts) = mpsc::channel(PARTS_LIMIT);
-        self.outlet = Some(outlet);
+        let (outlet, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
+        self.body_sender = Some(outlet);
         if is_event_stream(head) {
             self.splitter = Some(sse::Splitter::default());
         }
@@ -243,27 +248,29 @@
             let body = stream::unfold(parts, |mut parts: mpsc::Receiver<_>| async move {
                 parts.recv().await.map(|part| (part, parts))
             });
-            build(head, identifier).body(BodyStream::new(Box::pin(body))).map_into_boxed_body()
+            response_builder(head, identifier)
+                .body(BodyStream::new(Box::pin(body)))
+                .map_into_boxed_body()
         });
     }
 
     /// Hands bytes to the caller; of a stream of events only whole ones, so that the rest can be
     /// resumed on another upstream.
-    async fn push(&mut self, data: &Bytes) {
+    async fn send_data(&mut self, data: &Bytes) {
         let whole = match &mut self.splitter {
             Some(splitter) => splitter.feed(data),
             None => data.clone(),
         };
-        if let (Some(outlet), false) = (&self.outlet, whole.is_empty()) {
+        if let (Some(outlet), false) = (&self.body_sender, whole.is_empty()) {
             let _caller_gone = outlet.send(Ok(whole)).await;
         }
     }
 
     /// A stream of events ends in an error event; then the connection breaks, in place of a clean
     /// end that would make a part look whole.
-    async fn cut(&mut self, refusal: &refusal::Refusal) {
-        let Some(outlet) = self.outlet.take() else {
-            self.respond(|identifier| refuse(refusal, identifier));
+    async fn abort(&mut self, refusal: &refusal::Refusal) {
+        let Some(outlet) = self.body_sender.take() else {
+            self.respond(|identifier| problem_response(refusal, identifier));
             return;
         };
         if self.splitter.is_some() {
@@ -271,7 +278,7 @@
             let json = serde_json::to_string(&document).expect("documents are plain data");
             let event = format!("event: error\ndata: {json}\n\n");
             let _caller_gone = outlet.send(Ok(Bytes::from(event))).await;
-            taken(&outlet).await;
+            wait_until_sent(&outlet).await;
         }
         let _caller_gone = outlet.send(Err(io::Error::other("the answer was cut"))).await;
     }
@@ -281,16 +288,16 @@
 ///
 /// It drops what it has not written when a body breaks off: without the wait the mark would be lost
 /// with the connection and the caller told nothing. A caller that reads nothing is not waited for.
-async fn taken(outlet: &Outlet) {
-    for _ in 0..MARK_WAITS {
-        actix_rt::time::sleep(MARK_WAIT).await;
-        if outlet.capacity() == PARTS_LIMIT || outlet.is_closed() {
+async fn wait_until_sent(outlet: &BodySender) {
+    for _ in 0..MAX_ERROR_EVENT_POLLS {
+        actix_rt::time::sleep(ERROR_EVENT_POLL_INTERVAL).await;
+        if outlet.capacity() == MAX_BUFFERED_PARTS || outlet.is_closed() {
             return;
         }
     }
 }
 
-async fn next(
+async fn next_part(
     forwarded: &mut Option<(wire_attempt::Identifier, mpsc::Receiver<attempt::Part>)>,
 ) -> Option<attempt::Part> {
     match forwarded {
@@ -301,7 +308,10 @@
 
 /// Resolves when the caller has gone away: before the response its receiver is dropped, after it
 /// the body's.
-async fn gone(reply: &mut Option<oneshot::Sender<http::Answer>>, outlet: &Option<Outlet>) {
+async fn wait_for_client_gone(
+    reply: &mut Option<oneshot::Sender<http::Response>>,
+    outlet: &Option<BodySender>,
+) {
     match (reply, outlet) {
         (Some(reply), _) => reply.closed().await,
         (None, Some(outlet)) => outlet.closed().await,
@@ -309,7 +319,7 @@
     }
 }
 
-fn build(head: &frame::Head, identifier: &str) -> actix_http::ResponseBuilder {
+fn response_builder(head: &frame::Head, identifier: &str) -> actix_http::ResponseBuilder {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     for (name, value) in &head.headers {
@@ -319,11 +329,11 @@
     response
 }
 
-fn answer(head: &frame::Head, body: Bytes, identifier: &str) -> http::Answer {
-    build(head, identifier).body(body).map_into_boxed_body()
+fn complete_response(head: &frame::Head, body: Bytes, identifier: &str) -> http::Response {
+    response_builder(head, identifier).body(body).map_into_boxed_body()
 }
 
-fn refuse(refusal: &refusal::Refusal, identifier: &str) -> http::Answer {
+fn problem_response(refusal: &refusal::Refusal, identifier: &str) -> http::Response {
     let document = problem::describe(refusal, identifier);
     let mut answer = http::json(problem::status(refusal), problem::CONTENT_TYPE, &document);
     if let Some(seconds) = problem::retry_after_seconds(refusal) {
--- a/crates/hyssopfork-daemon/src/entry/mod.rs
+++ b/crates/hyssopfork-daemon/src/entry/mod.rs
@@ -1,6 +1,6 @@
 //! Shell of the entry role.
 
 pub mod attempt;
-pub mod caller;
-pub mod conversation;
+pub mod handler;
+pub mod http_server;
 pub mod role;
--- a/crates/hyssopfork-daemon/src/entry/role.rs
+++ b/crates/hyssopfork-daemon/src/entry/role.rs
@@ -1,6 +1,6 @@
 //! The loop that owns the entry's core: inputs become events, actions become calls of the shell.
 
-use crate::{clock, link, mailbox, monitor};
+use crate::{clock, mailbox, monitor, rpc};
 use bytes::Bytes;
 use hyssopfork_entry::{action, core, event};
 use hyssopfork_telemetry::metrics;
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 /// Time in which an agent must answer a cancel.
-const CANCEL_LIMIT: Duration = Duration::from_millis(1_000);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What traffic threads and timers hand to the loop.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// An event of the core that needs nothing of the shell.
     Event(event::Event),
     /// A caller's request arrived; commands for its conversation go to the sender.
-    Arrived {
+    RequestArrived {
         /// Number of the request.
         request: u64,
         /// What was asked.
@@ -30,14 +30,14 @@
         commands: mpsc::UnboundedSender<Command>,
     },
     /// The conversation with the caller is over.
-    Closed(u64),
+    RequestClosed(u64),
 }
 
 /// What the core wants done about one request.
 #[derive(Debug)]
 pub enum Command {
     /// Offer an attempt to the agent at this address; collect its whole answer or not.
-    Start {
+    StartAttempt {
         /// The agent.
         to: net::SocketAddr,
         /// The offer.
@@ -46,22 +46,22 @@
         collect: bool,
     },
     /// Forward this attempt's answer.
-    Forward(attempt::Identifier),
+    ForwardResponse(attempt::Identifier),
     /// Stop reading an attempt's answer.
-    Drop(attempt::Identifier),
+    DropAttempt(attempt::Identifier),
     /// Answer whole.
-    Answer(frame::Head, Bytes),
+    Respond(frame::Head, Bytes),
     /// Answer with a problem document.
-    Refuse(refusal::Refusal),
+    Reject(refusal::Refusal),
     /// End the stream with an error mark.
-    Cut(refusal::Refusal),
+    Abort(refusal::Refusal),
 }
 
 /// The loop.
 pub struct Role {
     core: core::Core,
     mailbox: mailbox::Mailbox<Input>,
-    links: Rc<link::Links>,
+    clients: Rc<rpc::Clients>,
     readiness: Arc<monitor::Readiness>,
     registry: Arc<metrics::Registry>,
     requests: HashMap<u64, mpsc::UnboundedSender<Command>>,
@@ -80,7 +80,7 @@
         Role {
             core,
             mailbox,
-            links: Rc::default(),
+            clients: Rc::default(),
             readiness,
             registry,
             requests: HashMap::new(),
@@ -91,31 +91,31 @@
 
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
-        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
+        mailbox::run(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 }
 
-impl mailbox::Owner for Role {
+impl mailbox::Actor for Role {
     type Input = Input;
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready(clock::now()));
         let (queued, in_flight) = self.core.occupancy();
         self.registry.occupied(queued, in_flight);
-        crate::log::watched(&self.registry, self.core.watcher());
+        crate::log::record_watcher(&self.registry, self.core.watcher());
         let requests = &self.requests;
         self.attempts.retain(|_, request| requests.contains_key(request));
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
             Input::Event(event) => self.step(event),
-            Input::Arrived { request, arrival, commands } => {
+            Input::RequestArrived { request, arrival, commands } => {
                 self.requests.insert(request, commands);
                 self.step(event::Event::RequestArrived { request, arrival: *arrival });
             }
-            Input::Closed(request) => {
+            Input::RequestClosed(request) => {
                 self.requests.remove(&request);
             }
         }
@@ -129,65 +129,65 @@
 impl Role {
     fn step(&mut self, event: event::Event) {
         for action in self.core.step(clock::now(), event) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: action::Action) {
+    fn perform(&mut self, action: action::Action) {
         match action {
             action::Action::CallControl { call, to, request, timeout } => {
-                let links = self.links.clone();
-                self.call_back(async move {
-                    let response = links.control(to, *request, timeout).await;
+                let clients = self.clients.clone();
+                self.post_result(async move {
+                    let response = clients.call_control(to, *request, timeout).await;
                     event::Event::ControlResponded { call, response }
                 });
             }
             action::Action::StartAttempt { request, to, offer, collect } => {
                 self.attempts.insert(offer.attempt, request);
-                self.command(request, Command::Start { to, offer, collect });
+                self.send_command(request, Command::StartAttempt { to, offer, collect });
             }
             action::Action::ForwardResponse { request, attempt } => {
-                self.command(request, Command::Forward(attempt))
+                self.send_command(request, Command::ForwardResponse(attempt))
             }
             action::Action::DropAttempt(attempt) => {
                 if let Some(request) = self.attempts.remove(&attempt) {
-                    self.command(request, Command::Drop(attempt));
+                    self.send_command(request, Command::DropAttempt(attempt));
                 }
             }
             action::Action::CancelAttempt { attempt, to, boot } => {
-                self.call_back(cancel(attempt, to, boot));
+                self.post_result(cancel(attempt, to, boot));
             }
             action::Action::Respond { request, head, body } => {
-                self.command(request, Command::Answer(head, body))
+                self.send_command(request, Command::Respond(head, body))
             }
             action::Action::Reject { request, refusal } => {
-                self.command(request, Command::Refuse(refusal))
+                self.send_command(request, Command::Reject(refusal))
             }
             action::Action::Abort { request, refusal } => {
-                self.command(request, Command::Cut(refusal))
+                self.send_command(request, Command::Abort(refusal))
             }
             action::Action::Notice(notice) => crate::log::notice(&notice),
             action::Action::RecordMeasurement(measure) => {
-                crate::log::measure(&self.registry, &measure)
+                crate::log::record_measurement(&self.registry, &measure)
             }
             action::Action::Stopped => self.stopped = true,
         }
     }
 
-    fn command(&self, request: u64, command: Command) {
+    fn send_command(&self, request: u64, command: Command) {
         if let Some(commands) = self.requests.get(&request) {
             let _conversation_over = commands.send(command);
         }
     }
 
-    fn call_back(&self, call: impl Future<Output = event::Event> + 'static) {
+    fn post_result(&self, call: impl Future<Output = event::Event> + 'static) {
         self.mailbox.post_when(async move { Input::Event(call.await) });
     }
 }
 
 async fn cancel(attempt: attempt::Identifier, to: net::SocketAddr, boot: u64) -> event::Event {
     let url = format!("http://{to}/attempts/{attempt}?boot={boot}");
-    let request = crate::http::clients().fresh.delete(url).timeout(CANCEL_LIMIT);
+    let request = crate::http::clients().fresh.delete(url).timeout(CANCEL_TIMEOUT);
     let outcome = match request.send().await {
         Ok(mut response) => response.json().await.ok(),
         Err(_) => None,
--- a/crates/hyssopfork-daemon/src/http.rs
+++ b/crates/hyssopfork-daemon/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP servers and clients as every role uses them.
 
 use actix_http::body::BoxBody;
-use actix_http::{HttpService, Payload, Request, Response, StatusCode};
+use actix_http::{HttpService, Payload, Request, StatusCode};
 use actix_server::{Server, ServerHandle};
 use actix_service::ServiceFactoryExt;
 use bytes::{Bytes, BytesMut};
@@ -49,7 +49,7 @@
 }
 
 /// A response ready to be sent.
-pub type Answer = Response<BoxBody>;
+pub type Response = actix_http::Response<BoxBody>;
 
 /// Serves HTTP on `listener` with `handle`, on `threads` traffic threads of its own.
 pub fn serve<Handle, Handled>(
@@ -61,7 +61,7 @@
 ) -> io::Result<ServerHandle>
 where
     Handle: Fn(Request) -> Handled + Clone + Send + 'static,
-    Handled: Future<Output = Answer> + 'static,
+    Handled: Future<Output = Response> + 'static,
 {
     let server = Server::build()
         .workers(threads)
@@ -74,8 +74,8 @@
                 .client_request_timeout(limits.head_timeout)
                 .keep_alive(limits.keep_alive)
                 .finish(move |request: Request| {
-                    let answered = handle(request);
-                    async move { Ok::<_, Infallible>(answered.await) }
+                    let response = handle(request);
+                    async move { Ok::<_, Infallible>(response.await) }
                 })
                 .tcp()
                 .map_err(|_| ())
@@ -101,17 +101,17 @@
 }
 
 /// A plain text answer.
-pub fn text(status: StatusCode, text: impl Into<String>) -> Answer {
-    Response::build(status)
+pub fn text(status: StatusCode, text: impl Into<String>) -> Response {
+    actix_http::Response::build(status)
         .insert_header(("content-type", "text/plain; charset=utf-8"))
         .body(text.into())
         .map_into_boxed_body()
 }
 
 /// A JSON answer.
-pub fn json<T: Serialize>(status: StatusCode, content_type: &'static str, value: &T) -> Answer {
+pub fn json<T: Serialize>(status: StatusCode, content_type: &'static str, value: &T) -> Response {
     let text = serde_json::to_string(value).expect("documents are plain data");
-    Response::build(status)
+    actix_http::Response::build(status)
         .insert_header(("content-type", content_type))
         .body(text)
         .map_into_boxed_body()
@@ -126,7 +126,7 @@
 }
 
 thread_local! {
-    static CLIENTS: rc::Rc<Clients> = rc::Rc::new(Clients::open());
+    static CLIENTS: rc::Rc<Clients> = rc::Rc::new(Clients::new());
 }
 
 /// Clients of this thread.
@@ -135,17 +135,17 @@
 }
 
 impl Clients {
-    fn open() -> Clients {
+    fn new() -> Clients {
         let pooled = awc::Connector::new().limit(0).timeout(Duration::from_millis(500));
         let fresh = awc::Connector::new()
             .limit(0)
             .conn_keep_alive(Duration::ZERO)
             .timeout(Duration::from_millis(500));
-        Clients { pooled: client(pooled), fresh: client(fresh) }
+        Clients { pooled: build_client(pooled), fresh: build_client(fresh) }
     }
 }
 
-fn client(
+fn build_client(
     connector: awc::Connector<
         impl actix_service::Service<
             actix_tls::connect::ConnectInfo<awc::http::Uri>,
@@ -160,7 +160,7 @@
 
 /// Headers that belong to one connection and don't travel on, besides those that each hop sets
 /// for itself.
-const HOP_HEADERS: [&str; 10] = [
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -174,18 +174,18 @@
 ];
 
 /// Whether a header travels from one hop to the next.
-pub fn travels(name: &str) -> bool {
-    !HOP_HEADERS.contains(&name) && !name.starts_with("hyssopfork-")
+pub fn is_forwarded(name: &str) -> bool {
+    !HOP_BY_HOP_HEADERS.contains(&name) && !name.starts_with("hyssopfork-")
 }
 
 /// Headers of a message that travel on; values that aren't text are left out.
-pub fn travelling(headers: &actix_http::header::HeaderMap) -> Vec<(String, String)> {
-    let mut kept = Vec::new();
+pub fn forwarded_headers(headers: &actix_http::header::HeaderMap) -> Vec<(String, String)> {
+    let mut forwarded = Vec::new();
     for (name, value) in headers {
         let Ok(text) = value.to_str() else { continue };
-        if travels(name.as_str()) {
-            kept.push((name.as_str().to_owned(), text.to_owned()));
+        if is_forwarded(name.as_str()) {
+            forwarded.push((name.as_str().to_owned(), text.to_owned()));
         }
     }
-    kept
+    forwarded
 }
--- a/crates/hyssopfork-daemon/src/listener.rs
+++ b/crates/hyssopfork-daemon/src/listener.rs
@@ -8,7 +8,7 @@
 use tarpc::{ClientMessage, Response, serde_transport, tokio_serde};
 
 /// Longest message between own processes, in bytes: a whole view of the largest fleet fits.
-pub const MESSAGE_LIMIT: usize = 64 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 quick_error! {
     /// Why an address can't be listened on.
@@ -52,18 +52,18 @@
     )
     .await
     .map_err(|cause| Error::Bind(what, address, cause))?;
-    incoming.config_mut().max_frame_length(MESSAGE_LIMIT);
+    incoming.config_mut().max_frame_length(MAX_MESSAGE_BYTES);
     actix_rt::spawn(async move {
         while let Some(accepted) = incoming.next().await {
             let Ok(transport) = accepted else { continue };
             let channel = server::BaseChannel::with_defaults(transport);
-            actix_rt::spawn(answer_all(channel.execute(serve.clone())));
+            actix_rt::spawn(spawn_requests(channel.execute(serve.clone())));
         }
     });
     Ok(())
 }
 
-async fn answer_all<Answer>(answers: impl Stream<Item = Answer>)
+async fn spawn_requests<Answer>(answers: impl Stream<Item = Answer>)
 where
     Answer: Future<Output = ()> + 'static,
 {
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -92,31 +92,31 @@
 }
 
 /// Adds a finished request to the histograms.
-pub fn measure(registry: &metrics::Registry, measure: &measurement::Measurement) {
-    if let measurement::Outcome::Rejected(reason, ran) = measure.outcome {
+pub fn record_measurement(registry: &metrics::Registry, measurement: &measurement::Measurement) {
+    if let measurement::Outcome::Rejected(reason, ran) = measurement.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
-        registry.refused(measure.team.as_ref(), &refusal);
+        registry.refused(measurement.team.as_ref(), &refusal);
     }
-    let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
-    registry.waited(team, class, measure.wait_time);
-    if let Some(first) = measure.time_to_first_byte {
+    let (Some(team), Some(class)) = (&measurement.team, measurement.class) else { return };
+    registry.waited(team, class, measurement.wait_time);
+    if let Some(first) = measurement.time_to_first_byte {
         registry.first_token(team, class, first);
     }
-    if let Some(between) = measure.mean_event_interval {
+    if let Some(between) = measurement.mean_event_interval {
         registry.between_tokens(team, class, between);
     }
-    for _ in 1..measure.attempts {
+    for _ in 1..measurement.attempts {
         registry.retried(team, class);
     }
-    match measure.outcome {
-        measurement::Outcome::Completed => registry.answered(team, class, measure.total_time),
+    match measurement.outcome {
+        measurement::Outcome::Completed => registry.answered(team, class, measurement.total_time),
         measurement::Outcome::Aborted(_) => registry.cut(team, class),
         measurement::Outcome::Rejected(..) | measurement::Outcome::ClientGone => {}
     }
 }
 
 /// Tells what a watcher acts on.
-pub fn watched(registry: &metrics::Registry, watcher: &watcher::Watcher) {
+pub fn record_watcher(registry: &metrics::Registry, watcher: &watcher::Watcher) {
     let now = clock::now();
     let left = watcher.lease_expires_at().map_or(Duration::ZERO, |until| now.until(until));
     registry.lease_left(left);
@@ -125,27 +125,30 @@
 }
 
 /// Adds a finished request of an edge process to the histograms.
-pub fn measure_edge(registry: &metrics::Registry, measure: &gateway_measure::Measurement) {
-    if let gateway_measure::Outcome::Rejected(reason) = measure.outcome {
-        registry.refused(measure.team.as_ref(), &refusal_of(reason));
-    }
-    let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
-    for _ in 1..measure.attempts {
+pub fn record_edge_measurement(
+    registry: &metrics::Registry,
+    measurement: &gateway_measure::Measurement,
+) {
+    if let gateway_measure::Outcome::Rejected(reason) = measurement.outcome {
+        registry.refused(measurement.team.as_ref(), &to_refusal(reason));
+    }
+    let (Some(team), Some(class)) = (&measurement.team, measurement.class) else { return };
+    for _ in 1..measurement.attempts {
         registry.retried(team, class);
     }
-    match measure.outcome {
+    match measurement.outcome {
         gateway_measure::Outcome::Completed(first) => {
             registry.first_token(team, class, first);
-            registry.answered(team, class, measure.total_time);
+            registry.answered(team, class, measurement.total_time);
         }
         gateway_measure::Outcome::Aborted => registry.cut(team, class),
         gateway_measure::Outcome::Rejected(_) => {}
     }
 }
 
-fn refusal_of(reason: gateway_action::Reason) -> refusal::Refusal {
+fn to_refusal(reason: gateway_action::Reason) -> refusal::Refusal {
     use gateway_action::Reason;
-    let told = match reason {
+    let mapped = match reason {
         Reason::NotReady => refusal::Reason::Stale,
         Reason::NoRoute => refusal::Reason::NoRoute,
         Reason::Unauthorized => refusal::Reason::Unauthorized,
@@ -155,5 +158,5 @@
         Reason::Quarantined | Reason::Failed => refusal::Reason::UpstreamFailed,
     };
     let ran = if reason.is_not_run() { refusal::Ran::NotRun } else { refusal::Ran::MayHaveRun };
-    refusal::Refusal { reason: told, ran, retry_after: None }
+    refusal::Refusal { reason: mapped, ran, retry_after: None }
 }
--- a/crates/hyssopfork-daemon/src/mailbox.rs
+++ b/crates/hyssopfork-daemon/src/mailbox.rs
@@ -39,15 +39,15 @@
 }
 
 /// What owns a role's state and takes its inputs one after the other.
-pub trait Owner {
+pub trait Actor {
     /// Inputs.
     type Input;
 
     /// Time has passed.
-    fn tick(&mut self);
+    fn on_tick(&mut self);
 
     /// An input came.
-    fn take(&mut self, input: Self::Input);
+    fn on_input(&mut self, input: Self::Input);
 
     /// Whether it takes no more inputs.
     fn has_stopped(&self) -> bool;
@@ -55,18 +55,18 @@
 
 /// Hands inputs and ticks to `owner` until it has stopped. Ticks go first, so that a flood of
 /// inputs delays no lease; after a pause there is one tick, not one for each that was missed.
-pub async fn drain<O: Owner>(
-    owner: &mut O,
+pub async fn run<O: Actor>(
+    actor: &mut O,
     mut inputs: mpsc::UnboundedReceiver<O::Input>,
     period: Duration,
 ) {
     let mut ticks = tokio::time::interval(period);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    while !owner.has_stopped() {
+    while !actor.has_stopped() {
         tokio::select! {
             biased;
-            _ = ticks.tick() => owner.tick(),
-            Some(input) = inputs.recv() => owner.take(input),
+            _ = ticks.tick() => actor.on_tick(),
+            Some(input) = inputs.recv() => actor.on_input(input),
             else => return,
         }
     }
--- a/crates/hyssopfork-daemon/src/monitor.rs
+++ b/crates/hyssopfork-daemon/src/monitor.rs
@@ -33,7 +33,7 @@
     http::serve("monitor", listener, 1, http::Limits::default(), move |request| {
         let answer = match request.path() {
             "/healthz" => http::text(StatusCode::OK, "alive\n"),
-            "/readyz" => ready(readiness.iter().all(|role| role.get())),
+            "/readyz" => readiness_response(readiness.iter().all(|role| role.get())),
             "/metrics" => http::text(StatusCode::OK, encode()),
             _ => http::text(StatusCode::NOT_FOUND, "ask for /healthz, /readyz or /metrics\n"),
         };
@@ -43,7 +43,7 @@
 }
 
 /// The answer to a readiness check.
-pub fn ready(ready: bool) -> http::Answer {
+pub fn readiness_response(ready: bool) -> http::Response {
     if ready {
         return http::text(StatusCode::OK, "ready\n");
     }
--- a/crates/hyssopfork-daemon/src/process.rs
+++ b/crates/hyssopfork-daemon/src/process.rs
@@ -78,26 +78,26 @@
     let mut running = Vec::new();
     process.start(&mut readiness, &mut running).await?;
     process.monitor(readiness)?;
-    announce(settings);
+    log_started(settings);
     tokio::select! {
-        () = wait(&mut terminate, &mut interrupt) => {}
-        () = running::any_ended(&mut running) => return Err(Error::Ended),
+        () = wait_for_signal(&mut terminate, &mut interrupt) => {}
+        () = running::wait_for_any_end(&mut running) => return Err(Error::Ended),
     }
     log::notice(&notice::Notice::Stopping);
-    let ended = running::end_all(running);
+    let ended = running::stop_all(running);
     tokio::select! {
         () = ended => log::notice(&notice::Notice::Stopped),
-        () = wait(&mut terminate, &mut interrupt) => log::notice(&notice::Notice::StoppedAtOnce),
+        () = wait_for_signal(&mut terminate, &mut interrupt) => log::notice(&notice::Notice::StoppedAtOnce),
     }
     Ok(())
 }
 
-fn announce(settings: &settings::Settings) {
+fn log_started(settings: &settings::Settings) {
     let roles: Vec<String> = settings.roles.iter().map(|role| role.to_string()).collect();
     log::notice(&notice::Notice::Started(settings.instance.clone(), roles.join(", ")));
 }
 
-async fn wait(terminate: &mut unix::Signal, interrupt: &mut unix::Signal) {
+async fn wait_for_signal(terminate: &mut unix::Signal, interrupt: &mut unix::Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -108,7 +108,7 @@
     async fn start(
         &self,
         readiness: &mut Vec<Arc<monitor::Readiness>>,
-        running: &mut Vec<running::Running>,
+        running: &mut Vec<running::Handle>,
     ) -> Result<(), Error> {
         if let Some(section) = &self.settings.control {
             let ready = Arc::<monitor::Readiness>::default();
@@ -139,7 +139,7 @@
         &self,
         section: &hyssopfork_settings::control::Control,
         readiness: Arc<monitor::Readiness>,
-    ) -> Result<running::Running, Error> {
+    ) -> Result<running::Handle, Error> {
         let (journal, durable, folder) = journal::Journal::open(&section.data_folder)?;
         let identity = consensus::Voter { instance: self.settings.instance.clone(), folder };
         let addresses: HashMap<_, _> =
@@ -170,14 +170,14 @@
         let stop = move || {
             inbox.post(control::role::Input::Event(hyssopfork_control::event::Event::Stop));
         };
-        Ok(running::Running { stop: Box::new(stop), stopped })
+        Ok(running::Handle { stop: Box::new(stop), stopped })
     }
 
     async fn start_agent(
         &self,
         section: &hyssopfork_settings::agent::Agent,
         readiness: Arc<monitor::Readiness>,
-    ) -> Result<running::Running, Error> {
+    ) -> Result<running::Handle, Error> {
         let core_settings = hyssopfork_agent::core::Settings {
             announcement: fleet::Announcement {
                 instance: self.settings.instance.clone(),
@@ -195,12 +195,13 @@
         let core = hyssopfork_agent::core::Core::new(core_settings, self.boot, clock::now());
         let (mailbox, inputs) = mailbox::open();
         self.serve(section.peer_listen, mailbox.clone(), agent::member::serve).await?;
-        let gate = agent::gate::Gate { mailbox: mailbox.clone(), upstream: section.upstream };
+        let server =
+            agent::http_server::Server { mailbox: mailbox.clone(), upstream: section.upstream };
         let listener = listener::bind("entries", section.traffic_listen)?;
         let threads = self.settings.threads as usize;
         let limits = http::Limits::default();
-        let answer = move |request| gate.clone().handle(request);
-        http::serve("gate", listener, threads, limits, answer)?;
+        let handle = move |request| server.clone().handle(request);
+        http::serve("gate", listener, threads, limits, handle)?;
         let (done, stopped) = oneshot::channel();
         let inbox = mailbox.clone();
         let upstream = section.upstream;
@@ -214,14 +215,14 @@
         });
         let stop =
             move || inbox.post(agent::role::Input::Event(hyssopfork_agent::event::Event::Stop));
-        Ok(running::Running { stop: Box::new(stop), stopped })
+        Ok(running::Handle { stop: Box::new(stop), stopped })
     }
 
     fn start_entry(
         &self,
         section: &hyssopfork_settings::entry::Entry,
         readiness: Arc<monitor::Readiness>,
-    ) -> Result<running::Running, Error> {
+    ) -> Result<running::Handle, Error> {
         let core_settings = hyssopfork_entry::core::Settings {
             instance: self.settings.instance.clone(),
             zone: self.settings.zone.clone(),
@@ -231,11 +232,11 @@
         };
         let core = hyssopfork_entry::core::Core::new(core_settings, self.boot, clock::now());
         let (mailbox, inputs) = mailbox::open();
-        let door = entry::caller::Door {
+        let server = entry::http_server::Server {
             mailbox: mailbox.clone(),
-            body_limit: section.body_limit_bytes as usize,
+            max_body_bytes: section.body_limit_bytes as usize,
             body_timeout: section.body_timeout,
-            count: Arc::new(AtomicU64::new(1)),
+            next_request: Arc::new(AtomicU64::new(1)),
             readiness: readiness.clone(),
             boot: self.boot,
         };
@@ -246,8 +247,8 @@
             keep_alive: section.keep_alive,
             connections: section.connection_limit as usize,
         };
-        let answer = move |request| door.clone().handle(request);
-        let server = http::serve("callers", listener, threads, limits, answer)?;
+        let handle = move |request| server.clone().handle(request);
+        let running_server = http::serve("callers", listener, threads, limits, handle)?;
         let (done, stopped) = oneshot::channel();
         let inbox = mailbox.clone();
         let registry = self.registry.clone();
@@ -255,13 +256,13 @@
             let role = entry::role::Role::new(core, mailbox, readiness, registry);
             actix_rt::spawn(async move {
                 role.run(inputs).await;
-                server.stop(true).await;
+                running_server.stop(true).await;
                 let _process_gone = done.send(());
             });
         });
         let stop =
             move || inbox.post(entry::role::Input::Event(hyssopfork_entry::event::Event::Stop));
-        Ok(running::Running { stop: Box::new(stop), stopped })
+        Ok(running::Handle { stop: Box::new(stop), stopped })
     }
 
     /// Starts a tarpc server on the thread that owns the roles' state.
@@ -276,13 +277,13 @@
         Serve: FnOnce(std::net::SocketAddr, mailbox::Mailbox<Input>) -> Served + Send + 'static,
         Served: Future<Output = Result<(), listener::Error>> + 'static,
     {
-        let (told, heard) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         self.state.spawn_fn(move || {
             actix_rt::spawn(async move {
-                let _process_gone = told.send(serve(address, mailbox).await);
+                let _process_gone = sender.send(serve(address, mailbox).await);
             });
         });
-        heard.await.map_err(|_| Error::Ended)??;
+        receiver.await.map_err(|_| Error::Ended)??;
         Ok(())
     }
 }
--- a/crates/hyssopfork-daemon/src/link.rs
+++ b/crates/hyssopfork-daemon/src/rpc.rs
@@ -13,24 +13,24 @@
 use tarpc::{client, context, serde_transport, tokio_serde};
 
 /// Time in which a connection must open.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time in which a message of the replicated log must be acknowledged by its receiver's shell.
-pub const DELIVER_LIMIT: Duration = Duration::from_millis(400);
+pub const DELIVERY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Clients of one service, one for each address; owned by one thread.
-pub struct Clients<Client> {
-    open: RefCell<HashMap<net::SocketAddr, (u64, Client)>>,
-    opened: Cell<u64>,
+pub struct Cache<Client> {
+    clients: RefCell<HashMap<net::SocketAddr, (u64, Client)>>,
+    last_number: Cell<u64>,
 }
 
-impl<Client> Default for Clients<Client> {
-    fn default() -> Clients<Client> {
-        Clients { open: RefCell::new(HashMap::new()), opened: Cell::new(0) }
+impl<Client> Default for Cache<Client> {
+    fn default() -> Cache<Client> {
+        Cache { clients: RefCell::new(HashMap::new()), last_number: Cell::new(0) }
     }
 }
 
-impl<Client: Clone> Clients<Client> {
+impl<Client: Clone> Cache<Client> {
     /// The client at `to`, opened by `open` where there is none; with its number.
     pub async fn get<Opened>(
         &self,
@@ -40,111 +40,121 @@
     where
         Opened: Future<Output = Option<Client>>,
     {
-        if let Some(known) = self.open.borrow().get(&to) {
+        if let Some(known) = self.clients.borrow().get(&to) {
             return Some(known.clone());
         }
         let client = open().await?;
-        self.opened.set(self.opened.get() + 1);
-        let numbered = (self.opened.get(), client);
-        self.open.borrow_mut().insert(to, numbered.clone());
+        self.last_number.set(self.last_number.get() + 1);
+        let numbered = (self.last_number.get(), client);
+        self.clients.borrow_mut().insert(to, numbered.clone());
         Some(numbered)
     }
 
     /// Takes one client out of use, unless another has taken its place already.
-    pub fn forget(&self, to: net::SocketAddr, number: u64) {
-        let mut open = self.open.borrow_mut();
+    pub fn remove(&self, to: net::SocketAddr, number: u64) {
+        let mut open = self.clients.borrow_mut();
         if open.get(&to).is_some_and(|(current, _)| *current == number) {
             open.remove(&to);
         }
     }
 
     /// Keeps a client whose call was answered, and takes it out of use otherwise.
-    pub fn settle<T>(&self, to: net::SocketAddr, number: u64, answered: Option<T>) -> Option<T> {
-        if answered.is_none() {
-            self.forget(to, number);
+    pub fn remove_if_failed<T>(
+        &self,
+        to: net::SocketAddr,
+        number: u64,
+        response: Option<T>,
+    ) -> Option<T> {
+        if response.is_none() {
+            self.remove(to, number);
         }
-        answered
+        response
     }
 }
 
 /// Connections to control instances and agents.
 #[derive(Default)]
-pub struct Links {
-    controls: Clients<control::ControlClient>,
-    members: Clients<member::MemberClient>,
+pub struct Clients {
+    control_clients: Cache<control::ControlClient>,
+    member_clients: Cache<member::MemberClient>,
 }
 
-impl Links {
+impl Clients {
     /// Calls a control instance; `None` when the call failed or its time ran out.
-    pub async fn control(
+    pub async fn call_control(
         &self,
         to: net::SocketAddr,
         request: control::Request,
         timeout: Duration,
     ) -> Option<control::Response> {
-        let (number, client) = self.controls.get(to, || control_client(to)).await?;
-        let called = client.call(until(timeout), envelope::Envelope::new(request));
-        self.controls.settle(to, number, within(timeout, called).await)
+        let (number, client) = self.control_clients.get(to, || connect_control(to)).await?;
+        let call = client.call(context_with_timeout(timeout), envelope::Envelope::new(request));
+        self.control_clients.remove_if_failed(to, number, with_timeout(timeout, call).await)
     }
 
     /// Delivers a message of the replicated log; whether it arrived.
     pub async fn deliver(&self, to: net::SocketAddr, packet: consensus::Packet) -> bool {
-        let Some((number, client)) = self.controls.get(to, || control_client(to)).await else {
+        let Some((number, client)) = self.control_clients.get(to, || connect_control(to)).await
+        else {
             return false;
         };
-        let called = client.deliver(until(DELIVER_LIMIT), envelope::Envelope::new(packet));
-        self.controls.settle(to, number, within(DELIVER_LIMIT, called).await).is_some()
+        let call =
+            client.deliver(context_with_timeout(DELIVERY_TIMEOUT), envelope::Envelope::new(packet));
+        self.control_clients
+            .remove_if_failed(to, number, with_timeout(DELIVERY_TIMEOUT, call).await)
+            .is_some()
     }
 
     /// Asks another agent; `None` when the call failed or its time ran out.
-    pub async fn stand(
+    pub async fn request_grant(
         &self,
         to: net::SocketAddr,
         request: member::Request,
         timeout: Duration,
     ) -> Option<member::Response> {
-        let (number, client) = self.members.get(to, || member_client(to)).await?;
-        let called = client.request_grant(until(timeout), envelope::Envelope::new(request));
-        self.members.settle(to, number, within(timeout, called).await)
+        let (number, client) = self.member_clients.get(to, || connect_member(to)).await?;
+        let call =
+            client.request_grant(context_with_timeout(timeout), envelope::Envelope::new(request));
+        self.member_clients.remove_if_failed(to, number, with_timeout(timeout, call).await)
     }
 }
 
-async fn control_client(to: net::SocketAddr) -> Option<control::ControlClient> {
+async fn connect_control(to: net::SocketAddr) -> Option<control::ControlClient> {
     let mut connecting = serde_transport::tcp::connect(to, tokio_serde::formats::Bincode::default);
-    connecting.config_mut().max_frame_length(crate::listener::MESSAGE_LIMIT);
-    let transport = opened(connecting).await?;
+    connecting.config_mut().max_frame_length(crate::listener::MAX_MESSAGE_BYTES);
+    let transport = connect(connecting).await?;
     Some(control::ControlClient::new(client::Config::default(), transport).spawn())
 }
 
-async fn member_client(to: net::SocketAddr) -> Option<member::MemberClient> {
+async fn connect_member(to: net::SocketAddr) -> Option<member::MemberClient> {
     let connecting = serde_transport::tcp::connect(to, tokio_serde::formats::Bincode::default);
-    let transport = opened(connecting).await?;
+    let transport = connect(connecting).await?;
     Some(member::MemberClient::new(client::Config::default(), transport).spawn())
 }
 
 /// Context of a call that lasts for `timeout` at most.
-pub fn until(timeout: Duration) -> context::Context {
+pub fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
     context
 }
 
 /// The connection, if it opens in time.
-pub async fn opened<Transport>(
+pub async fn connect<Transport>(
     connecting: impl Future<Output = io::Result<Transport>>,
 ) -> Option<Transport> {
-    tokio::time::timeout(CONNECT_LIMIT, connecting).await.ok()?.ok()
+    tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()
 }
 
 /// The answer of a call, if it comes in time.
-pub async fn within<T>(
+pub async fn with_timeout<T>(
     timeout: Duration,
     call: impl Future<Output = Result<T, client::RpcError>>,
 ) -> Option<T> {
     let call = std::pin::pin!(call);
-    let limit = std::pin::pin!(tokio::time::sleep(timeout));
-    match futures::future::select(call, limit).await {
-        Either::Left((answered, _)) => answered.ok(),
+    let timeout = std::pin::pin!(tokio::time::sleep(timeout));
+    match futures::future::select(call, timeout).await {
+        Either::Left((response, _)) => response.ok(),
         Either::Right(_) => None,
     }
 }
--- a/crates/hyssopfork-daemon/src/running.rs
+++ b/crates/hyssopfork-daemon/src/running.rs
@@ -4,7 +4,7 @@
 use tokio::sync::oneshot;
 
 /// A role that runs: how to ask it to stop, and how to hear that it has.
-pub struct Running {
+pub struct Handle {
     /// Asks it to stop.
     pub stop: Box<dyn Fn()>,
     /// Resolves when it has stopped; with an error when it ended in another way.
@@ -15,7 +15,7 @@
 ///
 /// An assertion that fails ends the role's loop and leaves the process: it would go on listening,
 /// say that it is ready and answer nothing. The process ends instead, and is started anew.
-pub async fn any_ended(running: &mut [Running]) {
+pub async fn wait_for_any_end(running: &mut [Handle]) {
     if running.is_empty() {
         return future::pending().await;
     }
@@ -23,7 +23,7 @@
 }
 
 /// Asks every role to stop and resolves when all have.
-pub async fn end_all(running: Vec<Running>) {
+pub async fn stop_all(running: Vec<Handle>) {
     for role in &running {
         (role.stop)();
     }
--- a/crates/hyssopfork-daemon/tests/processes/support/operator.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/operator.rs
@@ -1,6 +1,6 @@
 //! An operator: calls control instances until one answers.
 
-use hyssopfork_daemon::link;
+use hyssopfork_daemon::rpc;
 use hyssopfork_wire::{control, number, patch};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 
 /// An operator.
 pub struct Operator {
-    links: link::Links,
+    clients: rpc::Clients,
     controls: Vec<SocketAddr>,
 }
 
 impl Operator {
     /// An operator who knows these control instances.
     pub fn new(controls: Vec<SocketAddr>) -> Operator {
-        Operator { links: link::Links::default(), controls }
+        Operator { clients: rpc::Clients::default(), controls }
     }
 
     /// Asks each control instance in turn until one that leads answers.
@@ -28,7 +28,7 @@
         let start = Instant::now();
         loop {
             for to in &self.controls {
-                match self.links.control(*to, request.clone(), TIMEOUT).await {
+                match self.clients.call_control(*to, request.clone(), TIMEOUT).await {
                     None
                     | Some(control::Response::NotLeader(_))
                     | Some(control::Response::Unknown)
--- a/crates/hyssopfork-daemon/tests/running.rs
+++ b/crates/hyssopfork-daemon/tests/running.rs
@@ -7,9 +7,9 @@
 /// Time in which something must be seen, and time after which nothing was.
 const LOOK: Duration = Duration::from_millis(200);
 
-fn role() -> (oneshot::Sender<()>, running::Running) {
+fn role() -> (oneshot::Sender<()>, running::Handle) {
     let (done, stopped) = oneshot::channel();
-    (done, running::Running { stop: Box::new(|| {}), stopped })
+    (done, running::Handle { stop: Box::new(|| {}), stopped })
 }
 
 // An assertion fails in one of a process's two roles. Its callers would find a process that
@@ -21,9 +21,9 @@
     let (second, broken) = role();
     let mut running = [healthy, broken];
 
-    let early = actix_rt::time::timeout(LOOK, running::any_ended(&mut running)).await;
+    let early = actix_rt::time::timeout(LOOK, running::wait_for_any_end(&mut running)).await;
     drop(second);
-    let late = actix_rt::time::timeout(LOOK, running::any_ended(&mut running)).await;
+    let late = actix_rt::time::timeout(LOOK, running::wait_for_any_end(&mut running)).await;
 
     assert!(early.is_err());
     assert!(late.is_ok());
