--- a/crates/hyssopfork-daemon/src/agent/engine.rs
+++ b/crates/hyssopfork-daemon/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! Probes of the back end and orders to the engine.
+//! Health probes of the upstream, and requests to load a model.
 
 use crate::agent::role;
 use crate::{clock, http, mailbox};
@@ -8,10 +8,10 @@
 use std::net;
 use std::time::Duration;
 
-/// Time in which a probe must be answered.
+/// Timeout of a health probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time in which an engine must have loaded a model.
+/// Time within which an engine must load a model.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
 #[derive(Debug, Default, Deserialize)]
@@ -31,7 +31,7 @@
     members: Vec<&'a str>,
 }
 
-/// Looks at the back end until the process ends.
+/// Probes the upstream until the process ends.
 pub async fn probe(upstream: net::SocketAddr, mailbox: mailbox::Mailbox<role::Input>) {
     let mut ticks = tokio::time::interval(timing::PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -58,7 +58,7 @@
     })
 }
 
-/// Orders the engine to load and says how that ended.
+/// Requests the engine to load a model; returns the outcome.
 pub async fn load_model(upstream: net::SocketAddr, order: action::Order) -> event::Event {
     let load = Load {
         fence: order.fence,
--- a/crates/hyssopfork-daemon/src/agent/http_server.rs
+++ b/crates/hyssopfork-daemon/src/agent/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server on which entries offer, take up and cancel attempts.
+//! The HTTP server on which entries offer, resume and cancel attempts.
 
 use crate::agent::{response, role, upstream};
 use crate::{http, mailbox};
@@ -12,20 +12,20 @@
 /// Header that carries the offer as JSON.
 pub const OFFER_HEADER: &str = "hyssopfork-offer";
 
-/// Longest request body that an agent takes, in bytes; entries have their own, lower limit.
+/// Longest request body that an agent accepts; entries have their own, lower limit.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Where the http_server's requests go.
+/// Handles entries' requests.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// The agent's loop.
+    /// The agent's event loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
-    /// The back end.
+    /// The upstream's address.
     pub upstream: net::SocketAddr,
 }
 
 impl Server {
-    /// Answers one request of an entry.
+    /// Responds to one request of an entry.
     pub async fn handle(self, request: Request) -> http::Response {
         let Some(attempt) = parse_attempt(request.path()) else {
             return http::text(StatusCode::NOT_FOUND, "ask for /attempts/IDENTIFIER\n");
@@ -52,14 +52,14 @@
         match registered.await {
             Ok(role::Registration::Known(response)) => stream_response(response, 0),
             Ok(role::Registration::New(response, commands)) => {
-                let work = upstream::Exchange {
+                let exchange = upstream::Exchange {
                     offer,
                     body,
                     response: response.clone(),
                     mailbox: self.mailbox,
                     upstream: self.upstream,
                 };
-                actix_rt::spawn(work.run(commands));
+                actix_rt::spawn(exchange.run(commands));
                 stream_response(response, 0)
             }
             Err(_) => stopping_response(),
--- a/crates/hyssopfork-daemon/src/agent/member.rs
+++ b/crates/hyssopfork-daemon/src/agent/member.rs
@@ -1,4 +1,4 @@
-//! The tarpc server on which the first member of a group asks this one.
+//! The tarpc server on which the first member of a group requests grants.
 
 use crate::agent::role;
 use crate::{listener, mailbox};
@@ -7,7 +7,7 @@
 use tarpc::context;
 use tokio::sync::oneshot;
 
-/// The server's handler.
+/// Handles other agents' calls.
 #[derive(Clone, Debug)]
 pub struct Server(pub mailbox::Mailbox<role::Input>);
 
@@ -17,11 +17,11 @@
         _context: context::Context,
         request: envelope::Envelope<member::Request>,
     ) -> member::Response {
-        let refused = member::Response::Refused { version: number::Version::default() };
-        let Ok(request) = request.open() else { return refused };
-        let (reply, answered) = oneshot::channel();
+        let rejected = member::Response::Refused { version: number::Version::default() };
+        let Ok(request) = request.open() else { return rejected };
+        let (reply, response) = oneshot::channel();
         self.0.post(role::Input::RequestGrant(request, reply));
-        answered.await.unwrap_or(refused)
+        response.await.unwrap_or(rejected)
     }
 }
 
--- a/crates/hyssopfork-daemon/src/agent/mod.rs
+++ b/crates/hyssopfork-daemon/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! Shell of the agent role.
+//! The agent role: servers, the upstream's connections and the event loop around its core.
 
 pub mod engine;
 pub mod http_server;
--- a/crates/hyssopfork-daemon/src/agent/response.rs
+++ b/crates/hyssopfork-daemon/src/agent/response.rs
@@ -1,4 +1,4 @@
-//! The response of one attempt, kept so that an entry can read it on more than one connection.
+//! The buffered response of one attempt, which an entry can read over several connections.
 
 use bytes::{Bytes, BytesMut};
 use futures::{Stream, stream};
@@ -8,17 +8,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::Notify;
 
-/// Longest response that an agent keeps, in bytes; a longer one fails.
+/// Longest response body that an agent buffers; a longer one fails.
 pub const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Answer of one attempt: written by one task, read by any number of connections.
+/// The response of one attempt: written by one task, read by any number of connections.
 #[derive(Debug, Default)]
 pub struct Response {
     state: Mutex<State>,
     change_notification: Notify,
 }
 
-/// Invariant: once `end` is set nothing changes any more.
+/// Invariant: once `end` is set, nothing changes.
 #[derive(Debug, Default)]
 struct State {
     load: Option<frame::Load>,
@@ -34,7 +34,7 @@
     Rejected(refusal::Refusal),
 }
 
-/// How far one connection has read.
+/// How far one connection has read the response.
 #[derive(Debug, Default)]
 struct Cursor {
     has_load: bool,
@@ -58,22 +58,22 @@
         self.change_notification.notify_waiters();
     }
 
-    /// Tells the load ahead of everything else.
+    /// Sets the load, which is sent before all other frames.
     pub fn set_load(&self, load: frame::Load) {
         self.update(|parts| parts.load = Some(load));
     }
 
-    /// The request is about to be written to the upstream.
+    /// Records that the request is about to be written to the upstream.
     pub fn set_started(&self) {
         self.update(|parts| parts.started = true);
     }
 
-    /// The upstream's head came.
+    /// Records the head of the upstream's response.
     pub fn set_head(&self, head: frame::Head) {
         self.update(|parts| parts.head = Some(head));
     }
 
-    /// A part of the body came; whether it still fits.
+    /// Appends a part of the body; returns whether it fits.
     pub fn append(&self, data: &[u8]) -> bool {
         if self.lock().data.len() + data.len() > MAX_BODY_BYTES {
             return false;
@@ -82,7 +82,7 @@
         true
     }
 
-    /// The response is whole.
+    /// Marks the response as complete.
     pub fn complete(&self) {
         self.update(|parts| {
             let length = parts.data.len() as u64;
@@ -91,19 +91,19 @@
         });
     }
 
-    /// The attempt ends with a refusal, unless it has ended before.
+    /// Ends the response with a rejection, unless it has already ended.
     pub fn reject(&self, refusal: refusal::Refusal) {
         self.update(|parts| parts.end = Some(End::Rejected(refusal)));
     }
 
-    /// Whether nothing more will come.
+    /// Whether the response has ended.
     pub fn has_ended(&self) -> bool {
         self.lock().end.is_some()
     }
 }
 
-/// Frames of an response from byte `offset` of its data on, encoded for the connection, with a keep
-/// alive whenever there is nothing else to say for a while.
+/// Frames of a response from byte `offset` of its body on, encoded, with a keep-alive frame
+/// whenever nothing else is sent for `KEEP_ALIVE_INTERVAL`.
 pub fn stream_frames(
     response: Arc<Response>,
     offset: usize,
@@ -119,11 +119,12 @@
 }
 
 impl Response {
-    /// What is new for this cursor, or a keep alive when nothing is for a while.
+    /// Waits for frames that are new for this cursor; returns a keep-alive frame after
+    /// `KEEP_ALIVE_INTERVAL`.
     async fn next_frames(&self, cursor: &mut Cursor) -> Bytes {
         loop {
             let mut changed = pin::pin!(self.change_notification.notified());
-            // Enabled before the look, so that a change between look and wait wakes the wait.
+            // Enabled before the check, so that a change between check and wait ends the wait.
             changed.as_mut().enable();
             let encoded = cursor.encode_new(&self.lock());
             if !encoded.is_empty() {
@@ -139,7 +140,7 @@
 }
 
 impl Cursor {
-    /// Encodes what is new since the last call.
+    /// Encodes the frames that are new since the last call.
     fn encode_new(&mut self, parts: &State) -> Bytes {
         let mut buffer = BytesMut::new();
         if let (false, Some(load)) = (self.has_load, parts.load) {
--- a/crates/hyssopfork-daemon/src/agent/role.rs
+++ b/crates/hyssopfork-daemon/src/agent/role.rs
@@ -1,4 +1,5 @@
-//! The loop that owns the agent's core: inputs become events, actions become calls of the shell.
+//! The event loop that owns the agent's core: passes inputs to it as events and performs its
+//! actions.
 
 use crate::agent::{engine, response, upstream};
 use crate::{clock, mailbox, monitor, rpc};
@@ -11,38 +12,38 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// What traffic threads and timers hand to the loop.
+/// Inputs from traffic threads and timers.
 #[derive(Debug)]
 pub enum Input {
-    /// An event of the core that needs nothing of the shell.
+    /// An event that is passed to the core unchanged.
     Event(event::Event),
     /// An entry offers an attempt.
     Offer(Box<attempt::Offer>, oneshot::Sender<Registration>),
-    /// An entry takes up an attempt's answer.
+    /// An entry resumes reading an attempt's response.
     Resume(attempt::Identifier, oneshot::Sender<Option<Arc<response::Response>>>),
     /// An entry cancels an attempt.
     Cancel {
         /// The attempt.
         attempt: attempt::Identifier,
-        /// Boot of the agent's process that it was offered to.
+        /// Boot number of the agent process that it was offered to.
         boot: u64,
-        /// Where the answer goes.
+        /// Channel for the outcome.
         reply: oneshot::Sender<attempt::Cancelled>,
     },
-    /// The first member of a group asks.
+    /// The first member of a group requests a grant.
     RequestGrant(member::Request, oneshot::Sender<member::Response>),
 }
 
-/// How an offer was taken.
+/// Whether an offered attempt was already known.
 #[derive(Debug)]
 pub enum Registration {
-    /// The identifier is new; the receiver carries the orders for its upstream's side.
+    /// The identifier is new; the receiver carries the commands for its exchange with the upstream.
     New(Arc<response::Response>, mpsc::UnboundedReceiver<upstream::Command>),
     /// The identifier is known.
     Known(Arc<response::Response>),
 }
 
-/// What the loop keeps of one attempt.
+/// The event loop's state of one attempt.
 #[derive(Debug)]
 struct Attempt {
     response: Arc<response::Response>,
@@ -50,7 +51,7 @@
     ended_at: Option<wire_clock::Instant>,
 }
 
-/// The loop.
+/// The event loop.
 pub struct Role {
     core: core::Core,
     mailbox: mailbox::Mailbox<Input>,
@@ -66,7 +67,7 @@
 }
 
 impl Role {
-    /// A loop around `core` whose back end listens on `upstream`.
+    /// An event loop around `core` whose upstream listens on `upstream`.
     pub fn new(
         core: core::Core,
         mailbox: mailbox::Mailbox<Input>,
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream's side of one attempt.
+//! The HTTP exchange with the upstream for one attempt.
 
 use crate::agent::{response, role};
 use crate::{http, mailbox};
@@ -11,66 +11,66 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Time in which the upstream's connection must be there.
+/// Timeout for connecting to the upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Header that tells the engine the fencing number of the group that serves.
+/// Header with the fencing number of the group that serves the request.
 const FENCE_HEADER: &str = "hyssopfork-fence";
 
-/// Header that tells the engine how many events of the stream the caller already has.
+/// Header with the number of stream events that the client already has.
 const RESUME_HEADER: &str = "hyssopfork-resume-from";
 
-/// Header that carries the attempt's identifier into the upstream's own logs.
+/// Header with the attempt's identifier, for the upstream's logs.
 const ATTEMPT_HEADER: &str = "hyssopfork-attempt";
 
 /// Media type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Status from which on an engine's answer is a failure of its own: it restarted without its model,
-/// or is overloaded.
+/// Lowest status of an engine's response that counts as a failure of the engine: it restarted
+/// without its model, or is overloaded.
 ///
-/// Passed on as an answer, the caller would get it in place of another engine's work, and the gate
-/// would stay open until the next probe: six requests went to an engine without a model. A service's
-/// failures are answers to its callers and pass.
+/// If such a response were forwarded, the client would get an error that another engine could have
+/// avoided, and requests would still be admitted until the next probe: six requests went to an
+/// engine without a model. A service's errors are its responses to clients and are forwarded.
 const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
-/// Last event of an engine's stream.
+/// Last event of an engine's event stream.
 const END_MARKER: &[u8] = b"data: [DONE]";
 
-/// Bytes of the end of a stream in which its end mark must stand.
+/// Length of the end of a stream in which the end marker must appear.
 const END_MARKER_WINDOW_BYTES: usize = 32;
 
-/// An order of the agent's core for one attempt.
+/// A command of the agent's core for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Get ready and ask again just before the first byte.
+    /// Connect, and ask the core again just before the first byte.
     Connect,
-    /// Write the request now.
+    /// Send the request.
     Forward,
-    /// Stop, whatever has been reached.
+    /// Stop at any stage.
     Abort,
 }
 
-/// One attempt's work.
+/// The exchange with the upstream for one attempt.
 #[derive(Debug)]
 pub struct Exchange {
-    /// What the entry offered.
+    /// The entry's offer.
     pub offer: attempt::Offer,
-    /// Body of the caller's request.
+    /// Body of the client's request.
     pub body: Bytes,
-    /// Where the answer goes.
+    /// Buffer for the response.
     pub response: Arc<response::Response>,
-    /// The agent's loop.
+    /// The agent's event loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
-    /// The back end.
+    /// The upstream's address.
     pub upstream: net::SocketAddr,
 }
 
 impl Exchange {
-    /// Carries the attempt through under the core's orders.
+    /// Runs the exchange as the core commands.
     ///
-    /// The core is asked a second time once the connection is open, so that nothing that takes
-    /// time lies between its last look at the clock and the first byte.
+    /// The core is asked a second time once the connection is open, so that nothing time-consuming
+    /// lies between its last check of the clock and the first byte.
     pub async fn run(self, mut commands: mpsc::UnboundedReceiver<Command>) {
         if commands.recv().await != Some(Command::Connect) {
             return;
@@ -101,9 +101,11 @@
         self.mailbox.post(role::Input::Event(event));
     }
 
-    /// Not by awc: it reports a connection that was closed before the answer's head as one that
-    /// could not be made, and ends a cut body like a whole one. The first runs work twice, the
-    /// second gives half an answer as a whole one.
+    /// Sends the request and reads the response.
+    ///
+    /// This doesn't use awc, which reports a connection that was closed before the response's head
+    /// as one that was never established, and ends a truncated body like a complete one. The first
+    /// would run work twice, the second would pass a partial response as complete.
     async fn transfer(&self, mut connection: connection::Connection) -> Result<(), event::Fault> {
         let headers = self.headers();
         let request = connection::Request {
@@ -161,7 +163,8 @@
     std::future::pending().await
 }
 
-/// Whether any byte may have reached the upstream decides what the core may say.
+/// Distinguishes failures before the first byte, after which the core may report the request as not
+/// run, from later ones.
 fn to_fault(error: error::Error) -> event::Fault {
     match error {
         error::Error::Unreachable(..) | error::Error::Unsendable(_) => event::Fault::Unreachable,
--- a/crates/hyssopfork-daemon/src/command/mod.rs
+++ b/crates/hyssopfork-daemon/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! Commands of the daemon's program, one file each.
+//! Subcommands of `hyssopforkd`.
 
 mod check;
 mod edge;
@@ -8,13 +8,13 @@
 use clap::Command;
 use std::process;
 
-/// Exit code for a command line or settings that cannot be used.
+/// Exit code for an invalid command line or invalid settings.
 const USAGE: u8 = 2;
 
-/// Exit code for a process that could not start or go on.
+/// Exit code for a process that could not start or continue.
 const FAILED: u8 = 1;
 
-/// Reads the command line and runs the command.
+/// Parses the command line and runs the subcommand.
 pub fn main() -> process::ExitCode {
     let matches = program().get_matches();
     match matches.subcommand() {
--- a/crates/hyssopfork-daemon/src/control/journal.rs
+++ b/crates/hyssopfork-daemon/src/control/journal.rs
@@ -1,4 +1,5 @@
-//! The thread that writes and syncs the journal, so that a slow disk holds up no message.
+//! Group commit: a separate thread writes and syncs the journal, so that a slow disk delays no
+//! message.
 
 use crate::control::role;
 use crate::mailbox;
@@ -7,18 +8,18 @@
 use std::sync::mpsc;
 use std::{io, process, thread};
 
-/// Exit code of a process whose journal can no longer be trusted.
+/// Exit code after a journal write or sync failed (`EX_IOERR`).
 const JOURNAL_FAILED_EXIT_CODE: i32 = 74;
 
-/// Most writes that are synced together, besides the first.
+/// Writes that are synced together, besides the first.
 const MAX_BATCHED_WRITES: usize = 255;
 
-/// Hands writes to the journal's thread.
+/// Sends writes to the journal thread.
 #[derive(Debug)]
 pub struct Writer(mpsc::Sender<write::Write>);
 
 impl Writer {
-    /// Starts the thread.
+    /// Starts the journal thread.
     pub fn start(
         journal: journal::Journal,
         mailbox: mailbox::Mailbox<role::Input>,
@@ -29,19 +30,19 @@
         Ok(Writer(sender))
     }
 
-    /// Hands over one write.
+    /// Queues one write.
     pub fn write(&self, write: write::Write) {
         if self.0.send(write).is_err() {
-            tracing::debug!("write after the journal's thread ended");
+            tracing::debug!("journal write dropped: the journal thread has ended");
         }
     }
 }
 
-/// Writes that came while the disk was busy are synced together, so that the time of a sync bounds
-/// how long one write takes, not how many are made.
+/// Writes that arrive during a sync are synced together, so that the duration of a sync limits the
+/// latency of writes but not their throughput.
 ///
-/// A failed write or sync is fatal: what the disk holds is not known any more, and a voter that
-/// went on could deny what it acknowledged.
+/// A failed write or sync is fatal: the contents of the disk are unknown, and a voter that
+/// continued could contradict what it acknowledged.
 fn write_all(
     mut journal: journal::Journal,
     writes: &mpsc::Receiver<write::Write>,
--- a/crates/hyssopfork-daemon/src/control/mod.rs
+++ b/crates/hyssopfork-daemon/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Shell of the control role.
+//! The control role: server, journal, peers and the event loop around its core.
 
 pub mod journal;
 pub mod peers;
--- a/crates/hyssopfork-daemon/src/control/peers.rs
+++ b/crates/hyssopfork-daemon/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Sending messages of the replicated log to the other voters.
+//! Sends messages of the replicated log to the other voters.
 
 use crate::rpc;
 use hyssopfork_wire::{consensus, name};
@@ -7,11 +7,11 @@
 use std::net;
 use std::rc::Rc;
 
-/// Messages on their way to one voter at once; more are dropped, which the log's rules allow,
-/// since a voter that doesn't keep up would otherwise cost memory without bound.
+/// Concurrent messages to one voter. Further ones are dropped, which the consensus protocol allows:
+/// a voter that doesn't keep up would otherwise use unbounded memory.
 const MAX_IN_FLIGHT_MESSAGES: usize = 64;
 
-/// Senders to all other voters.
+/// Sends to the other voters.
 pub struct Peers {
     clients: Rc<rpc::Clients>,
     addresses: HashMap<name::Instance, net::SocketAddr>,
@@ -19,13 +19,13 @@
 }
 
 impl Peers {
-    /// Senders to the voters at `addresses`.
+    /// Sends to the voters at `addresses`.
     pub fn new(addresses: HashMap<name::Instance, net::SocketAddr>) -> Peers {
         let in_flight = addresses.keys().map(|name| (name.clone(), Rc::default())).collect();
         Peers { clients: Rc::default(), addresses, in_flight }
     }
 
-    /// Sends a message, or drops it.
+    /// Sends a message, or drops it when too many are in flight.
     pub fn send(&self, packet: consensus::Packet) {
         let Some(to) = self.addresses.get(&packet.to).copied() else { return };
         let Some(in_flight) = self.in_flight.get(&packet.to).cloned() else { return };
--- a/crates/hyssopfork-daemon/src/control/role.rs
+++ b/crates/hyssopfork-daemon/src/control/role.rs
@@ -1,4 +1,5 @@
-//! The loop that owns the control core: inputs become events, actions become calls of the shell.
+//! The event loop that owns the control core: passes inputs to it as events and performs its
+//! actions.
 
 use crate::control::{journal, peers};
 use crate::{clock, mailbox, monitor};
@@ -9,19 +10,19 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Exit code of a process whose release cannot read the replicated log.
+/// Exit code when this release cannot read the replicated log (`EX_DATAERR`).
 const LOG_UNREADABLE_EXIT_CODE: i32 = 65;
 
-/// What servers and timers hand to the loop.
+/// Inputs from servers and timers.
 #[derive(Debug)]
 pub enum Input {
-    /// An event of the core that needs nothing of the shell.
+    /// An event that is passed to the core unchanged.
     Event(event::Event),
-    /// A request, and where its answer goes.
+    /// A request, and the channel for its response.
     Call(control::Request, oneshot::Sender<control::Response>),
 }
 
-/// The loop.
+/// The event loop.
 pub struct Role {
     core: core::Core,
     peers: peers::Peers,
@@ -34,7 +35,7 @@
 }
 
 impl Role {
-    /// A loop around `core`.
+    /// An event loop around `core`.
     pub fn new(
         core: core::Core,
         peers: peers::Peers,
--- a/crates/hyssopfork-daemon/src/control/server.rs
+++ b/crates/hyssopfork-daemon/src/control/server.rs
@@ -8,7 +8,7 @@
 use tarpc::context;
 use tokio::sync::oneshot;
 
-/// The server's handler.
+/// Handles other processes' calls.
 #[derive(Clone, Debug)]
 pub struct Server(pub mailbox::Mailbox<role::Input>);
 
@@ -31,9 +31,9 @@
         let Ok(request) = request.open() else {
             return control::Response::Protocol { version: envelope::PROTOCOL_VERSION };
         };
-        let (reply, answered) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.0.post(role::Input::Call(request, reply));
-        answered.await.unwrap_or(control::Response::Unavailable)
+        response.await.unwrap_or(control::Response::Unavailable)
     }
 }
 
--- a/crates/hyssopfork-daemon/src/entry/attempt.rs
+++ b/crates/hyssopfork-daemon/src/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt as the entry's shell sees it: the offer goes out, frames come back.
+//! One attempt: offers the request to an agent and reads the response frames, reconnecting as
+//! needed.
 
 use crate::entry::role;
 use crate::{http, mailbox};
@@ -10,44 +11,45 @@
 use std::{io, net};
 use tokio::sync::mpsc;
 
-/// Connections that are tried for one attempt: the first, and others after silence or a cut.
+/// Connections opened for one attempt: the first, and further ones after an idle timeout or a lost
+/// connection.
 const MAX_CONNECTIONS: u32 = 3;
 
-/// Wait between two connections of one attempt.
+/// Delay before reconnecting.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// What an attempt hands to its conversation, in order.
+/// What an attempt passes to its request's handler, in order.
 #[derive(Debug)]
 pub enum Part {
-    /// The answer's head.
+    /// The response's head.
     Head(frame::Head),
     /// A part of the body.
     Data(Bytes),
-    /// The answer is whole and checked.
+    /// The response is complete and its checksum matches.
     End,
-    /// The answer will not be whole.
+    /// The response failed before its end.
     Failed(event::Fault),
-    /// The agent ended the answer after its head.
+    /// The agent aborted the response after its head.
     Rejected(refusal::Refusal),
 }
 
-/// One attempt.
+/// One attempt to run a request on an agent's upstream.
 pub struct Attempt {
-    /// The agent.
+    /// The agent's address.
     pub to: net::SocketAddr,
     /// The offer.
     pub offer: attempt::Offer,
-    /// Body of the caller's request.
+    /// Body of the client's request.
     pub body: Bytes,
-    /// Whether the answer is collected in place of being forwarded.
+    /// Whether the response is collected instead of being forwarded.
     pub collect: bool,
-    /// The entry's loop.
+    /// The entry's event loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
-    /// Parts for the conversation; bounded, so that a slow caller slows the reading down.
+    /// Parts for the handler; bounded, so that a slow client applies backpressure to the reading.
     pub parts: mpsc::Sender<Part>,
 }
 
-/// What has come so far, over all connections.
+/// What has been received so far, over all connections.
 #[derive(Default)]
 struct Progress {
     was_offered: bool,
@@ -60,20 +62,20 @@
 
 /// How one connection ended.
 enum Outcome {
-    /// The attempt is over.
+    /// The attempt is finished.
     Finished,
-    /// The connection could not be made.
+    /// No connection was established.
     Unreachable,
-    /// The connection went silent or ended early.
+    /// The connection timed out or ended early.
     Lost,
-    /// The agent knows no such attempt: the offer never came to it, or it was restarted.
+    /// The agent doesn't know the attempt: the offer never arrived, or the agent restarted.
     NotFound,
-    /// The frames are wrong.
+    /// The frames are invalid.
     Corrupt,
 }
 
 impl Attempt {
-    /// Carries the attempt through.
+    /// Runs the attempt to its end.
     pub async fn run(self) {
         let mut progress = Progress::default();
         let mut fault = event::Fault::Unreachable;
@@ -99,7 +101,7 @@
 
     async fn report_fault(&self, fault: event::Fault, has_head: bool) {
         if has_head && !self.collect {
-            let _conversation_over = self.parts.send(Part::Failed(fault)).await;
+            let _handler_finished = self.parts.send(Part::Failed(fault)).await;
         } else {
             self.post(event::Event::AttemptFailed {
                 attempt: self.offer.attempt,
@@ -113,7 +115,7 @@
         self.mailbox.post(role::Input::Event(event));
     }
 
-    /// Offers the attempt, or takes its answer up where bytes of it have come before.
+    /// Offers the attempt, or resumes its response from the first missing byte once it has started.
     async fn run_connection(&self, progress: &mut Progress, first: bool) -> Outcome {
         let clients = http::clients();
         let client = if first { &clients.pooled } else { &clients.fresh };
@@ -198,10 +200,10 @@
         }
     }
 
-    /// A refusal after the head is a cut answer: the conversation ends it in order.
+    /// After the head the response is already being forwarded, so the handler aborts it in order.
     async fn on_rejected(&self, progress: &Progress, refusal: refusal::Refusal) {
         if progress.head.is_some() && !self.collect {
-            let _conversation_over = self.parts.send(Part::Rejected(refusal)).await;
+            let _handler_finished = self.parts.send(Part::Rejected(refusal)).await;
         } else {
             self.post(event::Event::AttemptRejected(self.offer.attempt, refusal));
         }
@@ -232,7 +234,7 @@
         self.forward(Part::Data(data)).await
     }
 
-    /// The whole answer must be the one that the agent sent: a lost or doubled part shows here.
+    /// The length and checksum reveal parts that were lost or duplicated across reconnections.
     async fn on_end(&self, progress: &mut Progress, end: frame::End) -> Option<Outcome> {
         let checksum = progress.checksum.clone().finalize();
         if end.length != progress.received_bytes || end.checksum != checksum {
@@ -248,15 +250,17 @@
         Some(Outcome::Finished)
     }
 
-    /// Nobody to hand over to means that the core dropped the attempt.
+    /// A closed channel means that the core dropped the attempt.
     async fn forward(&self, part: Part) -> Option<Outcome> {
         self.parts.send(part).await.err().map(|_| Outcome::Finished)
     }
 }
 
-/// Whether no connection came about, so that no byte was sent. The library's kind for that also
-/// holds connections that the other end closed before it answered, on which the request may have
-/// gone out: taking those for unreachable would say "not run" of work that ran.
+/// Whether no connection was established, so that no byte was sent.
+///
+/// The library's `Connect` error also covers connections that the peer closed before it responded.
+/// The request may have been sent on those: treating them as unreachable would report work that ran
+/// as not run.
 fn is_unreachable(error: &awc::error::SendRequestError) -> bool {
     let awc::error::SendRequestError::Connect(cause) = error else { return false };
     match cause {
--- a/crates/hyssopfork-daemon/src/entry/handler.rs
+++ b/crates/hyssopfork-daemon/src/entry/handler.rs
@@ -1,4 +1,4 @@
-//! The conversation with one caller: carries out what the core wants done about its request.
+//! The handler of one client request: carries out the core's commands and writes the response.
 
 use crate::entry::{attempt, role};
 use crate::{http, mailbox, problem};
@@ -13,25 +13,25 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Parts of an answer that wait for a slow caller; then the reading from the agent waits too.
+/// Parts of a response that are buffered for a slow client before reading from the agent pauses.
 const MAX_BUFFERED_PARTS: usize = 16;
 
-/// Time in which the server writes a part that it has taken.
+/// Interval at which the handler checks whether the server has taken the error event; also the time
+/// that the server gets to write a part that it has taken.
 const ERROR_EVENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for a slow caller to take its last parts; 2 s in all.
+/// Checks before a slow client is no longer waited for; 2 s in all.
 const MAX_ERROR_EVENT_POLLS: u32 = 100;
 
-/// Header that carries the request's identifier to the caller.
+/// Response header with the request's identifier.
 const REQUEST_HEADER: &str = "hyssopfork-request";
 
 type BodySender = mpsc::Sender<Result<Bytes, io::Error>>;
 
-/// Holds the conversation and gives the response; what comes after the response's head goes on in
-/// a task of this thread.
+/// Handles a request and returns its response; a task on this thread goes on to write the body.
 ///
-/// When the caller goes away before the response, this future is dropped, the reply's receiver
-/// with it, and the task notices.
+/// When the client disconnects before the response, this future and the reply's receiver are
+/// dropped, which the task detects.
 pub async fn handle(
     request: u64,
     identifier: String,
@@ -39,8 +39,8 @@
     mailbox: mailbox::Mailbox<role::Input>,
     commands: mpsc::UnboundedReceiver<role::Command>,
 ) -> http::Response {
-    let (reply, answered) = oneshot::channel();
-    let conversation = Handler {
+    let (reply, response) = oneshot::channel();
+    let handler = Handler {
         request,
         identifier: identifier.clone(),
         body,
@@ -51,9 +51,9 @@
         forwarded: None,
         splitter: None,
     };
-    actix_rt::spawn(conversation.run(commands));
-    match answered.await {
-        Ok(answer) => answer,
+    actix_rt::spawn(handler.run(commands));
+    match response.await {
+        Ok(response) => response,
         Err(_) => http::text(StatusCode::INTERNAL_SERVER_ERROR, "the process is ending\n"),
     }
 }
@@ -70,7 +70,7 @@
     splitter: Option<sse::Splitter>,
 }
 
-/// What the conversation has just seen.
+/// What the handler reacts to.
 enum Input {
     Command(Option<role::Command>),
     Part(Option<attempt::Part>),
@@ -89,7 +89,7 @@
             let is_finished = match input {
                 Input::Command(Some(command)) => self.on_command(command).await,
                 Input::Command(None) => true,
-                Input::Part(part) => self.forward(part).await,
+                Input::Part(part) => self.on_part(part).await,
                 Input::ClientGone => {
                     self.post(event::Event::ClientGone(self.request));
                     true
@@ -106,7 +106,7 @@
         self.mailbox.post(role::Input::Event(event));
     }
 
-    /// Carries out a command; whether the conversation is over.
+    /// Carries out a command; returns whether the request is finished.
     async fn on_command(&mut self, command: role::Command) -> bool {
         match command {
             role::Command::StartAttempt { to, offer, collect } => {
@@ -149,7 +149,7 @@
     ) {
         let (parts, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
         self.attempts.insert(offer.attempt, receiver);
-        let work = attempt::Attempt {
+        let attempt = attempt::Attempt {
             to,
             offer,
             body: self.body.clone(),
@@ -157,17 +157,17 @@
             mailbox: self.mailbox.clone(),
             parts,
         };
-        actix_rt::spawn(work.run());
+        actix_rt::spawn(attempt.run());
     }
 
     fn respond(&mut self, build: impl FnOnce(&str) -> http::Response) {
         if let Some(reply) = self.reply.take() {
-            let _caller_gone = reply.send(build(&self.identifier));
+            let _client_gone = reply.send(build(&self.identifier));
         }
     }
 
-    /// Forwards one part; whether the conversation is over.
-    async fn forward(&mut self, part: Option<attempt::Part>) -> bool {
+    /// Forwards one part; returns whether the request is finished.
+    async fn on_part(&mut self, part: Option<attempt::Part>) -> bool {
         let Some((attempt, _)) = self.forwarded else { return false };
         match part {
             Some(attempt::Part::Head(head)) => {
@@ -182,7 +182,7 @@
                 self.complete(attempt);
                 true
             }
-            // The caller has the stream's end mark; resumed elsewhere, it would get another.
+            // The client already has the stream's end marker; a resumed stream would send another.
             Some(attempt::Part::Failed(_) | attempt::Part::Rejected(_)) if self.has_ended() => {
                 self.complete(attempt);
                 true
@@ -214,13 +214,13 @@
         self.splitter.as_ref().is_some_and(|splitter| splitter.has_ended())
     }
 
-    /// Events of the stream that the caller has whole.
+    /// Number of events that were sent to the client in full.
     fn delivered_events(&self) -> u64 {
         self.splitter.as_ref().map_or(0, |splitter| splitter.delivered_events())
     }
 
-    /// The forwarded answer ended early: an event of which only a part came is dropped, since the
-    /// resumed stream brings it anew.
+    /// Stops forwarding after a failure. A partially received event is dropped, since the resumed
+    /// stream sends it again.
     fn discard_partial_event(&mut self) {
         self.forwarded = None;
         if let Some(splitter) = &mut self.splitter {
@@ -234,13 +234,13 @@
         self.post(event::Event::AttemptFailed { attempt, fault, delivered });
     }
 
-    /// Begins the response; a resumed stream goes on in the response that was begun before.
+    /// Starts the response; a resumed stream continues the response that was started before.
     fn start_response(&mut self, head: &frame::Head) {
         if self.body_sender.is_some() {
             return;
         }
-        let (outlet, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
-        self.body_sender = Some(outlet);
+        let (body_sender, parts) = mpsc::channel(MAX_BUFFERED_PARTS);
+        self.body_sender = Some(body_sender);
         if is_event_stream(head) {
             self.splitter = Some(sse::Splitter::default());
         }
@@ -254,22 +254,22 @@
         });
     }
 
-    /// Hands bytes to the caller; of a stream of events only whole ones, so that the rest can be
+    /// Sends bytes to the client; of an event stream only complete events, so that the rest can be
     /// resumed on another upstream.
     async fn send_data(&mut self, data: &Bytes) {
         let whole = match &mut self.splitter {
             Some(splitter) => splitter.feed(data),
             None => data.clone(),
         };
-        if let (Some(outlet), false) = (&self.body_sender, whole.is_empty()) {
-            let _caller_gone = outlet.send(Ok(whole)).await;
+        if let (Some(body_sender), false) = (&self.body_sender, whole.is_empty()) {
+            let _client_gone = body_sender.send(Ok(whole)).await;
         }
     }
 
-    /// A stream of events ends in an error event; then the connection breaks, in place of a clean
-    /// end that would make a part look whole.
+    /// Ends an event stream with an error event and then breaks the connection: a clean end would
+    /// make the partial response look complete.
     async fn abort(&mut self, refusal: &refusal::Refusal) {
-        let Some(outlet) = self.body_sender.take() else {
+        let Some(body_sender) = self.body_sender.take() else {
             self.respond(|identifier| problem_response(refusal, identifier));
             return;
         };
@@ -277,21 +277,22 @@
             let document = problem::describe(refusal, &self.identifier);
             let json = serde_json::to_string(&document).expect("documents are plain data");
             let event = format!("event: error\ndata: {json}\n\n");
-            let _caller_gone = outlet.send(Ok(Bytes::from(event))).await;
-            wait_until_sent(&outlet).await;
+            let _client_gone = body_sender.send(Ok(Bytes::from(event))).await;
+            wait_until_sent(&body_sender).await;
         }
-        let _caller_gone = outlet.send(Err(io::Error::other("the answer was cut"))).await;
+        let _client_gone =
+            body_sender.send(Err(io::Error::other("the response was aborted"))).await;
     }
 }
 
 /// Waits until the server has taken all parts and had time to write them.
 ///
-/// It drops what it has not written when a body breaks off: without the wait the mark would be lost
-/// with the connection and the caller told nothing. A caller that reads nothing is not waited for.
-async fn wait_until_sent(outlet: &BodySender) {
+/// The server drops unwritten parts when a body ends in an error: without the wait the error event
+/// would be lost with the connection. A client that doesn't read is not waited for longer than 2 s.
+async fn wait_until_sent(body_sender: &BodySender) {
     for _ in 0..MAX_ERROR_EVENT_POLLS {
         actix_rt::time::sleep(ERROR_EVENT_POLL_INTERVAL).await;
-        if outlet.capacity() == MAX_BUFFERED_PARTS || outlet.is_closed() {
+        if body_sender.capacity() == MAX_BUFFERED_PARTS || body_sender.is_closed() {
             return;
         }
     }
@@ -306,15 +307,15 @@
     }
 }
 
-/// Resolves when the caller has gone away: before the response its receiver is dropped, after it
-/// the body's.
+/// Resolves when the client has disconnected: the receiver of the response is dropped before the
+/// response is sent, the receiver of its body afterwards.
 async fn wait_for_client_gone(
     reply: &mut Option<oneshot::Sender<http::Response>>,
-    outlet: &Option<BodySender>,
+    body_sender: &Option<BodySender>,
 ) {
-    match (reply, outlet) {
+    match (reply, body_sender) {
         (Some(reply), _) => reply.closed().await,
-        (None, Some(outlet)) => outlet.closed().await,
+        (None, Some(body_sender)) => body_sender.closed().await,
         (None, None) => std::future::pending().await,
     }
 }
@@ -335,12 +336,12 @@
 
 fn problem_response(refusal: &refusal::Refusal, identifier: &str) -> http::Response {
     let document = problem::describe(refusal, identifier);
-    let mut answer = http::json(problem::status(refusal), problem::CONTENT_TYPE, &document);
+    let mut response = http::json(problem::status(refusal), problem::CONTENT_TYPE, &document);
     if let Some(seconds) = problem::retry_after_seconds(refusal) {
         let value = actix_http::header::HeaderValue::from(seconds);
-        answer.headers_mut().insert(actix_http::header::RETRY_AFTER, value);
+        response.headers_mut().insert(actix_http::header::RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
 fn is_event_stream(head: &frame::Head) -> bool {
--- a/crates/hyssopfork-daemon/src/entry/http_server.rs
+++ b/crates/hyssopfork-daemon/src/entry/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers.
+//! The HTTP server for clients.
 
 use crate::entry::{handler, role};
 use crate::{http, mailbox, monitor, problem};
@@ -14,31 +14,31 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Longest Idempotency-Key, in bytes.
+/// Longest accepted Idempotency-Key.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Headers of the caller that an upstream doesn't need to see.
+/// Request headers that are consumed by the entry and not forwarded to upstreams.
 const ENTRY_ONLY_HEADERS: [&str; 2] = ["authorization", "idempotency-key"];
 
-/// Where callers' requests go.
+/// Handles clients' requests.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// The entry's loop.
+    /// The entry's event loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
-    /// Longest body, in bytes.
+    /// Longest request body.
     pub max_body_bytes: usize,
-    /// Time that a caller may take to send a request's body.
+    /// Time within which a client must send a request's body.
     pub body_timeout: Duration,
-    /// Counts requests.
+    /// Number of the next request.
     pub next_request: Arc<AtomicU64>,
-    /// Answers the balancer's checks on the same port.
+    /// Readiness, for the load balancer's health checks on the same port.
     pub readiness: Arc<monitor::Readiness>,
-    /// Tells this process's request identifiers from others'.
+    /// Random number of this process; makes its request identifiers unique.
     pub boot: u64,
 }
 
 impl Server {
-    /// Answers one request of a caller.
+    /// Responds to one request of a client.
     pub async fn handle(self, mut request: Request) -> http::Response {
         match request.path() {
             "/healthz" => return http::text(StatusCode::OK, "alive\n"),
@@ -75,7 +75,7 @@
     http::json(status, problem::CONTENT_TYPE, &document)
 }
 
-/// What was asked; `None` when a header that matters is malformed.
+/// The request as the core needs it; `None` when a relevant header is malformed.
 fn parse_request(request: &Request, body: &Bytes) -> Option<event::Arrival> {
     let path = request.uri().path_and_query()?.as_str().to_owned();
     let method = request.method().as_str().to_owned();
@@ -104,7 +104,7 @@
     (!text.is_empty() && text.len() <= MAX_KEY_BYTES).then(|| text.to_owned())
 }
 
-/// Each part is preceded by its length, so that no two different requests hash alike.
+/// Hashes each part after its length, so that moving bytes between parts changes the digest.
 fn hash_request(parts: &[&[u8]]) -> [u8; 32] {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -120,7 +120,7 @@
     let hash = Sha256::digest(token.trim().as_bytes());
     let mut text = String::with_capacity(hash.len() * 2);
     for byte in hash {
-        write!(text, "{byte:02x}").expect("a string takes every byte");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
     }
     Some(text)
 }
--- a/crates/hyssopfork-daemon/src/entry/mod.rs
+++ b/crates/hyssopfork-daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! Shell of the entry role.
+//! The entry role: HTTP server, attempts and the event loop around its core.
 
 pub mod attempt;
 pub mod handler;
--- a/crates/hyssopfork-daemon/src/entry/role.rs
+++ b/crates/hyssopfork-daemon/src/entry/role.rs
@@ -1,4 +1,5 @@
-//! The loop that owns the entry's core: inputs become events, actions become calls of the shell.
+//! The event loop that owns the entry's core: passes inputs to it as events and performs its
+//! actions.
 
 use crate::{clock, mailbox, monitor, rpc};
 use bytes::Bytes;
@@ -12,52 +13,52 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Time in which an agent must answer a cancel.
+/// Time within which an agent must respond to a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What traffic threads and timers hand to the loop.
+/// Inputs from traffic threads and timers.
 #[derive(Debug)]
 pub enum Input {
-    /// An event of the core that needs nothing of the shell.
+    /// An event that is passed to the core unchanged.
     Event(event::Event),
-    /// A caller's request arrived; commands for its conversation go to the sender.
+    /// A client's request arrived.
     RequestArrived {
         /// Number of the request.
         request: u64,
-        /// What was asked.
+        /// The parsed request.
         arrival: Box<event::Arrival>,
-        /// Where the core's actions on the request go.
+        /// Channel to the request's handler.
         commands: mpsc::UnboundedSender<Command>,
     },
-    /// The conversation with the caller is over.
+    /// The request's handler has finished.
     RequestClosed(u64),
 }
 
-/// What the core wants done about one request.
+/// A command of the core to the handler of one request.
 #[derive(Debug)]
 pub enum Command {
-    /// Offer an attempt to the agent at this address; collect its whole answer or not.
+    /// Offer an attempt to an agent.
     StartAttempt {
-        /// The agent.
+        /// The agent's address.
         to: net::SocketAddr,
         /// The offer.
         offer: Box<attempt::Offer>,
-        /// Whether the answer is collected in place of being forwarded.
+        /// Whether the response is collected instead of being forwarded.
         collect: bool,
     },
-    /// Forward this attempt's answer.
+    /// Forward this attempt's response to the client.
     ForwardResponse(attempt::Identifier),
-    /// Stop reading an attempt's answer.
+    /// Stop reading an attempt's response.
     DropAttempt(attempt::Identifier),
-    /// Answer whole.
+    /// Respond with this complete response.
     Respond(frame::Head, Bytes),
-    /// Answer with a problem document.
+    /// Respond with a problem document.
     Reject(refusal::Refusal),
-    /// End the stream with an error mark.
+    /// Abort the response that was begun, ending an event stream with an error event.
     Abort(refusal::Refusal),
 }
 
-/// The loop.
+/// The event loop.
 pub struct Role {
     core: core::Core,
     mailbox: mailbox::Mailbox<Input>,
@@ -70,7 +71,7 @@
 }
 
 impl Role {
-    /// A loop around `core`.
+    /// An event loop around `core`.
     pub fn new(
         core: core::Core,
         mailbox: mailbox::Mailbox<Input>,
@@ -176,7 +177,7 @@
 
     fn send_command(&self, request: u64, command: Command) {
         if let Some(commands) = self.requests.get(&request) {
-            let _conversation_over = commands.send(command);
+            let _handler_finished = commands.send(command);
         }
     }
 
--- a/crates/hyssopfork-daemon/src/http.rs
+++ b/crates/hyssopfork-daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP servers and clients as every role uses them.
+//! HTTP servers and clients for all roles.
 
 use actix_http::body::BoxBody;
 use actix_http::{HttpService, Payload, Request, StatusCode};
@@ -13,10 +13,10 @@
 use std::{io, net, rc};
 
 quick_error! {
-    /// Why a request's body was not read.
+    /// Why a request's body could not be read.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The body is over the limit.
+        /// The body exceeds the limit.
         TooLarge(limit: usize) {
             display("the body is over {} bytes: send less, or raise entry.body_limit_bytes", limit)
         }
@@ -27,14 +27,14 @@
     }
 }
 
-/// What a server takes from its callers' connections.
+/// Limits of a server's client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Time that a caller may take to send a request's head.
+    /// Time within which a client must send a request's head.
     pub head_timeout: Duration,
-    /// Time that an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     pub keep_alive: Duration,
-    /// Most connections at once; more wait to be accepted.
+    /// Concurrent connections; further ones wait to be accepted.
     pub connections: usize,
 }
 
@@ -51,7 +51,7 @@
 /// A response ready to be sent.
 pub type Response = actix_http::Response<BoxBody>;
 
-/// Serves HTTP on `listener` with `handle`, on `threads` traffic threads of its own.
+/// Serves HTTP on `listener` with `handle`, on `threads` dedicated traffic threads.
 pub fn serve<Handle, Handled>(
     name: &'static str,
     listener: net::TcpListener,
@@ -100,7 +100,7 @@
     Ok(body.freeze())
 }
 
-/// A plain text answer.
+/// A plain text response.
 pub fn text(status: StatusCode, text: impl Into<String>) -> Response {
     actix_http::Response::build(status)
         .insert_header(("content-type", "text/plain; charset=utf-8"))
@@ -108,7 +108,7 @@
         .map_into_boxed_body()
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub fn json<T: Serialize>(status: StatusCode, content_type: &'static str, value: &T) -> Response {
     let text = serde_json::to_string(value).expect("documents are plain data");
     actix_http::Response::build(status)
@@ -117,11 +117,11 @@
         .map_into_boxed_body()
 }
 
-/// Clients of one traffic thread.
+/// HTTP clients of one traffic thread.
 pub struct Clients {
     /// Reuses connections.
     pub pooled: awc::Client,
-    /// Opens a connection for each request: for taking up an answer whose connection went silent.
+    /// Opens a connection for each request; used to resume a response whose connection timed out.
     pub fresh: awc::Client,
 }
 
@@ -129,7 +129,7 @@
     static CLIENTS: rc::Rc<Clients> = rc::Rc::new(Clients::new());
 }
 
-/// Clients of this thread.
+/// HTTP clients of this thread.
 pub fn clients() -> rc::Rc<Clients> {
     CLIENTS.with(rc::Rc::clone)
 }
@@ -158,8 +158,8 @@
     awc::Client::builder().connector(connector).disable_timeout().disable_redirects().finish()
 }
 
-/// Headers that belong to one connection and don't travel on, besides those that each hop sets
-/// for itself.
+/// Hop-by-hop headers, which are not forwarded, and `content-length` and `host`, which each hop
+/// sets itself.
 const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -173,12 +173,12 @@
     "host",
 ];
 
-/// Whether a header travels from one hop to the next.
+/// Whether a header is forwarded to the next hop.
 pub fn is_forwarded(name: &str) -> bool {
     !HOP_BY_HOP_HEADERS.contains(&name) && !name.starts_with("hyssopfork-")
 }
 
-/// Headers of a message that travel on; values that aren't text are left out.
+/// Headers of a message that are forwarded; those whose value isn't text are left out.
 pub fn forwarded_headers(headers: &actix_http::header::HeaderMap) -> Vec<(String, String)> {
     let mut forwarded = Vec::new();
     for (name, value) in headers {
--- a/crates/hyssopfork-daemon/src/lib.rs
+++ b/crates/hyssopfork-daemon/src/lib.rs
@@ -1,7 +1,8 @@
 //! Daemon of the control, entry and agent roles.
 //!
-//! A thin shell: sockets, files and timers are turned into events for the roles' step functions,
-//! and their actions back. What decides stands in the role packages.
+//! This crate does the input and output: it passes what comes from sockets, files and timers to the
+//! roles' step functions as events and performs the actions that these return. All decisions are
+//! made in the role packages.
 
 pub mod agent;
 pub mod clock;
--- a/crates/hyssopfork-daemon/src/listener.rs
+++ b/crates/hyssopfork-daemon/src/listener.rs
@@ -7,11 +7,11 @@
 use tarpc::server::{self, Channel};
 use tarpc::{ClientMessage, Response, serde_transport, tokio_serde};
 
-/// Longest message between own processes, in bytes: a whole view of the largest fleet fits.
+/// Longest message between processes of the system; a complete view of the largest fleet fits.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 quick_error! {
-    /// Why an address can't be listened on.
+    /// Why listening failed.
     #[derive(Debug)]
     pub enum Error {
         /// The socket can't be bound.
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -1,4 +1,4 @@
-//! Writes the cores' numbered events and measurements.
+//! Logs the cores' numbered events and records their measurements.
 
 use crate::{clock, notice};
 use hyssopfork_agent::notice as agent;
@@ -23,7 +23,7 @@
     fn level(&self) -> level::Level;
     /// Name in the catalogue of events.
     fn name(&self) -> String;
-    /// Identifier of the request that it is about.
+    /// Identifier of the request that the event concerns.
     fn request(&self) -> Option<&str> {
         None
     }
@@ -84,14 +84,14 @@
 
 numbered!(notice {}, agent { Watch }, entry { Watch }, watch {}, control { Log }, consensus {});
 
-/// Writes a numbered event.
+/// Logs a numbered event.
 pub fn notice(notice: &impl Numbered) {
     let request = notice.request().map(|request| ("request", request.to_owned()));
     let fields = request.as_slice();
     log::emit(notice.number(), notice.level(), &notice.name(), &notice.to_string(), fields);
 }
 
-/// Adds a finished request to the histograms.
+/// Records a finished request in the metrics.
 pub fn record_measurement(registry: &metrics::Registry, measurement: &measurement::Measurement) {
     if let measurement::Outcome::Rejected(reason, ran) = measurement.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
@@ -115,7 +115,7 @@
     }
 }
 
-/// Tells what a watcher acts on.
+/// Records the lease and the view of a watcher.
 pub fn record_watcher(registry: &metrics::Registry, watcher: &watcher::Watcher) {
     let now = clock::now();
     let left = watcher.lease_expires_at().map_or(Duration::ZERO, |until| now.until(until));
@@ -124,7 +124,7 @@
     registry.in_force(view.configuration.number, view.version);
 }
 
-/// Adds a finished request of an edge process to the histograms.
+/// Records a finished request of an edge process in the metrics.
 pub fn record_edge_measurement(
     registry: &metrics::Registry,
     measurement: &gateway_measure::Measurement,
--- a/crates/hyssopfork-daemon/src/monitor.rs
+++ b/crates/hyssopfork-daemon/src/monitor.rs
@@ -1,4 +1,4 @@
-//! The small HTTP server of each process for health, readiness and metrics.
+//! The HTTP server of each process for health, readiness and metrics.
 
 use crate::http;
 use actix_http::StatusCode;
@@ -6,19 +6,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::{io, net};
 
-/// What the platform's balancer and the metrics collector may ask.
+/// Whether a role accepts new work, as reported to the load balancer.
 #[derive(Debug, Default)]
 pub struct Readiness {
     ready: AtomicBool,
 }
 
 impl Readiness {
-    /// Says whether the process takes new work.
+    /// Sets whether the role accepts new work.
     pub fn set(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Whether the process takes new work.
+    /// Whether the role accepts new work.
     pub fn get(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
@@ -31,18 +31,18 @@
     encode: impl Fn() -> String + Clone + Send + 'static,
 ) -> io::Result<()> {
     http::serve("monitor", listener, 1, http::Limits::default(), move |request| {
-        let answer = match request.path() {
+        let response = match request.path() {
             "/healthz" => http::text(StatusCode::OK, "alive\n"),
             "/readyz" => readiness_response(readiness.iter().all(|role| role.get())),
             "/metrics" => http::text(StatusCode::OK, encode()),
             _ => http::text(StatusCode::NOT_FOUND, "ask for /healthz, /readyz or /metrics\n"),
         };
-        async move { answer }
+        async move { response }
     })?;
     Ok(())
 }
 
-/// The answer to a readiness check.
+/// The response to a readiness check.
 pub fn readiness_response(ready: bool) -> http::Response {
     if ready {
         return http::text(StatusCode::OK, "ready\n");
--- a/crates/hyssopfork-daemon/src/notice.rs
+++ b/crates/hyssopfork-daemon/src/notice.rs
@@ -1,4 +1,4 @@
-//! Numbered events of the daemon's shell, 4500 to 4999.
+//! Numbered events of the daemon process, 4500 to 4999.
 
 use hyssopfork_wire::{level, name};
 use std::fmt;
@@ -11,29 +11,29 @@
     doc = "Kind of a notice."
 )]
 pub enum Notice {
-    /// The process listens and runs its roles.
+    /// The process listens and its roles run.
     Started(name::Instance, String),
-    /// The process was asked to stop and lets what is in flight end.
+    /// The process was asked to stop and drains its requests.
     Stopping,
-    /// The process was asked a second time and stops at once.
+    /// The process was asked to stop a second time and stops immediately.
     StoppedAtOnce,
     /// Every role has stopped.
     Stopped,
-    /// The journal could not be written or synced: the process ends.
+    /// A journal write or sync failed; the process exits.
     JournalFailed(String),
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded(String),
-    /// The settings could not be read again; those in use stay.
+    /// Reloading the settings failed; the current ones stay in use.
     ReloadFailed(String),
-    /// Log lines were dropped, since their reader is slow.
+    /// Log lines were dropped because their reader is slow.
     LinesDropped(usize),
-    /// The data folder can't be opened or written now.
+    /// The data folder can't be opened or written; it is retried.
     FolderUnusable(String),
-    /// A call on the control address was refused.
+    /// A call on the control address was rejected.
     CallRefused(String, String),
-    /// The replicated log holds what this release cannot read: the process ends.
+    /// The replicated log contains records that this release cannot read; the process exits.
     LogUnreadable(String),
-    /// Writes were synced slowly: so many together, in so many milliseconds.
+    /// A journal sync was slow: the number of writes and its duration in milliseconds.
     SyncSlow(usize, u64),
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Severity.
     pub const fn level(&self) -> level::Level {
         match self {
             Notice::JournalFailed(_) | Notice::LogUnreadable(_) => level::Level::Error,
@@ -76,29 +76,34 @@
         match self {
             Notice::Started(instance, roles) => write!(formatter, "{instance} runs {roles}"),
             Notice::Stopping => {
-                write!(formatter, "stopping: no new work, what is in flight is finished")
+                write!(formatter, "process is stopping and drains what is in flight")
+            }
+            Notice::StoppedAtOnce => {
+                write!(formatter, "process stops immediately: asked to stop twice")
             }
-            Notice::StoppedAtOnce => write!(formatter, "asked twice: stopping at once"),
             Notice::Stopped => write!(formatter, "every role has stopped"),
-            Notice::JournalFailed(error) => write!(
-                formatter,
-                "the journal cannot be trusted any more and the process ends: {error}"
-            ),
-            Notice::Reloaded(what) => write!(formatter, "read the settings again: {what}"),
+            Notice::JournalFailed(error) => {
+                write!(formatter, "journal write or sync failed, the process exits: {error}")
+            }
+            Notice::Reloaded(what) => write!(formatter, "settings reloaded: {what}"),
             Notice::ReloadFailed(error) => {
-                write!(formatter, "the settings can't be read again and stay as they are: {error}")
+                write!(
+                    formatter,
+                    "settings reload failed, the current settings stay in use: {error}"
+                )
+            }
+            Notice::LinesDropped(count) => {
+                write!(formatter, "log dropped {count} lines: its reader is slow")
+            }
+            Notice::FolderUnusable(error) => {
+                write!(formatter, "data folder is unusable and will be retried: {error}")
             }
-            Notice::LinesDropped(count) => write!(formatter, "{count} lines were dropped"),
-            Notice::FolderUnusable(error) => write!(
-                formatter,
-                "the data folder can't be used: {error}; it is tried again until it can"
-            ),
-            Notice::CallRefused(call, why) => write!(formatter, "{call} refused: {why}"),
+            Notice::CallRefused(call, why) => write!(formatter, "call {call} rejected: {why}"),
             Notice::LogUnreadable(reason) => {
                 write!(formatter, "{reason}; run a release that can read the log")
             }
             Notice::SyncSlow(writes, millis) => {
-                write!(formatter, "journal sync slow writes={writes} after_ms={millis}")
+                write!(formatter, "journal sync was slow writes={writes} after_ms={millis}")
             }
         }
     }
--- a/crates/hyssopfork-daemon/src/problem.rs
+++ b/crates/hyssopfork-daemon/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents (RFC 9457) for refusals.
+//! Problem documents (RFC 9457) for rejected requests.
 
 use actix_http::StatusCode;
 use hyssopfork_wire::refusal;
@@ -10,30 +10,30 @@
 /// A problem document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Kind of the problem, as a relative reference.
+    /// Type of the problem, as a relative reference.
     #[serde(rename = "type")]
     pub kind: String,
-    /// What happened.
+    /// Short description of the problem.
     pub title: &'static str,
     /// HTTP status.
     pub status: u16,
     /// `not_run` or `may_have_run`.
     pub ran: refusal::Ran,
-    /// The reason from the closed set.
+    /// Reason of the rejection.
     pub reason: refusal::Reason,
-    /// When to come back, in milliseconds.
+    /// Time after which the client may retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     /// Identifier of the request, as in the logs.
     pub request: String,
 }
 
-/// Whole seconds for a Retry-After header, rounded up so that nobody comes back too early.
+/// Whole seconds for a Retry-After header, rounded up so that no client retries too early.
 pub fn retry_after_seconds(refusal: &refusal::Refusal) -> Option<u64> {
     refusal.retry_after.map(|wait| wait.as_millis().div_ceil(1_000) as u64)
 }
 
-/// The document for a refusal.
+/// The problem document for a rejected request.
 pub fn describe(refusal: &refusal::Refusal, request: &str) -> Problem {
     Problem {
         kind: format!("/problems/{}", refusal.reason),
@@ -46,7 +46,7 @@
     }
 }
 
-/// HTTP status of a refusal.
+/// HTTP status for a rejected request.
 pub fn status(refusal: &refusal::Refusal) -> StatusCode {
     match refusal.reason {
         refusal::Reason::Unauthorized => StatusCode::UNAUTHORIZED,
--- a/crates/hyssopfork-daemon/src/process.rs
+++ b/crates/hyssopfork-daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! One process: starts the roles of its settings and stops them on request.
+//! Starts the roles that the settings give a process, and stops them on request.
 
 use crate::{agent, clock, control, entry, http, listener, log, mailbox, monitor, notice, running};
 use actix_rt::{Arbiter, System};
@@ -16,50 +16,50 @@
 use tokio::sync::oneshot;
 
 quick_error! {
-    /// Why a process could not start or go on.
+    /// Why a process could not start or continue.
     #[derive(Debug)]
     pub enum Error {
-        /// The log could not be started.
+        /// Logging could not be started.
         Log(cause: hyssopfork_telemetry::log::Error) {
             from()
             source(cause)
             display("{}", cause)
         }
-        /// An address can't be listened on.
+        /// Listening on an address failed.
         Listen(cause: listener::Error) {
             from()
             source(cause)
             display("{}", cause)
         }
-        /// The journal can't be opened.
+        /// Opening the journal failed.
         Journal(cause: hyssopfork_consensus::error::Error) {
             from()
             source(cause)
             display("{}", cause)
         }
-        /// The operating system refused something.
+        /// A system call failed.
         System(cause: io::Error) {
             from()
             source(cause)
             display("{}; mend the cause and start the process again", cause)
         }
-        /// The thread that holds the roles' state ended.
+        /// A role, or the thread that owns the roles' state, ended unexpectedly.
         Ended {
             display("a role ended before it was asked to; the log has the cause")
         }
     }
 }
 
-/// Runs the process until it has stopped on request.
+/// Runs the process until it is asked to stop and has stopped.
 pub fn run(settings: &settings::Settings) -> Result<(), Error> {
     hyssopfork_telemetry::log::start(settings.log.format, settings.log.level)?;
     System::new().block_on(supervise(settings))
 }
 
-/// Everything that the roles of one process share.
+/// State that the roles of one process share.
 struct Process<'a> {
     settings: &'a settings::Settings,
-    /// The one thread that owns all roles' state.
+    /// The thread that owns all roles' state.
     state: Arbiter,
     registry: Arc<metrics::Registry>,
     boot: u64,
@@ -87,7 +87,9 @@
     let ended = running::stop_all(running);
     tokio::select! {
         () = ended => log::notice(&notice::Notice::Stopped),
-        () = wait_for_signal(&mut terminate, &mut interrupt) => log::notice(&notice::Notice::StoppedAtOnce),
+        () = wait_for_signal(&mut terminate, &mut interrupt) => {
+            log::notice(&notice::Notice::StoppedAtOnce);
+        }
     }
     Ok(())
 }
--- a/crates/hyssopfork-daemon/src/rpc.rs
+++ b/crates/hyssopfork-daemon/src/rpc.rs
@@ -1,8 +1,8 @@
-//! Connections to other processes of the system.
+//! RPC clients for other processes of the system.
 //!
-//! A connection can go silent for good while new ones work, because something between its ends
-//! has lost track of it. Each call therefore has a short time, and one that runs out takes the
-//! connection out of use: the next call opens another.
+//! A connection can become permanently silent while new ones work, for example when a middlebox
+//! loses its state. Each call therefore has a short timeout, and a call that times out removes its
+//! connection: the next call opens another.
 
 use futures::future::Either;
 use hyssopfork_wire::{consensus, control, envelope, member};
@@ -12,13 +12,13 @@
 use std::{io, net};
 use tarpc::{client, context, serde_transport, tokio_serde};
 
-/// Time in which a connection must open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time in which a message of the replicated log must be acknowledged by its receiver's shell.
+/// Time within which the receiving process must acknowledge a message of the replicated log.
 pub const DELIVERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Clients of one service, one for each address; owned by one thread.
+/// Cached clients of one service, one for each address; owned by one thread.
 pub struct Cache<Client> {
     clients: RefCell<HashMap<net::SocketAddr, (u64, Client)>>,
     last_number: Cell<u64>,
@@ -31,7 +31,7 @@
 }
 
 impl<Client: Clone> Cache<Client> {
-    /// The client at `to`, opened by `open` where there is none; with its number.
+    /// The client for `to`, opened by `open` if there is none, with its number.
     pub async fn get<Opened>(
         &self,
         to: net::SocketAddr,
@@ -50,7 +50,7 @@
         Some(numbered)
     }
 
-    /// Takes one client out of use, unless another has taken its place already.
+    /// Removes a client, unless it has already been replaced.
     pub fn remove(&self, to: net::SocketAddr, number: u64) {
         let mut open = self.clients.borrow_mut();
         if open.get(&to).is_some_and(|(current, _)| *current == number) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Keeps a client whose call was answered, and takes it out of use otherwise.
+    /// Passes the response through; removes the client if there is none.
     pub fn remove_if_failed<T>(
         &self,
         to: net::SocketAddr,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Connections to control instances and agents.
+/// Clients for control instances and agents.
 #[derive(Default)]
 pub struct Clients {
     control_clients: Cache<control::ControlClient>,
@@ -80,7 +80,7 @@
 }
 
 impl Clients {
-    /// Calls a control instance; `None` when the call failed or its time ran out.
+    /// Calls a control instance; `None` when the call failed or timed out.
     pub async fn call_control(
         &self,
         to: net::SocketAddr,
@@ -92,7 +92,7 @@
         self.control_clients.remove_if_failed(to, number, with_timeout(timeout, call).await)
     }
 
-    /// Delivers a message of the replicated log; whether it arrived.
+    /// Delivers a message of the replicated log; returns whether it was acknowledged.
     pub async fn deliver(&self, to: net::SocketAddr, packet: consensus::Packet) -> bool {
         let Some((number, client)) = self.control_clients.get(to, || connect_control(to)).await
         else {
@@ -105,7 +105,7 @@
             .is_some()
     }
 
-    /// Asks another agent; `None` when the call failed or its time ran out.
+    /// Requests a grant from another agent; `None` when the call failed or timed out.
     pub async fn request_grant(
         &self,
         to: net::SocketAddr,
@@ -132,21 +132,21 @@
     Some(member::MemberClient::new(client::Config::default(), transport).spawn())
 }
 
-/// Context of a call that lasts for `timeout` at most.
+/// Context of a call with this timeout.
 pub fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
     context
 }
 
-/// The connection, if it opens in time.
+/// The connection, if it opens within `CONNECT_TIMEOUT`.
 pub async fn connect<Transport>(
     connecting: impl Future<Output = io::Result<Transport>>,
 ) -> Option<Transport> {
     tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()
 }
 
-/// The answer of a call, if it comes in time.
+/// The response to a call, if it arrives within `timeout`.
 pub async fn with_timeout<T>(
     timeout: Duration,
     call: impl Future<Output = Result<T, client::RpcError>>,
