--- a/crates/hyssopfork-daemon/src/command/edge.rs
+++ b/crates/hyssopfork-daemon/src/command/edge.rs
@@ -1,4 +1,4 @@
-//! `hyssopforkd edge`: runs entry and control of a fleet whose upstreams register themselves.
+//! `hyssopforkd edge`: runs the entry and control roles for upstreams that register themselves.
 
 use crate::edge::process as daemon;
 use clap::{Arg, ArgMatches, Command, value_parser};
--- a/crates/hyssopfork-daemon/src/edge/attempt.rs
+++ b/crates/hyssopfork-daemon/src/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at an upstream.
+//! An attempt to run a request at one upstream.
 
 use crate::edge::pool;
 use bytes::{Bytes, BytesMut};
@@ -8,24 +8,25 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Time in which a connection must open: it takes two milliseconds, and a packet that was lost is
-/// sent again after a second.
+/// Timeout for opening a connection. Opening takes 2 ms, and a lost packet is retransmitted only
+/// after 1 s.
 const CONNECT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Longest whole answer, in bytes; a longer one is refused as wrong rather than held in memory.
+/// Maximum size of a buffered response, in bytes. A larger one is rejected as invalid, to bound
+/// memory use.
 const WHOLE_LIMIT: usize = 16 << 20;
 
-/// A caller's request as it is sent on, to as many upstreams as it takes.
+/// A client's request in the form that is sent to upstreams.
 pub struct Outbound {
     /// HTTP method.
     pub method: String,
     /// Path and query, unchanged.
     pub path: String,
-    /// Headers that travel.
+    /// Headers that are forwarded.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Bytes,
-    /// The caller's identifier.
+    /// Attempt identifier that the client sent.
     pub identifier: String,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl Attempt {
-    /// Opens a connection, or takes an idle one, and sends the request.
+    /// Sends the request on an idle connection or a new one.
     pub async fn send(
         outbound: &Outbound,
         start: &action::Start,
@@ -65,20 +66,20 @@
         }
     }
 
-    /// Waits for the answer's head. May be dropped and called again.
+    /// Receives the head of the response. Cancel safe.
     pub async fn head(&mut self) -> Result<Vec<(String, String)>, event::Fault> {
         let head = self.connection.head().await.map_err(fault)?;
         self.answer = upstream::answer(head.status, &head.headers);
         Ok(head.headers)
     }
 
-    /// The answer's head, once it has come.
+    /// Head of the response; the default until [`Attempt::head`] has completed.
     pub fn answer(&self) -> &response::Response {
         &self.answer
     }
 
-    /// Waits for the next part of the body, and takes what has come with it; `None` when it is
-    /// whole. May be dropped and called again.
+    /// Receives the next part of the body, with further parts that have arrived already; `None` at
+    /// the end of the body. Cancel safe.
     pub async fn part(&mut self) -> Result<Option<Bytes>, event::Fault> {
         let Some(first) = self.connection.part().await.map_err(fault)? else { return Ok(None) };
         let Some(second) = self.connection.ready_part().map_err(fault)? else {
@@ -92,7 +93,7 @@
         Ok(Some(parts.freeze()))
     }
 
-    /// Waits for the rest of a whole answer, added to `body`. May be dropped and called again.
+    /// Receives the rest of the response and appends it to `body`. Cancel safe.
     pub async fn rest(&mut self, body: &mut BytesMut) -> Result<(), event::Fault> {
         while let Some(part) = self.connection.part().await.map_err(fault)? {
             body.extend_from_slice(&part);
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// Keeps the connection for another request, if it can be used again.
+    /// Returns the connection to the pool if it can be reused.
     pub fn keep(self, idle: &pool::Pool) {
         let keep = self.answer.keep_alive;
         idle.give(self.key, self.connection, keep);
@@ -130,7 +131,7 @@
     }
 }
 
-/// Headers of an answer that travel to the caller.
+/// Filters the headers of a response that are forwarded to the client.
 pub fn travelling(head: Vec<(String, String)>) -> Vec<(String, String)> {
     head.into_iter().filter(|(name, _)| headers::answer_travels(name)).collect()
 }
--- a/crates/hyssopfork-daemon/src/edge/control.rs
+++ b/crates/hyssopfork-daemon/src/edge/control.rs
@@ -1,4 +1,5 @@
-//! The loop that owns the control core: inputs become events, actions become calls of the shell.
+//! Control role: an event loop around the fleet core that turns inputs into events and executes the
+//! core's actions.
 
 use crate::edge::{engine, folder, peers, traffic};
 use crate::{clock, log, mailbox};
@@ -12,25 +13,26 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages of the log on their way to one voter at once; more are dropped, which the log's rules
-/// allow: a voter that doesn't keep up would cost memory without bound.
+/// Maximum number of replicated log messages in flight to one voter. Further messages are dropped,
+/// which the log protocol tolerates; a voter that can't keep up would otherwise use unbounded
+/// memory.
 const IN_FLIGHT_LIMIT: usize = 64;
 
-/// What servers, timers and other threads hand to the loop.
+/// Input from servers, timers and other threads.
 #[derive(Debug)]
 pub enum Input {
-    /// An event of the core.
+    /// Event of the core.
     Event(Box<event::Event>),
-    /// A call, and where its reply goes.
+    /// Request, and the channel for its reply.
     Call(Box<event::Request>, oneshot::Sender<action::Reply>),
 }
 
-/// The loop.
+/// Event loop of the control role.
 pub struct Role {
     core: core::Core,
     own: net::SocketAddr,
     peers: Rc<peers::Peers>,
-    /// Messages of the log on their way, by voter.
+    /// Number of replicated log messages in flight, by voter.
     in_flight: HashMap<net::SocketAddr, Rc<Cell<usize>>>,
     folder: Option<folder::Writer>,
     mailbox: mailbox::Mailbox<Input>,
@@ -41,7 +43,7 @@
 }
 
 impl Role {
-    /// A loop around `core`.
+    /// Creates an event loop around `core`. `own` is the address of this process among its peers.
     pub fn new(
         core: core::Core,
         own: net::SocketAddr,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
         mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
     }
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Carries out `work` beside the loop and hands its event to it.
+    /// Runs `work` as a separate task and passes its event to the loop.
     fn later(&self, work: impl Future<Output = Option<event::Event>> + 'static) {
         let mailbox = self.mailbox.clone();
         actix_rt::spawn(async move {
@@ -158,7 +160,7 @@
         });
     }
 
-    /// Sends a message of the log, or drops it.
+    /// Sends a replicated log message, or drops it if too many are in flight to that voter.
     fn send(&mut self, packet: consensus::Packet) {
         let Some(to) = core::address_of(&packet.to) else { return };
         let in_flight = self.in_flight.entry(to).or_default().clone();
--- a/crates/hyssopfork-daemon/src/edge/conversation.rs
+++ b/crates/hyssopfork-daemon/src/edge/conversation.rs
@@ -1,4 +1,4 @@
-//! The conversation with one caller: carries out what the core decides about its request.
+//! Request handler: forwards one client's request as the gateway core decides.
 
 use crate::clock;
 use crate::edge::{attempt, traffic, web};
@@ -11,7 +11,8 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Holds the conversation up to the answer's head; a stream's events follow in its body.
+/// Handles a request up to the head of the response. The events of a stream follow in the response
+/// body.
 pub async fn hold(traffic: Rc<traffic::Traffic>, incoming: web::Incoming) -> web::Outgoing {
     let head = incoming.request.head();
     let arrival = caller::arrival(head, incoming.body.clone());
@@ -44,32 +45,33 @@
     outbound: attempt::Outbound,
     scanner: scanner::Scanner,
     attempt: Option<attempt::Attempt>,
-    /// Status code of the answer.
+    /// Status code of the response.
     status: u16,
-    /// Headers of the answer that travel.
+    /// Headers of the response that are forwarded.
     head: Vec<(String, String)>,
-    /// Body of a whole answer, as far as it has come.
+    /// Received part of a buffered response body.
     body: BytesMut,
-    /// Silence after which to ask what to do.
+    /// Time without bytes after which the core is asked what to do.
     quiet: Duration,
-    /// When the request's time is over.
+    /// Deadline of the request.
     limit: wire_clock::Instant,
-    /// Whether the core has ended the request.
+    /// Whether the core has finished the request.
     over: bool,
 }
 
-/// What a wait for the upstream came to.
+/// Outcome of waiting for the upstream.
 enum Waited<T> {
-    /// What was waited for.
+    /// The awaited result.
     Came(Result<T, event::Fault>),
-    /// Nothing came for [`Conversation::quiet`].
+    /// Nothing arrived within [`Conversation::quiet`].
     Quiet,
-    /// The request's time is over.
+    /// The deadline passed.
     Expired,
 }
 
 impl Drop for Conversation {
-    /// The caller went away: the attempt's connection closes with this, which cancels its work.
+    /// Handles a client disconnect. Dropping the attempt also closes its connection, which cancels
+    /// the work at the upstream.
     fn drop(&mut self) {
         if !self.over {
             self.traffic.step(event::Event::ClientDisconnected(self.number));
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Hands an event to the core; a request that it forgot has failed.
+    /// Passes an event to the core. A request that the core doesn't know has failed.
     fn step(&mut self, event: event::Event) -> action::Decision {
         let decision = self.traffic.step(event).unwrap_or(action::Decision::Abort);
         self.over = matches!(
@@ -111,12 +113,12 @@
         decision
     }
 
-    /// Waits until the core decides about this request in the course of another's event.
+    /// Waits in the queue until an event of another request makes the core decide about this one.
     async fn hold(&mut self, patience: Duration) -> action::Decision {
         let mut decided = self.traffic.held(self.number);
         match time::timeout(patience, &mut decided).await {
             Ok(Ok(decision)) => decision,
-            // It may have been decided in the moment in which the time ended.
+            // The decision may have arrived just as the timeout passed.
             Ok(Err(_)) | Err(_) => match decided.try_recv() {
                 Ok(decision) => decision,
                 Err(_) => self.step(event::Event::QueueTimeout(self.number)),
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Makes an attempt and waits for its answer; an earlier attempt's connection closes.
+    /// Starts an attempt and waits for its response. The connection of the previous attempt closes.
     async fn begin(&mut self, start: &action::Start) -> action::Decision {
         self.attempt = None;
         self.body.clear();
@@ -140,7 +142,7 @@
         self.receive().await
     }
 
-    /// Waits for the answer's head, and for the rest where it isn't a stream.
+    /// Waits for the head of the response, and for the body unless it is a stream.
     async fn receive(&mut self) -> action::Decision {
         let Some(mut attempt) = self.attempt.take() else {
             return self.fail(event::Fault::ConnectionLost);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Waits for `work` until it is quiet for too long or the request's time is over.
+    /// Waits for `work` until the idle timeout or the deadline passes.
     async fn wait<T>(&self, work: impl Future<Output = Result<T, event::Fault>>) -> Waited<T> {
         let left = clock::now().until(self.limit);
         if left.is_zero() {
@@ -188,7 +190,8 @@
         }
     }
 
-    /// Asks the core about a wait that came to nothing; the attempt stays if it is to be waited for.
+    /// Asks the core what to do after a wait without a result. The attempt is kept if the core
+    /// decides to wait.
     fn pause<T>(&mut self, attempt: attempt::Attempt, waited: Waited<T>) -> action::Decision {
         let decision = match waited {
             Waited::Quiet => self.step(event::Event::IdleTimeout(self.number)),
@@ -226,14 +229,14 @@
         web::Outgoing { status: 200, headers, body: web::Body::Parts(Box::pin(parts)) }
     }
 
-    /// The next events of the stream; `None` when all have gone out.
+    /// Returns the next events of the stream; `None` after the last one.
     async fn next(&mut self) -> Option<Result<Bytes, web::Broken>> {
         if self.over {
             return None;
         }
         loop {
             let decision = match self.pull().await {
-                // A part without bytes would read as the end of the answer.
+                // A chunk without bytes would mark the end of the response.
                 Pulled::Events(events) if events.is_empty() => continue,
                 Pulled::Events(events) => return Some(Ok(events)),
                 Pulled::End => return None,
@@ -289,12 +292,12 @@
     }
 }
 
-/// What pulling at a stream came to.
+/// Outcome of reading from a stream.
 enum Pulled {
-    /// Whole events; none when only the beginning of one came.
+    /// Complete events; empty if only part of an event has arrived.
     Events(Bytes),
-    /// The end, after the last event.
+    /// End of the stream, after the last event.
     End,
-    /// The core decided something else.
+    /// The core decided otherwise.
     Decided(action::Decision),
 }
--- a/crates/hyssopfork-daemon/src/edge/doors.rs
+++ b/crates/hyssopfork-daemon/src/edge/doors.rs
@@ -1,4 +1,5 @@
-//! Calls on the control address, and the balancer's question.
+//! HTTP endpoints for operators and upstreams, for metrics and for the load balancer's readiness
+//! check.
 
 use crate::edge::{control, traffic, web};
 use crate::{log, mailbox, notice};
@@ -12,17 +13,17 @@
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
 
-/// The control address.
+/// Endpoints of the control address.
 #[derive(Clone)]
 pub struct Control {
-    /// The control loop.
+    /// Mailbox of the control role.
     pub mailbox: mailbox::Mailbox<control::Input>,
     /// Port of the control address, the same on every instance.
     pub port: u16,
 }
 
 impl Control {
-    /// Answers one call.
+    /// Handles a request.
     pub async fn answer(self, incoming: web::Incoming) -> web::Outgoing {
         let path = incoming.request.path().to_owned();
         let method = incoming.request.method().as_str().to_owned();
@@ -52,7 +53,7 @@
     }
 }
 
-/// The request that a call makes, or what is wrong with it.
+/// Converts a call into a request of the control role; the error says what is wrong with it.
 fn request(call: operator::Call, body: &Bytes) -> Result<event::Request, String> {
     Ok(match call {
         operator::Call::Read => event::Request::Read,
@@ -89,7 +90,7 @@
     web::Outgoing::whole(reply.status, headers.collect(), reply.body)
 }
 
-/// Answers a collector of metrics.
+/// Returns the metrics in the Prometheus text format.
 pub async fn metrics(registry: Arc<metrics::Registry>, incoming: web::Incoming) -> web::Outgoing {
     if incoming.request.path() != "/metrics" {
         return outgoing(reply::fault(StatusCode::NOT_FOUND.as_u16(), "ask for /metrics"));
@@ -98,7 +99,7 @@
     web::Outgoing::whole(StatusCode::OK.as_u16(), vec![kind], registry.encode().into())
 }
 
-/// Answers the balancer.
+/// Returns 200 if the process accepts new connections and 503 otherwise.
 pub async fn readiness(status: Arc<traffic::Status>, _incoming: web::Incoming) -> web::Outgoing {
     let ready = status.ready.load(Ordering::Relaxed);
     let code = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
--- a/crates/hyssopfork-daemon/src/edge/engine.rs
+++ b/crates/hyssopfork-daemon/src/edge/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and questions for a sign of life.
+//! Requests to engines: orders, probes and reports.
 
 use bytes::Bytes;
 use hyssopfork_exchange::{connection, error};
@@ -9,16 +9,16 @@
 use std::{io, net};
 use tokio::time;
 
-/// Time in which an order must be answered; it is idempotent and given again.
+/// Timeout of an order. Orders are idempotent and are repeated.
 const ORDER_LIMIT: Duration = Duration::from_millis(400);
 
-/// Time in which a sign of life must come. An engine answers within milliseconds, a loaded machine
-/// of ours within tens; a packet that was lost shows as a missing sign, and the engine is asked again
-/// on another connection. The leader asks three times: with 160 ms each, a lost group was known only
-/// 0.85 s after its member's death.
+/// Timeout of a probe. An engine responds within milliseconds, on a loaded machine within tens of
+/// milliseconds. A lost packet fails the probe, which is then repeated on another connection. The
+/// leader probes three times: with a timeout of 160 ms, a lost group was detected only 0.85 s after
+/// its member's death.
 const PROBE_LIMIT: Duration = Duration::from_millis(80);
 
-/// Gives an order.
+/// Sends an order.
 pub async fn order(order: &order::Order) -> order::Outcome {
     let told = [
         ("content-type".to_owned(), "application/json".to_owned()),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Asks for a sign of life.
+/// Probes whether an engine is alive.
 pub async fn probe(address: net::SocketAddr) -> order::Liveness {
     let request = connection::Request { method: "GET", path: wire::REPORT_PATH, headers: &[] };
     match time::timeout(PROBE_LIMIT, exchange(address, &request, Bytes::new())).await {
@@ -43,7 +43,8 @@
     }
 }
 
-/// Whether an address refuses connections: its instance is up, and nothing listens there.
+/// Whether an address refuses connections, which means that its instance runs but nothing listens
+/// there.
 pub async fn refuses(address: net::SocketAddr) -> bool {
     match time::timeout(PROBE_LIMIT, connection::Connection::open(address)).await {
         Ok(Err(error::Error::Unreachable(_, cause))) => {
@@ -53,18 +54,18 @@
     }
 }
 
-/// Asks an engine for its report; `None` when none comes: the leader asks again.
+/// Requests the report of an engine; `None` if none arrives, in which case the leader asks again.
 pub async fn report(instance: &name::Instance, address: net::SocketAddr) -> Option<order::Report> {
     let request = connection::Request { method: "GET", path: wire::REPORT_PATH, headers: &[] };
     let (_, mut connection) =
         time::timeout(PROBE_LIMIT, exchange(address, &request, Bytes::new())).await.ok()?.ok()?;
     let body = time::timeout(PROBE_LIMIT, connection.rest()).await.ok()?.ok()?;
     wire::report(&body)
-        .inspect_err(|error| tracing::warn!(%instance, %error, "an engine's report can't be read"))
+        .inspect_err(|error| tracing::warn!(%instance, %error, "an engine sent an invalid report"))
         .ok()
 }
 
-/// Sends a request on a connection of its own; its status, and the connection for the body.
+/// Sends a request on a new connection; returns the status, and the connection for the body.
 async fn exchange(
     address: net::SocketAddr,
     request: &connection::Request<'_>,
--- a/crates/hyssopfork-daemon/src/edge/folder.rs
+++ b/crates/hyssopfork-daemon/src/edge/folder.rs
@@ -1,7 +1,8 @@
-//! The thread that writes and syncs the journal, so that a slow disk holds up nothing else.
+//! Journal writer: a thread that writes and syncs the journal, so that a slow disk blocks nothing
+//! else.
 //!
-//! A disk that refuses writes ends the process's part in the replicated log, not the process: its
-//! callers are served on, and the folder is opened again once it can be.
+//! If the disk fails, the process stops taking part in the replicated log but continues to serve
+//! its clients. The data folder is reopened as soon as that succeeds.
 
 use crate::edge::control;
 use crate::{log, mailbox, notice};
@@ -11,28 +12,29 @@
 use std::time::{Duration, Instant};
 use std::{io, path, thread};
 
-/// Most writes that are synced together, besides the first.
+/// Maximum number of writes that are synced together with the first one.
 const TOGETHER_LIMIT: usize = 255;
 
-/// Time before a folder that can't be used is tried again.
+/// Interval between attempts to open the data folder.
 const RETRY: Duration = Duration::from_millis(300);
 
-/// Time from which on a sync is reported as slow.
+/// Sync duration from which on a sync is reported as slow.
 const SLOW_SYNC: Duration = Duration::from_millis(100);
 
-/// What the thread is to do.
+/// Task of the thread.
 enum Task {
     Write(write::Write),
-    /// The writes before this belong to a part in the log that has ended.
+    /// Reopen the folder. Earlier writes belong to a membership in the replicated log that has
+    /// ended.
     Reopen,
 }
 
-/// Hands writes to the journal's thread.
+/// Handle that sends writes to the journal thread.
 #[derive(Debug)]
 pub struct Writer(mpsc::Sender<Task>);
 
 impl Writer {
-    /// Starts the thread, which opens the folder.
+    /// Starts the thread, which opens the data folder.
     pub fn start(
         folder: path::PathBuf,
         mailbox: mailbox::Mailbox<control::Input>,
@@ -43,19 +45,19 @@
         Ok(Writer(sender))
     }
 
-    /// Hands over one write.
+    /// Queues a write.
     pub fn write(&self, write: write::Write) {
         self.send(Task::Write(write));
     }
 
-    /// Has the folder opened anew, after it failed.
+    /// Reopens the folder after a failure.
     pub fn reopen(&self) {
         self.send(Task::Reopen);
     }
 
     fn send(&self, task: Task) {
         if self.0.send(task).is_err() {
-            tracing::debug!("task after the journal's thread ended");
+            tracing::debug!("journal task dropped: the journal thread has ended");
         }
     }
 }
@@ -74,7 +76,7 @@
             drop(journal);
             self.tell(&error);
             self.post(event::Event::FolderFailed);
-            // What still comes belongs to the part in the log that has just ended.
+            // Writes that are still queued belong to the membership in the log that has just ended.
             loop {
                 match self.tasks.recv() {
                     Ok(Task::Reopen) => break,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Opens the folder, as soon as it can be.
+    /// Opens the folder, retrying until that succeeds.
     fn open(&self) -> journal::Journal {
         loop {
             match journal::Journal::open(&self.folder) {
@@ -104,10 +106,10 @@
         }
     }
 
-    /// Writes what comes; gives the error that ends it, or nothing when the process ends.
+    /// Writes tasks until an error occurs, which is returned, or until the process exits.
     ///
-    /// Writes that came while the disk was busy are synced together, so that the time of a sync
-    /// bounds how long one write takes, not how many are made.
+    /// Writes that arrived during a sync are synced together, so that slow syncs limit the latency
+    /// of each write but not the throughput.
     fn write_all(&self, journal: &mut journal::Journal) -> Option<error::Error> {
         while let Ok(first) = self.tasks.recv() {
             let more = self.tasks.try_iter().take(TOGETHER_LIMIT);
--- a/crates/hyssopfork-daemon/src/edge/mod.rs
+++ b/crates/hyssopfork-daemon/src/edge/mod.rs
@@ -1,7 +1,7 @@
-//! The shell of an edge process: entry and control of a fleet whose upstreams register themselves.
+//! Edge process: runs the entry and control roles for upstreams that register themselves.
 //!
-//! One thread owns control state ([`control`]), one carries callers' traffic ([`traffic`]), one
-//! writes the journal ([`folder`]).
+//! One thread owns the control state ([`control`]), one serves client requests ([`traffic`]) and
+//! one writes the journal ([`folder`]).
 
 pub mod attempt;
 pub mod control;
--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -1,4 +1,4 @@
-//! Calls between the system's processes.
+//! RPC between the edge processes.
 
 use crate::edge::{control, engine};
 use crate::{link, listener, mailbox};
@@ -10,22 +10,23 @@
 use tarpc::{client, context, serde_transport, tokio_serde};
 use tokio::sync::oneshot;
 
-/// Time in which a greeting must be answered; it is sent again soon.
+/// Timeout of a greeting and of an evidence report. Both are repeated soon.
 const GREET_LIMIT: Duration = Duration::from_millis(300);
 
-/// Time in which a peer must say whether it reaches an upstream: its own question takes 80 ms. A
-/// peer that was lost with the upstream holds the verdict up for as long.
+/// Timeout of a probe through a peer; the peer's own probe takes up to 80 ms. If the peer failed
+/// together with the upstream, the decision about the upstream is delayed by this long.
 const PROBE_LIMIT: Duration = Duration::from_millis(180);
 
-/// Time in which the leader must take an upstream's call: the upstream waits for a second.
+/// Timeout of a registration that is forwarded to the leader. The upstream waits 1 s for the
+/// response.
 const REGISTER_LIMIT: Duration = Duration::from_millis(850);
 
-/// Calls to peers.
+/// RPC clients of the peers.
 #[derive(Default)]
 pub struct Peers(link::Clients<peer::PeerClient>);
 
 impl Peers {
-    /// Delivers a message of the replicated log; whether it arrived.
+    /// Delivers a replicated log message; returns whether it arrived.
     pub async fn deliver(&self, to: net::SocketAddr, packet: consensus::Packet) -> bool {
         let limit = link::DELIVER_LIMIT;
         let Some((number, client)) = self.client(to).await else { return false };
@@ -40,7 +41,7 @@
         self.0.settle(to, number, link::within(GREET_LIMIT, call).await)
     }
 
-    /// Asks the leader for what is new.
+    /// Asks the leader for changes.
     pub async fn watch(&self, to: net::SocketAddr, watch: peer::Watch) -> Option<peer::Answer> {
         let limit = action::WATCH_TIMEOUT;
         let (number, client) = self.client(to).await?;
@@ -48,21 +49,22 @@
         self.0.settle(to, number, link::within(limit, call).await)
     }
 
-    /// Tells the leader what was seen; it is told again with the next watch.
+    /// Sends evidence to the leader. A lost report is made up for by the next watch, which includes
+    /// the evidence.
     pub async fn note(&self, to: net::SocketAddr, from: net::SocketAddr, seen: peer::Evidence) {
         let Some((number, client)) = self.client(to).await else { return };
         let call = client.note(link::until(GREET_LIMIT), from, envelope::Envelope::new(seen));
         self.0.settle(to, number, link::within(GREET_LIMIT, call).await);
     }
 
-    /// Has a peer ask an upstream for a sign of life; whether it got one.
+    /// Asks a peer to probe an upstream; returns whether the upstream responded.
     pub async fn probe(&self, to: net::SocketAddr, upstream: net::SocketAddr) -> bool {
         let Some((number, client)) = self.client(to).await else { return false };
         let call = client.probe(link::until(PROBE_LIMIT), envelope::Envelope::new(upstream));
         self.0.settle(to, number, link::within(PROBE_LIMIT, call).await).unwrap_or(false)
     }
 
-    /// Passes an upstream's call on to the leader; whether it has it.
+    /// Forwards an upstream's registration to the leader; returns whether the leader accepted it.
     pub async fn register(&self, to: net::SocketAddr, registration: peer::Registration) -> bool {
         let limit = REGISTER_LIMIT;
         let Some((number, client)) = self.client(to).await else { return false };
@@ -82,7 +84,7 @@
     Some(peer::PeerClient::new(client::Config::default(), transport).spawn())
 }
 
-/// The server's handler.
+/// RPC server for the peers.
 #[derive(Clone, Debug)]
 pub struct Server(pub mailbox::Mailbox<control::Input>);
 
@@ -164,7 +166,7 @@
     }
 }
 
-/// Serves peers' calls.
+/// Serves the peers' RPC requests.
 pub async fn serve(
     address: net::SocketAddr,
     mailbox: mailbox::Mailbox<control::Input>,
--- a/crates/hyssopfork-daemon/src/edge/pool.rs
+++ b/crates/hyssopfork-daemon/src/edge/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to upstreams.
+//! Pool of idle connections to upstreams.
 
 use hyssopfork_exchange::connection;
 use hyssopfork_wire::name;
@@ -8,17 +8,18 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Time for which an idle connection is used again where the upstream names none.
+/// Time for which an idle connection is reused if the upstream names no keep-alive timeout.
 const IDLE: Duration = Duration::from_millis(1_500);
 
-/// Longest such time: one that went silent meanwhile costs a request its objective.
+/// Maximum time for which an idle connection is reused. Reuse of a connection that has meanwhile
+/// gone silent makes the request miss its latency objective.
 const IDLE_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time before the upstream closes an idle connection at which it is not used any more: a request
-/// that crosses the close may or may not have run.
+/// Time before the upstream closes an idle connection from which on it isn't reused. If a request
+/// is sent while the upstream closes the connection, whether it has run is unknown.
 const MARGIN: Duration = Duration::from_secs(1);
 
-/// Idle connections that are kept for one upstream.
+/// Maximum number of idle connections per upstream.
 const KEPT: usize = 16;
 
 struct Idle {
@@ -26,17 +27,18 @@
     until: time::Instant,
 }
 
-/// Who a connection leads to: an address alone may be another upstream's by now.
+/// Upstream of a connection. The address alone does not identify it, because another upstream may
+/// have taken it over.
 pub type Key = (name::Instance, net::SocketAddr);
 
-/// The pool; owned by one thread.
+/// Connection pool; owned by one thread.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<HashMap<Key, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// An idle connection that can be used now.
+    /// Takes an idle connection that can be reused now.
     pub fn take(&self, key: &Key) -> Option<connection::Connection> {
         let mut pool = self.idle.borrow_mut();
         let idle = pool.get_mut(key)?;
@@ -49,7 +51,8 @@
         None
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection whose response was read completely. `keep` is the keep-alive timeout
+    /// that the upstream names.
     pub fn give(&self, key: Key, connection: connection::Connection, keep: Option<Duration>) {
         if !connection.is_reusable() {
             return;
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Closes what is too old.
+    /// Closes connections that have been idle for too long.
     pub fn trim(&self) {
         let now = time::Instant::now();
         self.idle.borrow_mut().retain(|_, idle| {
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -1,4 +1,4 @@
-//! One edge process: starts its threads and stops them on request.
+//! Life cycle of an edge process: starts its threads, reloads settings and shuts down gracefully.
 
 use crate::edge::{control, doors, folder, peers, traffic, web};
 use crate::{clock, listener, log, mailbox, notice, process};
@@ -18,23 +18,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time;
 
-/// Time after the request to stop at which idle connections are closed: the balancer sends no new
-/// ones after two seconds, and callers have had the chance to leave by themselves.
+/// Time from the stop request until idle connections are closed. The load balancer sends no new
+/// connections after 2 s, and by then clients have had the chance to close theirs.
 const CLOSE_IDLE: Duration = Duration::from_millis(2_600);
 
-/// Least time from the request to stop to the end.
+/// Minimum time from the stop request until the process exits.
 const LEAST_STOP: Duration = Duration::from_millis(2_800);
 
-/// Time before the end of the grace period at which the process ends in any case.
+/// Time before the end of the grace period at which the process exits even if requests are in
+/// flight.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the settings file, which may change without a word, and at the log.
+/// Interval at which the settings file, which may change without a signal, and the count of dropped
+/// log lines are checked.
 const RELOAD: Duration = Duration::from_secs(2);
 
-/// Time between two looks at what is still open while the process stops.
+/// Interval at which the requests in flight are checked during shutdown.
 const STOP_LOOK: Duration = Duration::from_millis(50);
 
-/// Runs the process until it has stopped on request. `text` is what `path` held.
+/// Runs the process until it has stopped on request. `text` is the content of the settings file at
+/// `path`.
 pub fn run(settings: &edge::Edge, path: &Path, text: String) -> Result<(), process::Error> {
     let lines = telemetry::Bounded::start(settings.log.format, settings.log.level)?;
     System::new().block_on(supervise(settings, path, text, &lines))
@@ -83,8 +86,8 @@
     Ok(())
 }
 
-/// Reads the settings again, where they have changed. What other processes there are can change in
-/// a running process; the rest takes a restart.
+/// Reloads the settings if the file has changed. Only the seeds can change in a running process;
+/// all other settings require a restart.
 fn reload(path: &Path, text: &mut String, mailbox: &mailbox::Mailbox<control::Input>, told: bool) {
     match edge::read(path) {
         Ok((settings, now)) if now != *text => {
@@ -100,7 +103,7 @@
     }
 }
 
-/// Ends what is under way, within the grace period.
+/// Shuts down: lets requests in flight complete within the grace period.
 async fn stop(
     settings: &edge::Edge,
     mailbox: &mailbox::Mailbox<control::Input>,
@@ -136,8 +139,7 @@
 }
 
 impl Starter<'_> {
-    /// Starts the thread that owns control state, with the addresses that peers, operators and
-    /// upstreams call.
+    /// Starts the thread that owns the control state and serves peers, operators and upstreams.
     fn start_control(
         &self,
         inputs: mpsc::UnboundedReceiver<control::Input>,
@@ -171,7 +173,7 @@
             actix_rt::spawn(role.run(inputs));
             actix_rt::spawn(async move {
                 if let Err(error) = peers::serve(own, mailbox).await {
-                    tracing::error!(%error, "peers can't be listened to");
+                    tracing::error!(%error, "cannot listen for peers");
                     std::process::exit(1);
                 }
             });
@@ -182,7 +184,7 @@
         Ok(())
     }
 
-    /// Starts the thread that carries callers' traffic.
+    /// Starts the thread that serves client requests.
     fn start_traffic(
         &self,
         news: mpsc::UnboundedReceiver<traffic::News>,
@@ -215,7 +217,8 @@
     }
 }
 
-/// Limits of calls on the control address: declarations are large.
+/// Limits of requests to the control address, which are larger than those of client requests
+/// because declarations are large.
 fn control_limits() -> web::Limits {
     let defaults = declaration::Limits::default();
     web::Limits {
@@ -233,7 +236,7 @@
 {
     actix_rt::spawn(async move {
         if let Err(error) = web::serve(listener, shared, handle).await {
-            tracing::error!(%error, "an address can't be listened to");
+            tracing::error!(%error, "cannot serve a listening address");
         }
     });
 }
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic thread's state: the entry's core and what its conversations share.
+//! Entry role: drives the gateway core on the traffic thread, shared by all request handlers.
 
 use crate::edge::{control, conversation, engine, pool, web};
 use crate::{clock, log, mailbox};
@@ -15,26 +15,27 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time;
 
-/// What control hands to the entry.
+/// A view update that the control role publishes to the entry role, with the declaration if that is
+/// new.
 pub type News = (Box<view::Update>, Option<Arc<declaration::Declaration>>);
 
-/// What other threads may ask of the entry.
+/// Status of the entry role for other threads.
 #[derive(Debug, Default)]
 pub struct Status {
-    /// Whether new connections are welcome.
+    /// Whether the process accepts new connections.
     pub ready: AtomicBool,
-    /// Requests that are not over.
+    /// Number of requests in flight.
     pub open: AtomicUsize,
 }
 
-/// The entry.
+/// The entry role.
 pub struct Traffic {
     own_handle: Weak<Traffic>,
     core: RefCell<core::Core>,
     /// Idle connections to upstreams.
     pub idle: pool::Pool,
     count: Cell<u64>,
-    /// Conversations that are held, by their requests' numbers.
+    /// Channels for decisions about queued requests, by request number.
     held: RefCell<HashMap<u64, oneshot::Sender<action::Decision>>>,
     own: net::SocketAddr,
     mailbox: mailbox::Mailbox<control::Input>,
@@ -43,7 +44,7 @@
 }
 
 impl Traffic {
-    /// An entry around `core`; `own` is this process's address among its peers.
+    /// Creates the entry role around `core`. `own` is the address of this process among its peers.
     pub fn new(
         core: core::Core,
         own: net::SocketAddr,
@@ -64,21 +65,21 @@
         })
     }
 
-    /// Number for another request.
+    /// Returns the number of the next request.
     pub fn number(&self) -> u64 {
         self.count.set(self.count.get() + 1);
         self.count.get()
     }
 
-    /// The next decision about a request that is held.
+    /// Registers a queued request; the receiver gets the next decision about it.
     pub fn held(&self, number: u64) -> oneshot::Receiver<action::Decision> {
         let (sender, receiver) = oneshot::channel();
         self.held.borrow_mut().insert(number, sender);
         receiver
     }
 
-    /// Hands an event to the core and gives what it decides about the event's request. What it
-    /// decides about others goes to their conversations.
+    /// Passes an event to the core, executes the actions and returns the decision about the event's
+    /// request. Decisions about other requests go to their handlers.
     pub fn step(&self, event: event::Event) -> Option<action::Decision> {
         let number = event.request();
         if let Some(number) = number {
@@ -115,7 +116,7 @@
     fn wake(&self, number: u64, decision: action::Decision) {
         let held = self.held.borrow_mut().remove(&number);
         if held.is_none_or(|held| held.send(decision).is_err()) {
-            tracing::error!(number, "a decision came for a request that waits for none");
+            tracing::error!(number, "core decided about a request that awaits no decision");
         }
     }
 
@@ -131,7 +132,7 @@
     }
 }
 
-/// Runs the entry on this thread until the process ends.
+/// Runs the entry role on this thread until the process exits.
 pub async fn run(
     traffic: Rc<Traffic>,
     listener: net::TcpListener,
@@ -144,7 +145,7 @@
     let served = shared.clone();
     actix_rt::spawn(async move {
         if let Err(error) = web::serve(listener, served, handle).await {
-            tracing::error!(%error, "callers can't be listened to");
+            tracing::error!(%error, "cannot serve clients");
         }
     });
     let mut ticks = time::interval(action::TICK_INTERVAL);
@@ -172,7 +173,7 @@
     }
 }
 
-/// Limits of callers' connections by the declaration.
+/// Limits of client connections that the declaration sets.
 pub fn limits(declared: &declaration::Limits) -> web::Limits {
     web::Limits {
         head_bytes: declared.head_bytes,
--- a/crates/hyssopfork-daemon/src/edge/web.rs
+++ b/crates/hyssopfork-daemon/src/edge/web.rs
@@ -1,7 +1,8 @@
-//! An HTTP/1.1 server that shows when a caller goes away.
+//! HTTP/1.1 server that detects client disconnects.
 //!
-//! A caller's connection is read while its request is worked on, so that work for a caller that has
-//! gone is cancelled at once, and an answer can be broken off so that it can't look whole.
+//! It keeps reading from a connection while its request is handled, so that work for a client that
+//! has disconnected is cancelled at once. It can also abort a response in such a way that the
+//! client can't take it for a complete one.
 
 use actix_http::body::BodySize;
 use actix_http::error::ParseError;
@@ -21,13 +22,14 @@
 use tokio::time;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes of further requests that are read while one is worked on; a caller that sends more waits.
+/// Maximum size of pipelined requests that are read while another one is handled, in bytes. A
+/// client that sends more is blocked by flow control.
 const AHEAD_LIMIT: usize = 64 << 10;
 
-/// Time in which a caller must take what is written to it; one that reads nothing holds memory.
+/// Timeout for writing to a client. A client that doesn't read would otherwise hold memory.
 const WRITE_LIMIT: Duration = Duration::from_secs(10);
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub struct Incoming {
     /// Head.
     pub request: Request,
@@ -35,76 +37,76 @@
     pub body: Bytes,
 }
 
-/// The rest of an answer will not come.
+/// Error of a response body whose rest will not follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broken;
 
-/// Body of an answer.
+/// Body of a response.
 pub enum Body {
-    /// All of it.
+    /// Complete body.
     Whole(Bytes),
-    /// Parts, as they come.
+    /// Stream of parts.
     Parts(LocalBoxStream<'static, Result<Bytes, Broken>>),
 }
 
-/// An answer.
+/// A response.
 pub struct Outgoing {
     /// HTTP status code.
     pub status: u16,
-    /// Headers besides those of the connection and the body's length.
+    /// Headers, except those of the connection and the body's length.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Body,
 }
 
 impl Outgoing {
-    /// An answer with a whole body.
+    /// Creates a response with a complete body.
     pub fn whole(status: u16, headers: Vec<(String, String)>, body: Bytes) -> Outgoing {
         Outgoing { status, headers, body: Body::Whole(body) }
     }
 }
 
-/// What a server takes from its callers.
+/// Limits of client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Time to send a head, and time without progress while sending a body.
+    /// Timeout for receiving a request head, and for each read of a body.
     pub head_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// How far the process is on its way to its end.
+/// Shutdown phase of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// Serves requests.
     #[default]
     Serving,
-    /// It asks callers to open other connections.
+    /// Serves requests and asks clients to open new connections elsewhere.
     Leaving,
-    /// It closes connections on which nothing is under way.
+    /// Accepts no connections and closes idle ones.
     Closing,
 }
 
-/// What connections of one server share.
+/// State shared by the connections of a server.
 pub struct Shared {
-    /// Limits now in force.
+    /// Limits in force.
     pub limits: Cell<Limits>,
-    /// How far the process is.
+    /// Shutdown phase.
     pub phase: watch::Receiver<Phase>,
     config: RefCell<Option<ServiceConfig>>,
 }
 
 impl Shared {
-    /// Shared state with these limits.
+    /// Creates the state.
     pub fn new(limits: Limits, phase: watch::Receiver<Phase>) -> Shared {
         Shared { limits: Cell::new(limits), phase, config: RefCell::new(None) }
     }
 
-    /// Resolves when the process closes connections on which nothing is under way.
+    /// Resolves when the process enters [`Phase::Closing`].
     async fn closing(&self) {
         let mut phase = self.phase.clone();
         while *phase.borrow_and_update() != Phase::Closing {
@@ -114,21 +116,21 @@
         }
     }
 
-    /// The codec's configuration; one for all connections, since it keeps a clock of its own.
+    /// Configuration of the codec. All connections share it, because it runs a clock of its own.
     fn config(&self) -> ServiceConfig {
         self.config.borrow_mut().get_or_insert_with(ServiceConfig::default).clone()
     }
 }
 
-/// Why a request can't be taken.
+/// Why a request could not be read.
 enum Fault {
-    /// The connection is of no more use; nothing is to be said.
+    /// The connection is closed; no response is possible.
     Closed,
-    /// The caller is told.
+    /// The request is rejected with this status.
     Told(StatusCode),
 }
 
-/// Serves every connection of `listener` on this thread until the process ends.
+/// Serves every connection of `listener` on this thread until the process exits.
 pub async fn serve<Handle, Handled>(
     listener: net::TcpListener,
     shared: Rc<Shared>,
@@ -142,7 +144,7 @@
     loop {
         let accepted = tokio::select! {
             biased;
-            // Callers that come now are refused by the system at once, and go elsewhere.
+            // The kernel refuses new connections from now on, so their clients go elsewhere at once.
             () = shared.closing() => return Ok(()),
             accepted = listener.accept() => accepted,
         };
@@ -156,9 +158,9 @@
                 let handle = handle.clone();
                 actix_rt::spawn(async move { connection.run(stream, handle).await });
             }
-            // Out of descriptors: those that are open close one after the other.
+            // Out of file descriptors: waits until open connections close.
             Err(error) => {
-                tracing::warn!(%error, "a connection could not be accepted");
+                tracing::warn!(%error, "server cannot accept a connection");
                 time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -186,8 +188,8 @@
                 Err(Fault::Closed) => return,
                 Err(Fault::Told(status)) => return self.refuse(&mut stream, status).await,
             };
-            // Too late to be finished before the process ends; the caller is told that it has not
-            // run.
+            // The request might not complete before the process exits. The response tells the client
+            // that it has not run.
             if *self.shared.phase.borrow() == Phase::Closing {
                 return self.refuse(&mut stream, StatusCode::SERVICE_UNAVAILABLE).await;
             }
@@ -223,7 +225,7 @@
         Ok(Incoming { request, body })
     }
 
-    /// Waits on an idle connection for the first byte of a request.
+    /// Waits for the first byte of a request on an idle connection.
     async fn await_first(&mut self, stream: &mut TcpStream, limits: Limits) -> Result<(), Fault> {
         let shared = self.shared.clone();
         tokio::select! {
@@ -288,7 +290,8 @@
         }
     }
 
-    /// Tells the caller what is wrong and closes: where its next request begins isn't known.
+    /// Rejects a request and closes the connection, because it isn't known where the next request
+    /// would begin.
     async fn refuse(&mut self, stream: &mut TcpStream, status: StatusCode) {
         let mut bytes = BytesMut::new();
         let outgoing = Outgoing::whole(status.as_u16(), Vec::new(), Bytes::new());
@@ -299,7 +302,7 @@
         }
     }
 
-    /// Writes an answer; an error means that the connection is of no more use.
+    /// Writes a response; after an error the connection can't be used any more.
     async fn answer(
         &mut self,
         reader: &mut ReadHalf<'_>,
@@ -323,7 +326,8 @@
         }
     }
 
-    /// Writes parts as they come; the head waits in `bytes` for the first of them.
+    /// Writes the parts of a streamed response as they arrive. `bytes` holds the head, which is
+    /// sent with the first part.
     async fn stream(
         &mut self,
         reader: &mut ReadHalf<'_>,
@@ -338,7 +342,7 @@
                 () = gone(reader, &mut self.buffer) => return Err(closed()),
             };
             match part {
-                // A chunk without bytes is the end mark of a chunked body.
+                // An empty chunk marks the end of a chunked body.
                 Some(Ok(part)) if part.is_empty() => continue,
                 Some(Ok(part)) => self.codec.encode(Message::Chunk(Some(part)), &mut bytes)?,
                 None => {
@@ -385,7 +389,8 @@
     io::Error::from(io::ErrorKind::ConnectionAborted)
 }
 
-/// Resolves when the caller has closed its connection. What it sends meanwhile is kept.
+/// Resolves when the client has closed its connection. Bytes that it sends meanwhile are buffered
+/// up to [`AHEAD_LIMIT`]; beyond that, nothing is read and a disconnect isn't detected.
 async fn gone(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
     while buffer.len() < AHEAD_LIMIT {
         match reader.read_buf(buffer).await {
