--- a/crates/hyssopfork-daemon/tests/edge/fleet.rs
+++ b/crates/hyssopfork-daemon/tests/edge/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes on addresses of their own, with signals and restarts from outside.
+//! Fleet of edge processes, each on its own loopback address, that tests can signal and restart.
 
 use crate::support;
 use rustix::process::{Pid, Signal};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::{fs, thread};
 
-/// Ports of a fleet beside those of its nodes, the same at each address.
+/// Ports other than those of [`Node`]; the same at each address.
 #[derive(Clone, Copy, Debug)]
 struct Ports {
     readiness: u16,
@@ -16,19 +16,19 @@
     metrics: u16,
 }
 
-/// One process and what it starts from.
+/// An edge process and its configuration.
 #[derive(Debug)]
 pub struct Node {
-    /// Where clients connect.
+    /// Address for clients.
     pub callers: SocketAddr,
-    /// Where operators and upstreams call.
+    /// Address for operators and upstreams.
     pub control: SocketAddr,
     folder: PathBuf,
     has_disk: bool,
     child: Option<Child>,
 }
 
-/// The processes; ended, with their folders, when it is dropped.
+/// The edge processes. Dropping it kills them and deletes their folders, unless the test failed.
 #[derive(Debug)]
 pub struct Fleet {
     pub nodes: Vec<Node>,
@@ -37,7 +37,7 @@
 }
 
 impl Fleet {
-    /// Starts `disks` processes with a data folder and `others` without.
+    /// Starts `disks` processes with a data folder and `others` without one.
     pub fn start(name: &str, disks: usize, others: usize) -> Fleet {
         let folder = std::env::temp_dir().join(format!("hyssopfork-{name}-{}", std::process::id()));
         let [callers, readiness, control, peer, metrics] = [(); 5].map(|()| support::free_port());
@@ -55,7 +55,7 @@
         fleet
     }
 
-    /// Starts the process at `place` on what its folder holds.
+    /// Starts the process at `place` with the content of its data folder.
     pub fn boot(&mut self, place: usize, first_start: bool) {
         let Ports { readiness, peer, metrics } = self.ports;
         let seeds: Vec<String> =
@@ -97,24 +97,25 @@
         }
     }
 
-    /// Waits for the end of the process at `place`, which was told to end.
+    /// Waits for the process at `place` to exit after a signal.
     pub fn reap(&mut self, place: usize) {
         if let Some(mut child) = self.nodes[place].child.take() {
             child.wait().expect("it was started");
         }
     }
 
-    /// Deletes the data folder at `place`, whose process has ended.
+    /// Deletes the data folder at `place`, whose process has exited.
     pub fn wipe(&self, place: usize) {
         let _was_blank = fs::remove_dir_all(self.nodes[place].folder.join("data"));
     }
 
-    /// Folder with the settings and logs of all processes.
+    /// Folder of the settings and logs of all processes.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Calls one process after the other, following where they point, until one answers with 200.
+    /// Sends a request to one process after the other, following redirects, until one responds with
+    /// 200.
     pub fn insist(control: &[SocketAddr], request: &str, rounds: usize) -> Option<support::Answer> {
         for round in 0..rounds * control.len() {
             let mut to = control[round % control.len()];
@@ -150,7 +151,7 @@
     SocketAddr::from(([127, 0, 1, place as u8 + 1], port))
 }
 
-/// Where a redirect points.
+/// Target of a redirect.
 fn moved(answer: &support::Answer) -> Option<SocketAddr> {
     let head = answer.head.to_lowercase();
     let location = head.split("location: http://").nth(1)?;
--- a/crates/hyssopfork-daemon/tests/edge/fragile.rs
+++ b/crates/hyssopfork-daemon/tests/edge/fragile.rs
@@ -1,4 +1,4 @@
-//! Upstreams that a certain request crashes, and that are back a while later. They may name a rate limit.
+//! Upstreams that crash on a certain request and restart after a delay. They can name a rate limit.
 
 use crate::{fleet, support};
 use std::io::{BufRead, BufReader, Write};
@@ -8,42 +8,42 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Body of the request that crashes whatever runs it.
+/// Body of the request that crashes an upstream.
 pub const DEADLY: &str = "deadly";
 
-/// Time that a request runs, and that the deadly one runs before it crashes its upstream.
+/// Time that a request runs, including one that then crashes its upstream.
 const RUN: Duration = Duration::from_millis(80);
 
-/// Time from a crash to the next process.
+/// Time from a crash until the upstream restarts.
 const DOWN: Duration = Duration::from_millis(1_500);
 
-/// Time between two announcements.
+/// Interval between announcements.
 const HEARTBEAT: Duration = Duration::from_millis(300);
 
-/// Time between two looks for a connection.
+/// Interval at which the listener is polled for connections.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What the upstreams of a test saw.
+/// What the upstreams of a test observed, and what the test sets for them.
 #[derive(Debug, Default)]
 pub struct Record {
     stopped: AtomicBool,
-    /// When deadly requests arrived.
+    /// When crashing requests arrived.
     pub arrivals: Mutex<Vec<Instant>>,
     /// When upstreams crashed.
     pub crashes: Mutex<Vec<Instant>>,
-    /// Requests a second that each upstream names.
+    /// Rate limit that each upstream names, in requests per second.
     pub named_rate: Mutex<Option<f64>>,
-    /// Requests by the place of their upstream, and when they arrived.
+    /// All requests: index of the upstream and time of arrival.
     pub requests: Mutex<Vec<(usize, Instant)>>,
 }
 
 impl Record {
-    /// Ends the upstreams.
+    /// Stops the upstreams.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the test is over.
+    /// Whether the upstreams are to stop.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Runs an upstream, one process after the other, until the test is over.
+/// Runs an upstream, which restarts after each crash, until the test stops it.
 pub fn run(record: &Arc<Record>, place: usize, port: u16, control: &[SocketAddr]) {
     let address = SocketAddr::from(([127, 0, 2, place as u8 + 1], port));
     for life in 0.. {
@@ -153,7 +153,7 @@
     }
 }
 
-/// The identifier and body of the next request.
+/// Receives a request; returns its attempt identifier and body.
 fn receive(reader: &mut impl BufRead) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
--- a/crates/hyssopfork-daemon/tests/edge/main.rs
+++ b/crates/hyssopfork-daemon/tests/edge/main.rs
@@ -1,4 +1,4 @@
-//! Edge processes as callers, operators and upstreams meet them.
+//! Tests of edge processes through the interfaces of clients, operators and upstreams.
 
 mod fleet;
 mod fragile;
--- a/crates/hyssopfork-daemon/tests/edge/named_rate.rs
+++ b/crates/hyssopfork-daemon/tests/edge/named_rate.rs
@@ -1,22 +1,23 @@
-//! Upstreams that name the requests a second that they take of all entries together.
+//! Rate limits that upstreams name for all entries together.
 
 use crate::{fleet, fragile, scene};
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Requests a second that the upstreams name.
+/// Rate limit that the upstreams name, in requests per second.
 const RATE: f64 = 2.0;
 
-/// Time after a rate was named in which every process must know of it.
+/// Time after a change of the rate limit until every process must have learned of it.
 const CONTACT_WINDOW: Duration = Duration::from_secs(3);
 
-/// Span that requests are counted over.
+/// Length of the time window in which requests are counted.
 const COUNTING_SPAN: Duration = Duration::from_secs(4);
 
-/// Requests that an upstream may get in [`COUNTING_SPAN`].
+/// Maximum number of requests that an upstream may receive in [`COUNTING_SPAN`].
 const MAX_REQUESTS: usize = (RATE * 4.0 * 1.5) as usize + 5;
 
-/// Most requests that the upstream at `place` got in a span between two moments.
+/// Highest number of requests that the upstream at `place` received in any [`COUNTING_SPAN`]
+/// between two moments.
 fn most(scene: &scene::Scene, place: usize, from: Instant, to: Instant) -> usize {
     let requests = scene.record.requests.lock().expect("no holder panics");
     let at: Vec<Instant> = requests
@@ -30,15 +31,15 @@
     at.iter().map(within).max().unwrap_or(0)
 }
 
-/// Requests a second that all upstreams got between two moments.
+/// Requests per second that all upstreams together received between two moments.
 fn overall(scene: &scene::Scene, from: Instant, to: Instant) -> f64 {
     let requests = scene.record.requests.lock().expect("no holder panics");
     let count = requests.iter().filter(|(_, at)| (from..to).contains(at)).count();
     count as f64 / to.duration_since(from).as_secs_f64()
 }
 
-/// Guards against as many times the named rate as there are entries, and against a limit that stays when
-/// the upstreams name it no longer.
+/// Guards against entries that each use the whole rate limit, which multiplies it by the number of
+/// entries, and against a limit that stays in force after the upstreams no longer name it.
 #[test]
 fn a_named_rate_is_kept_by_all_entries_together() {
     let named = Cell::new(None);
--- a/crates/hyssopfork-daemon/tests/edge/query_of_death.rs
+++ b/crates/hyssopfork-daemon/tests/edge/query_of_death.rs
@@ -1,14 +1,14 @@
-//! A request that crashes whatever upstream runs it, and that its client repeats.
+//! A request that crashes every upstream that runs it, and that its client keeps sending.
 
 use crate::{fleet, fragile, scene};
 use rustix::process::Signal;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time after a third crash in which every process must know of it.
+/// Time after the third crash until every process must have learned of it.
 const CONTACT_WINDOW: Duration = Duration::from_secs(3);
 
-/// Attempts that may reach upstreams after that.
+/// Maximum number of attempts that may reach upstreams after that.
 const MAX_LATER_ARRIVALS: usize = 3;
 
 /// When upstreams crashed.
@@ -16,7 +16,8 @@
     scene.record.crashes.lock().expect("no holder panics").clone()
 }
 
-/// Deadly requests that reached upstreams after the contact window of the third crash.
+/// Number of crashing requests that reached upstreams later than [`CONTACT_WINDOW`] after the third
+/// crash.
 fn later_arrivals(scene: &scene::Scene) -> usize {
     let third = *crashes(scene).get(2).expect("it crashes three upstreams first");
     let arrivals = scene.record.arrivals.lock().expect("no holder panics");
@@ -33,8 +34,8 @@
     );
 }
 
-/// Guards against one request that takes upstream after upstream: each entry saw only its own attempts,
-/// and its client's repeats were new requests to each.
+/// Guards against one request that crashes one upstream after the other. That happens if each entry
+/// counts only its own attempts and takes each repeat by the client for a new request.
 #[test]
 fn a_request_that_crashes_upstreams_is_kept_from_them() {
     let scene = scene::Plan {
@@ -56,8 +57,8 @@
     }
 }
 
-/// Guards against a quarantine that ends with the leader that declared it, or that a process doesn't know
-/// that has just started. It lasts beyond the first trial.
+/// Guards against a quarantine that ends with the leader that declared it, or that a restarted
+/// process doesn't know. The run lasts beyond the first trial of the quarantined request.
 #[test]
 fn a_quarantine_outlasts_its_leader_and_restarts() {
     let killed = AtomicU64::new(0);
--- a/crates/hyssopfork-daemon/tests/edge/scene.rs
+++ b/crates/hyssopfork-daemon/tests/edge/scene.rs
@@ -1,4 +1,4 @@
-//! Several processes before several upstreams, with clients.
+//! Scenario of several edge processes in front of several upstreams, under client load.
 
 use crate::{fleet, fragile, support};
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two steps of a test.
+/// Interval between the steps of a test.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many upstreams there are.
+/// Number of upstreams.
 pub const UPSTREAMS: usize = 8;
 
 const CLIENTS: usize = 6;
@@ -26,7 +26,7 @@
     support::request("POST", "/check/x", &headers, body)
 }
 
-/// Clients whose requests do no harm, until the test is over.
+/// Clients that send harmless requests until the test stops.
 #[derive(Default)]
 pub struct Clients {
     sent: AtomicU64,
@@ -34,7 +34,7 @@
 }
 
 impl Clients {
-    /// Requests that were sent, and those that were served.
+    /// Number of requests sent, and of those served.
     pub fn counts(&self) -> (u64, u64) {
         (self.sent.load(Ordering::Relaxed), self.served.load(Ordering::Relaxed))
     }
@@ -56,29 +56,29 @@
     }
 }
 
-/// What is played.
+/// Parameters of a scenario.
 pub struct Plan {
-    /// Name of the processes' folder.
+    /// Name of the folder of the processes.
     pub name: &'static str,
-    /// Processes, of which three have a data folder.
+    /// Number of processes, three of which have a data folder.
     pub processes: usize,
-    /// For how long.
+    /// Duration.
     pub time: Duration,
-    /// Whether a client repeats the deadly request with each step.
+    /// Whether a client sends the crashing request at each step.
     pub deadly: bool,
 }
 
-/// Processes before eight upstreams, with clients.
+/// A scenario that has been run: processes, upstreams and clients.
 pub struct Scene {
     pub fleet: fleet::Fleet,
     pub record: Arc<fragile::Record>,
     pub clients: Clients,
-    /// Answers to the deadly request.
+    /// Responses to the crashing request.
     pub answers: Mutex<Vec<support::Answer>>,
 }
 
 impl Plan {
-    /// Plays the scene. `step` is called every 100 ms with the time since the first call.
+    /// Runs the scenario. Calls `step` every 100 ms with the time since the first call.
     pub fn play(self, step: impl Fn(&mut fleet::Fleet, &fragile::Record, Duration)) -> Scene {
         let mut fleet = fleet::Fleet::start(self.name, 3, self.processes - 3);
         let control: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.control).collect();
--- a/crates/hyssopfork-daemon/tests/edge/soak.rs
+++ b/crates/hyssopfork-daemon/tests/edge/soak.rs
@@ -1,8 +1,10 @@
-//! Declarations of thousands of routes while processes are killed, paused and stopped in series.
+//! Soak test: declarations of thousands of routes while processes are killed, paused and stopped in
+//! series.
 //!
-//! Invariants during faults: no read returns an older declaration than one acknowledged two seconds
-//! before it, and a route that every declaration has is never denied. After each series of faults: every
-//! process serves the one declaration that is read back, which is no older than the newest acknowledged.
+//! Invariants during faults: no read returns an older declaration than one acknowledged 2 s before
+//! it, and a route that every declaration contains is never rejected. After each series of faults:
+//! every process serves the declaration that is read back, which is no older than the newest
+//! acknowledged one.
 
 use crate::{fleet, support};
 use rustix::process::Signal;
@@ -13,7 +15,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seed and seconds of a usual test run; `HYSSOPFORK_SOAK_SEED` and `HYSSOPFORK_SOAK_SECONDS` set others.
+/// Defaults of the seed and of the duration in seconds; `HYSSOPFORK_SOAK_SEED` and
+/// `HYSSOPFORK_SOAK_SECONDS` override them.
 const SEED: u64 = 1;
 const SECONDS: u64 = 25;
 
@@ -23,10 +26,10 @@
 /// Time without faults after which every process must serve the newest declaration.
 const CALM: Duration = Duration::from_secs(5);
 
-/// Routes of the first declaration and of each further one.
+/// Number of routes that each version adds to the declaration.
 const ROUTES: u64 = 300;
 
-/// Most routes of a declaration.
+/// Maximum number of routes of a declaration.
 const MAX_ROUTES: u64 = 6_000;
 
 const READ: &str = "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -34,7 +37,7 @@
 const GOOD: &str = "HTTP/1.1 200 OK\r\nHyssopfork-Attempt-Id: a1\r\n\
     Hyssopfork-Server-Signature: s\r\nContent-Length: 4\r\n\r\nfine";
 
-/// A small generator whose numbers are the same on every machine.
+/// Linear congruential generator, which yields the same numbers on every machine.
 struct Random(u64);
 
 impl Random {
@@ -45,12 +48,12 @@
     }
 }
 
-/// What the clients and the operator share.
+/// State shared by the clients, the upstream and the operator.
 #[derive(Default)]
 struct Record {
     stopped: AtomicBool,
     served: AtomicU64,
-    /// Acknowledged versions, and when.
+    /// Acknowledged versions, with the time of acknowledgement.
     acknowledged: Mutex<Vec<(u64, Instant)>>,
     violations: Mutex<Vec<String>>,
 }
@@ -79,7 +82,8 @@
     }
 }
 
-/// Version `version`: a route that all have, and more with each version.
+/// Declaration of version `version`: the route that only it contains, and routes whose number grows
+/// with the version. Every version contains `r-0`.
 fn declaration(version: u64) -> String {
     let route = |place: u64| {
         format!(
@@ -95,7 +99,7 @@
     )
 }
 
-/// The route that version `version` alone has.
+/// The route that only version `version` contains.
 fn route_of(version: u64) -> String {
     format!(
         r#"{{"Name":"v-{version}","Host":"host","PathPrefix":"/v{version}/","Kind":"idempotent","TimeoutMs":2000,"Service":"s1","MaxAttempts":2}}"#
@@ -112,7 +116,7 @@
     }
 }
 
-/// Reads the declaration back, at one process after the other.
+/// Reads the declaration back from one process after the other and checks its version.
 fn read_back(record: &Record, control: &[SocketAddr]) {
     for to in control.iter().cycle() {
         if record.is_stopped() {
@@ -131,7 +135,7 @@
     }
 }
 
-/// Requests on one connection, as long as the process keeps it open.
+/// Sends requests on one connection for as long as the process keeps it open.
 fn request_on(record: &Record, to: SocketAddr) {
     let request = support::request("GET", "/r0/x", KEY, "");
     while !record.is_stopped() {
@@ -156,7 +160,7 @@
     }
 }
 
-/// Announces the upstream as upstreams do, at whichever process answers.
+/// Announces the upstream periodically to any process that responds.
 fn announce(record: &Record, upstream: SocketAddr, control: &[SocketAddr]) {
     let mut sequence = 0;
     while !record.is_stopped() {
@@ -170,7 +174,7 @@
     }
 }
 
-/// One to three faults, one into the other. At most one process of those with a disk is away at once.
+/// Injects one fault of a series. At most one of the processes with a disk is down at a time.
 fn impair(fleet: &mut fleet::Fleet, random: &mut Random) {
     let place = random.below(fleet.nodes.len() as u64) as usize;
     let away = Duration::from_millis(50 + random.below(1_500));
@@ -201,8 +205,8 @@
     }
 }
 
-/// Checks that one declaration is in force at every process: the one that is read back, which is the
-/// newest acknowledged one, or a newer one whose acknowledgement was lost.
+/// Checks that the same declaration is in force at every process: the one that is read back, which
+/// is the newest acknowledged one, or a newer one whose acknowledgement was lost.
 fn check_calm(record: &Record, nodes: &[fleet::Node], control: &[SocketAddr]) {
     let read = fleet::Fleet::insist(control, READ, 4).and_then(|answer| version_of(&answer));
     let Some(version) = read.filter(|version| *version >= record.newest()) else {
@@ -221,7 +225,7 @@
     }
 }
 
-/// Version of the declaration that an answer holds.
+/// Version of the declaration in a response.
 fn version_of(answer: &support::Answer) -> Option<u64> {
     answer.body.split(&[':', ','][..]).nth(1)?.parse().ok()
 }
--- a/crates/hyssopfork-daemon/tests/edge/support.rs
+++ b/crates/hyssopfork-daemon/tests/edge/support.rs
@@ -1,4 +1,4 @@
-//! A process of its own, and an upstream that the test plays.
+//! A single edge process, and an upstream that the test plays.
 
 use hyssopfork_test_support::http;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,20 +10,21 @@
 use std::time::{Duration, Instant};
 use std::{fs, thread};
 
-/// Longest wait for anything.
+/// Timeout of any wait.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// First of the ports that processes of this test listen on, and how many there are. They lie below
-/// those that the kernel gives away: a port of these, free for the moment between its choice and the
-/// process's start, was taken by a connection or a listener of another test. That process ended, and
-/// its test talked to the other test's process.
+/// Port range for the processes of this test program. It lies below the kernel's ephemeral ports:
+/// between the choice of an ephemeral port and the start of the process, a connection or a listener
+/// of another test took the port. The process then exited, and its test talked to the process of
+/// the other test.
 const FIRST_PORT: u16 = 10_000;
 const PORTS: u16 = 20_000;
 
-/// Ports between those where two test programs begin to look, so that they choose different ones.
+/// Distance between the first ports of test programs with consecutive process identifiers, so that
+/// they choose different ports.
 const BLOCK: u32 = 128;
 
-/// A port that no other process of the tests is given.
+/// Returns a port that no other test process is given.
 pub fn free_port() -> u16 {
     static CHOSEN: AtomicU16 = AtomicU16::new(0);
     let begin = (std::process::id().wrapping_mul(BLOCK) % u32::from(PORTS)) as u16;
@@ -32,7 +33,7 @@
     std::iter::repeat_with(next).take(usize::from(PORTS)).find(is_free).expect("a free port")
 }
 
-/// A process.
+/// An edge process.
 pub struct Edge {
     child: Child,
     folder: PathBuf,
@@ -43,7 +44,7 @@
 }
 
 impl Edge {
-    /// Starts the only process of a system.
+    /// Starts the only process of a fleet.
     pub fn start(name: &str) -> Edge {
         let folder = std::env::temp_dir().join(format!("hyssopfork-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder can be made");
@@ -79,12 +80,12 @@
         rustix::process::kill_process(process, rustix::process::Signal::TERM).expect("it runs");
     }
 
-    /// Waits for the process's end and gives whether it was a success.
+    /// Waits for the process to exit; returns whether it succeeded.
     pub fn ended(&mut self) -> bool {
         self.child.wait().expect("it was started").success()
     }
 
-    /// Calls until `status` comes.
+    /// Repeats a request until the response has `status`.
     pub fn until(&self, to: SocketAddr, request: &str, status: u16) -> Answer {
         let since = Instant::now();
         loop {
@@ -106,7 +107,7 @@
     }
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -114,7 +115,7 @@
     pub body: String,
 }
 
-/// A request with a body.
+/// Formats a request with a body.
 pub fn request(method: &str, path: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -122,12 +123,12 @@
     )
 }
 
-/// Sends a request on a connection of its own; `None` when nobody answers whole.
+/// Sends a request on a new connection; `None` without a complete response.
 pub fn call(to: SocketAddr, request: &str) -> Option<Answer> {
     call_within(to, request, PATIENCE)
 }
 
-/// Sends a request on a connection of its own; `None` without a complete answer within `time`.
+/// Sends a request on a new connection; `None` without a complete response within `time`.
 pub fn call_within(to: SocketAddr, request: &str, time: Duration) -> Option<Answer> {
     let mut stream = TcpStream::connect_timeout(&to, time).ok()?;
     stream.set_read_timeout(Some(time)).ok()?;
@@ -135,7 +136,7 @@
     receive(&mut BufReader::new(stream))
 }
 
-/// Reads an answer with a length or chunks.
+/// Reads a response with a content length or chunks.
 pub fn receive(reader: &mut impl BufRead) -> Option<Answer> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -171,7 +172,7 @@
     }
 }
 
-/// An upstream that answers every request with `answer` and counts the requests.
+/// Starts an upstream that responds to every request with `answer` and counts the requests.
 pub fn upstream(answer: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener: TcpListener = http::free_listener().expect("a free port");
     let address = listener.local_addr().expect("it is bound");
--- a/crates/hyssopfork-daemon/tests/edge/web.rs
+++ b/crates/hyssopfork-daemon/tests/edge/web.rs
@@ -1,4 +1,4 @@
-//! The server that shows when a caller goes away.
+//! Tests of the HTTP server, which detects client disconnects.
 
 use crate::support;
 use bytes::Bytes;
@@ -22,7 +22,7 @@
     idle_timeout: Duration::from_secs(5),
 };
 
-/// Counts when it is dropped.
+/// Increments the counter when it is dropped.
 struct Dropped(Arc<AtomicUsize>);
 
 impl Drop for Dropped {
@@ -52,7 +52,8 @@
     }
 }
 
-/// A server on a thread of its own; its address, how many answers were dropped, and its phase.
+/// Starts a server on its own thread; returns its address, the number of dropped handlers, and its
+/// shutdown phase.
 fn start() -> (SocketAddr, Arc<AtomicUsize>, watch::Sender<web::Phase>) {
     let listener = http::free_listener().expect("a free port");
     listener.set_nonblocking(true).expect("it is bound");
@@ -87,8 +88,8 @@
     assert_eq!(chunked.map(|answer| answer.body).as_deref(), Some("abcde"));
 }
 
-/// An empty part in the middle: written as a chunk it would be the end mark, and the caller would
-/// take the first half of a stream for all of it.
+/// Guards against an empty part that is written as a chunk. It would mark the end of the body, and
+/// the client would take the first half of a stream for the whole.
 #[test]
 fn an_empty_part_does_not_end_the_answer() {
     let (address, ..) = start();
@@ -105,8 +106,8 @@
     assert!(support::call(address, &support::request("GET", "/broken", "", "")).is_none());
 }
 
-/// The caller closes while its request is worked on: the work is dropped at once, not when an answer
-/// fails to be written.
+/// Guards against work that continues for a client that has closed its connection. The work must be
+/// dropped at once, not only when writing the response fails.
 #[test]
 fn work_ends_when_its_caller_has_gone() {
     let (address, dropped, _) = start();
--- a/crates/hyssopfork-daemon/tests/edge/whole.rs
+++ b/crates/hyssopfork-daemon/tests/edge/whole.rs
@@ -1,4 +1,4 @@
-//! The whole path: declared, registered, served, stopped.
+//! End-to-end path of an edge process: declaration, registration, requests and shutdown.
 
 use crate::support::{self, Edge};
 use std::sync::atomic::Ordering;
@@ -25,7 +25,7 @@
     support::request("PUT", "/instances/i-1", "", &body)
 }
 
-/// A process that leads, with a declaration and one upstream.
+/// Starts a process that leads, with a declaration and one upstream.
 fn serving(name: &str, upstream: std::net::SocketAddr) -> Edge {
     let edge = Edge::start(name);
     edge.until(edge.control, &support::request("PUT", "/configuration", "", DECLARATION), 200);
@@ -72,8 +72,8 @@
     assert_eq!(older.map(|answer| answer.status), Some(200));
 }
 
-/// An upstream answers a lodgement with bytes that are no answer. The caller must not be told that
-/// it has not run, and nobody else may get it.
+/// Guards against reporting a non-idempotent request as not run, or sending it again, after the
+/// upstream responded with bytes that aren't HTTP.
 #[test]
 fn a_lodgement_whose_answer_is_no_answer_may_have_run() {
     let (upstream, count) = support::upstream("garbage\r\n\r\n");
