--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -27,12 +27,12 @@
         request: &member::Request,
         actions: &mut Vec<action::Action>,
     ) {
-        self.watcher.hear(request.version);
+        self.watcher.on_version_seen(request.version);
         let version = self.watcher.view().version;
         let response = if self.may_grant(now, request) {
             self.grants.give(request.fence, now);
             let leaving = self.stopping.is_some();
-            member::Response::Granted { term: timing::GROUP_GRANT, version, leaving }
+            member::Response::Granted { duration: timing::GROUP_GRANT, version, leaving }
         } else {
             member::Response::Refused { version }
         };
@@ -42,12 +42,12 @@
     /// A member answered.
     pub(crate) fn stood(&mut self, call: u64, response: Option<member::Response>) {
         match response {
-            Some(member::Response::Granted { term, version, leaving }) => {
-                self.watcher.hear(version);
+            Some(member::Response::Granted { duration: term, version, leaving }) => {
+                self.watcher.on_version_seen(version);
                 self.standing.grant(call, term, leaving);
             }
             Some(member::Response::Refused { version }) => {
-                self.watcher.hear(version);
+                self.watcher.on_version_seen(version);
                 self.standing.refuse(call);
             }
             None => self.standing.fail(call),
--- a/crates/hyssopfork-daemon/src/edge/attempt.rs
+++ b/crates/hyssopfork-daemon/src/edge/attempt.rs
@@ -68,8 +68,8 @@
 
     /// Receives the head of the response. Cancel safe.
     pub async fn head(&mut self) -> Result<Vec<(String, String)>, event::Fault> {
-        let head = self.connection.head().await.map_err(fault)?;
-        self.answer = upstream::answer(head.status, &head.headers);
+        let head = self.connection.read_head().await.map_err(fault)?;
+        self.answer = upstream::parse_response(head.status, &head.headers);
         Ok(head.headers)
     }
 
@@ -81,13 +81,15 @@
     /// Receives the next part of the body, with further parts that have arrived already; `None` at
     /// the end of the body. Cancel safe.
     pub async fn part(&mut self) -> Result<Option<Bytes>, event::Fault> {
-        let Some(first) = self.connection.part().await.map_err(fault)? else { return Ok(None) };
-        let Some(second) = self.connection.ready_part().map_err(fault)? else {
+        let Some(first) = self.connection.read_part().await.map_err(fault)? else {
+            return Ok(None);
+        };
+        let Some(second) = self.connection.buffered_part().map_err(fault)? else {
             return Ok(Some(first));
         };
         let mut parts = BytesMut::from(first.as_ref());
         parts.extend_from_slice(&second);
-        while let Some(part) = self.connection.ready_part().map_err(fault)? {
+        while let Some(part) = self.connection.buffered_part().map_err(fault)? {
             parts.extend_from_slice(&part);
         }
         Ok(Some(parts.freeze()))
@@ -95,7 +97,7 @@
 
     /// Receives the rest of the response and appends it to `body`. Cancel safe.
     pub async fn rest(&mut self, body: &mut BytesMut) -> Result<(), event::Fault> {
-        while let Some(part) = self.connection.part().await.map_err(fault)? {
+        while let Some(part) = self.connection.read_part().await.map_err(fault)? {
             body.extend_from_slice(&part);
             if body.len() > WHOLE_LIMIT {
                 return Err(event::Fault::InvalidResponse);
@@ -112,10 +114,10 @@
 }
 
 async fn open(key: &pool::Key, left: Duration) -> Result<connection::Connection, event::Fault> {
-    let opening = connection::Connection::open(key.1);
+    let opening = connection::Connection::connect(key.1);
     match time::timeout(left.min(CONNECT_LIMIT), opening).await {
         Ok(Ok(mut connection)) => {
-            connection.take_unframed();
+            connection.allow_unframed();
             Ok(connection)
         }
         Ok(Err(_)) | Err(_) => Err(event::Fault::Unreachable),
@@ -126,12 +128,12 @@
     match error {
         error::Error::Unreachable(..) => event::Fault::Unreachable,
         error::Error::Unsendable(_) => event::Fault::NotRun,
-        error::Error::Cut => event::Fault::ConnectionLost,
+        error::Error::ConnectionLost => event::Fault::ConnectionLost,
         error::Error::Malformed(_) | error::Error::Unframed => event::Fault::InvalidResponse,
     }
 }
 
 /// Filters the headers of a response that are forwarded to the client.
 pub fn travelling(head: Vec<(String, String)>) -> Vec<(String, String)> {
-    head.into_iter().filter(|(name, _)| headers::answer_travels(name)).collect()
+    head.into_iter().filter(|(name, _)| headers::is_forwarded_to_client(name)).collect()
 }
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -155,7 +155,7 @@
             tolerated_losses: settings.tolerated_losses,
             heartbeat_interval: settings.heartbeat,
         };
-        let core = core::Core::new(core_settings, operator::known, clock::now());
+        let core = core::Core::new(core_settings, operator::parse_stored_declaration, clock::now());
         let folder = match &settings.data_folder {
             Some(folder) => Some(folder::Writer::start(folder.clone(), self.mailbox.clone())?),
             None => None,
