--- a/crates/hyssopfork-daemon/src/edge/attempt.rs
+++ b/crates/hyssopfork-daemon/src/edge/attempt.rs
@@ -1,6 +1,6 @@
 //! An attempt to run a request at one upstream.
 
-use crate::edge::pool;
+use crate::edge::connection_pool;
 use bytes::{Bytes, BytesMut};
 use hyssopfork_exchange::{connection, error};
 use hyssopfork_gateway::{action, event, response};
@@ -10,14 +10,14 @@
 
 /// Timeout for opening a connection. Opening takes 2 ms, and a lost packet is retransmitted only
 /// after 1 s.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Maximum size of a buffered response, in bytes. A larger one is rejected as invalid, to bound
 /// memory use.
-const WHOLE_LIMIT: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// A client's request in the form that is sent to upstreams.
-pub struct Outbound {
+pub struct Request {
     /// HTTP method.
     pub method: String,
     /// Path and query, unchanged.
@@ -32,74 +32,75 @@
 
 /// An attempt whose request was sent.
 pub struct Attempt {
-    key: pool::Key,
+    key: connection_pool::Key,
     connection: connection::Connection,
-    answer: response::Response,
+    response: response::Response,
 }
 
 impl Attempt {
     /// Sends the request on an idle connection or a new one.
     pub async fn send(
-        outbound: &Outbound,
+        outbound: &Request,
         start: &action::Start,
-        left: Duration,
-        idle: &pool::Pool,
+        remaining: Duration,
+        pool: &connection_pool::Pool,
     ) -> Result<Attempt, event::Fault> {
         let key = (start.instance.clone(), start.address);
-        let kept = if start.new_connection { None } else { idle.take(&key) };
-        let mut connection = match kept {
+        let reused = if start.new_connection { None } else { pool.take(&key) };
+        let mut connection = match reused {
             Some(connection) => connection,
-            None => open(&key, left).await?,
+            None => connect(&key, remaining).await?,
         };
         let mut headers = outbound.headers.clone();
-        headers.extend(upstream::request_headers(start, left));
+        headers.extend(upstream::request_headers(start, remaining));
         let request = connection::Request {
             method: &outbound.method,
             path: &outbound.path,
             headers: &headers,
         };
-        let sent = time::timeout(left, connection.send(&request, outbound.body.clone())).await;
-        match sent {
-            Ok(Ok(())) => Ok(Attempt { key, connection, answer: response::Response::default() }),
+        let result =
+            time::timeout(remaining, connection.send(&request, outbound.body.clone())).await;
+        match result {
+            Ok(Ok(())) => Ok(Attempt { key, connection, response: response::Response::default() }),
             Ok(Err(error::Error::Unsendable(_))) => Err(event::Fault::NotRun),
             Ok(Err(_)) | Err(_) => Err(event::Fault::ConnectionLost),
         }
     }
 
     /// Receives the head of the response. Cancel safe.
-    pub async fn head(&mut self) -> Result<Vec<(String, String)>, event::Fault> {
-        let head = self.connection.read_head().await.map_err(fault)?;
-        self.answer = upstream::parse_response(head.status, &head.headers);
+    pub async fn read_head(&mut self) -> Result<Vec<(String, String)>, event::Fault> {
+        let head = self.connection.read_head().await.map_err(fault_of)?;
+        self.response = upstream::parse_response(head.status, &head.headers);
         Ok(head.headers)
     }
 
-    /// Head of the response; the default until [`Attempt::head`] has completed.
-    pub fn answer(&self) -> &response::Response {
-        &self.answer
+    /// Head of the response; the default until [`Attempt::read_head`] has completed.
+    pub fn response(&self) -> &response::Response {
+        &self.response
     }
 
     /// Receives the next part of the body, with further parts that have arrived already; `None` at
     /// the end of the body. Cancel safe.
-    pub async fn part(&mut self) -> Result<Option<Bytes>, event::Fault> {
-        let Some(first) = self.connection.read_part().await.map_err(fault)? else {
+    pub async fn read_part(&mut self) -> Result<Option<Bytes>, event::Fault> {
+        let Some(first) = self.connection.read_part().await.map_err(fault_of)? else {
             return Ok(None);
         };
-        let Some(second) = self.connection.buffered_part().map_err(fault)? else {
+        let Some(second) = self.connection.buffered_part().map_err(fault_of)? else {
             return Ok(Some(first));
         };
         let mut parts = BytesMut::from(first.as_ref());
         parts.extend_from_slice(&second);
-        while let Some(part) = self.connection.buffered_part().map_err(fault)? {
+        while let Some(part) = self.connection.buffered_part().map_err(fault_of)? {
             parts.extend_from_slice(&part);
         }
         Ok(Some(parts.freeze()))
     }
 
     /// Receives the rest of the response and appends it to `body`. Cancel safe.
-    pub async fn rest(&mut self, body: &mut BytesMut) -> Result<(), event::Fault> {
-        while let Some(part) = self.connection.read_part().await.map_err(fault)? {
+    pub async fn read_rest(&mut self, body: &mut BytesMut) -> Result<(), event::Fault> {
+        while let Some(part) = self.connection.read_part().await.map_err(fault_of)? {
             body.extend_from_slice(&part);
-            if body.len() > WHOLE_LIMIT {
+            if body.len() > MAX_RESPONSE_BYTES {
                 return Err(event::Fault::InvalidResponse);
             }
         }
@@ -107,15 +108,18 @@
     }
 
     /// Returns the connection to the pool if it can be reused.
-    pub fn keep(self, idle: &pool::Pool) {
-        let keep = self.answer.keep_alive;
-        idle.give(self.key, self.connection, keep);
+    pub fn release(self, pool: &connection_pool::Pool) {
+        let keep_alive = self.response.keep_alive;
+        pool.put(self.key, self.connection, keep_alive);
     }
 }
 
-async fn open(key: &pool::Key, left: Duration) -> Result<connection::Connection, event::Fault> {
-    let opening = connection::Connection::connect(key.1);
-    match time::timeout(left.min(CONNECT_LIMIT), opening).await {
+async fn connect(
+    key: &connection_pool::Key,
+    remaining: Duration,
+) -> Result<connection::Connection, event::Fault> {
+    let connecting = connection::Connection::connect(key.1);
+    match time::timeout(remaining.min(CONNECT_TIMEOUT), connecting).await {
         Ok(Ok(mut connection)) => {
             connection.allow_unframed();
             Ok(connection)
@@ -124,7 +128,7 @@
     }
 }
 
-fn fault(error: error::Error) -> event::Fault {
+fn fault_of(error: error::Error) -> event::Fault {
     match error {
         error::Error::Unreachable(..) => event::Fault::Unreachable,
         error::Error::Unsendable(_) => event::Fault::NotRun,
@@ -134,6 +138,6 @@
 }
 
 /// Filters the headers of a response that are forwarded to the client.
-pub fn travelling(head: Vec<(String, String)>) -> Vec<(String, String)> {
+pub fn forwarded_headers(head: Vec<(String, String)>) -> Vec<(String, String)> {
     head.into_iter().filter(|(name, _)| headers::is_forwarded_to_client(name)).collect()
 }
--- a/crates/hyssopfork-daemon/src/edge/control.rs
+++ b/crates/hyssopfork-daemon/src/edge/control.rs
@@ -1,7 +1,7 @@
 //! Control role: an event loop around the fleet core that turns inputs into events and executes the
 //! core's actions.
 
-use crate::edge::{engine, folder, peers, traffic};
+use crate::edge::{engine, journal, peers, traffic};
 use crate::{clock, log, mailbox};
 use hyssopfork_fleet::{action, core, event};
 use hyssopfork_telemetry::metrics;
@@ -16,7 +16,7 @@
 /// Maximum number of replicated log messages in flight to one voter. Further messages are dropped,
 /// which the log protocol tolerates; a voter that can't keep up would otherwise use unbounded
 /// memory.
-const IN_FLIGHT_LIMIT: usize = 64;
+const MAX_IN_FLIGHT_MESSAGES: usize = 64;
 
 /// Input from servers, timers and other threads.
 #[derive(Debug)]
@@ -30,39 +30,39 @@
 /// Event loop of the control role.
 pub struct Role {
     core: core::Core,
-    own: net::SocketAddr,
+    own_address: net::SocketAddr,
     peers: Rc<peers::Peers>,
     /// Number of replicated log messages in flight, by voter.
     in_flight: HashMap<net::SocketAddr, Rc<Cell<usize>>>,
-    folder: Option<folder::Writer>,
+    journal: Option<journal::Writer>,
     mailbox: mailbox::Mailbox<Input>,
-    news: mpsc::UnboundedSender<traffic::News>,
+    publisher: mpsc::UnboundedSender<traffic::Publication>,
     registry: Arc<metrics::Registry>,
-    calls: HashMap<u64, oneshot::Sender<action::Reply>>,
-    count: u64,
+    pending_calls: HashMap<u64, oneshot::Sender<action::Reply>>,
+    call_count: u64,
 }
 
 impl Role {
-    /// Creates an event loop around `core`. `own` is the address of this process among its peers.
+    /// Creates an event loop around `core`. `own_address` is the address of this process among its peers.
     pub fn new(
         core: core::Core,
-        own: net::SocketAddr,
-        folder: Option<folder::Writer>,
+        own_address: net::SocketAddr,
+        journal: Option<journal::Writer>,
         mailbox: mailbox::Mailbox<Input>,
-        news: mpsc::UnboundedSender<traffic::News>,
+        publisher: mpsc::UnboundedSender<traffic::Publication>,
         registry: Arc<metrics::Registry>,
     ) -> Role {
         Role {
             core,
-            own,
+            own_address,
             peers: Rc::default(),
             in_flight: HashMap::new(),
-            folder,
+            journal,
             mailbox,
-            news,
+            publisher,
             registry,
-            calls: HashMap::new(),
-            count: 0,
+            pending_calls: HashMap::new(),
+            call_count: 0,
         }
     }
 
@@ -72,78 +72,78 @@
     }
 
     fn step(&mut self, event: event::Event) {
-        let failed = matches!(event, event::Event::FolderFailed);
+        let folder_failed = matches!(event, event::Event::FolderFailed);
         for action in self.core.step(clock::now(), event) {
-            self.act(action);
+            self.execute(action);
         }
-        if let Some(folder) = self.folder.as_ref().filter(|_| failed) {
-            folder.reopen();
+        if let Some(journal) = self.journal.as_ref().filter(|_| folder_failed) {
+            journal.reopen();
         }
     }
 
-    fn act(&mut self, action: action::Action) {
+    fn execute(&mut self, action: action::Action) {
         match action {
             action::Action::Send(packet) => self.send(packet),
             action::Action::Persist(write) => {
-                if let Some(folder) = &self.folder {
-                    folder.write(write);
+                if let Some(journal) = &self.journal {
+                    journal.write(write);
                 }
             }
             action::Action::Reply(call, reply) => {
                 self.registry.published(reply.document_bytes());
-                if let Some(caller) = self.calls.remove(&call) {
-                    let _caller_gone = caller.send(reply);
+                if let Some(sender) = self.pending_calls.remove(&call) {
+                    let _client_gone = sender.send(reply);
                 }
             }
             action::Action::Greet(to, hello) => {
                 let peers = self.peers.clone();
-                self.later(async move {
+                self.spawn(async move {
                     peers.greet(to, hello).await.map(event::Event::GreetingAnswered)
                 });
             }
             action::Action::Watch(to, watch) => {
                 let peers = self.peers.clone();
-                self.later(async move {
+                self.spawn(async move {
                     let answer = peers.watch(to, *watch).await;
                     Some(event::Event::WatchAnswered { from: to, answer })
                 });
             }
             action::Action::Relay { call, to, registration } => {
                 let peers = self.peers.clone();
-                self.later(async move {
+                self.spawn(async move {
                     let accepted = peers.register(to, registration).await;
                     Some(event::Event::RelayAnswered { call, accepted })
                 });
             }
-            action::Action::SendEvidence(to, seen) => {
-                let (peers, own) = (self.peers.clone(), self.own);
-                self.later(async move {
-                    peers.note(to, own, seen).await;
+            action::Action::SendEvidence(to, evidence) => {
+                let (peers, own_address) = (self.peers.clone(), self.own_address);
+                self.spawn(async move {
+                    peers.send_evidence(to, own_address, evidence).await;
                     None
                 });
             }
-            action::Action::Order(order) => self.later(async move {
-                let outcome = engine::order(&order).await;
+            action::Action::Order(order) => self.spawn(async move {
+                let outcome = engine::send_order(&order).await;
                 Some(event::Event::OrderAnswered(order.id, outcome))
             }),
-            action::Action::Probe(instance, to) => self.later(async move {
-                let sign = engine::probe(to).await;
-                Some(event::Event::Probed(instance, sign))
+            action::Action::Probe(instance, to) => self.spawn(async move {
+                let liveness = engine::probe(to).await;
+                Some(event::Event::Probed(instance, liveness))
             }),
-            action::Action::RequestReport(instance, to) => self.later(async move {
-                let report = engine::report(&instance, to).await?;
+            action::Action::RequestReport(instance, to) => self.spawn(async move {
+                let report = engine::request_report(&instance, to).await?;
                 Some(event::Event::Reported(instance, report))
             }),
             action::Action::ProbeViaPeer { peer, instance, address } => {
                 let peers = self.peers.clone();
-                self.later(async move {
+                self.spawn(async move {
                     let alive = peers.probe(peer, address).await;
                     Some(event::Event::PeerProbed(peer, instance, alive))
                 });
             }
             action::Action::Publish(update, declaration) => {
-                if self.news.send((update, declaration)).is_err() {
-                    tracing::error!("the traffic thread has ended");
+                if self.publisher.send((update, declaration)).is_err() {
+                    tracing::error!("cannot publish a view update: the traffic thread has ended");
                 }
             }
             action::Action::Notice(notice) => log::notice(&notice),
@@ -151,7 +151,7 @@
     }
 
     /// Runs `work` as a separate task and passes its event to the loop.
-    fn later(&self, work: impl Future<Output = Option<event::Event>> + 'static) {
+    fn spawn(&self, work: impl Future<Output = Option<event::Event>> + 'static) {
         let mailbox = self.mailbox.clone();
         actix_rt::spawn(async move {
             if let Some(event) = work.await {
@@ -164,7 +164,7 @@
     fn send(&mut self, packet: consensus::Packet) {
         let Some(to) = core::address_of(&packet.to) else { return };
         let in_flight = self.in_flight.entry(to).or_default().clone();
-        if in_flight.get() >= IN_FLIGHT_LIMIT {
+        if in_flight.get() >= MAX_IN_FLIGHT_MESSAGES {
             return;
         }
         in_flight.set(in_flight.get() + 1);
@@ -186,13 +186,13 @@
             self.registry.consensus(term, committed, self.core.is_active_leader());
         }
         let closed: Vec<u64> = self
-            .calls
+            .pending_calls
             .iter()
             .filter(|(_, reply)| reply.is_closed())
             .map(|(call, _)| *call)
             .collect();
         for call in closed {
-            self.calls.remove(&call);
+            self.pending_calls.remove(&call);
             self.step(event::Event::Abandoned(call));
         }
     }
@@ -201,9 +201,9 @@
         match input {
             Input::Event(event) => self.step(*event),
             Input::Call(request, reply) => {
-                self.count += 1;
-                self.calls.insert(self.count, reply);
-                self.step(event::Event::Called { call: self.count, request: *request });
+                self.call_count += 1;
+                self.pending_calls.insert(self.call_count, reply);
+                self.step(event::Event::Called { call: self.call_count, request: *request });
             }
         }
     }
--- a/crates/hyssopfork-daemon/src/edge/doors.rs
+++ b/crates/hyssopfork-daemon/src/edge/endpoints.rs
@@ -1,7 +1,7 @@
 //! HTTP endpoints for operators and upstreams, for metrics and for the load balancer's readiness
 //! check.
 
-use crate::edge::{control, traffic, web};
+use crate::edge::{control, http_server, traffic};
 use crate::{log, mailbox, notice};
 use actix_http::StatusCode;
 use bytes::Bytes;
@@ -24,12 +24,12 @@
 
 impl Control {
     /// Handles a request.
-    pub async fn answer(self, incoming: web::Incoming) -> web::Outgoing {
-        let path = incoming.request.path().to_owned();
-        let method = incoming.request.method().as_str().to_owned();
+    pub async fn handle(self, http_request: http_server::Request) -> http_server::Response {
+        let path = http_request.head.path().to_owned();
+        let method = http_request.head.method().as_str().to_owned();
         let reply = match operator::parse_request(&method, &path) {
-            Some(call) => match request(call, &incoming.body) {
-                Ok(request) => self.call(request, &path).await,
+            Some(call) => match convert_request(call, &http_request.body) {
+                Ok(request) => self.execute(request, &path).await,
                 Err(why) => {
                     log::notice(&notice::Notice::CallRefused(
                         format!("{method} {path}"),
@@ -40,21 +40,21 @@
             },
             None => reply::error_reply(StatusCode::NOT_FOUND.as_u16(), "nothing is offered here"),
         };
-        outgoing(reply)
+        into_response(reply)
     }
 
-    async fn call(&self, request: event::Request, path: &str) -> reply::Reply {
-        let (sender, answered) = oneshot::channel();
+    async fn execute(&self, request: event::Request, path: &str) -> reply::Reply {
+        let (sender, receiver) = oneshot::channel();
         self.mailbox.post(control::Input::Call(Box::new(request), sender));
-        let answer = answered.await.ok();
-        answer
-            .and_then(|answer: action::Reply| reply::control_reply(answer, path, self.port))
+        let reply = receiver.await.ok();
+        reply
+            .and_then(|reply: action::Reply| reply::control_reply(reply, path, self.port))
             .unwrap_or_else(|| reply::unavailable_reply("the process is ending; ask elsewhere"))
     }
 }
 
 /// Converts a call into a request of the control role; the error says what is wrong with it.
-fn request(call: operator::Request, body: &Bytes) -> Result<event::Request, String> {
+fn convert_request(call: operator::Request, body: &Bytes) -> Result<event::Request, String> {
     Ok(match call {
         operator::Request::Read => event::Request::Read,
         operator::Request::TakeOut(zone) => event::Request::TakeOut(zone),
@@ -64,15 +64,15 @@
             event::Request::Register(peer::Registration::Departed(instance))
         }
         operator::Request::Announce(instance) => {
-            let told = registration::parse_announcement(&instance, body);
-            event::announced(told.map_err(|error| error.to_string())?)
+            let announcement = registration::parse_announcement(&instance, body);
+            event::announced(announcement.map_err(|error| error.to_string())?)
         }
         operator::Request::Declare => {
             let declaration = operator::parse_declaration(body)
                 .map_err(|error| format!("the declaration can't be read: {error}"))?;
             let faults = declaration.faults();
             if !faults.is_empty() {
-                return Err(describe(&faults));
+                return Err(join_faults(&faults));
             }
             let document = document::Document { version: declaration.version, bytes: body.clone() };
             event::Request::Declare(Box::new(declaration), document)
@@ -80,28 +80,41 @@
     })
 }
 
-fn describe(faults: &[declaration::Fault]) -> String {
+fn join_faults(faults: &[declaration::Fault]) -> String {
     let faults: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
     faults.join("; ")
 }
 
-fn outgoing(reply: reply::Reply) -> web::Outgoing {
+fn into_response(reply: reply::Reply) -> http_server::Response {
     let headers = reply.headers.into_iter().map(|(name, value)| (name.to_owned(), value));
-    web::Outgoing::whole(reply.status, headers.collect(), reply.body)
+    http_server::Response::new(reply.status, headers.collect(), reply.body)
 }
 
 /// Returns the metrics in the Prometheus text format.
-pub async fn metrics(registry: Arc<metrics::Registry>, incoming: web::Incoming) -> web::Outgoing {
-    if incoming.request.path() != "/metrics" {
-        return outgoing(reply::error_reply(StatusCode::NOT_FOUND.as_u16(), "ask for /metrics"));
+pub async fn get_metrics(
+    registry: Arc<metrics::Registry>,
+    http_request: http_server::Request,
+) -> http_server::Response {
+    if http_request.head.path() != "/metrics" {
+        return into_response(reply::error_reply(
+            StatusCode::NOT_FOUND.as_u16(),
+            "ask for /metrics",
+        ));
     }
-    let kind = ("content-type".to_owned(), "text/plain; version=0.0.4".to_owned());
-    web::Outgoing::whole(StatusCode::OK.as_u16(), vec![kind], registry.encode().into())
+    let content_type = ("content-type".to_owned(), "text/plain; version=0.0.4".to_owned());
+    http_server::Response::new(
+        StatusCode::OK.as_u16(),
+        vec![content_type],
+        registry.encode().into(),
+    )
 }
 
 /// Returns 200 if the process accepts new connections and 503 otherwise.
-pub async fn readiness(status: Arc<traffic::Status>, _incoming: web::Incoming) -> web::Outgoing {
+pub async fn get_readiness(
+    status: Arc<traffic::Status>,
+    _http_request: http_server::Request,
+) -> http_server::Response {
     let ready = status.ready.load(Ordering::Relaxed);
     let code = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    web::Outgoing::whole(code.as_u16(), Vec::new(), Bytes::new())
+    http_server::Response::new(code.as_u16(), Vec::new(), Bytes::new())
 }
--- a/crates/hyssopfork-daemon/src/edge/engine.rs
+++ b/crates/hyssopfork-daemon/src/edge/engine.rs
@@ -3,31 +3,32 @@
 use bytes::Bytes;
 use hyssopfork_exchange::{connection, error};
 use hyssopfork_fleet::groups::order;
-use hyssopfork_platform::{headers, order as wire};
+use hyssopfork_platform::{headers, order as platform_order};
 use hyssopfork_wire::name;
 use std::time::Duration;
 use std::{io, net};
 use tokio::time;
 
 /// Timeout of an order. Orders are idempotent and are repeated.
-const ORDER_LIMIT: Duration = Duration::from_millis(400);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Timeout of a probe. An engine responds within milliseconds, on a loaded machine within tens of
 /// milliseconds. A lost packet fails the probe, which is then repeated on another connection. The
 /// leader probes three times: with a timeout of 160 ms, a lost group was detected only 0.85 s after
 /// its member's death.
-const PROBE_LIMIT: Duration = Duration::from_millis(80);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// Sends an order.
-pub async fn order(order: &order::Order) -> order::Outcome {
-    let told = [
+pub async fn send_order(order: &order::Order) -> order::Outcome {
+    let headers = [
         ("content-type".to_owned(), "application/json".to_owned()),
         (headers::EXPECTED_INSTANCE.to_owned(), order.instance.to_string()),
     ];
-    let request = connection::Request { method: "POST", path: wire::PATH, headers: &told };
-    let body = Bytes::from(wire::encode_order(order));
-    match time::timeout(ORDER_LIMIT, exchange(order.address, &request, body)).await {
-        Ok(Ok((status, _))) => wire::parse_outcome(status),
+    let request =
+        connection::Request { method: "POST", path: platform_order::PATH, headers: &headers };
+    let body = Bytes::from(platform_order::encode_order(order));
+    match time::timeout(ORDER_TIMEOUT, send_request(order.address, &request, body)).await {
+        Ok(Ok((status, _))) => platform_order::parse_outcome(status),
         Ok(Err(error::Error::Unreachable(..))) => order::Outcome::Unreachable,
         Ok(Err(_)) | Err(_) => order::Outcome::Unknown,
     }
@@ -35,8 +36,9 @@
 
 /// Probes whether an engine is alive.
 pub async fn probe(address: net::SocketAddr) -> order::Liveness {
-    let request = connection::Request { method: "GET", path: wire::REPORT_PATH, headers: &[] };
-    match time::timeout(PROBE_LIMIT, exchange(address, &request, Bytes::new())).await {
+    let request =
+        connection::Request { method: "GET", path: platform_order::REPORT_PATH, headers: &[] };
+    match time::timeout(PROBE_TIMEOUT, send_request(address, &request, Bytes::new())).await {
         Ok(Ok(_)) => order::Liveness::Alive,
         Ok(Err(error::Error::Unreachable(..))) => order::Liveness::Refused,
         Ok(Err(_)) | Err(_) => order::Liveness::TimedOut,
@@ -45,8 +47,8 @@
 
 /// Whether an address refuses connections, which means that its instance runs but nothing listens
 /// there.
-pub async fn refuses(address: net::SocketAddr) -> bool {
-    match time::timeout(PROBE_LIMIT, connection::Connection::connect(address)).await {
+pub async fn refuses_connections(address: net::SocketAddr) -> bool {
+    match time::timeout(PROBE_TIMEOUT, connection::Connection::connect(address)).await {
         Ok(Err(error::Error::Unreachable(_, cause))) => {
             cause.kind() == io::ErrorKind::ConnectionRefused
         }
@@ -55,18 +57,25 @@
 }
 
 /// Requests the report of an engine; `None` if none arrives, in which case the leader asks again.
-pub async fn report(instance: &name::Instance, address: net::SocketAddr) -> Option<order::Report> {
-    let request = connection::Request { method: "GET", path: wire::REPORT_PATH, headers: &[] };
+pub async fn request_report(
+    instance: &name::Instance,
+    address: net::SocketAddr,
+) -> Option<order::Report> {
+    let request =
+        connection::Request { method: "GET", path: platform_order::REPORT_PATH, headers: &[] };
     let (_, mut connection) =
-        time::timeout(PROBE_LIMIT, exchange(address, &request, Bytes::new())).await.ok()?.ok()?;
-    let body = time::timeout(PROBE_LIMIT, connection.read_rest()).await.ok()?.ok()?;
-    wire::parse_report(&body)
+        time::timeout(PROBE_TIMEOUT, send_request(address, &request, Bytes::new()))
+            .await
+            .ok()?
+            .ok()?;
+    let body = time::timeout(PROBE_TIMEOUT, connection.read_rest()).await.ok()?.ok()?;
+    platform_order::parse_report(&body)
         .inspect_err(|error| tracing::warn!(%instance, %error, "an engine sent an invalid report"))
         .ok()
 }
 
 /// Sends a request on a new connection; returns the status, and the connection for the body.
-async fn exchange(
+async fn send_request(
     address: net::SocketAddr,
     request: &connection::Request<'_>,
     body: Bytes,
--- a/crates/hyssopfork-daemon/src/edge/web.rs
+++ b/crates/hyssopfork-daemon/src/edge/http_server.rs
@@ -8,7 +8,9 @@
 use actix_http::error::ParseError;
 use actix_http::h1::{Codec, Message, MessageType};
 use actix_http::header::{HeaderName, HeaderValue};
-use actix_http::{ConnectionType, Request, Response, ServiceConfig, StatusCode};
+use actix_http::{
+    ConnectionType, Request as RequestHead, Response as ResponseHead, ServiceConfig, StatusCode,
+};
 use bytes::{Bytes, BytesMut};
 use futures::stream::{LocalBoxStream, StreamExt};
 use std::cell::{Cell, RefCell};
@@ -24,33 +26,33 @@
 
 /// Maximum size of pipelined requests that are read while another one is handled, in bytes. A
 /// client that sends more is blocked by flow control.
-const AHEAD_LIMIT: usize = 64 << 10;
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
 /// Timeout for writing to a client. A client that doesn't read would otherwise hold memory.
-const WRITE_LIMIT: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A request with its complete body.
-pub struct Incoming {
+pub struct Request {
     /// Head.
-    pub request: Request,
+    pub head: RequestHead,
     /// Body.
     pub body: Bytes,
 }
 
 /// Error of a response body whose rest will not follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken;
+pub struct Aborted;
 
 /// Body of a response.
 pub enum Body {
     /// Complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Stream of parts.
-    Parts(LocalBoxStream<'static, Result<Bytes, Broken>>),
+    Stream(LocalBoxStream<'static, Result<Bytes, Aborted>>),
 }
 
 /// A response.
-pub struct Outgoing {
+pub struct Response {
     /// HTTP status code.
     pub status: u16,
     /// Headers, except those of the connection and the body's length.
@@ -59,10 +61,10 @@
     pub body: Body,
 }
 
-impl Outgoing {
+impl Response {
     /// Creates a response with a complete body.
-    pub fn whole(status: u16, headers: Vec<(String, String)>, body: Bytes) -> Outgoing {
-        Outgoing { status, headers, body: Body::Whole(body) }
+    pub fn new(status: u16, headers: Vec<(String, String)>, body: Bytes) -> Response {
+        Response { status, headers, body: Body::Complete(body) }
     }
 }
 
@@ -86,7 +88,7 @@
     #[default]
     Serving,
     /// Serves requests and asks clients to open new connections elsewhere.
-    Leaving,
+    Draining,
     /// Accepts no connections and closes idle ones.
     Closing,
 }
@@ -107,7 +109,7 @@
     }
 
     /// Resolves when the process enters [`Phase::Closing`].
-    async fn closing(&self) {
+    async fn wait_for_closing(&self) {
         let mut phase = self.phase.clone();
         while *phase.borrow_and_update() != Phase::Closing {
             if phase.changed().await.is_err() {
@@ -127,25 +129,25 @@
     /// The connection is closed; no response is possible.
     Closed,
     /// The request is rejected with this status.
-    Told(StatusCode),
+    Rejected(StatusCode),
 }
 
 /// Serves every connection of `listener` on this thread until the process exits.
-pub async fn serve<Handle, Handled>(
+pub async fn serve<Handler, Handling>(
     listener: net::TcpListener,
     shared: Rc<Shared>,
-    handle: Handle,
+    handler: Handler,
 ) -> io::Result<()>
 where
-    Handle: Fn(Incoming) -> Handled + Clone + 'static,
-    Handled: Future<Output = Outgoing> + 'static,
+    Handler: Fn(Request) -> Handling + Clone + 'static,
+    Handling: Future<Output = Response> + 'static,
 {
     let listener = TcpListener::from_std(listener)?;
     loop {
         let accepted = tokio::select! {
             biased;
             // The kernel refuses new connections from now on, so their clients go elsewhere at once.
-            () = shared.closing() => return Ok(()),
+            () = shared.wait_for_closing() => return Ok(()),
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -155,8 +157,8 @@
                     buffer: BytesMut::new(),
                     shared: shared.clone(),
                 };
-                let handle = handle.clone();
-                actix_rt::spawn(async move { connection.run(stream, handle).await });
+                let handler = handler.clone();
+                actix_rt::spawn(async move { connection.run(stream, handler).await });
             }
             // Out of file descriptors: waits until open connections close.
             Err(error) => {
@@ -174,36 +176,36 @@
 }
 
 impl Connection {
-    async fn run<Handle, Handled>(mut self, mut stream: TcpStream, handle: Handle)
+    async fn run<Handler, Handling>(mut self, mut stream: TcpStream, handler: Handler)
     where
-        Handle: Fn(Incoming) -> Handled,
-        Handled: Future<Output = Outgoing>,
+        Handler: Fn(Request) -> Handling,
+        Handling: Future<Output = Response>,
     {
         if stream.set_nodelay(true).is_err() {
             return;
         }
         loop {
-            let incoming = match self.read(&mut stream).await {
-                Ok(incoming) => incoming,
+            let request = match self.read_request(&mut stream).await {
+                Ok(request) => request,
                 Err(Fault::Closed) => return,
-                Err(Fault::Told(status)) => return self.refuse(&mut stream, status).await,
+                Err(Fault::Rejected(status)) => return self.reject(&mut stream, status).await,
             };
             // The request might not complete before the process exits. The response tells the client
             // that it has not run.
             if *self.shared.phase.borrow() == Phase::Closing {
-                return self.refuse(&mut stream, StatusCode::SERVICE_UNAVAILABLE).await;
+                return self.reject(&mut stream, StatusCode::SERVICE_UNAVAILABLE).await;
             }
             let (mut reader, mut writer) = stream.split();
-            let answer = tokio::select! {
+            let response = tokio::select! {
                 biased;
-                answer = handle(incoming) => answer,
-                () = gone(&mut reader, &mut self.buffer) => return,
+                response = handler(request) => response,
+                () = wait_for_disconnect(&mut reader, &mut self.buffer) => return,
             };
-            let closes = *self.shared.phase.borrow() != Phase::Serving;
-            if self.answer(&mut reader, &mut writer, answer, closes).await.is_err() {
+            let close = *self.shared.phase.borrow() != Phase::Serving;
+            if self.write_response(&mut reader, &mut writer, response, close).await.is_err() {
                 return;
             }
-            if closes || !self.codec.keep_alive() {
+            if close || !self.codec.keep_alive() {
                 let _peer_gone = stream.shutdown().await;
                 return;
             }
@@ -211,22 +213,26 @@
     }
 
     /// Reads a request.
-    async fn read(&mut self, stream: &mut TcpStream) -> Result<Incoming, Fault> {
+    async fn read_request(&mut self, stream: &mut TcpStream) -> Result<Request, Fault> {
         let limits = self.shared.limits.get();
         if self.buffer.is_empty() {
-            self.await_first(stream, limits).await?;
+            self.wait_for_request(stream, limits).await?;
         }
-        let head = time::timeout(limits.head_timeout, self.read_head(stream, limits));
-        let request = match head.await {
-            Ok(request) => request?,
-            Err(_) => return Err(Fault::Told(StatusCode::REQUEST_TIMEOUT)),
+        let reading = time::timeout(limits.head_timeout, self.read_head(stream, limits));
+        let head = match reading.await {
+            Ok(head) => head?,
+            Err(_) => return Err(Fault::Rejected(StatusCode::REQUEST_TIMEOUT)),
         };
         let body = self.read_body(stream, limits).await?;
-        Ok(Incoming { request, body })
+        Ok(Request { head, body })
     }
 
     /// Waits for the first byte of a request on an idle connection.
-    async fn await_first(&mut self, stream: &mut TcpStream, limits: Limits) -> Result<(), Fault> {
+    async fn wait_for_request(
+        &mut self,
+        stream: &mut TcpStream,
+        limits: Limits,
+    ) -> Result<(), Fault> {
         let shared = self.shared.clone();
         tokio::select! {
             biased;
@@ -234,7 +240,7 @@
                 Ok(0) | Err(_) => Err(Fault::Closed),
                 Ok(_) => Ok(()),
             },
-            () = shared.closing() => Err(Fault::Closed),
+            () = shared.wait_for_closing() => Err(Fault::Closed),
             () = time::sleep(limits.idle_timeout) => Err(Fault::Closed),
         }
     }
@@ -243,19 +249,21 @@
         &mut self,
         stream: &mut TcpStream,
         limits: Limits,
-    ) -> Result<Request, Fault> {
+    ) -> Result<RequestHead, Fault> {
         loop {
             match self.codec.decode(&mut self.buffer) {
-                Ok(Some(Message::Item(request))) => return Ok(request),
-                Ok(Some(Message::Chunk(_))) => return Err(Fault::Told(StatusCode::BAD_REQUEST)),
+                Ok(Some(Message::Item(head))) => return Ok(head),
+                Ok(Some(Message::Chunk(_))) => {
+                    return Err(Fault::Rejected(StatusCode::BAD_REQUEST));
+                }
                 Ok(None) if self.buffer.len() > limits.head_bytes => {
-                    return Err(Fault::Told(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
+                    return Err(Fault::Rejected(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
                 }
-                Ok(None) => self.fill(stream).await?,
+                Ok(None) => self.read_more(stream).await?,
                 Err(ParseError::TooLarge) => {
-                    return Err(Fault::Told(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
+                    return Err(Fault::Rejected(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
                 }
-                Err(_) => return Err(Fault::Told(StatusCode::BAD_REQUEST)),
+                Err(_) => return Err(Fault::Rejected(StatusCode::BAD_REQUEST)),
             }
         }
     }
@@ -270,20 +278,20 @@
                 Ok(Some(Message::Chunk(Some(part)))) => body.extend_from_slice(&part),
                 Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
                 Ok(Some(Message::Item(_))) | Err(_) => {
-                    return Err(Fault::Told(StatusCode::BAD_REQUEST));
+                    return Err(Fault::Rejected(StatusCode::BAD_REQUEST));
                 }
                 Ok(None) => {
-                    let fill = time::timeout(limits.head_timeout, self.fill(stream));
-                    fill.await.map_err(|_| Fault::Told(StatusCode::REQUEST_TIMEOUT))??;
+                    let reading = time::timeout(limits.head_timeout, self.read_more(stream));
+                    reading.await.map_err(|_| Fault::Rejected(StatusCode::REQUEST_TIMEOUT))??;
                 }
             }
             if body.len() > limits.body_bytes {
-                return Err(Fault::Told(StatusCode::PAYLOAD_TOO_LARGE));
+                return Err(Fault::Rejected(StatusCode::PAYLOAD_TOO_LARGE));
             }
         }
     }
 
-    async fn fill(&mut self, stream: &mut TcpStream) -> Result<(), Fault> {
+    async fn read_more(&mut self, stream: &mut TcpStream) -> Result<(), Fault> {
         match stream.read_buf(&mut self.buffer).await {
             Ok(0) | Err(_) => Err(Fault::Closed),
             Ok(_) => Ok(()),
@@ -292,10 +300,10 @@
 
     /// Rejects a request and closes the connection, because it isn't known where the next request
     /// would begin.
-    async fn refuse(&mut self, stream: &mut TcpStream, status: StatusCode) {
+    async fn reject(&mut self, stream: &mut TcpStream, status: StatusCode) {
         let mut bytes = BytesMut::new();
-        let outgoing = Outgoing::whole(status.as_u16(), Vec::new(), Bytes::new());
-        if self.encode_head(&outgoing, BodySize::Sized(0), true, &mut bytes).is_ok()
+        let response = Response::new(status.as_u16(), Vec::new(), Bytes::new());
+        if self.encode_head(&response, BodySize::Sized(0), true, &mut bytes).is_ok()
             && stream.write_all(&bytes).await.is_ok()
         {
             let _peer_gone = stream.shutdown().await;
@@ -303,43 +311,43 @@
     }
 
     /// Writes a response; after an error the connection can't be used any more.
-    async fn answer(
+    async fn write_response(
         &mut self,
         reader: &mut ReadHalf<'_>,
         writer: &mut (impl AsyncWriteExt + Unpin),
-        outgoing: Outgoing,
-        closes: bool,
+        response: Response,
+        close: bool,
     ) -> io::Result<()> {
         let mut bytes = BytesMut::new();
-        match outgoing.body {
-            Body::Whole(ref body) => {
+        match response.body {
+            Body::Complete(ref body) => {
                 let size = BodySize::Sized(body.len() as u64);
-                self.encode_head(&outgoing, size, closes, &mut bytes)?;
+                self.encode_head(&response, size, close, &mut bytes)?;
                 self.codec.encode(Message::Chunk(Some(body.clone())), &mut bytes)?;
                 write(writer, &bytes).await
             }
-            Body::Parts(_) => {
-                self.encode_head(&outgoing, BodySize::Stream, closes, &mut bytes)?;
-                let Body::Parts(parts) = outgoing.body else { return Ok(()) };
-                self.stream(reader, writer, parts, bytes).await
+            Body::Stream(_) => {
+                self.encode_head(&response, BodySize::Stream, close, &mut bytes)?;
+                let Body::Stream(parts) = response.body else { return Ok(()) };
+                self.write_stream(reader, writer, parts, bytes).await
             }
         }
     }
 
     /// Writes the parts of a streamed response as they arrive. `bytes` holds the head, which is
     /// sent with the first part.
-    async fn stream(
+    async fn write_stream(
         &mut self,
         reader: &mut ReadHalf<'_>,
         writer: &mut (impl AsyncWriteExt + Unpin),
-        mut parts: LocalBoxStream<'static, Result<Bytes, Broken>>,
+        mut parts: LocalBoxStream<'static, Result<Bytes, Aborted>>,
         mut bytes: BytesMut,
     ) -> io::Result<()> {
         loop {
             let part = tokio::select! {
                 biased;
                 part = parts.next() => part,
-                () = gone(reader, &mut self.buffer) => return Err(closed()),
+                () = wait_for_disconnect(reader, &mut self.buffer) => return Err(connection_aborted()),
             };
             match part {
                 // An empty chunk marks the end of a chunked body.
@@ -349,9 +357,9 @@
                     self.codec.encode(Message::Chunk(None), &mut bytes)?;
                     return write(writer, &bytes).await;
                 }
-                Some(Err(Broken)) => {
+                Some(Err(Aborted)) => {
                     write(writer, &bytes).await?;
-                    return Err(closed());
+                    return Err(connection_aborted());
                 }
             }
             write(writer, &bytes).await?;
@@ -361,38 +369,38 @@
 
     fn encode_head(
         &mut self,
-        outgoing: &Outgoing,
+        response: &Response,
         size: BodySize,
-        closes: bool,
+        close: bool,
         bytes: &mut BytesMut,
     ) -> io::Result<()> {
-        let status = StatusCode::from_u16(outgoing.status).unwrap_or(StatusCode::BAD_GATEWAY);
-        let mut response = Response::with_body(status, ());
-        for (name, value) in &outgoing.headers {
+        let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        let mut head = ResponseHead::with_body(status, ());
+        for (name, value) in &response.headers {
             let name = HeaderName::from_bytes(name.as_bytes());
             if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
-                response.headers_mut().append(name, value);
+                head.headers_mut().append(name, value);
             }
         }
-        if closes {
-            response.head_mut().set_connection_type(ConnectionType::Close);
+        if close {
+            head.head_mut().set_connection_type(ConnectionType::Close);
         }
-        self.codec.encode(Message::Item((response, size)), bytes)
+        self.codec.encode(Message::Item((head, size)), bytes)
     }
 }
 
 async fn write(writer: &mut (impl AsyncWriteExt + Unpin), bytes: &[u8]) -> io::Result<()> {
-    time::timeout(WRITE_LIMIT, writer.write_all(bytes)).await.map_err(|_| closed())?
+    time::timeout(WRITE_TIMEOUT, writer.write_all(bytes)).await.map_err(|_| connection_aborted())?
 }
 
-fn closed() -> io::Error {
+fn connection_aborted() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionAborted)
 }
 
 /// Resolves when the client has closed its connection. Bytes that it sends meanwhile are buffered
-/// up to [`AHEAD_LIMIT`]; beyond that, nothing is read and a disconnect isn't detected.
-async fn gone(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
-    while buffer.len() < AHEAD_LIMIT {
+/// up to [`MAX_PIPELINED_BYTES`]; beyond that, nothing is read and a disconnect isn't detected.
+async fn wait_for_disconnect(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) {
+    while buffer.len() < MAX_PIPELINED_BYTES {
         match reader.read_buf(buffer).await {
             Ok(0) | Err(_) => return,
             Ok(_) => {}
--- a/crates/hyssopfork-daemon/src/edge/folder.rs
+++ b/crates/hyssopfork-daemon/src/edge/journal.rs
@@ -13,13 +13,13 @@
 use std::{io, path, thread};
 
 /// Maximum number of writes that are synced together with the first one.
-const TOGETHER_LIMIT: usize = 255;
+const MAX_BATCHED_WRITES: usize = 255;
 
 /// Interval between attempts to open the data folder.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Sync duration from which on a sync is reported as slow.
-const SLOW_SYNC: Duration = Duration::from_millis(100);
+const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Task of the thread.
 enum Task {
@@ -41,7 +41,7 @@
     ) -> io::Result<Writer> {
         let (sender, tasks) = mpsc::channel();
         let thread = thread::Builder::new().name("journal".to_owned());
-        thread.spawn(move || Folder { folder, tasks, mailbox }.run())?;
+        thread.spawn(move || Worker { folder, tasks, mailbox }.run())?;
         Ok(Writer(sender))
     }
 
@@ -62,19 +62,19 @@
     }
 }
 
-struct Folder {
+struct Worker {
     folder: path::PathBuf,
     tasks: mpsc::Receiver<Task>,
     mailbox: mailbox::Mailbox<control::Input>,
 }
 
-impl Folder {
+impl Worker {
     fn run(self) {
         loop {
             let mut journal = self.open();
             let Some(error) = self.write_all(&mut journal) else { return };
             drop(journal);
-            self.tell(&error);
+            self.report_error(&error);
             self.post(event::Event::FolderFailed);
             // Writes that are still queued belong to the membership in the log that has just ended.
             loop {
@@ -100,9 +100,9 @@
                     });
                     return journal;
                 }
-                Err(error) => self.tell(&error),
+                Err(error) => self.report_error(&error),
             }
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
         }
     }
 
@@ -112,31 +112,31 @@
     /// of each write but not the throughput.
     fn write_all(&self, journal: &mut journal::Journal) -> Option<error::Error> {
         while let Ok(first) = self.tasks.recv() {
-            let more = self.tasks.try_iter().take(TOGETHER_LIMIT);
+            let further = self.tasks.try_iter().take(MAX_BATCHED_WRITES);
             let writes: Vec<write::Write> = std::iter::once(first)
-                .chain(more)
+                .chain(further)
                 .filter_map(|task| match task {
                     Task::Write(write) => Some(write),
                     Task::Reopen => None,
                 })
                 .collect();
-            let begun = Instant::now();
+            let started = Instant::now();
             if let Err(error) = journal.write_all(&writes) {
                 return Some(error);
             }
-            let took = begun.elapsed();
-            if took >= SLOW_SYNC {
-                let millis = took.as_millis() as u64;
+            let elapsed = started.elapsed();
+            if elapsed >= SLOW_SYNC_THRESHOLD {
+                let millis = elapsed.as_millis() as u64;
                 log::notice(&notice::Notice::SyncSlow(writes.len(), millis));
             }
-            if let Some(newest) = writes.last() {
-                self.post(event::Event::Persisted(newest.number));
+            if let Some(last) = writes.last() {
+                self.post(event::Event::Persisted(last.number));
             }
         }
         None
     }
 
-    fn tell(&self, error: &error::Error) {
+    fn report_error(&self, error: &error::Error) {
         log::notice(&notice::Notice::FolderUnusable(error.to_string()));
     }
 
--- a/crates/hyssopfork-daemon/src/edge/mod.rs
+++ b/crates/hyssopfork-daemon/src/edge/mod.rs
@@ -1,16 +1,16 @@
 //! Edge process: runs the entry and control roles for upstreams that register themselves.
 //!
 //! One thread owns the control state ([`control`]), one serves client requests ([`traffic`]) and
-//! one writes the journal ([`folder`]).
+//! one writes the journal ([`journal`]).
 
 pub mod attempt;
+pub mod connection_pool;
 pub mod control;
-pub mod conversation;
-pub mod doors;
+pub mod endpoints;
 pub mod engine;
-pub mod folder;
+pub mod handler;
+pub mod http_server;
+pub mod journal;
 pub mod peers;
-pub mod pool;
 pub mod process;
 pub mod traffic;
-pub mod web;
--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -11,15 +11,15 @@
 use tokio::sync::oneshot;
 
 /// Timeout of a greeting and of an evidence report. Both are repeated soon.
-const GREET_LIMIT: Duration = Duration::from_millis(300);
+const GREETING_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of a probe through a peer; the peer's own probe takes up to 80 ms. If the peer failed
 /// together with the upstream, the decision about the upstream is delayed by this long.
-const PROBE_LIMIT: Duration = Duration::from_millis(180);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(180);
 
 /// Timeout of a registration that is forwarded to the leader. The upstream waits 1 s for the
 /// response.
-const REGISTER_LIMIT: Duration = Duration::from_millis(850);
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// RPC clients of the peers.
 #[derive(Default)]
@@ -28,48 +28,54 @@
 impl Peers {
     /// Delivers a replicated log message; returns whether it arrived.
     pub async fn deliver(&self, to: net::SocketAddr, packet: consensus::Packet) -> bool {
-        let limit = link::DELIVER_LIMIT;
+        let timeout = link::DELIVER_LIMIT;
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.deliver(link::until(limit), envelope::Envelope::new(packet));
-        self.0.settle(to, number, link::within(limit, call).await).is_some()
+        let call = client.deliver(link::until(timeout), envelope::Envelope::new(packet));
+        self.0.settle(to, number, link::within(timeout, call).await).is_some()
     }
 
     /// Greets a peer.
     pub async fn greet(&self, to: net::SocketAddr, hello: peer::Hello) -> Option<peer::Greeting> {
         let (number, client) = self.client(to).await?;
-        let call = client.greet(link::until(GREET_LIMIT), envelope::Envelope::new(hello));
-        self.0.settle(to, number, link::within(GREET_LIMIT, call).await)
+        let call = client.greet(link::until(GREETING_TIMEOUT), envelope::Envelope::new(hello));
+        self.0.settle(to, number, link::within(GREETING_TIMEOUT, call).await)
     }
 
     /// Asks the leader for changes.
     pub async fn watch(&self, to: net::SocketAddr, watch: peer::Watch) -> Option<peer::Answer> {
-        let limit = action::WATCH_TIMEOUT;
+        let timeout = action::WATCH_TIMEOUT;
         let (number, client) = self.client(to).await?;
-        let call = client.watch(link::until(limit), envelope::Envelope::new(watch));
-        self.0.settle(to, number, link::within(limit, call).await)
+        let call = client.watch(link::until(timeout), envelope::Envelope::new(watch));
+        self.0.settle(to, number, link::within(timeout, call).await)
     }
 
     /// Sends evidence to the leader. A lost report is made up for by the next watch, which includes
     /// the evidence.
-    pub async fn note(&self, to: net::SocketAddr, from: net::SocketAddr, seen: peer::Evidence) {
+    pub async fn send_evidence(
+        &self,
+        to: net::SocketAddr,
+        from: net::SocketAddr,
+        evidence: peer::Evidence,
+    ) {
         let Some((number, client)) = self.client(to).await else { return };
-        let call = client.note(link::until(GREET_LIMIT), from, envelope::Envelope::new(seen));
-        self.0.settle(to, number, link::within(GREET_LIMIT, call).await);
+        let call =
+            client.note(link::until(GREETING_TIMEOUT), from, envelope::Envelope::new(evidence));
+        self.0.settle(to, number, link::within(GREETING_TIMEOUT, call).await);
     }
 
     /// Asks a peer to probe an upstream; returns whether the upstream responded.
     pub async fn probe(&self, to: net::SocketAddr, upstream: net::SocketAddr) -> bool {
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.probe(link::until(PROBE_LIMIT), envelope::Envelope::new(upstream));
-        self.0.settle(to, number, link::within(PROBE_LIMIT, call).await).unwrap_or(false)
+        let call = client.probe(link::until(PROBE_TIMEOUT), envelope::Envelope::new(upstream));
+        self.0.settle(to, number, link::within(PROBE_TIMEOUT, call).await).unwrap_or(false)
     }
 
     /// Forwards an upstream's registration to the leader; returns whether the leader accepted it.
     pub async fn register(&self, to: net::SocketAddr, registration: peer::Registration) -> bool {
-        let limit = REGISTER_LIMIT;
+        let timeout = REGISTRATION_TIMEOUT;
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.register(link::until(limit), envelope::Envelope::new(registration));
-        self.0.settle(to, number, link::within(limit, call).await).unwrap_or(false)
+        let call = client.register(link::until(timeout), envelope::Envelope::new(registration));
+        self.0.settle(to, number, link::within(timeout, call).await).unwrap_or(false)
     }
 
     async fn client(&self, to: net::SocketAddr) -> Option<(u64, peer::PeerClient)> {
@@ -90,9 +96,9 @@
 
 impl Server {
     async fn call(&self, request: event::Request) -> Option<action::Reply> {
-        let (reply, answered) = oneshot::channel();
-        self.0.post(control::Input::Call(Box::new(request), reply));
-        answered.await.ok()
+        let (sender, receiver) = oneshot::channel();
+        self.0.post(control::Input::Call(Box::new(request), sender));
+        receiver.await.ok()
     }
 
     fn post(&self, event: event::Event) {
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -1,13 +1,13 @@
 //! Life cycle of an edge process: starts its threads, reloads settings and shuts down gracefully.
 
-use crate::edge::{control, doors, folder, peers, traffic, web};
+use crate::edge::{control, endpoints, http_server, journal, peers, traffic};
 use crate::{clock, listener, log, mailbox, notice, process};
 use actix_rt::{Arbiter, System};
-use hyssopfork_fleet::{core, declaration, event, settings as fleet};
-use hyssopfork_gateway::{core as gateway, settings as entry};
+use hyssopfork_fleet::{core, declaration, event, settings as fleet_settings};
+use hyssopfork_gateway::{core as gateway_core, settings as gateway_settings};
 use hyssopfork_platform::operator;
 use hyssopfork_settings::edge;
-use hyssopfork_telemetry::{log as telemetry, metrics};
+use hyssopfork_telemetry::{log as telemetry_log, metrics};
 use std::net;
 use std::path::Path;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 
 /// Time from the stop request until idle connections are closed. The load balancer sends no new
 /// connections after 2 s, and by then clients have had the chance to close theirs.
-const CLOSE_IDLE: Duration = Duration::from_millis(2_600);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_600);
 
 /// Minimum time from the stop request until the process exits.
-const LEAST_STOP: Duration = Duration::from_millis(2_800);
+const MIN_STOP_TIME: Duration = Duration::from_millis(2_800);
 
 /// Time before the end of the grace period at which the process exits even if requests are in
 /// flight.
@@ -31,51 +31,51 @@
 
 /// Interval at which the settings file, which may change without a signal, and the count of dropped
 /// log lines are checked.
-const RELOAD: Duration = Duration::from_secs(2);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Interval at which the requests in flight are checked during shutdown.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the process until it has stopped on request. `text` is the content of the settings file at
 /// `path`.
 pub fn run(settings: &edge::Edge, path: &Path, text: String) -> Result<(), process::Error> {
-    let lines = telemetry::Bounded::start(settings.log.format, settings.log.level)?;
-    System::new().block_on(supervise(settings, path, text, &lines))
+    let log_output = telemetry_log::Bounded::start(settings.log.format, settings.log.level)?;
+    System::new().block_on(supervise(settings, path, text, &log_output))
 }
 
 async fn supervise(
     settings: &edge::Edge,
     path: &Path,
     mut text: String,
-    lines: &telemetry::Bounded,
+    log_output: &telemetry_log::Bounded,
 ) -> Result<(), process::Error> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     let mut hangup = unix::signal(unix::SignalKind::hangup())?;
     let (mailbox, inputs) = mailbox::open();
-    let (news, heard) = mpsc::unbounded_channel();
-    let (phase, phases) = watch::channel(web::Phase::Serving);
+    let (publisher, publications) = mpsc::unbounded_channel();
+    let (phase, phase_receiver) = watch::channel(http_server::Phase::Serving);
     let status = Arc::<traffic::Status>::default();
     let registry = Arc::new(metrics::Registry::new());
     let starter = Starter {
         settings,
         mailbox: &mailbox,
-        phases: &phases,
+        phase_receiver: &phase_receiver,
         status: &status,
         registry: &registry,
     };
-    starter.start_control(inputs, news)?;
-    starter.start_traffic(heard)?;
+    starter.start_control(inputs, publisher)?;
+    starter.start_traffic(publications)?;
     log::notice(&notice::Notice::Started(settings.instance.clone(), "edge".to_owned()));
-    let mut looks = time::interval(RELOAD);
+    let mut ticks = time::interval(RELOAD_INTERVAL);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => reload(path, &mut text, &mailbox, true),
-            _ = looks.tick() => {
+            _ = ticks.tick() => {
                 reload(path, &mut text, &mailbox, false);
-                let dropped = lines.dropped();
+                let dropped = log_output.dropped();
                 if dropped > 0 {
                     log::notice(&notice::Notice::LinesDropped(dropped));
                 }
@@ -88,16 +88,23 @@
 
 /// Reloads the settings if the file has changed. Only the seeds can change in a running process;
 /// all other settings require a restart.
-fn reload(path: &Path, text: &mut String, mailbox: &mailbox::Mailbox<control::Input>, told: bool) {
+fn reload(
+    path: &Path,
+    text: &mut String,
+    mailbox: &mailbox::Mailbox<control::Input>,
+    is_requested: bool,
+) {
     match edge::read(path) {
-        Ok((settings, now)) if now != *text => {
-            *text = now;
+        Ok((settings, new_text)) if new_text != *text => {
+            *text = new_text;
             let seeds = settings.peer_seeds();
             log::notice(&notice::Notice::Reloaded(format!("seeds={seeds:?}")));
             let event = event::Event::SeedsChanged(seeds);
             mailbox.post(control::Input::Event(Box::new(event)));
         }
-        Ok(_) if told => log::notice(&notice::Notice::Reloaded("nothing has changed".to_owned())),
+        Ok(_) if is_requested => {
+            log::notice(&notice::Notice::Reloaded("nothing has changed".to_owned()))
+        }
         Ok(_) => {}
         Err(error) => log::notice(&notice::Notice::ReloadFailed(error.to_string())),
     }
@@ -107,23 +114,23 @@
 async fn stop(
     settings: &edge::Edge,
     mailbox: &mailbox::Mailbox<control::Input>,
-    phase: &watch::Sender<web::Phase>,
+    phase: &watch::Sender<http_server::Phase>,
     status: &traffic::Status,
 ) {
     log::notice(&notice::Notice::Stopping);
     status.ready.store(false, Ordering::Relaxed);
-    phase.send_replace(web::Phase::Leaving);
+    phase.send_replace(http_server::Phase::Draining);
     mailbox.post(control::Input::Event(Box::new(event::Event::Stop)));
-    let asked = time::Instant::now();
-    let most = settings.grace.saturating_sub(STOP_MARGIN);
+    let started = time::Instant::now();
+    let limit = settings.grace.saturating_sub(STOP_MARGIN);
     loop {
-        time::sleep(STOP_LOOK).await;
-        let waited = asked.elapsed();
-        if waited >= CLOSE_IDLE.min(most / 2) {
-            phase.send_replace(web::Phase::Closing);
+        time::sleep(STOP_CHECK_INTERVAL).await;
+        let elapsed = started.elapsed();
+        if elapsed >= IDLE_CLOSE_DELAY.min(limit / 2) {
+            phase.send_replace(http_server::Phase::Closing);
         }
-        let idle = status.open.load(Ordering::Relaxed) == 0;
-        if waited >= most || idle && waited >= LEAST_STOP.min(most) {
+        let is_idle = status.in_flight.load(Ordering::Relaxed) == 0;
+        if elapsed >= limit || is_idle && elapsed >= MIN_STOP_TIME.min(limit) {
             break;
         }
     }
@@ -133,7 +140,7 @@
 struct Starter<'a> {
     settings: &'a edge::Edge,
     mailbox: &'a mailbox::Mailbox<control::Input>,
-    phases: &'a watch::Receiver<web::Phase>,
+    phase_receiver: &'a watch::Receiver<http_server::Phase>,
     status: &'a Arc<traffic::Status>,
     registry: &'a Arc<metrics::Registry>,
 }
@@ -143,12 +150,12 @@
     fn start_control(
         &self,
         inputs: mpsc::UnboundedReceiver<control::Input>,
-        news: mpsc::UnboundedSender<traffic::News>,
+        publisher: mpsc::UnboundedSender<traffic::Publication>,
     ) -> Result<(), process::Error> {
         let settings = self.settings;
-        let own = settings.peer_address();
-        let core_settings = fleet::Settings {
-            address: own,
+        let own_address = settings.peer_address();
+        let core_settings = fleet_settings::Settings {
+            address: own_address,
             seeds: settings.peer_seeds(),
             first_start: settings.first_start,
             has_folder: settings.data_folder.is_some(),
@@ -156,30 +163,41 @@
             heartbeat_interval: settings.heartbeat,
         };
         let core = core::Core::new(core_settings, operator::parse_stored_declaration, clock::now());
-        let folder = match &settings.data_folder {
-            Some(folder) => Some(folder::Writer::start(folder.clone(), self.mailbox.clone())?),
+        let journal = match &settings.data_folder {
+            Some(folder) => Some(journal::Writer::start(folder.clone(), self.mailbox.clone())?),
             None => None,
         };
         let listener = listener::bind("operators and upstreams", settings.control_listen)?;
-        let door =
-            doors::Control { mailbox: self.mailbox.clone(), port: settings.control_listen.port() };
-        let (mailbox, phases) = (self.mailbox.clone(), self.phases.clone());
+        let endpoints = endpoints::Control {
+            mailbox: self.mailbox.clone(),
+            port: settings.control_listen.port(),
+        };
+        let (mailbox, phase_receiver) = (self.mailbox.clone(), self.phase_receiver.clone());
         let registry = self.registry.clone();
-        let place = net::SocketAddr::new(settings.control_listen.ip(), settings.metrics_port);
-        let collector = listener::bind("metrics", place)?;
+        let metrics_address =
+            net::SocketAddr::new(settings.control_listen.ip(), settings.metrics_port);
+        let metrics_listener = listener::bind("metrics", metrics_address)?;
         Arbiter::new().spawn_fn(move || {
-            let role =
-                control::Role::new(core, own, folder, mailbox.clone(), news, registry.clone());
+            let role = control::Role::new(
+                core,
+                own_address,
+                journal,
+                mailbox.clone(),
+                publisher,
+                registry.clone(),
+            );
             actix_rt::spawn(role.run(inputs));
             actix_rt::spawn(async move {
-                if let Err(error) = peers::serve(own, mailbox).await {
+                if let Err(error) = peers::serve(own_address, mailbox).await {
                     tracing::error!(%error, "cannot listen for peers");
                     std::process::exit(1);
                 }
             });
-            let shared = Rc::new(web::Shared::new(control_limits(), phases));
-            serve(listener, shared.clone(), move |incoming| door.clone().answer(incoming));
-            serve(collector, shared, move |incoming| doors::metrics(registry.clone(), incoming));
+            let shared = Rc::new(http_server::Shared::new(control_limits(), phase_receiver));
+            serve(listener, shared.clone(), move |request| endpoints.clone().handle(request));
+            serve(metrics_listener, shared, move |request| {
+                endpoints::get_metrics(registry.clone(), request)
+            });
         });
         Ok(())
     }
@@ -187,31 +205,39 @@
     /// Starts the thread that serves client requests.
     fn start_traffic(
         &self,
-        news: mpsc::UnboundedReceiver<traffic::News>,
+        publications: mpsc::UnboundedReceiver<traffic::Publication>,
     ) -> Result<(), process::Error> {
         let settings = self.settings;
-        let core_settings = entry::Settings {
+        let core_settings = gateway_settings::Settings {
             address: settings.peer_address(),
             zone: settings.zone.clone(),
             retry_ratio: settings.retry_ratio,
             retry_extra: settings.retry_extra,
             retry_window: settings.retry_window,
         };
-        let core = gateway::Core::new(core_settings, rand::random(), clock::now());
-        let callers = listener::bind("callers", settings.callers_listen)?;
-        let balancer = listener::bind("the balancer", settings.readiness_listen)?;
+        let core = gateway_core::Core::new(core_settings, rand::random(), clock::now());
+        let client_listener = listener::bind("callers", settings.callers_listen)?;
+        let readiness_listener = listener::bind("the balancer", settings.readiness_listen)?;
         let (mailbox, status) = (self.mailbox.clone(), self.status.clone());
-        let (own, phases) = (settings.peer_address(), self.phases.clone());
+        let (own_address, phase_receiver) = (settings.peer_address(), self.phase_receiver.clone());
         let registry = self.registry.clone();
         Arbiter::new().spawn_fn(move || {
-            let limits = traffic::limits(&declaration::Limits::default());
-            let shared = Rc::new(web::Shared::new(limits, phases.clone()));
-            let asked = status.clone();
-            let traffic = traffic::Traffic::new(core, own, mailbox, status, registry);
-            serve(balancer, Rc::new(web::Shared::new(limits, phases.clone())), move |incoming| {
-                doors::readiness(asked.clone(), incoming)
-            });
-            actix_rt::spawn(traffic::run(traffic, callers, shared, news, phases));
+            let limits = traffic::client_limits(&declaration::Limits::default());
+            let shared = Rc::new(http_server::Shared::new(limits, phase_receiver.clone()));
+            let readiness_status = status.clone();
+            let entry = traffic::Entry::new(core, own_address, mailbox, status, registry);
+            serve(
+                readiness_listener,
+                Rc::new(http_server::Shared::new(limits, phase_receiver.clone())),
+                move |request| endpoints::get_readiness(readiness_status.clone(), request),
+            );
+            actix_rt::spawn(traffic::run(
+                entry,
+                client_listener,
+                shared,
+                publications,
+                phase_receiver,
+            ));
         });
         Ok(())
     }
@@ -219,9 +245,9 @@
 
 /// Limits of requests to the control address, which are larger than those of client requests
 /// because declarations are large.
-fn control_limits() -> web::Limits {
+fn control_limits() -> http_server::Limits {
     let defaults = declaration::Limits::default();
-    web::Limits {
+    http_server::Limits {
         head_bytes: defaults.head_bytes,
         body_bytes: 2 * defaults.body_bytes,
         head_timeout: defaults.head_timeout,
@@ -229,13 +255,16 @@
     }
 }
 
-fn serve<Handle, Handled>(listener: net::TcpListener, shared: Rc<web::Shared>, handle: Handle)
-where
-    Handle: Fn(web::Incoming) -> Handled + Clone + 'static,
-    Handled: Future<Output = web::Outgoing> + 'static,
+fn serve<Handler, Handling>(
+    listener: net::TcpListener,
+    shared: Rc<http_server::Shared>,
+    handler: Handler,
+) where
+    Handler: Fn(http_server::Request) -> Handling + Clone + 'static,
+    Handling: Future<Output = http_server::Response> + 'static,
 {
     actix_rt::spawn(async move {
-        if let Err(error) = web::serve(listener, shared, handle).await {
+        if let Err(error) = http_server::serve(listener, shared, handler).await {
             tracing::error!(%error, "cannot serve a listening address");
         }
     });
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -1,6 +1,6 @@
 //! Entry role: drives the gateway core on the traffic thread, shared by all request handlers.
 
-use crate::edge::{control, conversation, engine, pool, web};
+use crate::edge::{connection_pool, control, engine, handler, http_server};
 use crate::{clock, log, mailbox};
 use hyssopfork_fleet::{declaration, event as fleet_event, quarantine, view};
 use hyssopfork_gateway::{action, core, event};
@@ -17,7 +17,7 @@
 
 /// A view update that the control role publishes to the entry role, with the declaration if that is
 /// new.
-pub type News = (Box<view::Update>, Option<Arc<declaration::Declaration>>);
+pub type Publication = (Box<view::Update>, Option<Arc<declaration::Declaration>>);
 
 /// Status of the entry role for other threads.
 #[derive(Debug, Default)]
@@ -25,40 +25,40 @@
     /// Whether the process accepts new connections.
     pub ready: AtomicBool,
     /// Number of requests in flight.
-    pub open: AtomicUsize,
+    pub in_flight: AtomicUsize,
 }
 
 /// The entry role.
-pub struct Traffic {
-    own_handle: Weak<Traffic>,
+pub struct Entry {
+    weak_self: Weak<Entry>,
     core: RefCell<core::Core>,
     /// Idle connections to upstreams.
-    pub idle: pool::Pool,
-    count: Cell<u64>,
+    pub idle_connections: connection_pool::Pool,
+    request_count: Cell<u64>,
     /// Channels for decisions about queued requests, by request number.
-    held: RefCell<HashMap<u64, oneshot::Sender<action::Decision>>>,
-    own: net::SocketAddr,
+    waiters: RefCell<HashMap<u64, oneshot::Sender<action::Decision>>>,
+    own_address: net::SocketAddr,
     mailbox: mailbox::Mailbox<control::Input>,
     status: Arc<Status>,
     registry: Arc<metrics::Registry>,
 }
 
-impl Traffic {
-    /// Creates the entry role around `core`. `own` is the address of this process among its peers.
+impl Entry {
+    /// Creates the entry role around `core`. `own_address` is the address of this process among its peers.
     pub fn new(
         core: core::Core,
-        own: net::SocketAddr,
+        own_address: net::SocketAddr,
         mailbox: mailbox::Mailbox<control::Input>,
         status: Arc<Status>,
         registry: Arc<metrics::Registry>,
-    ) -> Rc<Traffic> {
-        Rc::new_cyclic(|own_handle| Traffic {
-            own_handle: own_handle.clone(),
+    ) -> Rc<Entry> {
+        Rc::new_cyclic(|weak_self| Entry {
+            weak_self: weak_self.clone(),
             core: RefCell::new(core),
-            idle: pool::Pool::default(),
-            count: Cell::new(0),
-            held: RefCell::default(),
-            own,
+            idle_connections: connection_pool::Pool::default(),
+            request_count: Cell::new(0),
+            waiters: RefCell::default(),
+            own_address,
             mailbox,
             status,
             registry,
@@ -66,15 +66,15 @@
     }
 
     /// Returns the number of the next request.
-    pub fn number(&self) -> u64 {
-        self.count.set(self.count.get() + 1);
-        self.count.get()
+    pub fn next_request_number(&self) -> u64 {
+        self.request_count.set(self.request_count.get() + 1);
+        self.request_count.get()
     }
 
     /// Registers a queued request; the receiver gets the next decision about it.
-    pub fn held(&self, number: u64) -> oneshot::Receiver<action::Decision> {
+    pub fn register_waiter(&self, number: u64) -> oneshot::Receiver<action::Decision> {
         let (sender, receiver) = oneshot::channel();
-        self.held.borrow_mut().insert(number, sender);
+        self.waiters.borrow_mut().insert(number, sender);
         receiver
     }
 
@@ -83,22 +83,22 @@
     pub fn step(&self, event: event::Event) -> Option<action::Decision> {
         let number = event.request();
         if let Some(number) = number {
-            self.held.borrow_mut().remove(&number);
+            self.waiters.borrow_mut().remove(&number);
         }
         let actions = self.core.borrow_mut().step(clock::now(), event);
         let mut decision = None;
         for action in actions {
             match action {
-                action::Action::Decide(of, decided) if Some(of) == number => {
+                action::Action::Decide(request, decided) if Some(request) == number => {
                     decision = Some(decided);
                 }
-                action::Action::Decide(of, decided) => self.wake(of, decided),
+                action::Action::Decide(request, decided) => self.notify_waiter(request, decided),
                 action::Action::Probe(process, address) => self.probe(process, address),
                 action::Action::Notice(notice) => log::notice(&notice),
                 action::Action::Measure(measure) => log::measure_edge(&self.registry, &measure),
                 action::Action::Report(evidence) => {
-                    let seen = fleet_event::Event::Observed(self.own, evidence);
-                    self.mailbox.post(control::Input::Event(Box::new(seen)));
+                    let observed = fleet_event::Event::Observed(self.own_address, evidence);
+                    self.mailbox.post(control::Input::Event(Box::new(observed)));
                 }
             }
         }
@@ -106,24 +106,24 @@
     }
 
     fn probe(&self, process: quarantine::Process, address: net::SocketAddr) {
-        let Some(traffic) = self.own_handle.upgrade() else { return };
+        let Some(entry) = self.weak_self.upgrade() else { return };
         actix_rt::spawn(async move {
-            let refused = engine::refuses(address).await;
-            traffic.step(event::Event::Probed(process, refused));
+            let refused = engine::refuses_connections(address).await;
+            entry.step(event::Event::Probed(process, refused));
         });
     }
 
-    fn wake(&self, number: u64, decision: action::Decision) {
-        let held = self.held.borrow_mut().remove(&number);
-        if held.is_none_or(|held| held.send(decision).is_err()) {
+    fn notify_waiter(&self, number: u64, decision: action::Decision) {
+        let waiter = self.waiters.borrow_mut().remove(&number);
+        if waiter.is_none_or(|waiter| waiter.send(decision).is_err()) {
             tracing::error!(number, "core decided about a request that awaits no decision");
         }
     }
 
-    fn show(&self) {
+    fn update_status(&self) {
         let core = self.core.borrow();
         self.status.ready.store(core.is_ready(), Ordering::Relaxed);
-        self.status.open.store(core.open_requests(), Ordering::Relaxed);
+        self.status.in_flight.store(core.open_requests(), Ordering::Relaxed);
         self.registry.occupied(0, core.open_requests());
         if let Some(table) = core.table() {
             let version = table.declaration().version;
@@ -134,17 +134,17 @@
 
 /// Runs the entry role on this thread until the process exits.
 pub async fn run(
-    traffic: Rc<Traffic>,
+    entry: Rc<Entry>,
     listener: net::TcpListener,
-    shared: Rc<web::Shared>,
-    mut news: mpsc::UnboundedReceiver<News>,
-    mut phase: watch::Receiver<web::Phase>,
+    shared: Rc<http_server::Shared>,
+    mut publications: mpsc::UnboundedReceiver<Publication>,
+    mut phase: watch::Receiver<http_server::Phase>,
 ) {
-    let serving = traffic.clone();
-    let handle = move |incoming| conversation::hold(serving.clone(), incoming);
-    let served = shared.clone();
+    let handler_entry = entry.clone();
+    let handle = move |request| handler::handle(handler_entry.clone(), request);
+    let server_shared = shared.clone();
     actix_rt::spawn(async move {
-        if let Err(error) = web::serve(listener, served, handle).await {
+        if let Err(error) = http_server::serve(listener, server_shared, handle).await {
             tracing::error!(%error, "cannot serve clients");
         }
     });
@@ -153,29 +153,29 @@
     loop {
         tokio::select! {
             biased;
-            Some((update, declaration)) = news.recv() => {
-                if let Some(declared) = &declaration {
-                    shared.limits.set(limits(&declared.limits));
+            Some((update, declaration)) = publications.recv() => {
+                if let Some(declaration) = &declaration {
+                    shared.limits.set(client_limits(&declaration.limits));
                 }
-                traffic.step(event::Event::ViewUpdated(update, declaration));
+                entry.step(event::Event::ViewUpdated(update, declaration));
             }
             Ok(()) = phase.changed() => {
-                if *phase.borrow_and_update() == web::Phase::Leaving {
-                    traffic.step(event::Event::Stop);
+                if *phase.borrow_and_update() == http_server::Phase::Draining {
+                    entry.step(event::Event::Stop);
                 }
             }
             _ = ticks.tick() => {
-                traffic.step(event::Event::Tick);
-                traffic.idle.trim();
+                entry.step(event::Event::Tick);
+                entry.idle_connections.close_expired();
             }
         }
-        traffic.show();
+        entry.update_status();
     }
 }
 
 /// Limits of client connections that the declaration sets.
-pub fn limits(declared: &declaration::Limits) -> web::Limits {
-    web::Limits {
+pub fn client_limits(declared: &declaration::Limits) -> http_server::Limits {
+    http_server::Limits {
         head_bytes: declared.head_bytes,
         body_bytes: declared.body_bytes,
         head_timeout: declared.head_timeout,
--- a/crates/hyssopfork-daemon/tests/edge/web.rs
+++ b/crates/hyssopfork-daemon/tests/edge/web.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use futures::StreamExt;
 use futures::stream;
-use hyssopfork_daemon::edge::web;
+use hyssopfork_daemon::edge::http_server;
 use hyssopfork_test_support::http;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-const LIMITS: web::Limits = web::Limits {
+const LIMITS: http_server::Limits = http_server::Limits {
     head_bytes: 1_024,
     body_bytes: 64,
     head_timeout: Duration::from_millis(300),
@@ -31,41 +31,44 @@
     }
 }
 
-async fn answer(incoming: web::Incoming, dropped: Arc<AtomicUsize>) -> web::Outgoing {
+async fn answer(
+    incoming: http_server::Request,
+    dropped: Arc<AtomicUsize>,
+) -> http_server::Response {
     let guard = Dropped(dropped);
-    match incoming.request.path() {
+    match incoming.head.path() {
         "/never" => std::future::pending().await,
         "/parts" => {
             let parts = ["one ", "", "two"].map(|part| Ok(Bytes::from(part)));
-            let body = web::Body::Parts(stream::iter(parts).boxed_local());
-            web::Outgoing { status: 200, headers: Vec::new(), body }
+            let body = http_server::Body::Stream(stream::iter(parts).boxed_local());
+            http_server::Response { status: 200, headers: Vec::new(), body }
         }
         "/broken" => {
-            let parts = [Ok(Bytes::from("one")), Err(web::Broken)];
-            let body = web::Body::Parts(stream::iter(parts).boxed_local());
-            web::Outgoing { status: 200, headers: Vec::new(), body }
+            let parts = [Ok(Bytes::from("one")), Err(http_server::Aborted)];
+            let body = http_server::Body::Stream(stream::iter(parts).boxed_local());
+            http_server::Response { status: 200, headers: Vec::new(), body }
         }
         _ => {
             drop(guard);
-            web::Outgoing::whole(200, Vec::new(), incoming.body)
+            http_server::Response::new(200, Vec::new(), incoming.body)
         }
     }
 }
 
 /// Starts a server on its own thread; returns its address, the number of dropped handlers, and its
 /// shutdown phase.
-fn start() -> (SocketAddr, Arc<AtomicUsize>, watch::Sender<web::Phase>) {
+fn start() -> (SocketAddr, Arc<AtomicUsize>, watch::Sender<http_server::Phase>) {
     let listener = http::free_listener().expect("a free port");
     listener.set_nonblocking(true).expect("it is bound");
     let address = listener.local_addr().expect("it is bound");
-    let (phase, phases) = watch::channel(web::Phase::Serving);
+    let (phase, phases) = watch::channel(http_server::Phase::Serving);
     let dropped = Arc::<AtomicUsize>::default();
     let counted = dropped.clone();
     thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
-            let shared = Rc::new(web::Shared::new(LIMITS, phases));
+            let shared = Rc::new(http_server::Shared::new(LIMITS, phases));
             let handle = move |incoming| answer(incoming, counted.clone());
-            web::serve(listener, shared, handle).await.expect("it listens");
+            http_server::serve(listener, shared, handle).await.expect("it listens");
             std::future::pending::<()>().await;
         });
     });
@@ -159,7 +162,7 @@
     let mut reader = BufReader::new(idle.try_clone().expect("it is open"));
     assert_eq!(support::receive(&mut reader).map(|answer| answer.status), Some(200));
 
-    phase.send_replace(web::Phase::Closing);
+    phase.send_replace(http_server::Phase::Closing);
 
     assert_eq!(reader.read(&mut [0; 8]).expect("it is closed in order"), 0);
     thread::sleep(Duration::from_millis(100));
