--- a/crates/hyssopfork-daemon/tests/edge/fragile.rs
+++ b/crates/hyssopfork-daemon/tests/edge/crashing_upstream.rs
@@ -9,16 +9,16 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Body of the request that crashes an upstream.
-pub const DEADLY: &str = "deadly";
+pub const CRASHING_BODY: &str = "deadly";
 
 /// Time that a request runs, including one that then crashes its upstream.
-const RUN: Duration = Duration::from_millis(80);
+const RUN_TIME: Duration = Duration::from_millis(80);
 
 /// Time from a crash until the upstream restarts.
-const DOWN: Duration = Duration::from_millis(1_500);
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Interval between announcements.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Interval at which the listener is polled for connections.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
@@ -28,11 +28,11 @@
 pub struct Record {
     stopped: AtomicBool,
     /// When crashing requests arrived.
-    pub arrivals: Mutex<Vec<Instant>>,
+    pub crashing_arrivals: Mutex<Vec<Instant>>,
     /// When upstreams crashed.
     pub crashes: Mutex<Vec<Instant>>,
     /// Rate limit that each upstream names, in requests per second.
-    pub named_rate: Mutex<Option<f64>>,
+    pub rate_limit: Mutex<Option<f64>>,
     /// All requests: index of the upstream and time of arrival.
     pub requests: Mutex<Vec<(usize, Instant)>>,
 }
@@ -51,7 +51,7 @@
 
 /// One process of an upstream.
 struct Process {
-    place: usize,
+    index: usize,
     address: SocketAddr,
     instance: String,
     crashed: AtomicBool,
@@ -59,23 +59,23 @@
 }
 
 impl Process {
-    fn is_over(&self, record: &Record) -> bool {
+    fn has_ended(&self, record: &Record) -> bool {
         record.is_stopped() || self.crashed.load(Ordering::Relaxed)
     }
 }
 
 /// Runs an upstream, which restarts after each crash, until the test stops it.
-pub fn run(record: &Arc<Record>, place: usize, port: u16, control: &[SocketAddr]) {
-    let address = SocketAddr::from(([127, 0, 2, place as u8 + 1], port));
-    for life in 0.. {
+pub fn run(record: &Arc<Record>, index: usize, port: u16, control: &[SocketAddr]) {
+    let address = SocketAddr::from(([127, 0, 2, index as u8 + 1], port));
+    for incarnation in 0.. {
         if record.is_stopped() {
             return;
         }
         let listener = TcpListener::bind(address).expect("the address is free");
         let process = Arc::new(Process {
-            place,
+            index,
             address,
-            instance: format!("i-{place}-{life}"),
+            instance: format!("i-{index}-{incarnation}"),
             crashed: AtomicBool::new(false),
             connections: Mutex::default(),
         });
@@ -83,24 +83,24 @@
         let announcer = thread::spawn(move || announce(&announced, &watched, &to));
         accept(&listener, &process, record);
         drop(listener);
-        for connection in process.connections.lock().expect("no holder panics").drain(..) {
+        for connection in process.connections.lock().expect("no thread panicked").drain(..) {
             let _already_closed = connection.shutdown(Shutdown::Both);
         }
-        announcer.join().expect("it doesn't panic");
-        thread::sleep(DOWN);
+        announcer.join().expect("the announcer does not panic");
+        thread::sleep(RESTART_DELAY);
     }
 }
 
 fn accept(listener: &TcpListener, process: &Arc<Process>, record: &Arc<Record>) {
-    listener.set_nonblocking(true).expect("it is open");
-    while !process.is_over(record) {
+    listener.set_nonblocking(true).expect("the socket is open");
+    while !process.has_ended(record) {
         let Ok((stream, _)) = listener.accept() else {
             thread::sleep(ACCEPT_INTERVAL);
             continue;
         };
-        stream.set_nonblocking(false).expect("it is open");
-        let kept = stream.try_clone().expect("it is open");
-        process.connections.lock().expect("no holder panics").push(kept);
+        stream.set_nonblocking(false).expect("the socket is open");
+        let handle = stream.try_clone().expect("the socket is open");
+        process.connections.lock().expect("no thread panicked").push(handle);
         let (process, record) = (process.clone(), record.clone());
         thread::spawn(move || serve(stream, &process, &record));
     }
@@ -110,7 +110,7 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is set");
     let born = now.as_millis();
     for sequence in 1.. {
-        if process.is_over(record) {
+        if process.has_ended(record) {
             return;
         }
         let body = format!(
@@ -119,35 +119,35 @@
         );
         let path = format!("/instances/{}", process.instance);
         let request = support::request("PUT", &path, "", &body);
-        let _again_soon = fleet::Fleet::insist(control, &request, 1);
-        thread::sleep(HEARTBEAT);
+        let _repeated_soon = fleet::Fleet::call_until_ok(control, &request, 1);
+        thread::sleep(HEARTBEAT_INTERVAL);
     }
 }
 
 fn serve(stream: TcpStream, process: &Process, record: &Record) {
-    let mut writer = stream.try_clone().expect("it is open");
+    let mut writer = stream.try_clone().expect("the socket is open");
     let mut reader = BufReader::new(stream);
     while let Some((identifier, body)) = receive(&mut reader) {
-        let arrival = (process.place, Instant::now());
-        record.requests.lock().expect("no holder panics").push(arrival);
-        let deadly = body == DEADLY;
-        if deadly {
-            record.arrivals.lock().expect("no holder panics").push(Instant::now());
+        let arrival = (process.index, Instant::now());
+        record.requests.lock().expect("no thread panicked").push(arrival);
+        let crashes = body == CRASHING_BODY;
+        if crashes {
+            record.crashing_arrivals.lock().expect("no thread panicked").push(Instant::now());
         }
-        thread::sleep(RUN);
-        if deadly {
+        thread::sleep(RUN_TIME);
+        if crashes {
             if !process.crashed.swap(true, Ordering::Relaxed) {
-                record.crashes.lock().expect("no holder panics").push(Instant::now());
+                record.crashes.lock().expect("no thread panicked").push(Instant::now());
             }
             return;
         }
-        let rate = *record.named_rate.lock().expect("no holder panics");
-        let limit = rate.map(|rate| format!("Server-Limit: {rate:.1}\r\n")).unwrap_or_default();
-        let answer = format!(
-            "HTTP/1.1 200 OK\r\nHyssopfork-Attempt-Id: {identifier}\r\n{limit}\
+        let rate = *record.rate_limit.lock().expect("no thread panicked");
+        let header = rate.map(|rate| format!("Server-Limit: {rate:.1}\r\n")).unwrap_or_default();
+        let response = format!(
+            "HTTP/1.1 200 OK\r\nHyssopfork-Attempt-Id: {identifier}\r\n{header}\
              Hyssopfork-Server-Signature: s\r\nContent-Length: 4\r\n\r\nfine"
         );
-        if process.is_over(record) || writer.write_all(answer.as_bytes()).is_err() {
+        if process.has_ended(record) || writer.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
--- a/crates/hyssopfork-daemon/tests/edge/fleet.rs
+++ b/crates/hyssopfork-daemon/tests/edge/fleet.rs
@@ -20,9 +20,9 @@
 #[derive(Debug)]
 pub struct Node {
     /// Address for clients.
-    pub callers: SocketAddr,
+    pub client_address: SocketAddr,
     /// Address for operators and upstreams.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     folder: PathBuf,
     has_disk: bool,
     child: Option<Child>,
@@ -42,71 +42,71 @@
         let folder = std::env::temp_dir().join(format!("hyssopfork-{name}-{}", std::process::id()));
         let [callers, readiness, control, peer, metrics] = [(); 5].map(|()| support::free_port());
         let ports = Ports { readiness, peer, metrics };
-        let node = |place: usize| Node {
-            callers: address(place, callers),
-            control: address(place, control),
-            folder: folder.join(format!("edge-{place}")),
-            has_disk: place < disks,
+        let node = |index: usize| Node {
+            client_address: address(index, callers),
+            control_address: address(index, control),
+            folder: folder.join(format!("edge-{index}")),
+            has_disk: index < disks,
             child: None,
         };
         let nodes = (0..disks + others).map(node).collect();
         let mut fleet = Fleet { nodes, folder, ports };
-        (0..disks + others).for_each(|place| fleet.boot(place, true));
+        (0..disks + others).for_each(|index| fleet.start_node(index, true));
         fleet
     }
 
-    /// Starts the process at `place` with the content of its data folder.
-    pub fn boot(&mut self, place: usize, first_start: bool) {
+    /// Starts the process at `index` with the content of its data folder.
+    pub fn start_node(&mut self, index: usize, first_start: bool) {
         let Ports { readiness, peer, metrics } = self.ports;
         let seeds: Vec<String> =
-            self.nodes.iter().take(3).map(|node| format!("\"{}\"", node.control)).collect();
-        let node = &mut self.nodes[place];
-        fs::create_dir_all(&node.folder).expect("a folder can be made");
+            self.nodes.iter().take(3).map(|node| format!("\"{}\"", node.control_address)).collect();
+        let node = &mut self.nodes[index];
+        fs::create_dir_all(&node.folder).expect("the folder can be created");
         let data = if node.has_disk { node.folder.join("data") } else { PathBuf::new() };
         let settings = format!(
             r#"{{
-              "instance": "edge-{place}", "zone": "z{}", "callers_listen": "{}",
+              "instance": "edge-{index}", "zone": "z{}", "callers_listen": "{}",
               "readiness_listen": "{}", "control_listen": "{}", "peer_port": {peer},
               "metrics_port": {metrics}, "seeds": [{}], "first_start": {first_start},
               "data_folder": "{}", "tolerated_losses": 1, "grace_seconds": 6, "log": {{ "format": "json" }}
             }}"#,
-            place % 3,
-            node.callers,
-            address(place, readiness),
-            node.control,
+            index % 3,
+            node.client_address,
+            address(index, readiness),
+            node.control_address,
             seeds.join(", "),
             data.display(),
         );
         let path = node.folder.join("settings.jsonc");
-        fs::write(&path, settings).expect("it can be written");
+        fs::write(&path, settings).expect("the settings can be written");
         let log = fs::File::options().create(true).append(true).open(node.folder.join("log"));
         node.child = Some(
             Command::new(env!("CARGO_BIN_EXE_hyssopforkd"))
                 .args(["edge", "--settings"])
                 .arg(&path)
-                .stdout(Stdio::from(log.expect("a log can be made")))
+                .stdout(Stdio::from(log.expect("the log file opens")))
                 .spawn()
-                .expect("it starts"),
+                .expect("hyssopforkd starts"),
         );
     }
 
-    /// Sends a signal to the process at `place`.
-    pub fn signal(&self, place: usize, signal: Signal) {
-        if let Some(child) = &self.nodes[place].child {
+    /// Sends a signal to the process at `index`.
+    pub fn signal(&self, index: usize, signal: Signal) {
+        if let Some(child) = &self.nodes[index].child {
             let _already_ended = rustix::process::kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Waits for the process at `place` to exit after a signal.
-    pub fn reap(&mut self, place: usize) {
-        if let Some(mut child) = self.nodes[place].child.take() {
-            child.wait().expect("it was started");
+    /// Waits for the process at `index` to exit after a signal.
+    pub fn wait_for_exit(&mut self, index: usize) {
+        if let Some(mut child) = self.nodes[index].child.take() {
+            child.wait().expect("the process was started");
         }
     }
 
-    /// Deletes the data folder at `place`, whose process has exited.
-    pub fn wipe(&self, place: usize) {
-        let _was_blank = fs::remove_dir_all(self.nodes[place].folder.join("data"));
+    /// Deletes the data folder at `index`, whose process has exited.
+    pub fn delete_data(&self, index: usize) {
+        let _already_missing = fs::remove_dir_all(self.nodes[index].folder.join("data"));
     }
 
     /// Folder of the settings and logs of all processes.
@@ -116,15 +116,20 @@
 
     /// Sends a request to one process after the other, following redirects, until one responds with
     /// 200.
-    pub fn insist(control: &[SocketAddr], request: &str, rounds: usize) -> Option<support::Answer> {
+    pub fn call_until_ok(
+        control: &[SocketAddr],
+        request: &str,
+        rounds: usize,
+    ) -> Option<support::Response> {
         for round in 0..rounds * control.len() {
             let mut to = control[round % control.len()];
             for _ in 0..3 {
-                let Some(answer) = support::call_within(to, request, Duration::from_secs(1)) else {
+                let Some(response) = support::call_within(to, request, Duration::from_secs(1))
+                else {
                     break;
                 };
-                match (answer.status, moved(&answer)) {
-                    (200, _) => return Some(answer),
+                match (response.status, redirect_target(&response)) {
+                    (200, _) => return Some(response),
                     (307, Some(next)) => to = next,
                     _ => break,
                 }
@@ -137,9 +142,9 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for place in 0..self.nodes.len() {
-            self.signal(place, Signal::KILL);
-            self.reap(place);
+        for index in 0..self.nodes.len() {
+            self.signal(index, Signal::KILL);
+            self.wait_for_exit(index);
         }
         if !thread::panicking() {
             let _left_behind = fs::remove_dir_all(&self.folder);
@@ -147,13 +152,13 @@
     }
 }
 
-fn address(place: usize, port: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 1, place as u8 + 1], port))
+fn address(index: usize, port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 1, index as u8 + 1], port))
 }
 
 /// Target of a redirect.
-fn moved(answer: &support::Answer) -> Option<SocketAddr> {
-    let head = answer.head.to_lowercase();
+fn redirect_target(response: &support::Response) -> Option<SocketAddr> {
+    let head = response.head.to_lowercase();
     let location = head.split("location: http://").nth(1)?;
     location.split('/').next()?.parse().ok()
 }
--- a/crates/hyssopfork-daemon/tests/edge/main.rs
+++ b/crates/hyssopfork-daemon/tests/edge/main.rs
@@ -1,11 +1,11 @@
 //! Tests of edge processes through the interfaces of clients, operators and upstreams.
 
+mod crashing_upstream;
+mod end_to_end;
 mod fleet;
-mod fragile;
+mod http_server;
 mod named_rate;
 mod query_of_death;
-mod scene;
+mod scenario;
 mod soak;
 mod support;
-mod web;
-mod whole;
--- a/crates/hyssopfork-daemon/tests/edge/query_of_death.rs
+++ b/crates/hyssopfork-daemon/tests/edge/query_of_death.rs
@@ -1,36 +1,36 @@
 //! A request that crashes every upstream that runs it, and that its client keeps sending.
 
-use crate::{fleet, fragile, scene};
+use crate::{crashing_upstream, fleet, scenario};
 use rustix::process::Signal;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 /// Time after the third crash until every process must have learned of it.
-const CONTACT_WINDOW: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Maximum number of attempts that may reach upstreams after that.
 const MAX_LATER_ARRIVALS: usize = 3;
 
 /// When upstreams crashed.
-fn crashes(scene: &scene::Scene) -> Vec<Instant> {
-    scene.record.crashes.lock().expect("no holder panics").clone()
+fn crashes(scenario: &scenario::Scenario) -> Vec<Instant> {
+    scenario.record.crashes.lock().expect("no thread panicked").clone()
 }
 
-/// Number of crashing requests that reached upstreams later than [`CONTACT_WINDOW`] after the third
-/// crash.
-fn later_arrivals(scene: &scene::Scene) -> usize {
-    let third = *crashes(scene).get(2).expect("it crashes three upstreams first");
-    let arrivals = scene.record.arrivals.lock().expect("no holder panics");
-    arrivals.iter().filter(|at| **at > third + CONTACT_WINDOW).count()
+/// Number of crashing requests that reached upstreams later than [`PROPAGATION_TIME`] after the
+/// third crash.
+fn count_later_arrivals(scenario: &scenario::Scenario) -> usize {
+    let third = *crashes(scenario).get(2).expect("the request crashed three upstreams");
+    let arrivals = scenario.record.crashing_arrivals.lock().expect("no thread panicked");
+    arrivals.iter().filter(|at| **at > third + PROPAGATION_TIME).count()
 }
 
-fn assert_kept_from_upstreams(scene: &scene::Scene) {
-    let later = later_arrivals(scene);
+fn assert_kept_from_upstreams(scenario: &scenario::Scenario) {
+    let count = count_later_arrivals(scenario);
     assert!(
-        later <= MAX_LATER_ARRIVALS,
-        "{later} attempts later than {CONTACT_WINDOW:?} after the third crash, {} crashes; logs in {}",
-        crashes(scene).len(),
-        scene.fleet.folder().display()
+        count <= MAX_LATER_ARRIVALS,
+        "{count} attempts later than {PROPAGATION_TIME:?} after the third crash, {} crashes; logs in {}",
+        crashes(scenario).len(),
+        scenario.fleet.folder().display()
     );
 }
 
@@ -38,22 +38,22 @@
 /// counts only its own attempts and takes each repeat by the client for a new request.
 #[test]
 fn a_request_that_crashes_upstreams_is_kept_from_them() {
-    let scene = scene::Plan {
+    let scenario = scenario::Plan {
         name: "query-of-death",
         processes: 5,
-        time: Duration::from_secs(7),
-        deadly: true,
+        duration: Duration::from_secs(7),
+        sends_crashing_requests: true,
     }
-    .play(|_, _, _| {});
+    .run(|_, _, _| {});
 
-    assert_kept_from_upstreams(&scene);
-    let (sent, served) = scene.clients.counts();
+    assert_kept_from_upstreams(&scenario);
+    let (sent, served) = scenario.clients.counts();
     assert!(served * 10 >= sent * 9, "{served} of {sent} harmless requests were served");
-    let answers = scene.answers.lock().expect("no holder panics");
-    let rejected: Vec<_> = answers.iter().filter(|answer| answer.status == 503).collect();
+    let responses = scenario.crashing_responses.lock().expect("no thread panicked");
+    let rejected: Vec<_> = responses.iter().filter(|response| response.status == 503).collect();
     assert!(!rejected.is_empty(), "no repeat was rejected");
-    for answer in rejected {
-        assert!(answer.head.to_lowercase().contains("retry-after"), "{}", answer.head);
+    for response in rejected {
+        assert!(response.head.to_lowercase().contains("retry-after"), "{}", response.head);
     }
 }
 
@@ -61,25 +61,26 @@
 /// process doesn't know. The run lasts beyond the first trial of the quarantined request.
 #[test]
 fn a_quarantine_outlasts_its_leader_and_restarts() {
-    let killed = AtomicU64::new(0);
-    let kill_in_turn = |fleet: &mut fleet::Fleet, _: &fragile::Record, since: Duration| {
-        let place = killed.load(Ordering::Relaxed) as usize;
-        if place < 3 && since >= Duration::from_secs(3 + 3 * place as u64) {
-            fleet.signal(place, Signal::KILL);
-            fleet.reap(place);
-            fleet.boot(place, false);
-            killed.fetch_add(1, Ordering::Relaxed);
-        }
-    };
+    let kill_count = AtomicU64::new(0);
+    let kill_in_turn =
+        |fleet: &mut fleet::Fleet, _: &crashing_upstream::Record, since: Duration| {
+            let index = kill_count.load(Ordering::Relaxed) as usize;
+            if index < 3 && since >= Duration::from_secs(3 + 3 * index as u64) {
+                fleet.signal(index, Signal::KILL);
+                fleet.wait_for_exit(index);
+                fleet.start_node(index, false);
+                kill_count.fetch_add(1, Ordering::Relaxed);
+            }
+        };
 
-    let scene = scene::Plan {
+    let scenario = scenario::Plan {
         name: "quarantine-kept",
         processes: 5,
-        time: Duration::from_secs(24),
-        deadly: true,
+        duration: Duration::from_secs(24),
+        sends_crashing_requests: true,
     }
-    .play(kill_in_turn);
+    .run(kill_in_turn);
 
-    assert_eq!(killed.load(Ordering::Relaxed), 3);
-    assert_kept_from_upstreams(&scene);
+    assert_eq!(kill_count.load(Ordering::Relaxed), 3);
+    assert_kept_from_upstreams(&scenario);
 }
--- a/crates/hyssopfork-daemon/tests/edge/scene.rs
+++ b/crates/hyssopfork-daemon/tests/edge/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenario of several edge processes in front of several upstreams, under client load.
 
-use crate::{fleet, fragile, support};
+use crate::{crashing_upstream, fleet, support};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,9 +11,9 @@
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Number of upstreams.
-pub const UPSTREAMS: usize = 8;
+pub const UPSTREAM_COUNT: usize = 8;
 
-const CLIENTS: usize = 6;
+const CLIENT_COUNT: usize = 6;
 
 const DECLARATION: &str = r#"{"Version":3,
  "Routes":[{"Name":"r1","Host":"host","PathPrefix":"/check/","Kind":"idempotent","TimeoutMs":2000,
@@ -39,16 +39,16 @@
         (self.sent.load(Ordering::Relaxed), self.served.load(Ordering::Relaxed))
     }
 
-    fn send(&self, record: &fragile::Record, client: usize, entries: &[SocketAddr]) {
+    fn send(&self, record: &crashing_upstream::Record, client: usize, entries: &[SocketAddr]) {
         for count in 0.. {
             if record.is_stopped() {
                 return;
             }
             let request = request(&format!("c{client}-{count}"), &format!("{client} {count}"));
             let to = entries[(client + count) % entries.len()];
-            let answer = support::call_within(to, &request, Duration::from_secs(3));
+            let response = support::call_within(to, &request, Duration::from_secs(3));
             self.sent.fetch_add(1, Ordering::Relaxed);
-            if answer.is_some_and(|answer| answer.status == 200) {
+            if response.is_some_and(|response| response.status == 200) {
                 self.served.fetch_add(1, Ordering::Relaxed);
             }
             thread::sleep(Duration::from_millis(20));
@@ -63,69 +63,74 @@
     /// Number of processes, three of which have a data folder.
     pub processes: usize,
     /// Duration.
-    pub time: Duration,
+    pub duration: Duration,
     /// Whether a client sends the crashing request at each step.
-    pub deadly: bool,
+    pub sends_crashing_requests: bool,
 }
 
 /// A scenario that has been run: processes, upstreams and clients.
-pub struct Scene {
+pub struct Scenario {
     pub fleet: fleet::Fleet,
-    pub record: Arc<fragile::Record>,
+    pub record: Arc<crashing_upstream::Record>,
     pub clients: Clients,
     /// Responses to the crashing request.
-    pub answers: Mutex<Vec<support::Answer>>,
+    pub crashing_responses: Mutex<Vec<support::Response>>,
 }
 
 impl Plan {
     /// Runs the scenario. Calls `step` every 100 ms with the time since the first call.
-    pub fn play(self, step: impl Fn(&mut fleet::Fleet, &fragile::Record, Duration)) -> Scene {
+    pub fn run(
+        self,
+        step: impl Fn(&mut fleet::Fleet, &crashing_upstream::Record, Duration),
+    ) -> Scenario {
         let mut fleet = fleet::Fleet::start(self.name, 3, self.processes - 3);
-        let control: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.control).collect();
-        let entries: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.callers).collect();
+        let control: Vec<SocketAddr> =
+            fleet.nodes.iter().map(|node| node.control_address).collect();
+        let entries: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.client_address).collect();
         let declare = support::request("PUT", "/configuration", "", DECLARATION);
-        fleet::Fleet::insist(&control, &declare, 100).expect("it is acknowledged");
-        let record = Arc::<fragile::Record>::default();
+        fleet::Fleet::call_until_ok(&control, &declare, 100)
+            .expect("the declaration is acknowledged");
+        let record = Arc::<crashing_upstream::Record>::default();
         let port = support::free_port();
-        let (clients, answers) = (Clients::default(), Mutex::default());
+        let (clients, responses) = (Clients::default(), Mutex::default());
         thread::scope(|scope| {
             let (record, control, entries) = (&record, &control, &entries);
-            let (clients, answers) = (&clients, &answers);
-            for place in 0..UPSTREAMS {
-                scope.spawn(move || fragile::run(record, place, port, control));
+            let (clients, responses) = (&clients, &responses);
+            for index in 0..UPSTREAM_COUNT {
+                scope.spawn(move || crashing_upstream::run(record, index, port, control));
             }
-            entries.iter().copied().for_each(until_served);
-            for client in 0..CLIENTS {
+            entries.iter().copied().for_each(wait_until_served);
+            for client in 0..CLIENT_COUNT {
                 scope.spawn(move || clients.send(record, client, entries));
             }
-            let begun = Instant::now();
+            let started = Instant::now();
             for count in 0.. {
-                if begun.elapsed() >= self.time {
+                if started.elapsed() >= self.duration {
                     break;
                 }
-                if self.deadly {
+                if self.sends_crashing_requests {
                     let to = entries[count % entries.len()];
-                    scope.spawn(move || repeat(to, count, answers));
+                    scope.spawn(move || send_crashing_request(to, count, responses));
                 }
-                step(&mut fleet, record, begun.elapsed());
+                step(&mut fleet, record, started.elapsed());
                 thread::sleep(STEP_INTERVAL);
             }
             record.stop();
         });
-        Scene { fleet, record, clients, answers }
+        Scenario { fleet, record, clients, crashing_responses: responses }
     }
 }
 
-fn repeat(to: SocketAddr, count: usize, answers: &Mutex<Vec<support::Answer>>) {
-    let request = request(&format!("d{count}"), fragile::DEADLY);
-    let answer = support::call_within(to, &request, Duration::from_secs(3));
-    answers.lock().expect("no holder panics").extend(answer);
+fn send_crashing_request(to: SocketAddr, count: usize, responses: &Mutex<Vec<support::Response>>) {
+    let request = request(&format!("d{count}"), crashing_upstream::CRASHING_BODY);
+    let response = support::call_within(to, &request, Duration::from_secs(3));
+    responses.lock().expect("no thread panicked").extend(response);
 }
 
-fn until_served(entry: SocketAddr) {
+fn wait_until_served(entry: SocketAddr) {
     let since = Instant::now();
     while support::call(entry, &request("first", "first")).is_none_or(|it| it.status != 200) {
-        assert!(since.elapsed() < Duration::from_secs(20), "{entry} serves nothing");
+        assert!(since.elapsed() < Duration::from_secs(20), "{entry} served no request within 20 s");
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/hyssopfork-daemon/tests/edge/support.rs
+++ b/crates/hyssopfork-daemon/tests/edge/support.rs
@@ -11,43 +11,43 @@
 use std::{fs, thread};
 
 /// Timeout of any wait.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Port range for the processes of this test program. It lies below the kernel's ephemeral ports:
-/// between the choice of an ephemeral port and the start of the process, a connection or a listener
-/// of another test took the port. The process then exited, and its test talked to the process of
-/// the other test.
+/// First port, and number of ports, for the processes of this test program. They lie below the
+/// kernel's ephemeral ports: an ephemeral port can be taken by a connection or a listener of another
+/// test before the process starts. The process then exits, and its test talks to the process of the
+/// other test.
 const FIRST_PORT: u16 = 10_000;
-const PORTS: u16 = 20_000;
+const PORT_COUNT: u16 = 20_000;
 
 /// Distance between the first ports of test programs with consecutive process identifiers, so that
 /// they choose different ports.
-const BLOCK: u32 = 128;
+const PORT_BLOCK: u32 = 128;
 
 /// Returns a port that no other test process is given.
 pub fn free_port() -> u16 {
     static CHOSEN: AtomicU16 = AtomicU16::new(0);
-    let begin = (std::process::id().wrapping_mul(BLOCK) % u32::from(PORTS)) as u16;
-    let next = || FIRST_PORT + (begin + CHOSEN.fetch_add(1, Ordering::Relaxed)) % PORTS;
+    let begin = (std::process::id().wrapping_mul(PORT_BLOCK) % u32::from(PORT_COUNT)) as u16;
+    let next = || FIRST_PORT + (begin + CHOSEN.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT;
     let is_free = |port: &u16| TcpListener::bind(("127.0.0.1", *port)).is_ok();
-    std::iter::repeat_with(next).take(usize::from(PORTS)).find(is_free).expect("a free port")
+    std::iter::repeat_with(next).take(usize::from(PORT_COUNT)).find(is_free).expect("a free port")
 }
 
 /// An edge process.
 pub struct Edge {
     child: Child,
     folder: PathBuf,
-    pub callers: SocketAddr,
-    pub control: SocketAddr,
-    pub readiness: SocketAddr,
-    pub metrics: SocketAddr,
+    pub client_address: SocketAddr,
+    pub control_address: SocketAddr,
+    pub readiness_address: SocketAddr,
+    pub metrics_address: SocketAddr,
 }
 
 impl Edge {
     /// Starts the only process of a fleet.
     pub fn start(name: &str) -> Edge {
         let folder = std::env::temp_dir().join(format!("hyssopfork-{name}-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder can be made");
+        fs::create_dir_all(&folder).expect("the folder can be created");
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let [callers, control, readiness, metrics, peer] = [(); 5].map(|()| local(free_port()));
         let settings = format!(
@@ -64,35 +64,43 @@
             folder.join("data").display()
         );
         let path = folder.join("settings.jsonc");
-        fs::write(&path, settings).expect("it can be written");
+        fs::write(&path, settings).expect("the settings can be written");
         let child = Command::new(env!("CARGO_BIN_EXE_hyssopforkd"))
             .args(["edge", "--settings"])
             .arg(&path)
             .stdout(Stdio::null())
             .spawn()
-            .expect("it starts");
-        Edge { child, folder, callers, control, readiness, metrics }
+            .expect("hyssopforkd starts");
+        Edge {
+            child,
+            folder,
+            client_address: callers,
+            control_address: control,
+            readiness_address: readiness,
+            metrics_address: metrics,
+        }
     }
 
     /// Asks the process to stop.
     pub fn terminate(&self) {
         let process = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(process, rustix::process::Signal::TERM).expect("it runs");
+        rustix::process::kill_process(process, rustix::process::Signal::TERM)
+            .expect("the process runs");
     }
 
     /// Waits for the process to exit; returns whether it succeeded.
-    pub fn ended(&mut self) -> bool {
-        self.child.wait().expect("it was started").success()
+    pub fn wait_for_exit(&mut self) -> bool {
+        self.child.wait().expect("the process was started").success()
     }
 
     /// Repeats a request until the response has `status`.
-    pub fn until(&self, to: SocketAddr, request: &str, status: u16) -> Answer {
+    pub fn call_until(&self, to: SocketAddr, request: &str, status: u16) -> Response {
         let since = Instant::now();
         loop {
-            let answer = call(to, request);
-            match answer {
-                Some(answer) if answer.status == status => return answer,
-                other => assert!(since.elapsed() < PATIENCE, "{request}: {other:?}"),
+            let response = call(to, request);
+            match response {
+                Some(response) if response.status == status => return response,
+                other => assert!(since.elapsed() < TIMEOUT, "{request}: {other:?}"),
             }
             thread::sleep(Duration::from_millis(50));
         }
@@ -109,7 +117,7 @@
 
 /// An HTTP response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
@@ -124,20 +132,20 @@
 }
 
 /// Sends a request on a new connection; `None` without a complete response.
-pub fn call(to: SocketAddr, request: &str) -> Option<Answer> {
-    call_within(to, request, PATIENCE)
+pub fn call(to: SocketAddr, request: &str) -> Option<Response> {
+    call_within(to, request, TIMEOUT)
 }
 
-/// Sends a request on a new connection; `None` without a complete response within `time`.
-pub fn call_within(to: SocketAddr, request: &str, time: Duration) -> Option<Answer> {
-    let mut stream = TcpStream::connect_timeout(&to, time).ok()?;
-    stream.set_read_timeout(Some(time)).ok()?;
+/// Sends a request on a new connection; `None` without a complete response within `timeout`.
+pub fn call_within(to: SocketAddr, request: &str, timeout: Duration) -> Option<Response> {
+    let mut stream = TcpStream::connect_timeout(&to, timeout).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     receive(&mut BufReader::new(stream))
 }
 
 /// Reads a response with a content length or chunks.
-pub fn receive(reader: &mut impl BufRead) -> Option<Answer> {
+pub fn receive(reader: &mut impl BufRead) -> Option<Response> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).ok()? == 0 {
@@ -147,17 +155,17 @@
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let lower = head.to_lowercase();
     let body = if lower.contains("transfer-encoding: chunked") {
-        chunks(reader)?
+        read_chunks(reader)?
     } else {
         let length = lower.split("content-length: ").nth(1)?.split("\r\n").next()?.parse().ok()?;
         let mut body = vec![0; length];
         reader.read_exact(&mut body).ok()?;
         String::from_utf8(body).ok()?
     };
-    Some(Answer { status, head, body })
+    Some(Response { status, head, body })
 }
 
-fn chunks(reader: &mut impl BufRead) -> Option<String> {
+fn read_chunks(reader: &mut impl BufRead) -> Option<String> {
     let mut whole = String::new();
     loop {
         let mut size = String::new();
@@ -172,23 +180,23 @@
     }
 }
 
-/// Starts an upstream that responds to every request with `answer` and counts the requests.
-pub fn upstream(answer: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts an upstream that responds to every request with `response` and counts the requests.
+pub fn upstream(response: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener: TcpListener = http::free_listener().expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let count = Arc::<AtomicUsize>::default();
     let counted = count.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let counted = counted.clone();
-            thread::spawn(move || serve(stream, answer, &counted));
+            thread::spawn(move || serve(stream, response, &counted));
         }
     });
     (address, count)
 }
 
-fn serve(stream: TcpStream, answer: &str, count: &AtomicUsize) {
-    let mut writer = stream.try_clone().expect("it is open");
+fn serve(stream: TcpStream, response: &str, count: &AtomicUsize) {
+    let mut writer = stream.try_clone().expect("the socket is open");
     let mut reader = BufReader::new(stream);
     loop {
         let mut head = String::new();
@@ -204,7 +212,7 @@
             return;
         }
         count.fetch_add(1, Ordering::SeqCst);
-        if writer.write_all(answer.as_bytes()).is_err() {
+        if writer.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
