--- a/crates/hyssopfork-control/tests/histories/holder.rs
+++ b/crates/hyssopfork-control/tests/histories/holder.rs
@@ -1,4 +1,4 @@
-//! Agents and entries that renew leases, watch, restart and check what they are told.
+//! Agents and entries that renew leases, watch the view, restart, and check the responses.
 
 use crate::histories::{client, slot};
 use crate::solo::fixture;
@@ -12,16 +12,16 @@
     clock: slot::Clock,
     boot: u64,
     pub view: change::View,
-    /// Until when the lease runs, on the holder's clock.
-    lease: clock::Instant,
+    /// End of the lease, on the holder's clock.
+    lease_end: clock::Instant,
     renewing: Option<u64>,
     watching: bool,
     down_until: u64,
-    /// Newest fencing number loaded.
-    joined: number::Fence,
+    /// Newest fencing number whose model is loaded.
+    loaded_fence: number::Fence,
 }
 
-/// The first four are agents, the others entries.
+/// Creates a holder; the first four are agents, the others entries.
 pub fn new(index: u64, clock: slot::Clock) -> Holder {
     Holder {
         instance: name::Instance::new(format!("a{index}")),
@@ -29,11 +29,11 @@
         clock,
         boot: 1,
         view: change::View::default(),
-        lease: clock::Instant::ORIGIN,
+        lease_end: clock::Instant::ORIGIN,
         renewing: None,
         watching: false,
         down_until: 0,
-        joined: number::Fence(0),
+        loaded_fence: number::Fence(0),
     }
 }
 
@@ -50,42 +50,42 @@
         }
         if !self.watching {
             self.watching = true;
-            let have = self.view.version;
+            let version = self.view.version;
             requests.push(match self.agent {
-                true => control::Request::Follow(have, self.instance.clone()),
-                false => control::Request::Watch(have),
+                true => control::Request::Follow(version, self.instance.clone()),
+                false => control::Request::Watch(version),
             });
         }
         (requests, renewal / 10)
     }
 
-    pub fn answered(
+    pub fn on_response(
         &mut self,
         now: u64,
-        ask: client::Ask,
+        call: client::Call,
         response: Option<control::Response>,
         versions: &mut client::Versions,
     ) {
-        // The answer belongs to a call of the process before, or nobody is there to hear it.
-        if ask.sent < self.down_until || now < self.down_until {
+        // The response belongs to a call of the previous process, or the holder is down.
+        if call.sent_at < self.down_until || now < self.down_until {
             return;
         }
-        match &ask.request {
+        match &call.request {
             control::Request::Watch(_) | control::Request::Follow(..) => self.watching = false,
-            _ => self.renewing = self.renewing.filter(|sent| *sent != ask.sent),
+            _ => self.renewing = self.renewing.filter(|sent| *sent != call.sent_at),
         }
         match response {
             Some(control::Response::Granted(grant)) => {
-                let lease = self.clock.local(ask.sent) + grant.duration;
-                self.lead(now, grant.update, versions);
-                self.lease = self.lease.max(lease);
+                let end = self.clock.local(call.sent_at) + grant.duration;
+                self.apply_update(now, grant.update, versions);
+                self.lease_end = self.lease_end.max(end);
             }
-            Some(control::Response::Updated(update)) => self.lead(now, update, versions),
+            Some(control::Response::Updated(update)) => self.apply_update(now, update, versions),
             _ => {}
         }
     }
 
-    /// Its process is cut off for a while, or ends and comes back with nothing.
+    /// Either cuts the process off for a while, or ends it and starts a new one without state.
     pub fn restart(&mut self, now: u64, random: &mut rand_chacha::ChaCha8Rng) {
         if random.random_bool(0.5) {
             let clock = self.clock;
@@ -98,7 +98,7 @@
     }
 
     pub fn check_lease(&self, now: u64, in_force: number::Version) {
-        let leased = self.clock.local(now) < self.lease;
+        let leased = self.clock.local(now) < self.lease_end;
         assert!(
             !leased || self.view.version >= in_force,
             "{} holds a lease on version {} while {in_force} must be in force",
@@ -107,20 +107,21 @@
         );
     }
 
-    fn lead(&mut self, now: u64, update: change::Update, versions: &mut client::Versions) {
-        let before = self.view.version;
-        // Steps up to the version that it asked from may all be known by now: nothing to take.
-        if view::lead(&mut self.view, update).is_err() || self.view.version.0 == 0 {
+    fn apply_update(&mut self, now: u64, update: change::Update, versions: &mut client::Versions) {
+        let previous = self.view.version;
+        // Skips steps that the view already contains.
+        if view::apply_update(&mut self.view, update).is_err() || self.view.version.0 == 0 {
             return;
         }
-        assert!(self.view.version >= before, "a version went down");
-        // An instance may have passed through this version within one event, unseen by the run.
+        assert!(self.view.version >= previous, "a version decreased");
+        // A control instance may have passed this version within one event, so that the simulation
+        // did not record it.
         self.check_view(now, versions);
-        let placed = upstream::placement(&self.view, &self.instance);
-        self.joined = placed.map_or(self.joined, |(_, placement, _)| placement.fence);
+        let placed = upstream::placement_of(&self.view, &self.instance);
+        self.loaded_fence = placed.map_or(self.loaded_fence, |(_, placement, _)| placement.fence);
     }
 
-    /// Entries hold the same whole view of a version; an agent holds its part of it.
+    /// All entries must have the same whole view of a version, and an agent its scoped part of it.
     fn check_view(&self, now: u64, versions: &mut client::Versions) {
         if !self.agent {
             let mine = || (now, self.view.clone());
@@ -134,7 +135,8 @@
 
     fn renewal(&self) -> control::Renewal {
         let holder = if self.agent {
-            let report = fleet::Report { alive: true, joined: self.joined, ..Default::default() };
+            let report =
+                fleet::Report { alive: true, joined: self.loaded_fence, ..Default::default() };
             control::Holder::Agent(Box::new(self.announcement()), report)
         } else {
             control::Holder::Entry(self.instance.clone())
--- a/crates/hyssopfork-daemon/src/edge/handler.rs
+++ b/crates/hyssopfork-daemon/src/edge/handler.rs
@@ -224,7 +224,7 @@
     }
 
     fn reject(&self, rejection: &action::Rejection) -> http_server::Response {
-        let reply = reply::refusal_reply(rejection);
+        let reply = reply::rejection_reply(rejection);
         let headers = reply.headers.into_iter().map(|(name, value)| (name.to_owned(), value));
         http_server::Response::new(reply.status, headers.collect(), reply.body)
     }
--- a/crates/hyssopfork-state/src/fleet.rs
+++ b/crates/hyssopfork-state/src/fleet.rs
@@ -1,101 +1,110 @@
-//! What is known of instances besides their records in the view.
+//! State of instances besides their records in the view.
 //!
-//! An instance is known by its name; its agent's processes by their boots. Two processes may run
-//! under one name at once (a replacement was started before the old one ended): the one recorded
-//! last wins, and a boot that was replaced is remembered so that it cannot win back.
+//! An instance is identified by its name, and a process of its agent by a boot number. Two
+//! processes may run under one name at once, when a replacement is started before the old one
+//! ended. The one recorded last wins, and replaced boot numbers are retained so that the older
+//! process cannot take the name back.
 
 use hyssopfork_wire::{change, fleet, name, number};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Replaced boots that are remembered for each instance. More processes than this would have to
-/// run under one name at the same time before a replaced one could win back.
-pub const FORMER_LIMIT: usize = 16;
+/// Most replaced boot numbers retained for each instance. More processes than this would have to
+/// run under one name at the same time before a replaced one could take the name back.
+pub const MAX_REPLACED_BOOTS: usize = 16;
 
-/// Memory of the fleet.
+/// State of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Replaced boots, oldest first.
-    former: BTreeMap<name::Instance, VecDeque<u64>>,
-    /// Highest incarnation of a forgotten instance.
+    /// Replaced boot numbers, oldest first.
+    replaced_boots: BTreeMap<name::Instance, VecDeque<u64>>,
+    /// Highest incarnation of a removed instance.
     ///
-    /// Invariant: an instance that comes back after it was forgotten gets a higher one, so no
-    /// incarnation of a name is given twice.
-    floor: number::Incarnation,
+    /// Invariant: an instance that returns after its removal gets a higher one, so no incarnation
+    /// of a name is assigned twice.
+    max_removed_incarnation: number::Incarnation,
 }
 
-/// What an announcement comes to.
+/// Result of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Announced {
-    /// The record that it makes; `None` when the one that stands says the same.
-    Taken(number::Incarnation, Option<Box<fleet::Member>>),
+    /// The instance's incarnation and its new record; `None` when the record is unchanged.
+    Accepted(number::Incarnation, Option<Box<fleet::Member>>),
     /// A newer process runs under the name.
     Superseded,
 }
 
 impl Fleet {
-    /// Takes an announcement.
+    /// Handles an announcement.
     pub fn announce(
         &mut self,
         view: &change::View,
         announcement: &fleet::Announcement,
     ) -> Announced {
         let instance = &announcement.instance;
-        // Without this memory two live processes under one name would replace each other with
-        // every renewal, and each replacement would end the group's placement.
+        // Otherwise two live processes under one name would replace each other with every renewal,
+        // and each replacement would end the group's placement.
         if self.is_superseded(instance, announcement.boot) {
             return Announced::Superseded;
         }
         let member = match view.members.get(instance) {
-            None => joined(announcement, self.floor.next()),
+            None => new_member(announcement, self.max_removed_incarnation.next()),
             Some(old) if old.announcement.boot == announcement.boot => {
                 fleet::Member { announcement: announcement.clone(), present: true, ..old.clone() }
             }
             Some(old) => {
-                self.replace(instance, old.announcement.boot);
-                joined(announcement, old.incarnation.next())
+                self.add_replaced_boot(instance, old.announcement.boot);
+                new_member(announcement, old.incarnation.next())
             }
         };
         let changed = view.members.get(instance) != Some(&member);
-        Announced::Taken(member.incarnation, changed.then(|| Box::new(member)))
+        Announced::Accepted(member.incarnation, changed.then(|| Box::new(member)))
     }
 
-    /// Whether a newer process than the one of this boot runs under the instance's name.
+    /// Whether a newer process than that of `boot` has been recorded under the instance's name.
     pub fn is_superseded(&self, instance: &name::Instance, boot: u64) -> bool {
-        self.former.get(instance).is_some_and(|boots| boots.contains(&boot))
+        self.replaced_boots.get(instance).is_some_and(|boots| boots.contains(&boot))
     }
 
-    /// Forgets an instance. Its replaced boots go too: its newest process was absent for long, so
-    /// those before it are gone.
-    pub fn forget(&mut self, member: &fleet::Member) {
-        self.former.remove(&member.announcement.instance);
-        self.floor = self.floor.max(member.incarnation);
+    /// Handles the removal of an instance. Its replaced boot numbers are removed too: its newest
+    /// process was absent for long, so the older ones have ended.
+    pub fn on_removed(&mut self, member: &fleet::Member) {
+        self.replaced_boots.remove(&member.announcement.instance);
+        self.max_removed_incarnation = self.max_removed_incarnation.max(member.incarnation);
     }
 
-    fn replace(&mut self, instance: &name::Instance, boot: u64) {
-        let boots = self.former.entry(instance.clone()).or_default();
+    fn add_replaced_boot(&mut self, instance: &name::Instance, boot: u64) {
+        let boots = self.replaced_boots.entry(instance.clone()).or_default();
         boots.push_back(boot);
-        if boots.len() > FORMER_LIMIT {
+        if boots.len() > MAX_REPLACED_BOOTS {
             boots.pop_front();
         }
     }
 }
 
-/// The record of an agent that is leaving; `None` when the boot is another one or it says so
-/// already.
-pub fn leaving(view: &change::View, instance: &name::Instance, boot: u64) -> Option<fleet::Member> {
-    let member = recorded(view, instance, boot)?;
+/// New record of an agent that is leaving; `None` when the boot number differs or it is already
+/// recorded as leaving.
+pub fn leaving_record(
+    view: &change::View,
+    instance: &name::Instance,
+    boot: u64,
+) -> Option<fleet::Member> {
+    let member = recorded_member(view, instance, boot)?;
     (!member.leaving).then(|| fleet::Member { leaving: true, ..member.clone() })
 }
 
-/// The record of an agent that fell silent; `None` when the boot is another one or it says so
-/// already.
-pub fn absent(view: &change::View, instance: &name::Instance, boot: u64) -> Option<fleet::Member> {
-    let member = recorded(view, instance, boot)?;
+/// New record of an agent that missed its renewals; `None` when the boot number differs or it is
+/// already recorded as absent.
+pub fn absent_record(
+    view: &change::View,
+    instance: &name::Instance,
+    boot: u64,
+) -> Option<fleet::Member> {
+    let member = recorded_member(view, instance, boot)?;
     member.present.then(|| fleet::Member { present: false, ..member.clone() })
 }
 
-fn recorded<'a>(
+fn recorded_member<'a>(
     view: &'a change::View,
     instance: &name::Instance,
     boot: u64,
@@ -103,6 +112,9 @@
     view.members.get(instance).filter(|member| member.announcement.boot == boot)
 }
 
-fn joined(announcement: &fleet::Announcement, incarnation: number::Incarnation) -> fleet::Member {
+fn new_member(
+    announcement: &fleet::Announcement,
+    incarnation: number::Incarnation,
+) -> fleet::Member {
     fleet::Member { announcement: announcement.clone(), incarnation, present: true, leaving: false }
 }
--- a/crates/hyssopfork-state/src/machine.rs
+++ b/crates/hyssopfork-state/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state: commands in, replies and changes out.
+//! The replicated state machine: commands in, replies and changes out.
 
 use crate::{claims, command, fleet, history, placements, upstream, view};
 use hyssopfork_wire::{change, claim, fleet as record, name, number, patch};
@@ -7,12 +7,12 @@
 use std::iter;
 
 /// Format of the snapshots that this build writes and reads.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 
-/// What a command's proposer is told.
+/// Reply to the proposer of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// What became of a patch.
+    /// Outcome of a patch.
     Submitted(patch::Outcome),
     /// The instance is recorded under this incarnation.
     Announced(number::Incarnation),
@@ -20,24 +20,24 @@
     Superseded,
     /// The group is placed under this fencing number.
     Placed(number::Fence),
-    /// The placement breaks a rule and was not taken.
-    Unplaceable(placements::Obstacle),
-    /// What became of a claim.
+    /// The placement violates a rule and was rejected.
+    Unplaceable(placements::Violation),
+    /// Result of a claim.
     Claimed(claim::Reply),
-    /// The outcome is recorded, or was before, or was not the asker's to record.
+    /// The outcome is recorded, or was before, or the attempt does not hold the claim.
     Recorded,
-    /// The state aged, and this many claims ended with an unknown outcome.
+    /// The claims aged, and this many completed with an unknown outcome.
     Aged(usize),
-    /// Taken, if it still had an effect.
+    /// Applied, with or without an effect.
     Done,
 }
 
-/// What applying a command came to.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Told to the proposer.
+    /// Reply to the proposer.
     pub reply: Reply,
-    /// Changes of the view, in order; when there are any, its version is the command's index.
+    /// Changes of the view, in order; if there are any, the view's version is the command's index.
     pub changes: Vec<change::Change>,
 }
 
@@ -51,7 +51,7 @@
                 "the snapshot has format {} but this release reads {}; run a release that reads \
                  both",
                 found,
-                FORMAT
+                FORMAT_VERSION
             )
         }
         /// The bytes are cut or damaged.
@@ -70,11 +70,11 @@
 pub struct Machine {
     /// Index of the last entry that was applied.
     applied: number::Index,
-    /// What watchers follow.
+    /// The part of the state that watchers follow.
     view: change::View,
     /// Newest fencing number.
     ///
-    /// Invariant: goes up with every placement, so none is given twice.
+    /// Invariant: increases with every placement, so none is assigned twice.
     fence: number::Fence,
     history: history::History,
     fleet: fleet::Fleet,
@@ -82,7 +82,7 @@
 }
 
 impl Machine {
-    /// An empty state, before the first entry.
+    /// Creates the empty state before the first entry.
     pub fn new() -> Machine {
         Machine::default()
     }
@@ -91,28 +91,28 @@
     ///
     /// # Panics
     ///
-    /// When `index` is not above the last one: an entry applied twice would give a fencing number
-    /// or a configuration number twice.
+    /// When `index` is not above the last one: applying an entry twice would assign a fencing
+    /// number or a configuration number twice.
     pub fn apply(&mut self, index: number::Index, command: &command::Command) -> Applied {
-        self.pass(index);
+        self.skip(index);
         let (reply, changes) = self.decide(command);
         if !changes.is_empty() {
             let step = change::Step { version: number::Version(index.0), changes };
-            view::apply(&mut self.view, &step);
-            if step.changes.iter().any(moves_placements) {
-                placements::assert_sound(&self.view, self.fence);
+            view::apply_step(&mut self.view, &step);
+            if step.changes.iter().any(affects_placements) {
+                placements::assert_invariants(&self.view, self.fence);
             }
             return Applied { reply, changes: step.changes };
         }
         Applied { reply, changes }
     }
 
-    /// Passes an entry that carries no command.
+    /// Records an applied entry that carries no command.
     ///
     /// # Panics
     ///
     /// When `index` is not above the last one.
-    pub fn pass(&mut self, index: number::Index) {
+    pub fn skip(&mut self, index: number::Index) {
         assert!(index > self.applied, "entry {index} was applied before");
         self.applied = index;
     }
@@ -122,7 +122,7 @@
         self.applied
     }
 
-    /// What watchers follow.
+    /// The part of the state that watchers follow.
     pub fn view(&self) -> &change::View {
         &self.view
     }
@@ -132,7 +132,7 @@
         &self.history
     }
 
-    /// What is known of instances besides their records in the view.
+    /// State of instances besides their records in the view.
     pub fn fleet(&self) -> &fleet::Fleet {
         &self.fleet
     }
@@ -142,21 +142,21 @@
         &self.claims
     }
 
-    /// The state as bytes; the same state gives the same bytes.
+    /// Encodes the state; equal states have equal bytes.
     pub fn encode(&self) -> Vec<u8> {
-        bincode::serialize(&(FORMAT, self)).expect("the state is plain data")
+        bincode::serialize(&(FORMAT_VERSION, self)).expect("the state is plain data")
     }
 
-    /// The state that `bytes` hold.
+    /// Decodes a state.
     ///
     /// # Errors
     ///
-    /// When another release wrote them or they are damaged.
+    /// When another release wrote the bytes or they are damaged.
     pub fn decode(bytes: &[u8]) -> Result<Machine, Error> {
         let malformed = |cause: bincode::Error| Error::Malformed(cause.to_string());
         let mut rest = bytes;
         let format: u16 = bincode::deserialize_from(&mut rest).map_err(malformed)?;
-        if format != FORMAT {
+        if format != FORMAT_VERSION {
             return Err(Error::Format(format));
         }
         bincode::deserialize(rest).map_err(malformed)
@@ -167,13 +167,15 @@
             command::Command::Submit(patch) => self.submit(patch),
             command::Command::Announce(announcement) => self.announce(announcement),
             command::Command::Leaving { instance, boot } => {
-                recorded(fleet::leaving(&self.view, instance, *boot))
+                member_change(fleet::leaving_record(&self.view, instance, *boot))
             }
             command::Command::Absent { instance, boot } => {
-                recorded(fleet::absent(&self.view, instance, *boot))
+                member_change(fleet::absent_record(&self.view, instance, *boot))
             }
             command::Command::Forget(instance) => self.forget(instance),
-            command::Command::Place { group, members, over } => self.place(group, members, *over),
+            command::Command::Place { group, members, replaces } => {
+                self.place(group, members, *replaces)
+            }
             command::Command::Unplace { group, fence } => self.unplace(group, *fence),
             command::Command::Claim(claim) => {
                 (Reply::Claimed(self.claims.claim(claim)), Vec::new())
@@ -189,8 +191,8 @@
     }
 
     fn submit(&mut self, patch: &patch::Patch) -> (Reply, Vec<change::Change>) {
-        let verdict = self.history.submit(&self.view.configuration, patch);
-        let changes = match &verdict.accepted {
+        let submission = self.history.submit(&self.view.configuration, patch);
+        let changes = match &submission.accepted {
             None => Vec::new(),
             Some(next) => {
                 let ended = placements::ended_by_configuration(&self.view, next);
@@ -202,16 +204,16 @@
                 iter::once(configured).chain(ended).collect()
             }
         };
-        (Reply::Submitted(verdict.outcome), changes)
+        (Reply::Submitted(submission.outcome), changes)
     }
 
     fn announce(&mut self, announcement: &record::Announcement) -> (Reply, Vec<change::Change>) {
         match self.fleet.announce(&self.view, announcement) {
             fleet::Announced::Superseded => (Reply::Superseded, Vec::new()),
-            fleet::Announced::Taken(incarnation, None) => {
+            fleet::Announced::Accepted(incarnation, None) => {
                 (Reply::Announced(incarnation), Vec::new())
             }
-            fleet::Announced::Taken(incarnation, Some(member)) => {
+            fleet::Announced::Accepted(incarnation, Some(member)) => {
                 let ended = placements::ended_by_record(&self.view, &member);
                 let ended = ended.into_iter().map(change::Change::Unplaced);
                 let changes = ended.chain([change::Change::Joined(member)]).collect();
@@ -221,10 +223,10 @@
     }
 
     fn forget(&mut self, instance: &name::Instance) -> (Reply, Vec<change::Change>) {
-        let placed = upstream::placement(&self.view, instance).is_some();
+        let placed = upstream::placement_of(&self.view, instance).is_some();
         match self.view.members.get(instance) {
             Some(member) if !member.present && !placed => {
-                self.fleet.forget(member);
+                self.fleet.on_removed(member);
                 (Reply::Done, vec![change::Change::Forgotten(instance.clone())])
             }
             _ => (Reply::Done, Vec::new()),
@@ -235,10 +237,10 @@
         &mut self,
         group: &name::Group,
         members: &[name::Instance],
-        over: Option<number::Fence>,
+        replaces: Option<number::Fence>,
     ) -> (Reply, Vec<change::Change>) {
-        if let Some(obstacle) = placements::obstacle(&self.view, group, members, over) {
-            return (Reply::Unplaceable(obstacle), Vec::new());
+        if let Some(violation) = placements::violation(&self.view, group, members, replaces) {
+            return (Reply::Unplaceable(violation), Vec::new());
         }
         self.fence = self.fence.next();
         let placement = record::Placement { fence: self.fence, members: members.to_vec() };
@@ -251,16 +253,16 @@
         group: &name::Group,
         fence: number::Fence,
     ) -> (Reply, Vec<change::Change>) {
-        let stands = |placement: &&record::Placement| placement.fence == fence;
-        let placement = self.view.placements.get(group).filter(stands);
+        let is_current = |placement: &&record::Placement| placement.fence == fence;
+        let placement = self.view.placements.get(group).filter(is_current);
         let change = placement.map(|_| change::Change::Unplaced(group.clone()));
         (Reply::Done, change.into_iter().collect())
     }
 }
 
-/// Whether a change may touch an invariant of the placements. A member's new record does so only
+/// Whether a change may affect an invariant of the placements. A member's new record does so only
 /// together with the end of its placement.
-fn moves_placements(change: &change::Change) -> bool {
+fn affects_placements(change: &change::Change) -> bool {
     match change {
         change::Change::Configured { .. }
         | change::Change::Placed(..)
@@ -270,7 +272,7 @@
     }
 }
 
-fn recorded(member: Option<record::Member>) -> (Reply, Vec<change::Change>) {
+fn member_change(member: Option<record::Member>) -> (Reply, Vec<change::Change>) {
     let change = member.map(|member| change::Change::Joined(Box::new(member)));
     (Reply::Done, change.into_iter().collect())
 }
