--- a/crates/hyssopfork-daemon/src/edge/journal.rs
+++ b/crates/hyssopfork-daemon/src/edge/journal.rs
@@ -13,7 +13,7 @@
 use std::{io, path, thread};
 
 /// Maximum number of writes that are synced together with the first one.
-const MAX_BATCHED_WRITES: usize = 255;
+const MAX_FURTHER_WRITES: usize = 255;
 
 /// Interval between attempts to open the data folder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -112,7 +112,7 @@
     /// of each write but not the throughput.
     fn write_all(&self, journal: &mut journal::Journal) -> Option<error::Error> {
         while let Ok(first) = self.tasks.recv() {
-            let further = self.tasks.try_iter().take(MAX_BATCHED_WRITES);
+            let further = self.tasks.try_iter().take(MAX_FURTHER_WRITES);
             let writes: Vec<write::Write> = std::iter::once(first)
                 .chain(further)
                 .filter_map(|task| match task {
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -217,7 +217,7 @@
         };
         let core = gateway_core::Core::new(core_settings, rand::random(), clock::now());
         let client_listener = listener::bind("callers", settings.callers_listen)?;
-        let readiness_listener = listener::bind("the balancer", settings.readiness_listen)?;
+        let readiness_listener = listener::bind("the load balancer", settings.readiness_listen)?;
         let (mailbox, status) = (self.mailbox.clone(), self.status.clone());
         let (own_address, phase_receiver) = (settings.peer_address(), self.phase_receiver.clone());
         let registry = self.registry.clone();
