--- a/crates/hyssopfork-agent/src/action.rs
+++ b/crates/hyssopfork-agent/src/action.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Longest time between two ticks.
-pub const TICK: Duration = Duration::from_millis(25);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// An order to the engine: hold a model as one member of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Call a control instance; answered by [`super::event::Event::Controlled`].
-    Control {
+    CallControl {
         /// Number of the call.
         call: u64,
         /// Control instance to ask.
@@ -37,7 +37,7 @@
         timeout: Duration,
     },
     /// Ask another member; answered by [`super::event::Event::Stood`].
-    Stand {
+    RequestGrant {
         /// Number of the call.
         call: u64,
         /// The other agent's peer address.
@@ -48,7 +48,7 @@
         timeout: Duration,
     },
     /// Answer the first member.
-    ReplyStand {
+    ReplyGrant {
         /// The call.
         call: u64,
         /// The answer.
@@ -56,22 +56,22 @@
     },
     /// The attempt is admitted: open the upstream's connection, then report
     /// [`super::event::Event::Ready`] just before the first byte.
-    Prepare {
+    Connect {
         /// The attempt.
         attempt: attempt::Identifier,
         /// Load to send ahead.
         load: frame::Load,
     },
     /// The identifier is known: let the entry read the attempt's answer from where it left off.
-    TakeUp(attempt::Identifier),
+    Resume(attempt::Identifier),
     /// Write the request to the upstream now.
     Forward(attempt::Identifier),
     /// End the attempt towards the entry with a refusal, after which nothing more is sent.
-    Refuse {
+    Reject {
         /// The attempt.
         attempt: attempt::Identifier,
         /// The refusal.
-        refusal: refusal::Refusal,
+        rejection: refusal::Refusal,
         /// Load to send ahead.
         load: frame::Load,
     },
--- a/crates/hyssopfork-agent/src/gate.rs
+++ b/crates/hyssopfork-agent/src/admission.rs
@@ -1,20 +1,20 @@
 //! The gate: whether an attempt may start now.
 
-use crate::{engine, standing};
+use crate::{held_grants, monitor};
 use hyssopfork_state::upstream;
 use hyssopfork_watch::watcher;
 use hyssopfork_wire::{attempt, clock, configuration, fleet, refusal};
 use std::time::Duration;
 
 /// When to try again after a refusal that a renewal or a repair may lift.
-const SOON: Duration = Duration::from_millis(500);
+const SHORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// When to try again after a refusal that operators may lift.
-const LATER: Duration = Duration::from_secs(2);
+const LONG_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// What the gate looks at. Everything is read at the moment of the check.
 #[derive(Clone, Copy, Debug)]
-pub struct Gate<'a> {
+pub struct Admission<'a> {
     /// The clock, read anew for this check.
     pub now: clock::Instant,
     /// This instance.
@@ -22,14 +22,14 @@
     /// View and lease.
     pub watcher: &'a watcher::Watcher,
     /// Back end.
-    pub engine: &'a engine::Engine,
+    pub monitor: &'a monitor::Monitor,
     /// Grants held as first member.
-    pub standing: &'a standing::Standing,
+    pub held_grants: &'a held_grants::Grants,
     /// Whether this process was asked to stop.
-    pub stopping: bool,
+    pub is_stopping: bool,
 }
 
-impl Gate<'_> {
+impl Admission<'_> {
     /// Whether the attempt, which arrived at `arrived`, may be handed to the upstream now.
     ///
     /// # Errors
@@ -41,9 +41,9 @@
         arrived: clock::Instant,
     ) -> Result<(), refusal::Refusal> {
         self.check_process(offer)?;
-        self.check_declared()?;
+        self.check_instance()?;
         self.check_deadline(offer, arrived)?;
-        self.check_back_end(offer)
+        self.check_upstream(offer)
     }
 
     /// Whether there is room for one more beside `running`.
@@ -52,12 +52,12 @@
     ///
     /// The refusal; the work has not run.
     pub fn check_room(&self, running: u32) -> Result<(), refusal::Refusal> {
-        if running + self.engine.foreign(self.now) < self.engine.limit() {
+        if running + self.monitor.foreign_running(self.now) < self.monitor.limit() {
             return Ok(());
         }
-        let warm = self.engine.is_warm();
-        let reason = if warm { refusal::Reason::Overloaded } else { refusal::Reason::Cold };
-        refuse(reason, SOON)
+        let is_warm = self.monitor.is_warm();
+        let reason = if is_warm { refusal::Reason::Overloaded } else { refusal::Reason::Cold };
+        reject(reason, SHORT_RETRY_DELAY)
     }
 
     /// Whether this instance is the first member of a group that is whole: its own engine is
@@ -67,37 +67,37 @@
         let Some((_, placement, 0)) = upstream::placement(view, &self.announcement.instance) else {
             return false;
         };
-        self.standing.fence() == placement.fence
-            && self.engine.loaded(self.now) == Some(placement.fence)
-            && self.standing.missing(&placement.members[1..], self.now).is_none()
+        self.held_grants.fence() == placement.fence
+            && self.monitor.loaded_fence(self.now) == Some(placement.fence)
+            && self.held_grants.missing(&placement.members[1..], self.now).is_none()
     }
 
     fn check_process(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
         if offer.boot != self.announcement.boot {
-            return self.refuse_other_boot(offer);
+            return self.reject_other_boot(offer);
         }
-        if self.stopping {
-            return refuse(refusal::Reason::Draining, LATER);
+        if self.is_stopping {
+            return reject(refusal::Reason::Draining, LONG_RETRY_DELAY);
         }
         if !self.watcher.is_recent(self.now) {
-            return refuse(refusal::Reason::Stale, SOON);
+            return reject(refusal::Reason::Stale, SHORT_RETRY_DELAY);
         }
         Ok(())
     }
 
     /// The process that was meant is gone. Of an offer that may have reached it on an earlier
     /// connection nobody can say whether it ran.
-    fn refuse_other_boot(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
+    fn reject_other_boot(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
         if offer.first {
-            return refuse(refusal::Reason::Stale, SOON);
+            return reject(refusal::Reason::Stale, SHORT_RETRY_DELAY);
         }
-        Err(refusal::Refusal::may_have_run(refusal::Reason::Stale, Some(SOON)))
+        Err(refusal::Refusal::may_have_run(refusal::Reason::Stale, Some(SHORT_RETRY_DELAY)))
     }
 
-    fn check_declared(&self) -> Result<(), refusal::Refusal> {
+    fn check_instance(&self) -> Result<(), refusal::Refusal> {
         let view = self.watcher.view();
         if !is_recorded(view, self.announcement) {
-            return refuse(refusal::Reason::Stale, SOON);
+            return reject(refusal::Reason::Stale, SHORT_RETRY_DELAY);
         }
         check_member(view, &self.announcement.instance)
     }
@@ -113,13 +113,13 @@
         Ok(())
     }
 
-    fn check_back_end(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
-        if !self.engine.is_alive(self.now) {
-            return refuse(refusal::Reason::NoUpstream, SOON);
+    fn check_upstream(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
+        if !self.monitor.is_alive(self.now) {
+            return reject(refusal::Reason::NoUpstream, SHORT_RETRY_DELAY);
         }
         match self.announcement.profile.kind {
             configuration::Kind::Service if offer.group.is_none() => Ok(()),
-            configuration::Kind::Service => refuse(refusal::Reason::NoUpstream, SOON),
+            configuration::Kind::Service => reject(refusal::Reason::NoUpstream, SHORT_RETRY_DELAY),
             configuration::Kind::Engine => self.check_group(offer),
         }
     }
@@ -128,20 +128,20 @@
         let view = self.watcher.view();
         let placed = upstream::placement(view, &self.announcement.instance);
         let Some((group, placement, 0)) = placed else {
-            return refuse(refusal::Reason::GroupIncomplete, SOON);
+            return reject(refusal::Reason::GroupIncomplete, SHORT_RETRY_DELAY);
         };
-        let asked = offer.group.as_ref();
-        if asked.is_none_or(|(name, fence)| name != group || *fence != placement.fence) {
-            return refuse(refusal::Reason::GroupIncomplete, SOON);
+        let offered = offer.group.as_ref();
+        if offered.is_none_or(|(name, fence)| name != group || *fence != placement.fence) {
+            return reject(refusal::Reason::GroupIncomplete, SHORT_RETRY_DELAY);
         }
         for member in &placement.members {
             check_member(view, member)?;
         }
-        if self.standing.is_draining() {
-            return refuse(refusal::Reason::Draining, SOON);
+        if self.held_grants.is_draining() {
+            return reject(refusal::Reason::Draining, SHORT_RETRY_DELAY);
         }
         if !self.is_whole() {
-            return refuse(refusal::Reason::GroupIncomplete, SOON);
+            return reject(refusal::Reason::GroupIncomplete, SHORT_RETRY_DELAY);
         }
         Ok(())
     }
@@ -165,21 +165,21 @@
         // Absence is control's guess from silence; the grants decide whether a member is there.
         None | Some(upstream::Obstacle::Absent) => Ok(()),
         Some(upstream::Obstacle::Drained | upstream::Obstacle::Leaving) => {
-            refuse(refusal::Reason::Draining, LATER)
+            reject(refusal::Reason::Draining, LONG_RETRY_DELAY)
         }
         Some(
             upstream::Obstacle::ZoneOut
             | upstream::Obstacle::ZoneUndeclared
             | upstream::Obstacle::ZoneNotAllowed,
-        ) => refuse(refusal::Reason::ZoneOut, LATER),
+        ) => reject(refusal::Reason::ZoneOut, LONG_RETRY_DELAY),
         Some(
             upstream::Obstacle::Unrecorded
             | upstream::Obstacle::PoolUndeclared
             | upstream::Obstacle::KindDiffers,
-        ) => refuse(refusal::Reason::NoUpstream, LATER),
+        ) => reject(refusal::Reason::NoUpstream, LONG_RETRY_DELAY),
     }
 }
 
-fn refuse(reason: refusal::Reason, after: Duration) -> Result<(), refusal::Refusal> {
-    Err(refusal::Refusal::not_run(reason, Some(after)))
+fn reject(reason: refusal::Reason, retry_after: Duration) -> Result<(), refusal::Refusal> {
+    Err(refusal::Refusal::not_run(reason, Some(retry_after)))
 }
--- a/crates/hyssopfork-agent/src/attempts.rs
+++ b/crates/hyssopfork-agent/src/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at this agent: each identifier starts at most once.
 
-use crate::memory;
+use crate::tombstones;
 use hyssopfork_wire::{attempt, clock, timing};
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Admitted; nothing was written to the upstream yet.
-    Prepared,
+    Admitted,
     /// The request was handed to the upstream.
     Forwarded,
     /// The answer is whole and can be taken up for a while.
@@ -21,9 +21,9 @@
     /// What the entry offered.
     pub offer: attempt::Offer,
     /// When the offer arrived.
-    pub arrived: clock::Instant,
+    pub arrived_at: clock::Instant,
     /// When the request was handed to the upstream.
-    pub forwarded: clock::Instant,
+    pub forwarded_at: clock::Instant,
     /// How far it has come.
     pub state: State,
     /// Cancelled while it ran at a back end that cannot cancel: it keeps its place until it ends.
@@ -32,15 +32,15 @@
 
 /// What is known of an identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// Nothing.
     Unseen,
     /// It is alive, or its answer can still be taken up.
     Live(State),
     /// It is dead.
-    Dead(memory::End),
+    Ended(tombstones::End),
     /// Too old to be known; it never starts.
-    Folded,
+    Compacted,
 }
 
 /// The table.
@@ -49,19 +49,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
     live: BTreeMap<attempt::Identifier, Attempt>,
-    memory: memory::Memory,
+    tombstones: tombstones::Tombstones,
 }
 
 impl Attempts {
     /// What is known of `attempt`.
-    pub fn standing(&self, attempt: attempt::Identifier) -> Standing {
+    pub fn status(&self, attempt: attempt::Identifier) -> Status {
         if let Some(live) = self.live.get(&attempt) {
-            return Standing::Live(live.state);
+            return Status::Live(live.state);
         }
-        match self.memory.recall(attempt) {
-            memory::Recall::Unseen => Standing::Unseen,
-            memory::Recall::Dead(end) => Standing::Dead(end),
-            memory::Recall::Folded => Standing::Folded,
+        match self.tombstones.lookup(attempt) {
+            tombstones::Lookup::Unseen => Status::Unseen,
+            tombstones::Lookup::Ended(end) => Status::Ended(end),
+            tombstones::Lookup::Compacted => Status::Compacted,
         }
     }
 
@@ -71,33 +71,33 @@
     }
 
     /// Attempts that take up room at the back end.
-    pub fn running(&self) -> u32 {
-        let runs = |attempt: &&Attempt| !matches!(attempt.state, State::Finished(_));
-        self.live.values().filter(runs).count() as u32
+    pub fn running_count(&self) -> u32 {
+        let is_unfinished = |attempt: &&Attempt| !matches!(attempt.state, State::Finished(_));
+        self.live.values().filter(is_unfinished).count() as u32
     }
 
     /// Attempts that the back end has.
-    pub fn forwarded(&self) -> u32 {
-        let forwarded = |attempt: &&Attempt| attempt.state == State::Forwarded;
-        self.live.values().filter(forwarded).count() as u32
+    pub fn forwarded_count(&self) -> u32 {
+        let is_forwarded = |attempt: &&Attempt| attempt.state == State::Forwarded;
+        self.live.values().filter(is_forwarded).count() as u32
     }
 
     /// Identifiers of the attempts that are prepared or forwarded.
     pub fn unfinished(&self) -> Vec<attempt::Identifier> {
-        let runs = |attempt: &Attempt| !matches!(attempt.state, State::Finished(_));
-        self.live.iter().filter(|(_, attempt)| runs(attempt)).map(|(id, _)| *id).collect()
+        let is_unfinished = |attempt: &Attempt| !matches!(attempt.state, State::Finished(_));
+        self.live.iter().filter(|(_, attempt)| is_unfinished(attempt)).map(|(id, _)| *id).collect()
     }
 
     /// Takes in an offer that was admitted.
     pub fn admit(&mut self, offer: attempt::Offer, now: clock::Instant) {
         let identifier = offer.attempt;
-        let standing = self.standing(identifier);
-        assert_eq!(standing, Standing::Unseen, "an attempt starts at most once");
+        let status = self.status(identifier);
+        assert_eq!(status, Status::Unseen, "an attempt starts at most once");
         let attempt = Attempt {
             offer,
-            arrived: now,
-            forwarded: now,
-            state: State::Prepared,
+            arrived_at: now,
+            forwarded_at: now,
+            state: State::Admitted,
             cancelled: false,
         };
         self.live.insert(identifier, attempt);
@@ -106,9 +106,9 @@
     /// The request is about to be written to the upstream.
     pub fn forward(&mut self, attempt: attempt::Identifier, now: clock::Instant) {
         let live = self.live.get_mut(&attempt).expect("only a live attempt is forwarded");
-        assert_eq!(live.state, State::Prepared, "an attempt is forwarded once");
+        assert_eq!(live.state, State::Admitted, "an attempt is forwarded once");
         live.state = State::Forwarded;
-        live.forwarded = now;
+        live.forwarded_at = now;
     }
 
     /// The answer is whole.
@@ -119,23 +119,27 @@
     }
 
     /// Leaves a cancelled attempt its place until the back end ends it.
-    pub fn detach(&mut self, attempt: attempt::Identifier) {
+    pub fn mark_cancelled(&mut self, attempt: attempt::Identifier) {
         if let Some(live) = self.live.get_mut(&attempt) {
             live.cancelled = true;
         }
     }
 
     /// The attempt never starts any more, whether or not it was seen before.
-    pub fn bury(&mut self, attempt: attempt::Identifier, end: memory::End) {
+    pub fn end(&mut self, attempt: attempt::Identifier, end: tombstones::End) {
         self.live.remove(&attempt);
-        self.memory.bury(attempt, end);
+        self.tombstones.insert(attempt, end);
     }
 
     /// Drops answers that have been kept long enough.
     pub fn expire(&mut self, now: clock::Instant) {
-        let over = |attempt: &Attempt| matches!(attempt.state, State::Finished(at) if now.since(at) >= timing::RESPONSE_RETENTION);
-        let old: Vec<_> =
-            self.live.iter().filter(|(_, attempt)| over(attempt)).map(|(id, _)| *id).collect();
-        old.into_iter().for_each(|attempt| self.bury(attempt, memory::End::Finished));
+        let is_expired = |attempt: &Attempt| matches!(attempt.state, State::Finished(at) if now.since(at) >= timing::RESPONSE_RETENTION);
+        let expired: Vec<_> = self
+            .live
+            .iter()
+            .filter(|(_, attempt)| is_expired(attempt))
+            .map(|(id, _)| *id)
+            .collect();
+        expired.into_iter().for_each(|attempt| self.end(attempt, tombstones::End::Finished));
     }
 }
--- a/crates/hyssopfork-agent/src/core.rs
+++ b/crates/hyssopfork-agent/src/core.rs
@@ -1,6 +1,6 @@
 //! The agent as a step function: events in, actions out.
 
-use crate::{action, attempts, engine, event, gate, grants, notice, standing};
+use crate::{action, admission, attempts, event, given_grants, held_grants, monitor, notice};
 use hyssopfork_state::upstream;
 use hyssopfork_watch::watcher;
 use hyssopfork_wire::{clock, control, fleet, frame, number, timing};
@@ -25,17 +25,17 @@
     pub(crate) announcement: fleet::Announcement,
     stop_limit: Duration,
     pub(crate) watcher: watcher::Watcher,
-    pub(crate) engine: engine::Engine,
+    pub(crate) monitor: monitor::Monitor,
     pub(crate) attempts: attempts::Attempts,
-    pub(crate) grants: grants::Grants,
-    pub(crate) standing: standing::Standing,
-    pub(crate) newest: number::Fence,
-    pub(crate) calls: u64,
-    pub(crate) serving: bool,
-    pub(crate) stopping: Option<clock::Instant>,
-    pub(crate) released: bool,
-    leave_heard: Option<clock::Instant>,
-    stopped: bool,
+    pub(crate) given_grants: given_grants::Grants,
+    pub(crate) held_grants: held_grants::Grants,
+    pub(crate) newest_fence: number::Fence,
+    pub(crate) last_call: u64,
+    pub(crate) is_serving: bool,
+    pub(crate) stopping_since: Option<clock::Instant>,
+    pub(crate) grants_withdrawn: bool,
+    leaving_granted_at: Option<clock::Instant>,
+    is_stopped: bool,
 }
 
 impl Core {
@@ -44,31 +44,31 @@
         let instance = settings.announcement.instance.clone();
         let offset = rand_chacha::ChaCha8Rng::seed_from_u64(seed).random();
         Core {
-            engine: engine::Engine::new(&settings.announcement.profile, now),
+            monitor: monitor::Monitor::new(&settings.announcement.profile, now),
             announcement: settings.announcement,
             stop_limit: settings.stop_limit,
             watcher: watcher::Watcher::new(settings.control, offset, now).with_scope(instance),
             attempts: attempts::Attempts::default(),
-            grants: grants::Grants::new(now),
-            standing: standing::Standing::default(),
-            newest: number::Fence::default(),
-            calls: 0,
-            serving: false,
-            stopping: None,
-            released: false,
-            leave_heard: None,
-            stopped: false,
+            given_grants: given_grants::Grants::new(now),
+            held_grants: held_grants::Grants::default(),
+            newest_fence: number::Fence::default(),
+            last_call: 0,
+            is_serving: false,
+            stopping_since: None,
+            grants_withdrawn: false,
+            leaving_granted_at: None,
+            is_stopped: false,
         }
     }
 
     /// Whether the agent would take work now, as far as its view, back end and group go.
     pub fn is_ready(&self, now: clock::Instant) -> bool {
         let kind = self.announcement.profile.kind;
-        let grouped = kind == hyssopfork_wire::configuration::Kind::Engine;
-        self.stopping.is_none()
+        let is_engine = kind == hyssopfork_wire::configuration::Kind::Engine;
+        self.stopping_since.is_none()
             && self.watcher.is_recent(now)
-            && self.engine.is_alive(now)
-            && (!grouped || self.gate(now).is_whole())
+            && self.monitor.is_alive(now)
+            && (!is_engine || self.admission(now).is_whole())
     }
 
     /// The view and the lease on it, for metrics.
@@ -79,48 +79,52 @@
     /// Takes in an event and says what is to be done, in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         let mut actions = Vec::new();
-        if self.stopped {
+        if self.is_stopped {
             return actions;
         }
         match event {
             event::Event::Tick => {}
-            event::Event::Controlled { call, response } => {
-                self.controlled(now, call, response, &mut actions);
+            event::Event::ControlResponse { call, response } => {
+                self.on_control_response(now, call, response, &mut actions);
             }
-            event::Event::Asked { call, request } => {
-                self.asked(now, call, &request, &mut actions);
+            event::Event::GrantRequest { call, request } => {
+                self.on_grant_request(now, call, &request, &mut actions);
             }
-            event::Event::Stood { call, response } => self.stood(call, response),
-            event::Event::Offered(offer) => self.offered(now, offer, &mut actions),
-            event::Event::Ready(attempt) => self.ready(now, attempt, &mut actions),
-            event::Event::Cancelled { call, attempt, boot } => {
-                self.cancelled(call, attempt, boot, &mut actions);
+            event::Event::GrantResponse { call, response } => {
+                self.on_grant_response(call, response)
             }
-            event::Event::Begun(_) => {}
-            event::Event::Ended(attempt) => self.ended(now, attempt),
-            event::Event::Failed(attempt, fault) => self.failed(now, attempt, fault, &mut actions),
-            event::Event::Probed(health) => self.probed(now, now, health, &mut actions),
-            event::Event::ProbedAt { sent, health } => {
-                self.probed(now, sent, health, &mut actions);
+            event::Event::Offer(offer) => self.on_offer(now, offer, &mut actions),
+            event::Event::Connected(attempt) => self.on_connected(now, attempt, &mut actions),
+            event::Event::CancelRequest { call, attempt, boot } => {
+                self.on_cancel_request(call, attempt, boot, &mut actions);
             }
-            event::Event::Ordered { fence, done } => {
-                self.ordered(now, fence, done, &mut actions);
+            event::Event::ResponseStarted(_) => {}
+            event::Event::ResponseFinished(attempt) => self.on_response_finished(now, attempt),
+            event::Event::ResponseFailed(attempt, fault) => {
+                self.on_response_failed(now, attempt, fault, &mut actions)
             }
-            event::Event::Stop => self.stop(now, &mut actions),
+            event::Event::Probed(health) => self.on_probe(now, now, health, &mut actions),
+            event::Event::ProbedAt { sent_at, health } => {
+                self.on_probe(now, sent_at, health, &mut actions);
+            }
+            event::Event::LoadFinished { fence, succeeded } => {
+                self.on_load_finished(now, fence, succeeded, &mut actions);
+            }
+            event::Event::Stop => self.on_stop(now, &mut actions),
         }
-        self.settle(now, &mut actions);
+        self.run_due_work(now, &mut actions);
         actions
     }
 
     /// What the gate looks at.
-    pub(crate) fn gate(&self, now: clock::Instant) -> gate::Gate<'_> {
-        gate::Gate {
+    pub(crate) fn admission(&self, now: clock::Instant) -> admission::Admission<'_> {
+        admission::Admission {
             now,
             announcement: &self.announcement,
             watcher: &self.watcher,
-            engine: &self.engine,
-            standing: &self.standing,
-            stopping: self.stopping.is_some(),
+            monitor: &self.monitor,
+            held_grants: &self.held_grants,
+            is_stopping: self.stopping_since.is_some(),
         }
     }
 
@@ -128,41 +132,41 @@
     pub(crate) fn load(&self) -> frame::Load {
         frame::Load {
             version: self.watcher.view().version,
-            running: self.attempts.running(),
-            limit: self.engine.limit(),
-            warm: self.engine.is_warm(),
+            running: self.attempts.running_count(),
+            limit: self.monitor.limit(),
+            warm: self.monitor.is_warm(),
         }
     }
 
     /// Everything that time or the event may have made due. Runs after each event, so that no
     /// action of a later event rests on what has lapsed meanwhile.
-    fn settle(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
+    fn run_due_work(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
         self.attempts.expire(now);
-        self.settle_group(now, actions);
-        self.renew(now, actions);
-        self.leave(now, actions);
+        self.update_group(now, actions);
+        self.renew_lease(now, actions);
+        self.stop_when_idle(now, actions);
     }
 
-    fn renew(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
+    fn renew_lease(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
         let report = self.report(now);
         let announcement = &self.announcement;
         let holder = || control::Holder::Agent(Box::new(announcement.clone()), report);
-        let output = self.watcher.tick(now, holder, self.stopping.is_some());
-        self.take_output(now, output, actions);
+        let output = self.watcher.tick(now, holder, self.stopping_since.is_some());
+        self.apply_watcher_output(now, output, actions);
     }
 
     fn report(&self, now: clock::Instant) -> fleet::Report {
         fleet::Report {
-            alive: self.engine.is_alive(now),
-            warm: self.engine.is_warm(),
-            running: self.attempts.running(),
-            joined: self.engine.loaded(now).unwrap_or_default(),
-            ended: self.grants.ended(),
-            serving: self.stopping.is_none() && self.gate(now).is_whole(),
+            alive: self.monitor.is_alive(now),
+            warm: self.monitor.is_warm(),
+            running: self.attempts.running_count(),
+            joined: self.monitor.loaded_fence(now).unwrap_or_default(),
+            ended: self.given_grants.ended_fence(),
+            serving: self.stopping_since.is_none() && self.admission(now).is_whole(),
         }
     }
 
-    fn controlled(
+    fn on_control_response(
         &mut self,
         now: clock::Instant,
         call: u64,
@@ -170,22 +174,22 @@
         actions: &mut Vec<action::Action>,
     ) {
         if let Some(output) = self.watcher.on_response(now, call, response.as_ref()) {
-            self.take_output(now, output, actions);
+            self.apply_watcher_output(now, output, actions);
         }
     }
 
-    fn take_output(
+    fn apply_watcher_output(
         &mut self,
         now: clock::Instant,
         output: watcher::Output,
         actions: &mut Vec<action::Action>,
     ) {
         if output.leaving_granted {
-            self.leave_heard.get_or_insert(now);
+            self.leaving_granted_at.get_or_insert(now);
         }
         let notices = output.notices.into_iter().map(notice::Notice::Watch);
         actions.extend(notices.map(action::Action::Notice));
-        actions.extend(output.calls.into_iter().map(|call| action::Action::Control {
+        actions.extend(output.calls.into_iter().map(|call| action::Action::CallControl {
             call: call.call,
             to: call.to,
             request: Box::new(call.request),
@@ -193,20 +197,20 @@
         }));
     }
 
-    fn probed(
+    fn on_probe(
         &mut self,
         now: clock::Instant,
-        sent: clock::Instant,
+        sent_at: clock::Instant,
         health: Option<event::Health>,
         actions: &mut Vec<action::Action>,
     ) {
-        let own = self.attempts.running();
-        let wanted = self.placed_fence();
-        let notice = match self.engine.probe(now, sent, health, own, wanted) {
-            engine::Change::None => return,
-            engine::Change::Down => notice::Notice::BackEndDown,
-            engine::Change::Up => notice::Notice::BackEndUp,
-            engine::Change::Turned => notice::Notice::BackEndCold,
+        let own_running = self.attempts.running_count();
+        let placed_fence = self.placed_fence();
+        let notice = match self.monitor.probe(now, sent_at, health, own_running, placed_fence) {
+            monitor::Change::None => return,
+            monitor::Change::Down => notice::Notice::BackEndDown,
+            monitor::Change::Up => notice::Notice::BackEndUp,
+            monitor::Change::Replaced => notice::Notice::BackEndCold,
         };
         actions.push(action::Action::Notice(notice));
     }
@@ -218,42 +222,42 @@
             .map(|(_, placement, _)| placement.fence)
     }
 
-    fn stop(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
-        if self.stopping.is_some() {
-            self.finish(actions);
+    fn on_stop(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
+        if self.stopping_since.is_some() {
+            self.finish_stop(actions);
             return;
         }
-        self.stopping = Some(now);
-        let running = self.attempts.running();
+        self.stopping_since = Some(now);
+        let running = self.attempts.running_count();
         actions.push(action::Action::Notice(notice::Notice::Leaving(running)));
     }
 
     /// Ends the process once nothing depends on it any more, or its time to stop is over.
-    fn leave(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
-        let Some(since) = self.stopping.filter(|_| !self.stopped) else { return };
+    fn stop_when_idle(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
+        let Some(since) = self.stopping_since.filter(|_| !self.is_stopped) else { return };
         let waited = now.since(since);
         if waited >= self.stop_limit {
-            self.finish(actions);
+            self.finish_stop(actions);
             return;
         }
         // Entries go on offering until they have heard. A process that was gone by then would leave
         // them not knowing whether their offers ran; this one is there to say that they didn't.
         // Where control can't be told within the lease's term, it has found the silence itself.
-        let heard = self.leave_heard.unwrap_or(since + timing::HOLDER_LEASE);
-        let announced = now.since(heard) >= timing::IN_FORCE_BOUND;
-        let idle = self.attempts.running() == 0 && !self.grants.in_force(now);
-        if announced && idle {
-            self.finish(actions);
+        let informed_at = self.leaving_granted_at.unwrap_or(since + timing::HOLDER_LEASE);
+        let is_announced = now.since(informed_at) >= timing::IN_FORCE_BOUND;
+        let is_idle = self.attempts.running_count() == 0 && !self.given_grants.has_unexpired(now);
+        if is_announced && is_idle {
+            self.finish_stop(actions);
         }
     }
 
-    fn finish(&mut self, actions: &mut Vec<action::Action>) {
-        let running = self.attempts.running();
+    fn finish_stop(&mut self, actions: &mut Vec<action::Action>) {
+        let running = self.attempts.running_count();
         if running > 0 {
             actions.push(action::Action::Notice(notice::Notice::LeaveOverdue(running)));
         }
-        self.end_all(hyssopfork_wire::refusal::Reason::Draining, actions);
-        self.stopped = true;
+        self.abort_all(hyssopfork_wire::refusal::Reason::Draining, actions);
+        self.is_stopped = true;
         actions.push(action::Action::Notice(notice::Notice::Stopped));
         actions.push(action::Action::Stopped);
     }
--- a/crates/hyssopfork-agent/src/event.rs
+++ b/crates/hyssopfork-agent/src/event.rs
@@ -28,7 +28,7 @@
     /// Time has passed; comes at least every [`super::action::TICK`].
     Tick,
     /// A call to control was answered; `None` when it failed or its time ran out.
-    Controlled {
+    ControlResponse {
         /// Number of the call, from [`super::action::Action::Control`].
         call: u64,
         /// The answer.
@@ -36,14 +36,14 @@
     },
     /// The group's first member asks; answered by exactly one
     /// [`super::action::Action::ReplyStand`].
-    Asked {
+    GrantRequest {
         /// The shell's number of the call.
         call: u64,
         /// The request.
         request: member::Request,
     },
     /// Another member answered; `None` when the call failed or its time ran out.
-    Stood {
+    GrantResponse {
         /// Number of the call, from [`super::action::Action::Stand`].
         call: u64,
         /// The answer.
@@ -51,14 +51,14 @@
     },
     /// An entry offers an attempt. A known identifier is taken up again, not started twice; the
     /// shell handles the bytes, the core says which.
-    Offered(attempt::Offer),
+    Offer(attempt::Offer),
     /// The shell is about to write the first byte of an attempt to the upstream and asks again:
     /// answered at once by [`super::action::Action::Forward`] or
     /// [`super::action::Action::Refuse`]. The clock was read anew.
-    Ready(attempt::Identifier),
+    Connected(attempt::Identifier),
     /// An entry cancels an attempt; answered by exactly one
     /// [`super::action::Action::ReplyCancel`].
-    Cancelled {
+    CancelRequest {
         /// The shell's number of the call.
         call: u64,
         /// The attempt.
@@ -67,11 +67,11 @@
         boot: u64,
     },
     /// The first byte of the upstream's answer came.
-    Begun(attempt::Identifier),
+    ResponseStarted(attempt::Identifier),
     /// The upstream's answer is whole.
-    Ended(attempt::Identifier),
+    ResponseFinished(attempt::Identifier),
     /// The upstream's answer will not be whole.
-    Failed(attempt::Identifier, Fault),
+    ResponseFailed(attempt::Identifier, Fault),
     /// A probe of the back end came back; `None` when it doesn't answer. Counts as sent now: use
     /// [`Event::ProbedAt`] where the answer may have waited.
     Probed(Option<Health>),
@@ -79,16 +79,16 @@
     /// then: one that was read only after a pause of the process may be long out of date.
     ProbedAt {
         /// When the probe was sent, on the clock that steps are given.
-        sent: clock::Instant,
+        sent_at: clock::Instant,
         /// What it found; `None` when the back end doesn't answer.
         health: Option<Health>,
     },
     /// The engine answered an order to load; `false` when it refused or failed.
-    Ordered {
+    LoadFinished {
         /// Fencing number of the order.
         fence: number::Fence,
         /// Whether the engine now holds the model.
-        done: bool,
+        succeeded: bool,
     },
     /// The process was asked to stop gracefully.
     Stop,
--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -1,6 +1,6 @@
 //! The group: standing by it as a member, leading it as the first member, loading for it.
 
-use crate::{action, core, gate, notice, standing};
+use crate::{action, admission, core, held_grants, notice};
 use hyssopfork_state::upstream;
 use hyssopfork_wire::{change, clock, configuration, fleet, member, name, number, refusal, timing};
 
@@ -13,14 +13,14 @@
 }
 
 impl Place {
-    fn others(&self) -> &[name::Instance] {
+    fn other_members(&self) -> &[name::Instance] {
         &self.placement.members[1..]
     }
 }
 
 impl core::Core {
     /// The first member of a group asks for a grant.
-    pub(crate) fn asked(
+    pub(crate) fn on_grant_request(
         &mut self,
         now: clock::Instant,
         call: u64,
@@ -30,155 +30,163 @@
         self.watcher.on_version_seen(request.version);
         let version = self.watcher.view().version;
         let response = if self.may_grant(now, request) {
-            self.grants.give(request.fence, now);
-            let leaving = self.stopping.is_some();
+            self.given_grants.give(request.fence, now);
+            let leaving = self.stopping_since.is_some();
             member::Response::Granted { duration: timing::GROUP_GRANT, version, leaving }
         } else {
             member::Response::Refused { version }
         };
-        actions.push(action::Action::ReplyStand { call, response });
+        actions.push(action::Action::ReplyGrant { call, response });
     }
 
     /// A member answered.
-    pub(crate) fn stood(&mut self, call: u64, response: Option<member::Response>) {
+    pub(crate) fn on_grant_response(&mut self, call: u64, response: Option<member::Response>) {
         match response {
-            Some(member::Response::Granted { duration: term, version, leaving }) => {
+            Some(member::Response::Granted { duration, version, leaving }) => {
                 self.watcher.on_version_seen(version);
-                self.standing.grant(call, term, leaving);
+                self.held_grants.on_granted(call, duration, leaving);
             }
             Some(member::Response::Refused { version }) => {
                 self.watcher.on_version_seen(version);
-                self.standing.refuse(call);
+                self.held_grants.on_rejected(call);
             }
-            None => self.standing.fail(call),
+            None => self.held_grants.on_failed(call),
         }
     }
 
     /// The engine answered an order.
-    pub(crate) fn ordered(
+    pub(crate) fn on_load_finished(
         &mut self,
         now: clock::Instant,
         fence: number::Fence,
-        done: bool,
+        succeeded: bool,
         actions: &mut Vec<action::Action>,
     ) {
-        if !self.engine.ordered(fence, done, now) {
+        if !self.monitor.finish_order(fence, succeeded, now) {
             return;
         }
-        let notice =
-            if done { notice::Notice::Loaded(fence) } else { notice::Notice::LoadFailed(fence) };
+        let notice = if succeeded {
+            notice::Notice::Loaded(fence)
+        } else {
+            notice::Notice::LoadFailed(fence)
+        };
         actions.push(action::Action::Notice(notice));
     }
 
     /// Everything about the group that time or an event may have made due.
-    pub(crate) fn settle_group(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
+    pub(crate) fn update_group(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
         if self.announcement.profile.kind != configuration::Kind::Engine {
             return;
         }
         let place = self.place();
-        self.settle_serving(now, actions);
-        self.settle_ended(now, place.as_ref());
+        self.update_serving(now, actions);
+        self.update_ended_fence(now, place.as_ref());
         let Some(place) = place else { return };
         if place.rank == 0 {
-            self.ask_members(now, &place, actions);
+            self.request_grants(now, &place, actions);
         }
-        self.order(now, &place, actions);
+        self.order_load(now, &place, actions);
     }
 
     /// Ends what runs as soon as the group stops being whole. A member may have been given to
     /// another group or be gone: an answer that went on would be served by a part of the group.
-    fn settle_serving(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
-        let whole = self.gate(now).is_whole();
-        if whole == self.serving {
+    fn update_serving(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
+        let is_whole = self.admission(now).is_whole();
+        if is_whole == self.is_serving {
             return;
         }
-        self.serving = whole;
-        let fence = self.standing.fence();
-        if whole {
+        self.is_serving = is_whole;
+        let fence = self.held_grants.fence();
+        if is_whole {
             actions.push(action::Action::Notice(notice::Notice::GroupWhole(fence)));
             return;
         }
-        let missing = self.place().and_then(|place| self.missing(now, &place));
+        let missing = self.place().and_then(|place| self.missing_member(now, &place));
         actions.push(action::Action::Notice(notice::Notice::GroupLost(fence, missing)));
-        self.end_all(refusal::Reason::GroupIncomplete, actions);
+        self.abort_all(refusal::Reason::GroupIncomplete, actions);
     }
 
-    fn missing(&self, now: clock::Instant, place: &Place) -> Option<name::Instance> {
-        self.standing.missing(place.others(), now).cloned()
+    fn missing_member(&self, now: clock::Instant, place: &Place) -> Option<name::Instance> {
+        self.held_grants.missing(place.other_members(), now).cloned()
     }
 
     /// Vouches for the end of older numbers: control waits for this before it gives the instance
     /// to another group in less than the lapse of its lease.
-    fn settle_ended(&mut self, now: clock::Instant, place: Option<&Place>) {
+    fn update_ended_fence(&mut self, now: clock::Instant, place: Option<&Place>) {
         if !self.watcher.is_recent(now) {
             return;
         }
-        let ended = match place {
+        let ended_fence = match place {
             Some(place) => {
-                self.newest = self.newest.max(place.placement.fence);
+                self.newest_fence = self.newest_fence.max(place.placement.fence);
                 number::Fence(place.placement.fence.0.saturating_sub(1))
             }
-            None => self.newest,
+            None => self.newest_fence,
         };
-        self.grants.end(ended, now);
+        self.given_grants.end_through(ended_fence, now);
     }
 
-    fn ask_members(
+    fn request_grants(
         &mut self,
         now: clock::Instant,
         place: &Place,
         actions: &mut Vec<action::Action>,
     ) {
-        self.standing.turn(place.placement.fence);
-        if !self.standing.is_due(now) {
+        self.held_grants.reset(place.placement.fence);
+        if !self.held_grants.start_round(now) {
             return;
         }
-        let request = self.request(place);
-        for instance in place.others() {
+        let request = self.grant_request(place);
+        for instance in place.other_members() {
             let Some(member) = self.watcher.view().members.get(instance) else { continue };
             let to = member.announcement.peer;
-            self.calls += 1;
-            self.standing.ask(self.calls, instance, now);
-            actions.push(action::Action::Stand {
-                call: self.calls,
+            self.last_call += 1;
+            self.held_grants.record_request(self.last_call, instance, now);
+            actions.push(action::Action::RequestGrant {
+                call: self.last_call,
                 to,
                 request: request.clone(),
-                timeout: standing::ASK_TIMEOUT,
+                timeout: held_grants::REQUEST_TIMEOUT,
             });
         }
     }
 
-    fn request(&self, place: &Place) -> member::Request {
+    fn grant_request(&self, place: &Place) -> member::Request {
         member::Request {
             group: place.group.clone(),
             fence: place.placement.fence,
             first: self.announcement.instance.clone(),
             version: self.watcher.view().version,
-            running: self.attempts.running(),
-            draining: self.stopping.is_some() || self.standing.is_draining(),
+            running: self.attempts.running_count(),
+            draining: self.stopping_since.is_some() || self.held_grants.is_draining(),
         }
     }
 
     /// Orders the engine to load where that is due: under the number that control placed this
     /// instance under, by a view that is recent, and not before every grant under another number
     /// has lapsed, since the order takes the engine away from that group.
-    fn order(&mut self, now: clock::Instant, place: &Place, actions: &mut Vec<action::Action>) {
+    fn order_load(
+        &mut self,
+        now: clock::Instant,
+        place: &Place,
+        actions: &mut Vec<action::Action>,
+    ) {
         let fence = place.placement.fence;
-        let may = self.watcher.is_recent(now)
-            && gate::is_recorded(self.watcher.view(), &self.announcement)
-            && self.grants.is_clear(fence, now)
-            && fence > self.grants.ended()
-            && self.stopping.is_none();
-        if !may {
+        let may_order = self.watcher.is_recent(now)
+            && admission::is_recorded(self.watcher.view(), &self.announcement)
+            && self.given_grants.is_clear(fence, now)
+            && fence > self.given_grants.ended_fence()
+            && self.stopping_since.is_none();
+        if !may_order {
             return;
         }
-        self.engine.adopt(now, Some(fence));
-        if !self.engine.is_due(fence, now) {
+        self.monitor.adopt_reported(now, Some(fence));
+        if !self.monitor.is_order_due(fence, now) {
             return;
         }
-        let Some(model) = self.model(&place.group) else { return };
-        self.end_all(refusal::Reason::GroupIncomplete, actions);
-        self.engine.order(fence, now);
+        let Some(model) = self.declared_model(&place.group) else { return };
+        self.abort_all(refusal::Reason::GroupIncomplete, actions);
+        self.monitor.start_order(fence, now);
         actions.push(action::Action::Order(action::Order {
             fence,
             group: place.group.clone(),
@@ -189,7 +197,7 @@
         actions.push(action::Action::Notice(notice::Notice::Ordered(fence)));
     }
 
-    fn model(&self, group: &name::Group) -> Option<name::Model> {
+    fn declared_model(&self, group: &name::Group) -> Option<name::Model> {
         let configuration = &self.watcher.view().configuration;
         configuration.groups.get(group).map(|group| group.model.clone())
     }
@@ -197,16 +205,16 @@
     /// A member that is leaving goes on standing by what runs, also without a lease, until the
     /// first member takes no new work and nothing runs: a graceful stop cuts nothing off.
     fn may_grant(&mut self, now: clock::Instant, request: &member::Request) -> bool {
-        let leaving = self.stopping.is_some();
+        let is_leaving = self.stopping_since.is_some();
         // For good: the asker drains because of the grant that this refusal ends, and would not
         // say so in its next request.
-        self.released |= leaving && request.draining && request.running == 0;
-        let recent = self.watcher.is_recent(now) || leaving;
-        recent
-            && !self.released
+        self.grants_withdrawn |= is_leaving && request.draining && request.running == 0;
+        let may_use_view = self.watcher.is_recent(now) || is_leaving;
+        may_use_view
+            && !self.grants_withdrawn
             && is_placed(self.watcher.view(), &self.announcement, request)
-            && self.engine.loaded(now) == Some(request.fence)
-            && self.grants.may_give(request.fence, now)
+            && self.monitor.loaded_fence(now) == Some(request.fence)
+            && self.given_grants.may_give(request.fence, now)
     }
 
     fn place(&self) -> Option<Place> {
@@ -224,7 +232,7 @@
     request: &member::Request,
 ) -> bool {
     let Some(placement) = view.placements.get(&request.group) else { return false };
-    gate::is_recorded(view, announcement)
+    admission::is_recorded(view, announcement)
         && placement.fence == request.fence
         && placement.members.first() == Some(&request.first)
         && placement.members.iter().skip(1).any(|member| *member == announcement.instance)
--- a/crates/hyssopfork-agent/src/standing.rs
+++ b/crates/hyssopfork-agent/src/held_grants.rs
@@ -9,56 +9,57 @@
 /// A connection may have gone silent for good while new ones work. A third of the grant's term
 /// leaves time to ask again over another before the last grant lapses, so that the group goes on
 /// serving; the whole term would take it out of service each time.
-pub const ASK_TIMEOUT: Duration = Duration::from_micros(timing::GROUP_GRANT.as_micros() as u64 / 3);
+pub const REQUEST_TIMEOUT: Duration =
+    Duration::from_micros(timing::GROUP_GRANT.as_micros() as u64 / 3);
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct Request {
     member: name::Instance,
-    sent: clock::Instant,
+    sent_at: clock::Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    sent: clock::Instant,
-    until: clock::Instant,
+struct Grant {
+    sent_at: clock::Instant,
+    expires_at: clock::Instant,
     leaving: bool,
 }
 
 /// Grants held under one fencing number.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct Grants {
     fence: number::Fence,
-    held: BTreeMap<name::Instance, Held>,
-    asked: BTreeMap<u64, Asked>,
-    ask_at: clock::Instant,
+    grants: BTreeMap<name::Instance, Grant>,
+    requests: BTreeMap<u64, Request>,
+    request_at: clock::Instant,
 }
 
-impl Standing {
+impl Grants {
     /// Fencing number that the grants are for.
     pub fn fence(&self) -> number::Fence {
         self.fence
     }
 
     /// Starts anew under `fence`: grants of another number are worth nothing under it.
-    pub fn turn(&mut self, fence: number::Fence) {
+    pub fn reset(&mut self, fence: number::Fence) {
         if self.fence != fence {
-            *self = Standing { fence, ..Standing::default() };
+            *self = Grants { fence, ..Grants::default() };
         }
     }
 
     /// Whether it is time to ask; notes that it is being done.
-    pub fn is_due(&mut self, now: clock::Instant) -> bool {
-        if now < self.ask_at {
+    pub fn start_round(&mut self, now: clock::Instant) -> bool {
+        if now < self.request_at {
             return false;
         }
-        self.ask_at = now + timing::GROUP_RENEWAL_INTERVAL;
-        self.asked.retain(|_, asked| now.since(asked.sent) < ASK_TIMEOUT);
+        self.request_at = now + timing::GROUP_RENEWAL_INTERVAL;
+        self.requests.retain(|_, request| now.since(request.sent_at) < REQUEST_TIMEOUT);
         true
     }
 
     /// Notes that `member` is being asked by `call`.
-    pub fn ask(&mut self, call: u64, member: &name::Instance, now: clock::Instant) {
-        self.asked.insert(call, Asked { member: member.clone(), sent: now });
+    pub fn record_request(&mut self, call: u64, member: &name::Instance, now: clock::Instant) {
+        self.requests.insert(call, Request { member: member.clone(), sent_at: now });
     }
 
     /// Takes a grant. Its term runs from when it was asked for: the member's own guard runs from
@@ -67,33 +68,33 @@
     /// Whether the member is leaving is told by its newest grant: one that isn't leaving any more
     /// is another process, and a group that went on draining for the one before would never
     /// serve again.
-    pub fn grant(&mut self, call: u64, term: Duration, leaving: bool) {
-        let Some(asked) = self.asked.remove(&call) else { return };
-        let until = asked.sent + term.min(timing::GROUP_GRANT);
-        let held = Held { sent: asked.sent, until, leaving };
-        let known = self.held.entry(asked.member).or_insert(held);
-        if held.sent >= known.sent {
-            *known = held;
+    pub fn on_granted(&mut self, call: u64, duration: Duration, leaving: bool) {
+        let Some(request) = self.requests.remove(&call) else { return };
+        let expires_at = request.sent_at + duration.min(timing::GROUP_GRANT);
+        let grant = Grant { sent_at: request.sent_at, expires_at, leaving };
+        let newest = self.grants.entry(request.member).or_insert(grant);
+        if grant.sent_at >= newest.sent_at {
+            *newest = grant;
         }
     }
 
     /// Takes a refusal: the member no longer stands by the group, unless it has granted a request
     /// that was sent later than the refused one.
-    pub fn refuse(&mut self, call: u64) {
-        let Some(asked) = self.asked.remove(&call) else { return };
-        if self.held.get(&asked.member).is_some_and(|held| held.sent <= asked.sent) {
-            self.held.remove(&asked.member);
+    pub fn on_rejected(&mut self, call: u64) {
+        let Some(request) = self.requests.remove(&call) else { return };
+        if self.grants.get(&request.member).is_some_and(|grant| grant.sent_at <= request.sent_at) {
+            self.grants.remove(&request.member);
         }
     }
 
     /// Forgets a call that failed.
-    pub fn fail(&mut self, call: u64) {
-        self.asked.remove(&call);
+    pub fn on_failed(&mut self, call: u64) {
+        self.requests.remove(&call);
     }
 
     /// Whether some member that stands by the group has said that it is leaving.
     pub fn is_draining(&self) -> bool {
-        self.held.values().any(|held| held.leaving)
+        self.grants.values().any(|grant| grant.leaving)
     }
 
     /// First of `others` from which no unexpired grant is held; `None` when the group is whole.
@@ -102,8 +103,9 @@
         others: &'a [name::Instance],
         now: clock::Instant,
     ) -> Option<&'a name::Instance> {
-        let stands =
-            |member: &name::Instance| self.held.get(member).is_some_and(|held| now < held.until);
-        others.iter().find(|member| !stands(member))
+        let has_granted = |member: &name::Instance| {
+            self.grants.get(member).is_some_and(|grant| now < grant.expires_at)
+        };
+        others.iter().find(|member| !has_granted(member))
     }
 }
--- a/crates/hyssopfork-agent/src/lib.rs
+++ b/crates/hyssopfork-agent/src/lib.rs
@@ -4,14 +4,14 @@
 //! so whatever must hold for one upstream is decided here.
 
 pub mod action;
+pub mod admission;
 pub mod attempts;
 pub mod core;
-pub mod engine;
 pub mod event;
-pub mod gate;
-pub mod grants;
+pub mod given_grants;
 mod group;
-pub mod memory;
+pub mod held_grants;
+pub mod monitor;
 pub mod notice;
 mod offers;
-pub mod standing;
+pub mod tombstones;
--- a/crates/hyssopfork-agent/src/offers.rs
+++ b/crates/hyssopfork-agent/src/offers.rs
@@ -1,12 +1,12 @@
 //! Attempts: offered, handed to the upstream, cancelled, ended.
 
-use crate::{action, attempts, core, event, memory, notice};
+use crate::{action, attempts, core, event, notice, tombstones};
 use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{attempt, clock, refusal};
 
 impl core::Core {
     /// An offer arrived.
-    pub(crate) fn offered(
+    pub(crate) fn on_offer(
         &mut self,
         now: clock::Instant,
         offer: attempt::Offer,
@@ -14,24 +14,24 @@
     ) {
         self.watcher.on_version_seen(offer.version);
         let attempt = offer.attempt;
-        match self.attempts.standing(attempt) {
-            attempts::Standing::Live(_) => actions.push(action::Action::TakeUp(attempt)),
-            attempts::Standing::Dead(memory::End::NeverStarted) => {
-                let refusal = refusal::Refusal::not_run(refusal::Reason::Cancelled, None);
-                self.refuse(attempt, refusal, actions);
+        match self.attempts.status(attempt) {
+            attempts::Status::Live(_) => actions.push(action::Action::Resume(attempt)),
+            attempts::Status::Ended(tombstones::End::NeverStarted) => {
+                let rejection = refusal::Refusal::not_run(refusal::Reason::Cancelled, None);
+                self.reject(attempt, rejection, actions);
             }
-            attempts::Standing::Dead(_) | attempts::Standing::Folded => {
-                let refusal = refusal::Refusal::may_have_run(refusal::Reason::Cancelled, None);
-                self.refuse(attempt, refusal, actions);
+            attempts::Status::Ended(_) | attempts::Status::Compacted => {
+                let rejection = refusal::Refusal::may_have_run(refusal::Reason::Cancelled, None);
+                self.reject(attempt, rejection, actions);
             }
-            attempts::Standing::Unseen => self.admit(now, offer, actions),
+            attempts::Status::Unseen => self.admit(now, offer, actions),
         }
     }
 
     /// The shell is about to write the first byte: everything is checked once more, since the
     /// process may have been paused for any time since the offer was admitted, and another attempt
     /// may have found out that the back end is gone or came back cold.
-    pub(crate) fn ready(
+    pub(crate) fn on_connected(
         &mut self,
         now: clock::Instant,
         attempt: attempt::Identifier,
@@ -41,25 +41,25 @@
             // Cancelled or aborted since; the refusal was sent then.
             return;
         };
-        if live.state != attempts::State::Prepared {
+        if live.state != attempts::State::Admitted {
             return;
         }
-        let gate = self.gate(now);
-        let checked = gate
-            .check(&live.offer, live.arrived)
-            .and_then(|()| gate.check_room(self.attempts.forwarded()));
+        let admission = self.admission(now);
+        let checked = admission
+            .check(&live.offer, live.arrived_at)
+            .and_then(|()| admission.check_room(self.attempts.forwarded_count()));
         match checked {
             Ok(()) => {
                 self.attempts.forward(attempt, now);
                 actions.push(action::Action::Forward(attempt));
                 actions.push(action::Action::Notice(notice::Notice::Forwarded(attempt)));
             }
-            Err(refusal) => self.bury_and_refuse(attempt, refusal, actions),
+            Err(rejection) => self.end_and_reject(attempt, rejection, actions),
         }
     }
 
     /// An entry cancels an attempt.
-    pub(crate) fn cancelled(
+    pub(crate) fn on_cancel_request(
         &mut self,
         call: u64,
         attempt: attempt::Identifier,
@@ -76,23 +76,32 @@
     }
 
     /// The upstream's answer is whole.
-    pub(crate) fn ended(&mut self, now: clock::Instant, attempt: attempt::Identifier) {
+    pub(crate) fn on_response_finished(
+        &mut self,
+        now: clock::Instant,
+        attempt: attempt::Identifier,
+    ) {
         let Some(live) = self.attempts.get(attempt) else { return };
         if live.state != attempts::State::Forwarded {
             return;
         }
-        let (begun, cost) = (live.forwarded, live.offer.cost);
+        let (forwarded_at, cost) = (live.forwarded_at, live.offer.cost);
         let cancelled = live.cancelled;
-        self.engine.ramp().on_request_ended(now, begun, cost, slow_start::Outcome::Completed);
+        self.monitor.slow_start().on_request_ended(
+            now,
+            forwarded_at,
+            cost,
+            slow_start::Outcome::Completed,
+        );
         if cancelled {
-            self.attempts.bury(attempt, memory::End::Finished);
+            self.attempts.end(attempt, tombstones::End::Finished);
         } else {
             self.attempts.finish(attempt, now);
         }
     }
 
     /// The upstream's answer will not be whole.
-    pub(crate) fn failed(
+    pub(crate) fn on_response_failed(
         &mut self,
         now: clock::Instant,
         attempt: attempt::Identifier,
@@ -100,26 +109,32 @@
         actions: &mut Vec<action::Action>,
     ) {
         let Some(live) = self.attempts.get(attempt) else { return };
-        let started = live.state == attempts::State::Forwarded && fault == event::Fault::Broken;
+        let may_have_run =
+            live.state == attempts::State::Forwarded && fault == event::Fault::Broken;
         if matches!(live.state, attempts::State::Finished(_)) {
             return;
         }
-        let (begun, cost) = (live.forwarded, live.offer.cost);
-        self.engine.suspect(now);
-        if started {
-            self.engine.ramp().on_request_ended(now, begun, cost, slow_start::Outcome::Failed);
+        let (forwarded_at, cost) = (live.forwarded_at, live.offer.cost);
+        self.monitor.suspect(now);
+        if may_have_run {
+            self.monitor.slow_start().on_request_ended(
+                now,
+                forwarded_at,
+                cost,
+                slow_start::Outcome::Failed,
+            );
         }
         let reason = refusal::Reason::UpstreamFailed;
-        let refusal = if started {
+        let rejection = if may_have_run {
             refusal::Refusal::may_have_run(reason, None)
         } else {
             refusal::Refusal::not_run(reason, None)
         };
-        self.bury_and_refuse(attempt, refusal, actions);
+        self.end_and_reject(attempt, rejection, actions);
     }
 
     /// Ends every attempt that is prepared or running.
-    pub(crate) fn end_all(&mut self, reason: refusal::Reason, actions: &mut Vec<action::Action>) {
+    pub(crate) fn abort_all(&mut self, reason: refusal::Reason, actions: &mut Vec<action::Action>) {
         for attempt in self.attempts.unfinished() {
             self.abort(attempt, reason, actions);
         }
@@ -132,16 +147,16 @@
         actions: &mut Vec<action::Action>,
     ) {
         let attempt = offer.attempt;
-        let gate = self.gate(now);
-        let running = self.attempts.running();
-        let checked = gate.check(&offer, now).and_then(|()| gate.check_room(running));
-        if let Err(refusal) = checked {
-            self.bury_and_refuse(attempt, refusal, actions);
+        let admission = self.admission(now);
+        let running = self.attempts.running_count();
+        let checked = admission.check(&offer, now).and_then(|()| admission.check_room(running));
+        if let Err(rejection) = checked {
+            self.end_and_reject(attempt, rejection, actions);
             return;
         }
         self.attempts.admit(offer, now);
         let load = self.load();
-        actions.push(action::Action::Prepare { attempt, load });
+        actions.push(action::Action::Connect { attempt, load });
     }
 
     fn cancel(
@@ -149,25 +164,27 @@
         attempt: attempt::Identifier,
         actions: &mut Vec<action::Action>,
     ) -> attempt::Cancelled {
-        match self.attempts.standing(attempt) {
-            attempts::Standing::Unseen => {
-                self.attempts.bury(attempt, memory::End::NeverStarted);
+        match self.attempts.status(attempt) {
+            attempts::Status::Unseen => {
+                self.attempts.end(attempt, tombstones::End::NeverStarted);
                 attempt::Cancelled::NeverStarted
             }
-            attempts::Standing::Live(attempts::State::Prepared) => {
-                let refusal = refusal::Refusal::not_run(refusal::Reason::Cancelled, None);
-                self.bury_and_refuse(attempt, refusal, actions);
+            attempts::Status::Live(attempts::State::Admitted) => {
+                let rejection = refusal::Refusal::not_run(refusal::Reason::Cancelled, None);
+                self.end_and_reject(attempt, rejection, actions);
                 attempt::Cancelled::NeverStarted
             }
-            attempts::Standing::Live(attempts::State::Forwarded) => {
+            attempts::Status::Live(attempts::State::Forwarded) => {
                 self.cancel_running(attempt, actions);
                 attempt::Cancelled::Started
             }
-            attempts::Standing::Live(attempts::State::Finished(_)) => attempt::Cancelled::Finished,
-            attempts::Standing::Dead(memory::End::NeverStarted) => attempt::Cancelled::NeverStarted,
-            attempts::Standing::Dead(memory::End::Started) => attempt::Cancelled::Started,
-            attempts::Standing::Dead(memory::End::Finished) => attempt::Cancelled::Finished,
-            attempts::Standing::Folded => attempt::Cancelled::Unknown,
+            attempts::Status::Live(attempts::State::Finished(_)) => attempt::Cancelled::Finished,
+            attempts::Status::Ended(tombstones::End::NeverStarted) => {
+                attempt::Cancelled::NeverStarted
+            }
+            attempts::Status::Ended(tombstones::End::Started) => attempt::Cancelled::Started,
+            attempts::Status::Ended(tombstones::End::Finished) => attempt::Cancelled::Finished,
+            attempts::Status::Compacted => attempt::Cancelled::Unknown,
         }
     }
 
@@ -177,7 +194,7 @@
         if self.announcement.profile.cancels {
             self.abort(attempt, refusal::Reason::Cancelled, actions);
         } else {
-            self.attempts.detach(attempt);
+            self.attempts.mark_cancelled(attempt);
         }
     }
 
@@ -189,40 +206,40 @@
     ) {
         let Some(live) = self.attempts.get(attempt) else { return };
         let forwarded = live.state == attempts::State::Forwarded;
-        let refusal = if forwarded {
+        let rejection = if forwarded {
             actions.push(action::Action::Abort(attempt));
             actions.push(action::Action::Notice(notice::Notice::Aborted(attempt, reason)));
             refusal::Refusal::may_have_run(reason, None)
         } else {
             refusal::Refusal::not_run(reason, None)
         };
-        self.bury_and_refuse(attempt, refusal, actions);
+        self.end_and_reject(attempt, rejection, actions);
     }
 
     /// Refuses an attempt for good: the entry may tell its caller so, and then a second copy of
     /// the offer must not start it.
-    fn bury_and_refuse(
+    fn end_and_reject(
         &mut self,
         attempt: attempt::Identifier,
-        refusal: refusal::Refusal,
+        rejection: refusal::Refusal,
         actions: &mut Vec<action::Action>,
     ) {
-        let end = match refusal.ran {
-            refusal::Ran::NotRun => memory::End::NeverStarted,
-            refusal::Ran::MayHaveRun => memory::End::Started,
+        let end = match rejection.ran {
+            refusal::Ran::NotRun => tombstones::End::NeverStarted,
+            refusal::Ran::MayHaveRun => tombstones::End::Started,
         };
-        self.attempts.bury(attempt, end);
-        self.refuse(attempt, refusal, actions);
+        self.attempts.end(attempt, end);
+        self.reject(attempt, rejection, actions);
     }
 
-    fn refuse(
+    fn reject(
         &mut self,
         attempt: attempt::Identifier,
-        refusal: refusal::Refusal,
+        rejection: refusal::Refusal,
         actions: &mut Vec<action::Action>,
     ) {
         let load = self.load();
-        actions.push(action::Action::Refuse { attempt, refusal, load });
-        actions.push(action::Action::Notice(notice::Notice::Refused(attempt, refusal.reason)));
+        actions.push(action::Action::Reject { attempt, rejection, load });
+        actions.push(action::Action::Notice(notice::Notice::Refused(attempt, rejection.reason)));
     }
 }
--- a/crates/hyssopfork-agent/src/memory.rs
+++ b/crates/hyssopfork-agent/src/tombstones.rs
@@ -12,10 +12,10 @@
 /// Identifiers kept singly, of all entry processes together: 0.77 MB measured. Over it, the
 /// process with the most loses the older half of its. An entry numbers its attempts in order, so
 /// what is folded was given up long ago: at a thousand attempts a second, 16 s ago and more.
-pub const KEPT: usize = 32_768;
+pub const MAX_TOMBSTONES: usize = 32_768;
 
 /// Entry processes that are remembered, each at least by its floor.
-pub const BOOTS: usize = 16_384;
+pub const MAX_BOOTS: usize = 16_384;
 
 /// How an attempt died.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,20 +30,20 @@
 
 /// What is remembered of an identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recall {
+pub enum Lookup {
     /// Nothing: it was never seen.
     Unseen,
     /// It is dead, and this was its end.
-    Dead(End),
+    Ended(End),
     /// It is below the floor: dead or never seen, nobody can say, and it never starts.
-    Folded,
+    Compacted,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Boot {
-    floor: u64,
-    dead: BTreeMap<u64, End>,
-    touched: u64,
+    low_water_mark: u64,
+    tombstones: BTreeMap<u64, End>,
+    last_used: u64,
 }
 
 /// The memory.
@@ -51,55 +51,57 @@
 /// Invariant: an identifier that was once dead or folded is never unseen again, while fewer than
 /// [`BOOTS`] other entry processes have been heard since its own was.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct Tombstones {
     boots: BTreeMap<u64, Boot>,
     /// Invariant: the number of identifiers kept singly, in all boots.
-    kept: usize,
-    clock: u64,
+    total: usize,
+    uses: u64,
 }
 
-impl Memory {
+impl Tombstones {
     /// What is remembered of `attempt`.
-    pub fn recall(&self, attempt: attempt::Identifier) -> Recall {
-        let Some(boot) = self.boots.get(&attempt.boot) else { return Recall::Unseen };
-        match boot.dead.get(&attempt.count) {
-            Some(end) => Recall::Dead(*end),
-            None if attempt.count < boot.floor => Recall::Folded,
-            None => Recall::Unseen,
+    pub fn lookup(&self, attempt: attempt::Identifier) -> Lookup {
+        let Some(boot) = self.boots.get(&attempt.boot) else { return Lookup::Unseen };
+        match boot.tombstones.get(&attempt.count) {
+            Some(end) => Lookup::Ended(*end),
+            None if attempt.count < boot.low_water_mark => Lookup::Compacted,
+            None => Lookup::Unseen,
         }
     }
 
     /// Remembers that `attempt` is dead; the first end that was told stays.
-    pub fn bury(&mut self, attempt: attempt::Identifier, end: End) {
-        self.clock += 1;
+    pub fn insert(&mut self, attempt: attempt::Identifier, end: End) {
+        self.uses += 1;
         let boot = self.boots.entry(attempt.boot).or_default();
-        boot.touched = self.clock;
-        let before = boot.dead.len();
-        boot.dead.entry(attempt.count).or_insert(end);
-        self.kept += boot.dead.len() - before;
-        if self.kept > KEPT {
-            self.fold_largest();
+        boot.last_used = self.uses;
+        let before = boot.tombstones.len();
+        boot.tombstones.entry(attempt.count).or_insert(end);
+        self.total += boot.tombstones.len() - before;
+        if self.total > MAX_TOMBSTONES {
+            self.compact_largest();
         }
-        if self.boots.len() > BOOTS {
-            self.forget_oldest();
+        if self.boots.len() > MAX_BOOTS {
+            self.evict_least_recent();
         }
     }
 
-    fn fold_largest(&mut self) {
-        let Some(boot) = self.boots.values_mut().max_by_key(|boot| boot.dead.len()) else { return };
-        let half = boot.dead.len().div_ceil(2);
+    fn compact_largest(&mut self) {
+        let Some(boot) = self.boots.values_mut().max_by_key(|boot| boot.tombstones.len()) else {
+            return;
+        };
+        let half = boot.tombstones.len().div_ceil(2);
         for _ in 0..half {
-            let Some((count, _)) = boot.dead.pop_first() else { break };
-            boot.floor = boot.floor.max(count + 1);
+            let Some((count, _)) = boot.tombstones.pop_first() else { break };
+            boot.low_water_mark = boot.low_water_mark.max(count + 1);
         }
-        self.kept -= half;
+        self.total -= half;
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.boots.iter().min_by_key(|(_, boot)| boot.touched);
+    fn evict_least_recent(&mut self) {
+        let oldest = self.boots.iter().min_by_key(|(_, boot)| boot.last_used);
         if let Some(boot) = oldest.map(|(boot, _)| *boot) {
-            let forgotten = self.boots.remove(&boot);
-            self.kept -= forgotten.map_or(0, |boot| boot.dead.len());
+            let evicted = self.boots.remove(&boot);
+            self.total -= evicted.map_or(0, |boot| boot.tombstones.len());
         }
     }
 }
--- a/crates/hyssopfork-agent/tests/agent/fixture.rs
+++ b/crates/hyssopfork-agent/tests/agent/fixture.rs
@@ -26,37 +26,37 @@
 
 /// First member of a group of two whose engine is loaded and whose other member has granted.
 pub fn first_member() -> Agent {
-    let mut agent = engine("i0");
-    agent.hold(Duration::ZERO);
-    agent.settle_guard();
-    agent.load(FENCE);
-    agent.grant();
+    let mut agent = engine_agent("i0");
+    agent.renew_lease(Duration::ZERO);
+    agent.wait_for_grant_guard();
+    agent.finish_load(FENCE);
+    agent.receive_grant();
     agent
 }
 
 /// Second member of the same group, with its engine loaded.
 pub fn second_member() -> Agent {
-    let mut agent = engine("i1");
-    agent.hold(Duration::ZERO);
-    agent.settle_guard();
-    agent.load(FENCE);
+    let mut agent = engine_agent("i1");
+    agent.renew_lease(Duration::ZERO);
+    agent.wait_for_grant_guard();
+    agent.finish_load(FENCE);
     agent
 }
 
 /// An agent of an engine that has started just now and knows nothing.
-pub fn engine(instance: &str) -> Agent {
-    agent(instance, configuration::Kind::Engine, true)
+pub fn engine_agent(instance: &str) -> Agent {
+    new_agent(instance, configuration::Kind::Engine, true)
 }
 
 /// An agent of a plain service that can take work.
-pub fn service(cancels: bool) -> Agent {
-    let mut agent = agent("s0", configuration::Kind::Service, cancels);
-    agent.hold(Duration::ZERO);
+pub fn service_agent(cancels: bool) -> Agent {
+    let mut agent = new_agent("s0", configuration::Kind::Service, cancels);
+    agent.renew_lease(Duration::ZERO);
     agent.probe(Some(health("a", None)));
     agent
 }
 
-fn agent(instance: &str, kind: configuration::Kind, cancels: bool) -> Agent {
+fn new_agent(instance: &str, kind: configuration::Kind, cancels: bool) -> Agent {
     let announcement = announcement(instance, kind, cancels);
     let control = vec![address(1), address(2)];
     let settings = core::Settings { announcement, control, stop_limit: STOP_LIMIT };
@@ -87,7 +87,7 @@
     }
 }
 
-pub fn plain_offer(count: u64) -> attempt::Offer {
+pub fn service_offer(count: u64) -> attempt::Offer {
     attempt::Offer { group: None, ..offer(count) }
 }
 
@@ -95,7 +95,7 @@
     attempt::Identifier { boot: 99, count }
 }
 
-pub fn request(fence: number::Fence) -> member::Request {
+pub fn grant_request(fence: number::Fence) -> member::Request {
     member::Request {
         group: "g1".into(),
         fence,
@@ -109,16 +109,16 @@
 impl Agent {
     pub fn step(&mut self, event: event::Event) -> Vec<action::Action> {
         let actions = self.core.step(self.now, event);
-        self.renewal = actions.iter().find_map(renewal).or(self.renewal);
+        self.renewal = actions.iter().find_map(find_renewal).or(self.renewal);
         actions
     }
 
     /// Time passes in ticks; nothing else happens, and no call is answered.
-    pub fn pass(&mut self, span: Duration) -> Vec<action::Action> {
+    pub fn advance(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            self.now = (self.now + action::TICK).min(end);
+            self.now = (self.now + action::TICK_INTERVAL).min(end);
             actions.extend(self.step(event::Event::Tick));
         }
         actions
@@ -130,42 +130,42 @@
     }
 
     /// Renews the lease with the fixture's view; the answer comes after `delay`.
-    pub fn hold(&mut self, delay: Duration) -> Vec<action::Action> {
+    pub fn renew_lease(&mut self, delay: Duration) -> Vec<action::Action> {
         if let Some(call) = self.renewal.take() {
-            self.step(event::Event::Controlled { call, response: None });
+            self.step(event::Event::ControlResponse { call, response: None });
         }
         let call = loop {
             self.step(event::Event::Tick);
             if let Some(call) = self.renewal.take() {
                 break call;
             }
-            self.now = self.now + action::TICK;
+            self.now = self.now + action::TICK_INTERVAL;
         };
         self.now = self.now + delay;
         let update = change::Update::Whole(Box::new(self.view.clone()));
         let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
-        self.step(event::Event::Controlled { call, response })
+        self.step(event::Event::ControlResponse { call, response })
     }
 
     /// The view moves on to another one, with a new lease.
-    pub fn change(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
+    pub fn change_view(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
         change(&mut self.view);
         self.view.version = self.view.version.next();
-        self.hold(Duration::ZERO)
+        self.renew_lease(Duration::ZERO)
     }
 
     /// Time until the process may grant and order, with its lease and probes kept up.
-    pub fn settle_guard(&mut self) {
+    pub fn wait_for_grant_guard(&mut self) {
         self.probe(Some(health("a", None)));
-        self.pass(timing::GROUP_GRANT_GUARD);
+        self.advance(timing::GROUP_GRANT_GUARD);
         self.probe(Some(health("a", None)));
-        self.hold(Duration::ZERO);
+        self.renew_lease(Duration::ZERO);
     }
 
     /// The engine carries out the order that is outstanding.
-    pub fn load(&mut self, fence: number::Fence) {
-        self.step(event::Event::Ordered { fence, done: true });
+    pub fn finish_load(&mut self, fence: number::Fence) {
+        self.step(event::Event::LoadFinished { fence, succeeded: true });
     }
 
     pub fn probe(&mut self, health: Option<event::Health>) -> Vec<action::Action> {
@@ -173,8 +173,8 @@
     }
 
     /// The other member grants the newest request.
-    pub fn grant(&mut self) -> Vec<action::Action> {
-        self.answer_stand(member::Response::Granted {
+    pub fn receive_grant(&mut self) -> Vec<action::Action> {
+        self.receive_grant_response(member::Response::Granted {
             duration: timing::GROUP_GRANT,
             version: self.view.version,
             leaving: false,
@@ -182,25 +182,26 @@
     }
 
     /// The other member answers the newest request.
-    pub fn answer_stand(&mut self, response: member::Response) -> Vec<action::Action> {
-        let actions = self.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
-        let asked = actions.iter().rev().find_map(stand).expect("the members are asked");
-        self.step(event::Event::Stood { call: asked.0, response: Some(response) })
+    pub fn receive_grant_response(&mut self, response: member::Response) -> Vec<action::Action> {
+        let actions = self.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
+        let asked =
+            actions.iter().rev().find_map(find_grant_request).expect("the members are asked");
+        self.step(event::Event::GrantResponse { call: asked.0, response: Some(response) })
     }
 
     /// An attempt is offered and handed to the upstream.
-    pub fn run(&mut self, offer: attempt::Offer) {
+    pub fn forward(&mut self, offer: attempt::Offer) {
         let attempt = offer.attempt;
-        let offered = self.step(event::Event::Offered(offer));
-        assert!(prepares(&offered), "the offer is admitted: {offered:?}");
-        let ready = self.step(event::Event::Ready(attempt));
-        assert!(forwards(&ready), "the attempt is forwarded: {ready:?}");
+        let offered = self.step(event::Event::Offer(offer));
+        assert!(has_connect(&offered), "the offer is admitted: {offered:?}");
+        let ready = self.step(event::Event::Connected(attempt));
+        assert!(has_forward(&ready), "the attempt is forwarded: {ready:?}");
     }
 
-    pub fn ask(&mut self, request: member::Request) -> member::Response {
-        let actions = self.step(event::Event::Asked { call: 5, request });
+    pub fn request_grant(&mut self, request: member::Request) -> member::Response {
+        let actions = self.step(event::Event::GrantRequest { call: 5, request });
         let reply = actions.into_iter().find_map(|action| match action {
-            action::Action::ReplyStand { call: 5, response } => Some(response),
+            action::Action::ReplyGrant { call: 5, response } => Some(response),
             _ => None,
         });
         reply.expect("a request is answered at once")
@@ -208,7 +209,7 @@
 
     pub fn cancel(&mut self, count: u64) -> attempt::Cancelled {
         let attempt = identifier(count);
-        let event = event::Event::Cancelled { call: 6, attempt, boot: BOOT };
+        let event = event::Event::CancelRequest { call: 6, attempt, boot: BOOT };
         let actions = self.step(event);
         let reply = actions.into_iter().find_map(|action| match action {
             action::Action::ReplyCancel { call: 6, outcome } => Some(outcome),
@@ -218,9 +219,9 @@
     }
 
     /// What becomes of an offer: the refusal, or none when it is admitted.
-    pub fn refusal(&mut self, offer: attempt::Offer) -> Option<refusal::Refusal> {
-        let actions = self.step(event::Event::Offered(offer));
-        refused(&actions)
+    pub fn offer(&mut self, offer: attempt::Offer) -> Option<refusal::Refusal> {
+        let actions = self.step(event::Event::Offer(offer));
+        find_rejection(&actions)
     }
 }
 
@@ -228,23 +229,23 @@
     matches!(response, member::Response::Granted { .. })
 }
 
-pub fn prepares(actions: &[action::Action]) -> bool {
-    actions.iter().any(|action| matches!(action, action::Action::Prepare { .. }))
+pub fn has_connect(actions: &[action::Action]) -> bool {
+    actions.iter().any(|action| matches!(action, action::Action::Connect { .. }))
 }
 
-pub fn forwards(actions: &[action::Action]) -> bool {
+pub fn has_forward(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Forward(_)))
 }
 
-pub fn aborts(actions: &[action::Action]) -> bool {
+pub fn has_abort(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Abort(_)))
 }
 
-pub fn stops(actions: &[action::Action]) -> bool {
+pub fn has_stopped(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Stopped))
 }
 
-pub fn orders(actions: &[action::Action]) -> Vec<number::Fence> {
+pub fn load_orders(actions: &[action::Action]) -> Vec<number::Fence> {
     let order = |action: &action::Action| match action {
         action::Action::Order(order) => Some(order.fence),
         _ => None,
@@ -252,25 +253,25 @@
     actions.iter().filter_map(order).collect()
 }
 
-pub fn refused(actions: &[action::Action]) -> Option<refusal::Refusal> {
+pub fn find_rejection(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
-        action::Action::Refuse { refusal, .. } => Some(*refusal),
+        action::Action::Reject { rejection, .. } => Some(*rejection),
         _ => None,
     })
 }
 
-fn renewal(action: &action::Action) -> Option<u64> {
+fn find_renewal(action: &action::Action) -> Option<u64> {
     match action {
-        action::Action::Control { call, request, .. } => {
+        action::Action::CallControl { call, request, .. } => {
             matches!(**request, control::Request::Renew(_)).then_some(*call)
         }
         _ => None,
     }
 }
 
-pub fn stand(action: &action::Action) -> Option<(u64, member::Request)> {
+pub fn find_grant_request(action: &action::Action) -> Option<(u64, member::Request)> {
     match action {
-        action::Action::Stand { call, request, .. } => Some((*call, request.clone())),
+        action::Action::RequestGrant { call, request, .. } => Some((*call, request.clone())),
         _ => None,
     }
 }
@@ -322,11 +323,11 @@
         let member = fleet::Member { announcement, incarnation, present: true, leaving: false };
         view.members.insert(name.into(), member);
     }
-    place(&mut view, FENCE, &["i0", "i1"]);
+    set_placement(&mut view, FENCE, &["i0", "i1"]);
     view
 }
 
-pub fn place(view: &mut change::View, fence: number::Fence, members: &[&str]) {
+pub fn set_placement(view: &mut change::View, fence: number::Fence, members: &[&str]) {
     let members = members.iter().map(|name| name::Instance::from(*name)).collect();
     view.placements.insert("g1".into(), fleet::Placement { fence, members });
 }
--- a/crates/hyssopfork-agent/tests/agent/group.rs
+++ b/crates/hyssopfork-agent/tests/agent/group.rs
@@ -12,13 +12,13 @@
 #[test]
 fn silent_member_ends_what_runs() {
     let mut agent = fixture::first_member();
-    agent.run(fixture::offer(1));
+    agent.forward(fixture::offer(1));
 
-    let actions = agent.pass(timing::GROUP_GRANT);
-    let refusal = agent.refusal(fixture::offer(2));
+    let actions = agent.advance(timing::GROUP_GRANT);
+    let refusal = agent.offer(fixture::offer(2));
 
-    assert!(fixture::aborts(&actions));
-    assert_eq!(fixture::refused(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
+    assert!(fixture::has_abort(&actions));
+    assert_eq!(fixture::find_rejection(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
     assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::GroupIncomplete));
 }
 
@@ -27,15 +27,16 @@
 #[test]
 fn grant_counts_from_when_it_was_asked_for() {
     let mut agent = fixture::first_member();
-    agent.pass(timing::GROUP_GRANT);
-    let asked = agent.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
-    let (call, _) = asked.iter().rev().find_map(fixture::stand).expect("the member is asked");
-    let term = timing::GROUP_GRANT;
+    agent.advance(timing::GROUP_GRANT);
+    let asked = agent.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
+    let (call, _) =
+        asked.iter().rev().find_map(fixture::find_grant_request).expect("the member is asked");
+    let duration = timing::GROUP_GRANT;
     let version = agent.view.version;
 
     agent.pause(timing::GROUP_GRANT);
-    let granted = member::Response::Granted { duration: term, version, leaving: false };
-    agent.step(event::Event::Stood { call, response: Some(granted) });
+    let granted = member::Response::Granted { duration, version, leaving: false };
+    agent.step(event::Event::GrantResponse { call, response: Some(granted) });
 
     assert!(!agent.core.is_ready(agent.now));
 }
@@ -44,13 +45,13 @@
 fn refusal_of_a_member_ends_its_grant_but_a_late_one_does_not() {
     let refused = member::Response::Refused { version: number::Version(1) };
     let mut agent = fixture::first_member();
-    let asked = agent.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
-    let (old, _) = asked.iter().find_map(fixture::stand).expect("the member is asked");
-    agent.grant();
+    let asked = agent.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
+    let (old, _) = asked.iter().find_map(fixture::find_grant_request).expect("the member is asked");
+    agent.receive_grant();
 
-    agent.step(event::Event::Stood { call: old, response: Some(refused.clone()) });
+    agent.step(event::Event::GrantResponse { call: old, response: Some(refused.clone()) });
     let after_late = agent.core.is_ready(agent.now);
-    agent.answer_stand(refused);
+    agent.receive_grant_response(refused);
     let after_new = agent.core.is_ready(agent.now);
 
     assert!(after_late);
@@ -63,18 +64,18 @@
 fn dead_engine_takes_its_group_down() {
     let mut second = fixture::second_member();
     let mut first = fixture::first_member();
-    first.run(fixture::offer(1));
+    first.forward(fixture::offer(1));
 
-    let before = second.ask(fixture::request(fixture::FENCE));
+    let before = second.request_grant(fixture::grant_request(fixture::FENCE));
     second.probe(None);
-    let after = second.ask(fixture::request(fixture::FENCE));
+    let after = second.request_grant(fixture::grant_request(fixture::FENCE));
     second.probe(Some(fixture::health("b", None)));
-    let back = second.ask(fixture::request(fixture::FENCE));
+    let back = second.request_grant(fixture::grant_request(fixture::FENCE));
     let fell = first.probe(None);
 
     assert!(fixture::is_granted(&before));
     assert!(!fixture::is_granted(&after) && !fixture::is_granted(&back));
-    assert!(fixture::aborts(&fell));
+    assert!(fixture::has_abort(&fell));
 }
 
 #[test]
@@ -84,8 +85,8 @@
     agent.probe(None);
     let back = agent.probe(Some(fixture::health("a", None)));
 
-    assert_eq!(fixture::orders(&back), Vec::<number::Fence>::new());
-    assert!(fixture::is_granted(&agent.ask(fixture::request(fixture::FENCE))));
+    assert_eq!(fixture::load_orders(&back), Vec::<number::Fence>::new());
+    assert!(fixture::is_granted(&agent.request_grant(fixture::grant_request(fixture::FENCE))));
 }
 
 // The group is mended while its old first member is cut off and alive. The member that is kept has
@@ -94,19 +95,19 @@
 #[test]
 fn member_waits_for_its_old_grant_to_lapse() {
     let mut agent = fixture::second_member();
-    assert!(fixture::is_granted(&agent.ask(fixture::request(fixture::FENCE))));
+    assert!(fixture::is_granted(&agent.request_grant(fixture::grant_request(fixture::FENCE))));
     let granted_at = agent.now;
 
-    let mut orders = agent.change(|view| fixture::place(view, NEXT, &["i2", "i1"]));
-    let old = agent.ask(fixture::request(fixture::FENCE));
-    while fixture::orders(&orders).is_empty() {
-        orders = agent.pass(action::TICK);
+    let mut orders = agent.change_view(|view| fixture::set_placement(view, NEXT, &["i2", "i1"]));
+    let old = agent.request_grant(fixture::grant_request(fixture::FENCE));
+    while fixture::load_orders(&orders).is_empty() {
+        orders = agent.advance(action::TICK_INTERVAL);
         agent.probe(Some(fixture::health("a", None)));
         assert!(agent.now.since(granted_at) < timing::HOLDER_LEASE, "it is ordered in the end");
     }
 
     assert!(!fixture::is_granted(&old));
-    assert_eq!(fixture::orders(&orders), vec![NEXT]);
+    assert_eq!(fixture::load_orders(&orders), vec![NEXT]);
     assert!(agent.now.since(granted_at) >= timing::GROUP_GRANT_GUARD);
 }
 
@@ -114,14 +115,14 @@
 // before may have granted a moment ago, to a placement that this one never heard of.
 #[test]
 fn restarted_agent_waits_before_it_stands_by_anything() {
-    let mut agent = fixture::engine("i1");
-    agent.hold(Duration::ZERO);
+    let mut agent = fixture::engine_agent("i1");
+    agent.renew_lease(Duration::ZERO);
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
 
-    let early = agent.ask(fixture::request(fixture::FENCE));
-    agent.pass(timing::GROUP_GRANT_GUARD);
+    let early = agent.request_grant(fixture::grant_request(fixture::FENCE));
+    agent.advance(timing::GROUP_GRANT_GUARD);
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
-    let late = agent.ask(fixture::request(fixture::FENCE));
+    let late = agent.request_grant(fixture::grant_request(fixture::FENCE));
 
     assert!(!fixture::is_granted(&early));
     assert!(fixture::is_granted(&late));
@@ -132,15 +133,15 @@
 // the next probe and let its limit grow; then the order was carried out and the engine was cold.
 #[test]
 fn engine_that_is_loaded_as_wanted_is_not_ordered() {
-    let mut agent = fixture::engine("i1");
+    let mut agent = fixture::engine_agent("i1");
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
-    agent.pass(timing::GROUP_GRANT_GUARD);
+    agent.advance(timing::GROUP_GRANT_GUARD);
 
-    let mut actions = agent.hold(Duration::ZERO);
-    actions.extend(agent.pass(action::TICK));
+    let mut actions = agent.renew_lease(Duration::ZERO);
+    actions.extend(agent.advance(action::TICK_INTERVAL));
 
-    assert_eq!(fixture::orders(&actions), Vec::<number::Fence>::new());
-    assert!(fixture::is_granted(&agent.ask(fixture::request(fixture::FENCE))));
+    assert_eq!(fixture::load_orders(&actions), Vec::<number::Fence>::new());
+    assert!(fixture::is_granted(&agent.request_grant(fixture::grant_request(fixture::FENCE))));
 }
 
 // Cut off from control, a member can't know that its instance was given to another group: it stops
@@ -149,9 +150,9 @@
 fn member_cut_from_control_stops_granting() {
     let mut agent = fixture::second_member();
 
-    agent.pass(timing::HOLDER_LEASE);
+    agent.advance(timing::HOLDER_LEASE);
     agent.probe(Some(fixture::health("a", None)));
-    let response = agent.ask(fixture::request(fixture::FENCE));
+    let response = agent.request_grant(fixture::grant_request(fixture::FENCE));
 
     assert!(!fixture::is_granted(&response));
 }
@@ -159,12 +160,12 @@
 #[test]
 fn strangers_and_other_numbers_get_no_grant() {
     let mut agent = fixture::second_member();
-    let stranger = member::Request { first: "i2".into(), ..fixture::request(fixture::FENCE) };
+    let stranger = member::Request { first: "i2".into(), ..fixture::grant_request(fixture::FENCE) };
 
     let responses = [
-        agent.ask(stranger),
-        agent.ask(fixture::request(number::Fence(9))),
-        agent.ask(fixture::request(NEXT)),
+        agent.request_grant(stranger),
+        agent.request_grant(fixture::grant_request(number::Fence(9))),
+        agent.request_grant(fixture::grant_request(NEXT)),
     ];
 
     assert!(!responses.iter().any(fixture::is_granted));
@@ -174,18 +175,19 @@
 // goes out only when the first has been answered, or the older might be carried out last.
 #[test]
 fn orders_go_out_one_at_a_time() {
-    let mut agent = fixture::engine("i1");
-    agent.hold(Duration::ZERO);
-    agent.settle_guard();
+    let mut agent = fixture::engine_agent("i1");
+    agent.renew_lease(Duration::ZERO);
+    agent.wait_for_grant_guard();
 
-    let mut moved = agent.change(|view| fixture::place(view, NEXT, &["i2", "i1"]));
-    moved.extend(agent.pass(Duration::from_millis(100)));
-    let before = fixture::orders(&moved);
-    let answered = agent.step(event::Event::Ordered { fence: fixture::FENCE, done: true });
-    let stale = agent.ask(fixture::request(fixture::FENCE));
+    let mut moved = agent.change_view(|view| fixture::set_placement(view, NEXT, &["i2", "i1"]));
+    moved.extend(agent.advance(Duration::from_millis(100)));
+    let before = fixture::load_orders(&moved);
+    let answered =
+        agent.step(event::Event::LoadFinished { fence: fixture::FENCE, succeeded: true });
+    let stale = agent.request_grant(fixture::grant_request(fixture::FENCE));
 
     assert_eq!(before, Vec::<number::Fence>::new());
-    assert_eq!(fixture::orders(&answered), vec![NEXT]);
+    assert_eq!(fixture::load_orders(&answered), vec![NEXT]);
     assert!(!fixture::is_granted(&stale));
 }
 
@@ -194,13 +196,13 @@
 #[test]
 fn engine_that_took_a_late_order_is_ordered_anew() {
     let mut agent = fixture::second_member();
-    agent.pass(Duration::from_millis(1_000));
-    agent.hold(Duration::ZERO);
+    agent.advance(Duration::from_millis(1_000));
+    agent.renew_lease(Duration::ZERO);
 
     let found = agent.probe(Some(fixture::health("a", Some(number::Fence(3)))));
-    let response = agent.ask(fixture::request(fixture::FENCE));
+    let response = agent.request_grant(fixture::grant_request(fixture::FENCE));
 
-    assert_eq!(fixture::orders(&found), vec![fixture::FENCE]);
+    assert_eq!(fixture::load_orders(&found), vec![fixture::FENCE]);
     assert!(!fixture::is_granted(&response));
 }
 
@@ -209,15 +211,15 @@
 #[test]
 fn moved_first_member_ends_what_runs() {
     let mut agent = fixture::first_member();
-    agent.run(fixture::offer(1));
+    agent.forward(fixture::offer(1));
 
-    let call = agent.pass(timing::RENEWAL_INTERVAL);
-    assert!(!fixture::aborts(&call));
-    agent.grant();
-    agent.change(|view| fixture::place(view, NEXT, &["i2", "i0"]));
+    let call = agent.advance(timing::RENEWAL_INTERVAL);
+    assert!(!fixture::has_abort(&call));
+    agent.receive_grant();
+    agent.change_view(|view| fixture::set_placement(view, NEXT, &["i2", "i0"]));
     let cancelled = agent.cancel(1);
 
     assert_eq!(cancelled, attempt::Cancelled::Started);
-    let again = agent.refusal(fixture::offer(2));
+    let again = agent.offer(fixture::offer(2));
     assert_eq!(again.map(|r| r.reason), Some(refusal::Reason::GroupIncomplete));
 }
--- a/crates/hyssopfork-agent/tests/agent/stop.rs
+++ b/crates/hyssopfork-agent/tests/agent/stop.rs
@@ -9,34 +9,37 @@
 // process does.
 #[test]
 fn what_runs_is_finished() {
-    let mut agent = fixture::service(true);
-    agent.run(fixture::plain_offer(1));
+    let mut agent = fixture::service_agent(true);
+    agent.forward(fixture::service_offer(1));
 
     agent.step(event::Event::Stop);
-    let refusal = agent.refusal(fixture::plain_offer(2));
-    let waiting = agent.pass(timing::HOLDER_LEASE * 3);
-    let ended = agent.step(event::Event::Ended(fixture::identifier(1)));
+    let refusal = agent.offer(fixture::service_offer(2));
+    let waiting = agent.advance(timing::HOLDER_LEASE * 3);
+    let ended = agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
 
     assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::Draining));
-    assert!(!fixture::stops(&waiting) && !fixture::aborts(&waiting));
-    assert!(fixture::stops(&ended));
+    assert!(!fixture::has_stopped(&waiting) && !fixture::has_abort(&waiting));
+    assert!(fixture::has_stopped(&ended));
 }
 
 #[test]
 fn overdue_work_and_a_second_stop_end_with_an_error() {
-    let mut overdue = fixture::service(true);
-    overdue.run(fixture::plain_offer(1));
-    let mut twice = fixture::service(true);
-    twice.run(fixture::plain_offer(1));
+    let mut overdue = fixture::service_agent(true);
+    overdue.forward(fixture::service_offer(1));
+    let mut twice = fixture::service_agent(true);
+    twice.forward(fixture::service_offer(1));
 
     overdue.step(event::Event::Stop);
-    let late = overdue.pass(fixture::STOP_LIMIT);
+    let late = overdue.advance(fixture::STOP_LIMIT);
     twice.step(event::Event::Stop);
     let second = twice.step(event::Event::Stop);
 
     for actions in [late, second] {
-        assert!(fixture::stops(&actions));
-        assert_eq!(fixture::refused(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
+        assert!(fixture::has_stopped(&actions));
+        assert_eq!(
+            fixture::find_rejection(&actions).map(|r| r.ran),
+            Some(refusal::Ran::MayHaveRun)
+        );
     }
 }
 
@@ -47,25 +50,25 @@
 #[test]
 fn leaving_member_stands_by_what_runs() {
     let mut agent = fixture::second_member();
-    let request = fixture::request(fixture::FENCE);
-    agent.ask(request.clone());
+    let request = fixture::grant_request(fixture::FENCE);
+    agent.request_grant(request.clone());
     agent.step(event::Event::Stop);
 
-    let running = agent.ask(request.clone());
+    let running = agent.request_grant(request.clone());
     for _ in 0..40 {
-        let actions = agent.pass(timing::GROUP_RENEWAL_INTERVAL);
+        let actions = agent.advance(timing::GROUP_RENEWAL_INTERVAL);
         agent.probe(Some(fixture::health("a", None)));
-        assert!(!fixture::stops(&actions));
-        assert!(fixture::is_granted(&agent.ask(request.clone())));
+        assert!(!fixture::has_stopped(&actions));
+        assert!(fixture::is_granted(&agent.request_grant(request.clone())));
     }
     let idle = member::Request { running: 0, draining: true, ..request };
-    let done = agent.ask(idle.clone());
-    let again = agent.ask(member::Request { draining: false, ..idle });
-    let actions = agent.pass(timing::GROUP_GRANT_GUARD);
+    let done = agent.request_grant(idle.clone());
+    let again = agent.request_grant(member::Request { draining: false, ..idle });
+    let actions = agent.advance(timing::GROUP_GRANT_GUARD);
 
     assert!(matches!(running, member::Response::Granted { leaving: true, .. }));
     assert!(!fixture::is_granted(&done) && !fixture::is_granted(&again));
-    assert!(fixture::stops(&actions));
+    assert!(fixture::has_stopped(&actions));
 }
 
 // The first member learns from a grant that its giver leaves: what runs goes on, nothing new is
@@ -73,18 +76,22 @@
 #[test]
 fn first_member_of_a_leaving_one_drains() {
     let mut agent = fixture::first_member();
-    agent.run(fixture::offer(1));
-    let term = timing::GROUP_GRANT;
+    agent.forward(fixture::offer(1));
+    let duration = timing::GROUP_GRANT;
     let version = agent.view.version;
 
-    let answered =
-        agent.answer_stand(member::Response::Granted { duration: term, version, leaving: true });
-    let refusal = agent.refusal(fixture::offer(2));
-    let asked = agent.pass(timing::GROUP_RENEWAL_INTERVAL + Duration::from_millis(25));
+    let answered = agent.receive_grant_response(member::Response::Granted {
+        duration,
+        version,
+        leaving: true,
+    });
+    let refusal = agent.offer(fixture::offer(2));
+    let asked = agent.advance(timing::GROUP_RENEWAL_INTERVAL + Duration::from_millis(25));
 
-    assert!(!fixture::aborts(&answered));
+    assert!(!fixture::has_abort(&answered));
     assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::Draining));
-    let (_, request) = asked.iter().find_map(fixture::stand).expect("the member is asked");
+    let (_, request) =
+        asked.iter().find_map(fixture::find_grant_request).expect("the member is asked");
     assert!(request.draining && request.running == 1);
 }
 
@@ -93,12 +100,12 @@
 #[test]
 fn member_that_came_back_ends_the_draining() {
     let mut agent = fixture::first_member();
-    let term = timing::GROUP_GRANT;
+    let duration = timing::GROUP_GRANT;
     let version = agent.view.version;
-    agent.answer_stand(member::Response::Granted { duration: term, version, leaving: true });
+    agent.receive_grant_response(member::Response::Granted { duration, version, leaving: true });
 
-    agent.grant();
-    let refusal = agent.refusal(fixture::offer(1));
+    agent.receive_grant();
+    let refusal = agent.offer(fixture::offer(1));
 
     assert_eq!(refusal, None);
 }
@@ -107,15 +114,15 @@
 // the work didn't run; it stays until every entry has heard, and refuses.
 #[test]
 fn process_stays_until_entries_have_heard() {
-    let mut agent = fixture::service(true);
+    let mut agent = fixture::service_agent(true);
 
     agent.step(event::Event::Stop);
-    let heard = agent.hold(Duration::ZERO);
-    let early = agent.pass(timing::IN_FORCE_BOUND - Duration::from_millis(50));
-    let refusal = agent.refusal(fixture::plain_offer(1));
-    let late = agent.pass(Duration::from_millis(100));
+    let heard = agent.renew_lease(Duration::ZERO);
+    let early = agent.advance(timing::IN_FORCE_BOUND - Duration::from_millis(50));
+    let refusal = agent.offer(fixture::service_offer(1));
+    let late = agent.advance(Duration::from_millis(100));
 
-    assert!(!fixture::stops(&heard) && !fixture::stops(&early));
+    assert!(!fixture::has_stopped(&heard) && !fixture::has_stopped(&early));
     assert_eq!(refusal.map(|r| r.ran), Some(refusal::Ran::NotRun));
-    assert!(fixture::stops(&late));
+    assert!(fixture::has_stopped(&late));
 }
--- a/crates/hyssopfork-daemon/src/agent/engine.rs
+++ b/crates/hyssopfork-daemon/src/agent/engine.rs
@@ -39,7 +39,7 @@
         ticks.tick().await;
         let sent = clock::now();
         let health = look(upstream).await;
-        mailbox.post(role::Input::Event(event::Event::ProbedAt { sent, health }));
+        mailbox.post(role::Input::Event(event::Event::ProbedAt { sent_at: sent, health }));
     }
 }
 
@@ -70,5 +70,5 @@
     let request = http::clients().fresh.post(format!("http://{upstream}/orders/load"));
     let sent = request.timeout(LOAD_LIMIT).send_json(&load).await;
     let done = sent.is_ok_and(|response| response.status().is_success());
-    event::Event::Ordered { fence: order.fence, done }
+    event::Event::LoadFinished { fence: order.fence, succeeded: done }
 }
--- a/crates/hyssopfork-daemon/src/agent/role.rs
+++ b/crates/hyssopfork-daemon/src/agent/role.rs
@@ -92,7 +92,7 @@
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
         actix_rt::spawn(engine::probe(self.upstream, self.mailbox.clone()));
-        mailbox::drain(&mut self, inputs, action::TICK).await;
+        mailbox::drain(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 }
 
@@ -123,12 +123,12 @@
             Input::Cancel { attempt, boot, reply } => {
                 let call = self.next_call();
                 self.cancels.insert(call, reply);
-                self.step(event::Event::Cancelled { call, attempt, boot });
+                self.step(event::Event::CancelRequest { call, attempt, boot });
             }
             Input::Ask(request, reply) => {
                 let call = self.next_call();
                 self.asks.insert(call, reply);
-                self.step(event::Event::Asked { call, request });
+                self.step(event::Event::GrantRequest { call, request });
             }
         }
     }
@@ -149,7 +149,7 @@
         let answer = Arc::<answer::Answer>::default();
         let slot = Slot { answer: answer.clone(), orders, ended: None };
         self.slots.insert(attempt, slot);
-        self.step(event::Event::Offered(offer));
+        self.step(event::Event::Offer(offer));
         let _receiver_gone = reply.send(Offered::New(answer, receiver));
     }
 
@@ -166,30 +166,30 @@
 
     fn act(&mut self, action: action::Action) {
         match action {
-            action::Action::Control { call, to, request, timeout } => {
+            action::Action::CallControl { call, to, request, timeout } => {
                 let links = self.links.clone();
                 self.call_back(async move {
                     let response = links.control(to, *request, timeout).await;
-                    event::Event::Controlled { call, response }
+                    event::Event::ControlResponse { call, response }
                 });
             }
-            action::Action::Stand { call, to, request, timeout } => {
+            action::Action::RequestGrant { call, to, request, timeout } => {
                 let links = self.links.clone();
                 self.call_back(async move {
                     let response = links.stand(to, request, timeout).await;
-                    event::Event::Stood { call, response }
+                    event::Event::GrantResponse { call, response }
                 });
             }
-            action::Action::ReplyStand { call, response } => {
+            action::Action::ReplyGrant { call, response } => {
                 answer(self.asks.remove(&call), response)
             }
             action::Action::ReplyCancel { call, outcome } => {
                 answer(self.cancels.remove(&call), outcome)
             }
-            action::Action::Prepare { attempt, load } => self.prepare(attempt, load),
-            action::Action::TakeUp(_) => {}
+            action::Action::Connect { attempt, load } => self.prepare(attempt, load),
+            action::Action::Resume(_) => {}
             action::Action::Forward(attempt) => self.order(attempt, upstream::Order::Forward),
-            action::Action::Refuse { attempt, refusal, load } => {
+            action::Action::Reject { attempt, rejection: refusal, load } => {
                 if let Some(slot) = self.slots.get(&attempt) {
                     slot.answer.load(load);
                     slot.answer.refuse(refusal);
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -77,9 +77,11 @@
         }
         let connection = match self.connect().await {
             Ok(connection) => connection,
-            Err(fault) => return self.post(event::Event::Failed(self.offer.attempt, fault)),
+            Err(fault) => {
+                return self.post(event::Event::ResponseFailed(self.offer.attempt, fault));
+            }
         };
-        self.post(event::Event::Ready(self.offer.attempt));
+        self.post(event::Event::Connected(self.offer.attempt));
         if orders.recv().await != Some(Order::Forward) {
             return;
         }
@@ -91,9 +93,9 @@
         match result {
             Ok(()) => {
                 self.answer.end();
-                self.post(event::Event::Ended(self.offer.attempt));
+                self.post(event::Event::ResponseFinished(self.offer.attempt));
             }
-            Err(fault) => self.post(event::Event::Failed(self.offer.attempt, fault)),
+            Err(fault) => self.post(event::Event::ResponseFailed(self.offer.attempt, fault)),
         }
     }
 
@@ -119,7 +121,7 @@
         let head = frame::Head { status: head.status, headers: travelling(head.headers) };
         let marked = is_event_stream(&head) && self.offer.group.is_some();
         self.answer.head(head);
-        self.post(event::Event::Begun(self.offer.attempt));
+        self.post(event::Event::ResponseStarted(self.offer.attempt));
         let mut tail = Vec::new();
         while let Some(part) = connection.read_part().await.map_err(fault)? {
             if !self.answer.data(&part) {
--- a/crates/hyssopfork-entry/tests/history/carry.rs
+++ b/crates/hyssopfork-entry/tests/history/carry.rs
@@ -17,7 +17,7 @@
         match happening {
             Happening::TickAgent(index) => {
                 self.step_agent(index, agent::event::Event::Tick);
-                let tick = agent::action::TICK.as_micros() as u64;
+                let tick = agent::action::TICK_INTERVAL.as_micros() as u64;
                 self.at_node(Node::Agent(index), tick, Happening::TickAgent(index));
             }
             Happening::TickEntry(index) => {
@@ -131,7 +131,7 @@
         });
         let node = Node::Agent(index);
         let sent = self.clock(node);
-        let event = agent::event::Event::ProbedAt { sent, health };
+        let event = agent::event::Event::ProbedAt { sent_at: sent, health };
         self.at_node(node, 500, Happening::Agent(index, event));
         self.at_node(node, timing::PROBE_INTERVAL.as_micros() as u64, Happening::Probe(index));
     }
@@ -149,7 +149,7 @@
         self.frame(index, attempt, shell::Frame::Started);
         let upstream = &mut self.upstreams[index];
         if !upstream.alive {
-            let fault = agent::event::Event::Failed(attempt, agent::event::Fault::Broken);
+            let fault = agent::event::Event::ResponseFailed(attempt, agent::event::Fault::Broken);
             self.at_node(Node::Agent(index), 300, Happening::Agent(index, fault));
             return;
         }
@@ -208,7 +208,7 @@
             upstream.load(fence);
         }
         let done = upstream.alive;
-        let event = agent::event::Event::Ordered { fence, done };
+        let event = agent::event::Event::LoadFinished { fence, succeeded: done };
         self.at_node(Node::Agent(index), 300, Happening::Agent(index, event));
     }
 
@@ -226,7 +226,7 @@
         let first = self.shells[index].slots[&attempt].offer.as_ref().map(|o| o.resume_from);
         if first == Some(part as u64) {
             self.frame(index, attempt, shell::Frame::Head { stream: running.stream });
-            let begun = agent::event::Event::Begun(attempt);
+            let begun = agent::event::Event::ResponseStarted(attempt);
             self.at_node(Node::Agent(index), 0, Happening::Agent(index, begun));
         }
         if let Some(text) = running.parts.get(part) {
@@ -238,7 +238,7 @@
         }
         self.upstreams[index].complete(attempt);
         self.frame(index, attempt, shell::Frame::End);
-        let ended = agent::event::Event::Ended(attempt);
+        let ended = agent::event::Event::ResponseFinished(attempt);
         self.at_node(Node::Agent(index), 0, Happening::Agent(index, ended));
     }
 
@@ -335,7 +335,7 @@
         }
         self.upstreams[index].fall(self.now);
         for attempt in running {
-            let fault = agent::event::Event::Failed(attempt, agent::event::Fault::Broken);
+            let fault = agent::event::Event::ResponseFailed(attempt, agent::event::Fault::Broken);
             self.at_node(Node::Agent(index), 300, Happening::Agent(index, fault));
         }
         self.after(span / 4, Happening::Rise(index));
--- a/crates/hyssopfork-entry/tests/history/shell.rs
+++ b/crates/hyssopfork-entry/tests/history/shell.rs
@@ -104,34 +104,34 @@
     fn act_agent(&mut self, index: usize, action: agent::action::Action) {
         let node = Node::Agent(index);
         match action {
-            agent::action::Action::Control { call, request, timeout, .. } => {
+            agent::action::Action::CallControl { call, request, timeout, .. } => {
                 self.call(node, call, *request, timeout.as_micros() as u64);
             }
-            agent::action::Action::Stand { call, to, request, timeout } => {
+            agent::action::Action::RequestGrant { call, to, request, timeout } => {
                 let to = usize::from(to.port() - 2_000);
                 let timeout = timeout.as_micros() as u64;
-                let none = agent::event::Event::Stood { call, response: None };
+                let none = agent::event::Event::GrantResponse { call, response: None };
                 self.at_node(node, timeout, Happening::Agent(index, none));
                 if let Some(delay) = self.travel(node, Node::Agent(to)) {
                     let stand = Happening::Stand { from: index, call, to, request };
                     self.at_node(Node::Agent(to), delay, stand);
                 }
             }
-            agent::action::Action::ReplyStand { call, response } => {
+            agent::action::Action::ReplyGrant { call, response } => {
                 self.reply_stand(index, call, response);
             }
-            agent::action::Action::Prepare { attempt, load } => {
+            agent::action::Action::Connect { attempt, load } => {
                 self.frame(index, attempt, Frame::Load(load));
                 // Opening the upstream's connection may take as long as it likes.
                 let slow = !self.quiet && self.random.random_ratio(1, 20);
                 let most = if slow { 3_000 * MILLI } else { 2 * MILLI };
                 let delay = self.random.random_range(10..most);
-                let ready = agent::event::Event::Ready(attempt);
+                let ready = agent::event::Event::Connected(attempt);
                 self.at_node(node, delay, Happening::Agent(index, ready));
             }
-            agent::action::Action::TakeUp(attempt) => self.replay(index, attempt),
+            agent::action::Action::Resume(attempt) => self.replay(index, attempt),
             agent::action::Action::Forward(attempt) => self.forward(index, attempt),
-            agent::action::Action::Refuse { attempt, refusal, load } => {
+            agent::action::Action::Reject { attempt, rejection: refusal, load } => {
                 self.frame(index, attempt, Frame::Load(load));
                 self.frame(index, attempt, Frame::Refused(refusal));
             }
@@ -249,7 +249,7 @@
     ) -> Happening {
         match to {
             Node::Agent(index) => {
-                Happening::Agent(index, agent::event::Event::Controlled { call, response })
+                Happening::Agent(index, agent::event::Event::ControlResponse { call, response })
             }
             Node::Entry(index) => {
                 Happening::Entry(index, entry::event::Event::Controlled { call, response })
@@ -326,7 +326,7 @@
         if known {
             self.replay(to, attempt);
         }
-        self.step_agent(to, agent::event::Event::Offered(offer));
+        self.step_agent(to, agent::event::Event::Offer(offer));
     }
 
     /// A cancel reached the agent's shell.
@@ -336,7 +336,7 @@
         shell.calls += 1;
         let call = shell.calls;
         shell.cancels.insert(call, (entry, life, attempt));
-        self.step_agent(to, agent::event::Event::Cancelled { call, attempt, boot });
+        self.step_agent(to, agent::event::Event::CancelRequest { call, attempt, boot });
     }
 
     /// A request for a grant reached the agent's shell.
@@ -346,7 +346,7 @@
         shell.calls += 1;
         let number = shell.calls;
         shell.asks.insert(number, (from, life, call));
-        self.step_agent(to, agent::event::Event::Asked { call: number, request });
+        self.step_agent(to, agent::event::Event::GrantRequest { call: number, request });
     }
 
     fn reply_stand(&mut self, index: usize, call: u64, response: member::Response) {
@@ -357,7 +357,7 @@
         for _ in 0..copies {
             if let Some(delay) = self.travel(Node::Agent(index), Node::Agent(from)) {
                 let response = Some(response.clone());
-                let event = agent::event::Event::Stood { call, response };
+                let event = agent::event::Event::GrantResponse { call, response };
                 let happening = Happening::Agent(from, event);
                 self.at_life(Node::Agent(from), life, delay, happening);
             }
