--- a/crates/hyssopfork-agent/src/action.rs
+++ b/crates/hyssopfork-agent/src/action.rs
@@ -1,93 +1,96 @@
-//! What an agent does about an event.
+//! Actions: what the core asks its process to do in response to an event.
 
 use hyssopfork_wire::{attempt, control, frame, member, name, number, refusal};
 use std::net;
 use std::time::Duration;
 
-/// Longest time between two ticks.
+/// Maximum time between two ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// An order to the engine: hold a model as one member of a group.
+/// Order to the engine to load a model as one member of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// Fencing number of the placement.
     pub fence: number::Fence,
-    /// Group that is formed.
+    /// Group that the placement is for.
     pub group: name::Group,
     /// Model to load.
     pub model: name::Model,
-    /// Place of this instance among the members, from 0.
+    /// Rank of this instance among the members, from 0.
     pub rank: u32,
-    /// All members in order.
+    /// All members, in the order of their ranks.
     pub members: Vec<name::Instance>,
 }
 
-/// An action.
+/// Action.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Call a control instance; answered by [`super::event::Event::Controlled`].
+    /// Call a control instance; ends with an [`super::event::Event::ControlResponse`].
     CallControl {
         /// Number of the call.
         call: u64,
-        /// Control instance to ask.
+        /// Control instance to call.
         to: net::SocketAddr,
         /// Request.
         request: Box<control::Request>,
-        /// Time after which the call has failed.
+        /// Time after which the call counts as failed.
         timeout: Duration,
     },
-    /// Ask another member; answered by [`super::event::Event::Stood`].
+    /// Request a grant from another member; ends with an [`super::event::Event::GrantResponse`].
     RequestGrant {
         /// Number of the call.
         call: u64,
-        /// The other agent's peer address.
+        /// Peer address of the member's agent.
         to: net::SocketAddr,
         /// Request.
         request: member::Request,
-        /// Time after which the call has failed.
+        /// Time after which the call counts as failed.
         timeout: Duration,
     },
-    /// Answer the first member.
+    /// Respond to a grant request of the first member.
     ReplyGrant {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The answer.
+        /// Response.
         response: member::Response,
     },
-    /// The attempt is admitted: open the upstream's connection, then report
-    /// [`super::event::Event::Ready`] just before the first byte.
+    /// Open a connection to the upstream for an admitted attempt, then report
+    /// [`super::event::Event::Connected`] just before the first byte is written.
     Connect {
-        /// The attempt.
+        /// Attempt.
         attempt: attempt::Identifier,
-        /// Load to send ahead.
+        /// Load report to send before the response.
         load: frame::Load,
     },
-    /// The identifier is known: let the entry read the attempt's answer from where it left off.
+    /// The identifier is known: let the entry resume reading the attempt's response where it
+    /// stopped.
     Resume(attempt::Identifier),
-    /// Write the request to the upstream now.
+    /// Write the request to the upstream.
     Forward(attempt::Identifier),
-    /// End the attempt towards the entry with a refusal, after which nothing more is sent.
+    /// End the attempt with a rejection, the last message that the entry gets for it.
     Reject {
-        /// The attempt.
+        /// Attempt.
         attempt: attempt::Identifier,
-        /// The refusal.
+        /// Rejection.
         rejection: refusal::Refusal,
-        /// Load to send ahead.
+        /// Load report to send before the response.
         load: frame::Load,
     },
-    /// Stop the upstream's work on an attempt (close its connection, and cancel where it can).
+    /// Stop the upstream's work on an attempt: close the connection, and cancel if the upstream
+    /// supports it.
     Abort(attempt::Identifier),
-    /// Answer a cancel.
+    /// Respond to a cancel request.
     ReplyCancel {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The answer.
+        /// Response.
         outcome: attempt::Cancelled,
     },
-    /// Order the engine to load; answered by [`super::event::Event::Ordered`].
+    /// Order the engine to load a model; ends with a [`super::event::Event::LoadFinished`].
     Order(Order),
     /// Log a numbered event.
     Notice(super::notice::Notice),
-    /// Everything in flight has ended and leaving is announced: the process may end.
+    /// The graceful stop is complete, or was cut short by its time limit or a second stop: the
+    /// process may exit.
     Stopped,
 }
--- a/crates/hyssopfork-agent/src/admission.rs
+++ b/crates/hyssopfork-agent/src/admission.rs
@@ -1,4 +1,4 @@
-//! The gate: whether an attempt may start now.
+//! Admission control: decides whether an attempt may start now.
 
 use crate::{held_grants, monitor};
 use hyssopfork_state::upstream;
@@ -6,51 +6,53 @@
 use hyssopfork_wire::{attempt, clock, configuration, fleet, refusal};
 use std::time::Duration;
 
-/// When to try again after a refusal that a renewal or a repair may lift.
+/// Retry delay after a rejection whose cause may end with a renewal or a repair.
 const SHORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// When to try again after a refusal that operators may lift.
+/// Retry delay after a rejection whose cause ends only when operators act.
 const LONG_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What the gate looks at. Everything is read at the moment of the check.
+/// State that admission is checked against, as of the moment of the check.
 #[derive(Clone, Copy, Debug)]
 pub struct Admission<'a> {
-    /// The clock, read anew for this check.
+    /// Current time, read anew for this check.
     pub now: clock::Instant,
-    /// This instance.
+    /// Announcement of this instance.
     pub announcement: &'a fleet::Announcement,
     /// View and lease.
     pub watcher: &'a watcher::Watcher,
-    /// Back end.
+    /// Health monitor of the upstream.
     pub monitor: &'a monitor::Monitor,
-    /// Grants held as first member.
+    /// Grants that this agent holds as first member.
     pub held_grants: &'a held_grants::Grants,
     /// Whether this process was asked to stop.
     pub is_stopping: bool,
 }
 
 impl Admission<'_> {
-    /// Whether the attempt, which arrived at `arrived`, may be handed to the upstream now.
+    /// Checks whether the attempt, which arrived at `arrived_at`, may be forwarded to the upstream
+    /// now.
     ///
     /// # Errors
     ///
-    /// The refusal; the work has not run, but for an offer to another process.
+    /// The rejection. The attempt has not run, except that it may have if it was offered to another
+    /// process.
     pub fn check(
         &self,
         offer: &attempt::Offer,
-        arrived: clock::Instant,
+        arrived_at: clock::Instant,
     ) -> Result<(), refusal::Refusal> {
         self.check_process(offer)?;
         self.check_instance()?;
-        self.check_deadline(offer, arrived)?;
+        self.check_deadline(offer, arrived_at)?;
         self.check_upstream(offer)
     }
 
-    /// Whether there is room for one more beside `running`.
+    /// Checks whether the concurrency limit allows one more attempt than `running`.
     ///
     /// # Errors
     ///
-    /// The refusal; the work has not run.
+    /// The rejection; the attempt has not run.
     pub fn check_room(&self, running: u32) -> Result<(), refusal::Refusal> {
         if running + self.monitor.foreign_running(self.now) < self.monitor.limit() {
             return Ok(());
@@ -60,9 +62,9 @@
         reject(reason, SHORT_RETRY_DELAY)
     }
 
-    /// Whether this instance is the first member of a group that is whole: its own engine is
-    /// loaded and an unexpired grant is held from every other member.
-    pub fn is_whole(&self) -> bool {
+    /// Whether this instance is the first member of a complete group: its own engine is loaded, and
+    /// it holds an unexpired grant from every other member.
+    pub fn is_group_complete(&self) -> bool {
         let view = self.watcher.view();
         let Some((_, placement, 0)) = upstream::placement(view, &self.announcement.instance) else {
             return false;
@@ -85,8 +87,8 @@
         Ok(())
     }
 
-    /// The process that was meant is gone. Of an offer that may have reached it on an earlier
-    /// connection nobody can say whether it ran.
+    /// Rejects an offer to a previous process. If the offer may have reached that process on an
+    /// earlier connection, it is unknown whether it ran.
     fn reject_other_boot(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
         if offer.first {
             return reject(refusal::Reason::Stale, SHORT_RETRY_DELAY);
@@ -105,9 +107,9 @@
     fn check_deadline(
         &self,
         offer: &attempt::Offer,
-        arrived: clock::Instant,
+        arrived_at: clock::Instant,
     ) -> Result<(), refusal::Refusal> {
-        if self.now.since(arrived) >= offer.deadline {
+        if self.now.since(arrived_at) >= offer.deadline {
             return Err(refusal::Refusal::not_run(refusal::Reason::Deadline, None));
         }
         Ok(())
@@ -140,15 +142,16 @@
         if self.held_grants.is_draining() {
             return reject(refusal::Reason::Draining, SHORT_RETRY_DELAY);
         }
-        if !self.is_whole() {
+        if !self.is_group_complete() {
             return reject(refusal::Reason::GroupIncomplete, SHORT_RETRY_DELAY);
         }
         Ok(())
     }
 }
 
-/// Whether control has recorded this very process. Another process's record means that this one
-/// was replaced, or is not known yet; two processes before one back end would double its limit.
+/// Whether control has recorded this process. If it has recorded another one, this process was
+/// superseded or is not known yet; two processes in front of one upstream would double its
+/// concurrency limit.
 pub fn is_recorded(
     view: &hyssopfork_wire::change::View,
     announcement: &fleet::Announcement,
@@ -162,7 +165,8 @@
     instance: &hyssopfork_wire::name::Instance,
 ) -> Result<(), refusal::Refusal> {
     match upstream::obstacle(view, instance) {
-        // Absence is control's guess from silence; the grants decide whether a member is there.
+        // Control infers absence from missing renewals; whether a member is available is decided by
+        // its grants.
         None | Some(upstream::Obstacle::Absent) => Ok(()),
         Some(upstream::Obstacle::Drained | upstream::Obstacle::Leaving) => {
             reject(refusal::Reason::Draining, LONG_RETRY_DELAY)
--- a/crates/hyssopfork-agent/src/attempts.rs
+++ b/crates/hyssopfork-agent/src/attempts.rs
@@ -1,51 +1,52 @@
-//! Attempts at this agent: each identifier starts at most once.
+//! At-most-once execution: the table of this agent's attempts, by identifier.
 
 use crate::tombstones;
 use hyssopfork_wire::{attempt, clock, timing};
 use std::collections::BTreeMap;
 
-/// How far an attempt has come.
+/// State of a live attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Admitted; nothing was written to the upstream yet.
+    /// Admitted; nothing has been written to the upstream.
     Admitted,
-    /// The request was handed to the upstream.
+    /// The request has been forwarded to the upstream.
     Forwarded,
-    /// The answer is whole and can be taken up for a while.
+    /// The response is complete and can be resumed for [`timing::RESPONSE_RETENTION`].
     Finished(clock::Instant),
 }
 
-/// An attempt that is not dead.
+/// Live attempt.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// What the entry offered.
+    /// Offer of the entry.
     pub offer: attempt::Offer,
     /// When the offer arrived.
     pub arrived_at: clock::Instant,
-    /// When the request was handed to the upstream.
+    /// When the request was forwarded to the upstream; until then, when the offer arrived.
     pub forwarded_at: clock::Instant,
-    /// How far it has come.
+    /// State.
     pub state: State,
-    /// Cancelled while it ran at a back end that cannot cancel: it keeps its place until it ends.
+    /// Cancelled while in flight to an upstream that cannot cancel: it keeps its slot until it
+    /// ends.
     pub cancelled: bool,
 }
 
 /// What is known of an identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing.
+    /// Never seen.
     Unseen,
-    /// It is alive, or its answer can still be taken up.
+    /// In flight, or its response can still be resumed.
     Live(State),
-    /// It is dead.
+    /// Ended; it never starts again.
     Ended(tombstones::End),
-    /// Too old to be known; it never starts.
+    /// Below the low-water mark: ended or never seen; it never starts.
     Compacted,
 }
 
-/// The table.
+/// Table of attempts.
 ///
-/// Invariant: an identifier is live or dead, never both, and never live again once dead.
+/// Invariant: an identifier is live or ended, never both, and never live again once it has ended.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
     live: BTreeMap<attempt::Identifier, Attempt>,
@@ -65,30 +66,30 @@
         }
     }
 
-    /// The attempt, while it is live.
+    /// The attempt, if it is live.
     pub fn get(&self, attempt: attempt::Identifier) -> Option<&Attempt> {
         self.live.get(&attempt)
     }
 
-    /// Attempts that take up room at the back end.
+    /// Number of attempts that count towards the concurrency limit: admitted and forwarded.
     pub fn running_count(&self) -> u32 {
         let is_unfinished = |attempt: &&Attempt| !matches!(attempt.state, State::Finished(_));
         self.live.values().filter(is_unfinished).count() as u32
     }
 
-    /// Attempts that the back end has.
+    /// Number of attempts that the upstream is working on.
     pub fn forwarded_count(&self) -> u32 {
         let is_forwarded = |attempt: &&Attempt| attempt.state == State::Forwarded;
         self.live.values().filter(is_forwarded).count() as u32
     }
 
-    /// Identifiers of the attempts that are prepared or forwarded.
+    /// Identifiers of the attempts that are admitted or forwarded.
     pub fn unfinished(&self) -> Vec<attempt::Identifier> {
         let is_unfinished = |attempt: &Attempt| !matches!(attempt.state, State::Finished(_));
         self.live.iter().filter(|(_, attempt)| is_unfinished(attempt)).map(|(id, _)| *id).collect()
     }
 
-    /// Takes in an offer that was admitted.
+    /// Adds an admitted attempt.
     pub fn admit(&mut self, offer: attempt::Offer, now: clock::Instant) {
         let identifier = offer.attempt;
         let status = self.status(identifier);
@@ -103,7 +104,7 @@
         self.live.insert(identifier, attempt);
     }
 
-    /// The request is about to be written to the upstream.
+    /// Marks an attempt as forwarded, just before its request is written to the upstream.
     pub fn forward(&mut self, attempt: attempt::Identifier, now: clock::Instant) {
         let live = self.live.get_mut(&attempt).expect("only a live attempt is forwarded");
         assert_eq!(live.state, State::Admitted, "an attempt is forwarded once");
@@ -111,27 +112,27 @@
         live.forwarded_at = now;
     }
 
-    /// The answer is whole.
+    /// Marks an attempt as finished: its response is complete.
     pub fn finish(&mut self, attempt: attempt::Identifier, now: clock::Instant) {
         let live = self.live.get_mut(&attempt).expect("only a live attempt finishes");
         assert_eq!(live.state, State::Forwarded, "only a forwarded attempt finishes");
         live.state = State::Finished(now);
     }
 
-    /// Leaves a cancelled attempt its place until the back end ends it.
+    /// Marks an attempt as cancelled; it keeps its slot until the upstream ends it.
     pub fn mark_cancelled(&mut self, attempt: attempt::Identifier) {
         if let Some(live) = self.live.get_mut(&attempt) {
             live.cancelled = true;
         }
     }
 
-    /// The attempt never starts any more, whether or not it was seen before.
+    /// Ends an attempt, seen before or not: from now on it never starts.
     pub fn end(&mut self, attempt: attempt::Identifier, end: tombstones::End) {
         self.live.remove(&attempt);
         self.tombstones.insert(attempt, end);
     }
 
-    /// Drops answers that have been kept long enough.
+    /// Ends finished attempts whose retention period is over.
     pub fn expire(&mut self, now: clock::Instant) {
         let is_expired = |attempt: &Attempt| matches!(attempt.state, State::Finished(at) if now.since(at) >= timing::RESPONSE_RETENTION);
         let expired: Vec<_> = self
--- a/crates/hyssopfork-agent/src/core.rs
+++ b/crates/hyssopfork-agent/src/core.rs
@@ -1,4 +1,4 @@
-//! The agent as a step function: events in, actions out.
+//! Core of the agent: a state machine that takes events and returns actions.
 
 use crate::{action, admission, attempts, event, given_grants, held_grants, monitor, notice};
 use hyssopfork_state::upstream;
@@ -8,18 +8,18 @@
 use std::net;
 use std::time::Duration;
 
-/// What an agent's process learns from its settings.
+/// Settings of the agent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What it says of its instance and back end.
+    /// Announcement of the instance and its upstream.
     pub announcement: fleet::Announcement,
-    /// Control instances.
+    /// Addresses of the control instances.
     pub control: Vec<net::SocketAddr>,
-    /// Time that a graceful stop gives what is in flight.
+    /// Time limit of a graceful stop, after which attempts in flight are aborted.
     pub stop_limit: Duration,
 }
 
-/// The agent.
+/// Agent.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) announcement: fleet::Announcement,
@@ -39,7 +39,7 @@
 }
 
 impl Core {
-    /// An agent whose process started at `now`.
+    /// Agent whose process started at `now`.
     pub fn new(settings: Settings, seed: u64, now: clock::Instant) -> Core {
         let instance = settings.announcement.instance.clone();
         let offset = rand_chacha::ChaCha8Rng::seed_from_u64(seed).random();
@@ -61,22 +61,22 @@
         }
     }
 
-    /// Whether the agent would take work now, as far as its view, back end and group go.
+    /// Whether the agent accepts attempts, judged by its view, its upstream and its group.
     pub fn is_ready(&self, now: clock::Instant) -> bool {
         let kind = self.announcement.profile.kind;
         let is_engine = kind == hyssopfork_wire::configuration::Kind::Engine;
         self.stopping_since.is_none()
             && self.watcher.is_recent(now)
             && self.monitor.is_alive(now)
-            && (!is_engine || self.admission(now).is_whole())
+            && (!is_engine || self.admission(now).is_group_complete())
     }
 
-    /// The view and the lease on it, for metrics.
+    /// Watcher with the view and its lease, for metrics.
     pub fn watcher(&self) -> &watcher::Watcher {
         &self.watcher
     }
 
-    /// Takes in an event and says what is to be done, in order.
+    /// Handles an event and returns the actions to perform, in order.
     pub fn step(&mut self, now: clock::Instant, event: event::Event) -> Vec<action::Action> {
         let mut actions = Vec::new();
         if self.is_stopped {
@@ -116,7 +116,7 @@
         actions
     }
 
-    /// What the gate looks at.
+    /// State that admission is checked against.
     pub(crate) fn admission(&self, now: clock::Instant) -> admission::Admission<'_> {
         admission::Admission {
             now,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Load to send ahead of an answer.
+    /// Load report to send before a response.
     pub(crate) fn load(&self) -> frame::Load {
         frame::Load {
             version: self.watcher.view().version,
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Everything that time or the event may have made due. Runs after each event, so that no
-    /// action of a later event rests on what has lapsed meanwhile.
+    /// Does everything that the passing of time or the event has made due. Runs after each event,
+    /// so that no action of a later event depends on something that has expired.
     fn run_due_work(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
         self.attempts.expire(now);
         self.update_group(now, actions);
@@ -162,7 +162,7 @@
             running: self.attempts.running_count(),
             joined: self.monitor.loaded_fence(now).unwrap_or_default(),
             ended: self.given_grants.ended_fence(),
-            serving: self.stopping_since.is_none() && self.admission(now).is_whole(),
+            serving: self.stopping_since.is_none() && self.admission(now).is_group_complete(),
         }
     }
 
@@ -215,7 +215,7 @@
         actions.push(action::Action::Notice(notice));
     }
 
-    /// Fencing number that this instance is placed under, as the view has it.
+    /// Fencing number that the view places this instance under.
     pub(crate) fn placed_fence(&self) -> Option<number::Fence> {
         let view = self.watcher.view();
         upstream::placement(view, &self.announcement.instance)
@@ -232,7 +232,7 @@
         actions.push(action::Action::Notice(notice::Notice::Leaving(running)));
     }
 
-    /// Ends the process once nothing depends on it any more, or its time to stop is over.
+    /// Finishes a graceful stop once nothing depends on this process, or the time limit is over.
     fn stop_when_idle(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
         let Some(since) = self.stopping_since.filter(|_| !self.is_stopped) else { return };
         let waited = now.since(since);
@@ -240,9 +240,10 @@
             self.finish_stop(actions);
             return;
         }
-        // Entries go on offering until they have heard. A process that was gone by then would leave
-        // them not knowing whether their offers ran; this one is there to say that they didn't.
-        // Where control can't be told within the lease's term, it has found the silence itself.
+        // Entries send offers until they learn that the agent is leaving. If the process had exited
+        // by then, they could not know whether those offers ran, so it stays to reject them. If
+        // control could not be told within the lease's duration, it has noticed the missing
+        // renewals itself.
         let informed_at = self.leaving_granted_at.unwrap_or(since + timing::HOLDER_LEASE);
         let is_announced = now.since(informed_at) >= timing::IN_FORCE_BOUND;
         let is_idle = self.attempts.running_count() == 0 && !self.given_grants.has_unexpired(now);
--- a/crates/hyssopfork-agent/src/event.rs
+++ b/crates/hyssopfork-agent/src/event.rs
@@ -1,95 +1,96 @@
-//! What happens to an agent.
+//! Events: inputs of the core.
 
 use hyssopfork_wire::{attempt, clock, control, member, number};
 
-/// State of the back end as a probe found it.
+/// Health of the upstream as reported by a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// What the back end calls its own incarnation, where it says so.
+    /// Incarnation that the upstream reports, if it reports one.
     pub incarnation: Option<String>,
-    /// Requests that it says are running, where it says so.
+    /// Number of running requests that it reports, if it reports one.
     pub running: Option<u32>,
-    /// Newest fencing number that it was loaded under, where it says so.
+    /// Newest fencing number that it was loaded under, if it reports one.
     pub loaded: Option<number::Fence>,
 }
 
-/// Why the upstream's answer did not come whole.
+/// Why the upstream's response is incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection could be made: no byte of the request was sent.
+    /// The connection failed before any byte of the request was sent.
     Unreachable,
-    /// The connection ended, or the answer broke its own framing, after bytes were sent.
+    /// The connection ended, or the response violated its framing, after bytes of the request were
+    /// sent.
     Broken,
 }
 
-/// An event.
+/// Event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; comes at least every [`super::action::TICK`].
+    /// Time has passed; occurs at least every [`super::action::TICK_INTERVAL`].
     Tick,
-    /// A call to control was answered; `None` when it failed or its time ran out.
+    /// A call to control ended.
     ControlResponse {
-        /// Number of the call, from [`super::action::Action::Control`].
+        /// Number of the call, from [`super::action::Action::CallControl`].
         call: u64,
-        /// The answer.
+        /// Response; `None` if the call failed or timed out.
         response: Option<control::Response>,
     },
-    /// The group's first member asks; answered by exactly one
-    /// [`super::action::Action::ReplyStand`].
+    /// The group's first member requests a grant; the core responds with exactly one
+    /// [`super::action::Action::ReplyGrant`].
     GrantRequest {
-        /// The shell's number of the call.
+        /// Number of the call, assigned by the process.
         call: u64,
-        /// The request.
+        /// Request.
         request: member::Request,
     },
-    /// Another member answered; `None` when the call failed or its time ran out.
+    /// A grant request to another member ended.
     GrantResponse {
-        /// Number of the call, from [`super::action::Action::Stand`].
+        /// Number of the call, from [`super::action::Action::RequestGrant`].
         call: u64,
-        /// The answer.
+        /// Response; `None` if the call failed or timed out.
         response: Option<member::Response>,
     },
-    /// An entry offers an attempt. A known identifier is taken up again, not started twice; the
-    /// shell handles the bytes, the core says which.
+    /// An entry offers an attempt. An attempt with a known identifier is resumed, not started
+    /// again; the core decides which, and the process transfers the bytes.
     Offer(attempt::Offer),
-    /// The shell is about to write the first byte of an attempt to the upstream and asks again:
-    /// answered at once by [`super::action::Action::Forward`] or
-    /// [`super::action::Action::Refuse`]. The clock was read anew.
+    /// The upstream's connection is open and the first byte of the attempt is about to be written.
+    /// The core checks admission again, with a new reading of the clock, and responds at once with
+    /// [`super::action::Action::Forward`] or [`super::action::Action::Reject`].
     Connected(attempt::Identifier),
-    /// An entry cancels an attempt; answered by exactly one
+    /// An entry cancels an attempt; the core responds with exactly one
     /// [`super::action::Action::ReplyCancel`].
     CancelRequest {
-        /// The shell's number of the call.
+        /// Number of the call, assigned by the process.
         call: u64,
-        /// The attempt.
+        /// Attempt.
         attempt: attempt::Identifier,
-        /// Boot of the agent's process that the attempt was offered to.
+        /// Boot of the agent process that the attempt was offered to.
         boot: u64,
     },
-    /// The first byte of the upstream's answer came.
+    /// The first byte of the upstream's response arrived.
     ResponseStarted(attempt::Identifier),
-    /// The upstream's answer is whole.
+    /// The upstream's response is complete.
     ResponseFinished(attempt::Identifier),
-    /// The upstream's answer will not be whole.
+    /// The upstream's response failed and will not be complete.
     ResponseFailed(attempt::Identifier, Fault),
-    /// A probe of the back end came back; `None` when it doesn't answer. Counts as sent now: use
-    /// [`Event::ProbedAt`] where the answer may have waited.
+    /// A probe of the upstream ended; `None` if it did not respond. Counts as sent now: use
+    /// [`Event::ProbedAt`] if the response may have waited to be read.
     Probed(Option<Health>),
-    /// A probe of the back end that was sent at `sent` came back. Its answer says what was true
-    /// then: one that was read only after a pause of the process may be long out of date.
+    /// A probe of the upstream ended. Its response describes the time at which the probe was sent:
+    /// one that is read after a pause of the process may be stale.
     ProbedAt {
-        /// When the probe was sent, on the clock that steps are given.
+        /// When the probe was sent, on the clock of the steps.
         sent_at: clock::Instant,
-        /// What it found; `None` when the back end doesn't answer.
+        /// Health; `None` if the upstream did not respond.
         health: Option<Health>,
     },
-    /// The engine answered an order to load; `false` when it refused or failed.
+    /// The engine responded to an order to load.
     LoadFinished {
         /// Fencing number of the order.
         fence: number::Fence,
-        /// Whether the engine now holds the model.
+        /// Whether the model is loaded; `false` if the engine rejected the order or failed.
         succeeded: bool,
     },
-    /// The process was asked to stop gracefully.
+    /// The process was asked to stop gracefully; a second time, to stop at once.
     Stop,
 }
--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -1,10 +1,11 @@
-//! The group: standing by it as a member, leading it as the first member, loading for it.
+//! Serving groups: gives grants as a member, collects them as the first member, and orders the
+//! engine to load.
 
 use crate::{action, admission, core, held_grants, notice};
 use hyssopfork_state::upstream;
 use hyssopfork_wire::{change, clock, configuration, fleet, member, name, number, refusal, timing};
 
-/// Where this instance is placed, copied out of the view.
+/// Placement of this instance, copied from the view.
 #[derive(Clone, Debug)]
 struct Place {
     group: name::Group,
@@ -19,7 +20,7 @@
 }
 
 impl core::Core {
-    /// The first member of a group asks for a grant.
+    /// Responds to a grant request of a group's first member.
     pub(crate) fn on_grant_request(
         &mut self,
         now: clock::Instant,
@@ -39,7 +40,7 @@
         actions.push(action::Action::ReplyGrant { call, response });
     }
 
-    /// A member answered.
+    /// Handles the response to a grant request.
     pub(crate) fn on_grant_response(&mut self, call: u64, response: Option<member::Response>) {
         match response {
             Some(member::Response::Granted { duration, version, leaving }) => {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The engine answered an order.
+    /// Handles the engine's response to an order.
     pub(crate) fn on_load_finished(
         &mut self,
         now: clock::Instant,
@@ -73,7 +74,7 @@
         actions.push(action::Action::Notice(notice));
     }
 
-    /// Everything about the group that time or an event may have made due.
+    /// Does everything about the group that the passing of time or an event has made due.
     pub(crate) fn update_group(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
         if self.announcement.profile.kind != configuration::Kind::Engine {
             return;
@@ -88,16 +89,17 @@
         self.order_load(now, &place, actions);
     }
 
-    /// Ends what runs as soon as the group stops being whole. A member may have been given to
-    /// another group or be gone: an answer that went on would be served by a part of the group.
+    /// Aborts all attempts as soon as the group is no longer complete. A member may be gone or
+    /// assigned to another group: a response that continued would be produced by only a part of the
+    /// group.
     fn update_serving(&mut self, now: clock::Instant, actions: &mut Vec<action::Action>) {
-        let is_whole = self.admission(now).is_whole();
-        if is_whole == self.is_serving {
+        let is_complete = self.admission(now).is_group_complete();
+        if is_complete == self.is_serving {
             return;
         }
-        self.is_serving = is_whole;
+        self.is_serving = is_complete;
         let fence = self.held_grants.fence();
-        if is_whole {
+        if is_complete {
             actions.push(action::Action::Notice(notice::Notice::GroupWhole(fence)));
             return;
         }
@@ -110,8 +112,8 @@
         self.held_grants.missing(place.other_members(), now).cloned()
     }
 
-    /// Vouches for the end of older numbers: control waits for this before it gives the instance
-    /// to another group in less than the lapse of its lease.
+    /// Ends older fencing numbers. Control waits for this before it assigns the instance to another
+    /// group earlier than the expiry of its lease.
     fn update_ended_fence(&mut self, now: clock::Instant, place: Option<&Place>) {
         if !self.watcher.is_recent(now) {
             return;
@@ -162,9 +164,9 @@
         }
     }
 
-    /// Orders the engine to load where that is due: under the number that control placed this
-    /// instance under, by a view that is recent, and not before every grant under another number
-    /// has lapsed, since the order takes the engine away from that group.
+    /// Orders the engine to load if that is due: under the fencing number that control placed this
+    /// instance under, by a recent view, and not before every grant under another number has
+    /// expired, since the order takes the engine away from that group.
     fn order_load(
         &mut self,
         now: clock::Instant,
@@ -202,12 +204,13 @@
         configuration.groups.get(group).map(|group| group.model.clone())
     }
 
-    /// A member that is leaving goes on standing by what runs, also without a lease, until the
-    /// first member takes no new work and nothing runs: a graceful stop cuts nothing off.
+    /// Whether to grant the request. A member that is leaving continues to grant, even without a
+    /// lease, until the first member is draining and has no attempts in flight: a graceful stop
+    /// aborts none of them.
     fn may_grant(&mut self, now: clock::Instant, request: &member::Request) -> bool {
         let is_leaving = self.stopping_since.is_some();
-        // For good: the asker drains because of the grant that this refusal ends, and would not
-        // say so in its next request.
+        // Withdrawn permanently: the first member drains because of the grant that this rejection
+        // revokes, and would no longer say so in its next request.
         self.grants_withdrawn |= is_leaving && request.draining && request.running == 0;
         let may_use_view = self.watcher.is_recent(now) || is_leaving;
         may_use_view
@@ -224,8 +227,8 @@
     }
 }
 
-/// Whether the view places this very process as a member of the asker's group, and the asker as
-/// its first member.
+/// Whether the view places this process as a member of the requested group, and the sender as its
+/// first member.
 fn is_placed(
     view: &change::View,
     announcement: &fleet::Announcement,
--- a/crates/hyssopfork-agent/src/held_grants.rs
+++ b/crates/hyssopfork-agent/src/held_grants.rs
@@ -1,14 +1,14 @@
-//! Grants that this agent holds as a group's first member.
+//! Leases that this agent holds as the first member of a group, one from each other member.
 
 use hyssopfork_wire::{clock, name, number, timing};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which an unanswered request for a grant is given up, and its connection with it.
+/// Timeout of a grant request, after which its connection is dropped too.
 ///
-/// A connection may have gone silent for good while new ones work. A third of the grant's term
-/// leaves time to ask again over another before the last grant lapses, so that the group goes on
-/// serving; the whole term would take it out of service each time.
+/// A connection may fail silently while new ones work. A third of the grant's duration leaves time
+/// to retry over a new connection before the last grant expires, so that the group continues to
+/// serve; with the whole duration, each such failure would take the group out of service.
 pub const REQUEST_TIMEOUT: Duration =
     Duration::from_micros(timing::GROUP_GRANT.as_micros() as u64 / 3);
 
@@ -40,14 +40,16 @@
         self.fence
     }
 
-    /// Starts anew under `fence`: grants of another number are worth nothing under it.
+    /// Switches to `fence`; grants under another number are dropped, since they are not valid for
+    /// it.
     pub fn reset(&mut self, fence: number::Fence) {
         if self.fence != fence {
             *self = Grants { fence, ..Grants::default() };
         }
     }
 
-    /// Whether it is time to ask; notes that it is being done.
+    /// Starts a round of grant requests and drops those that timed out; returns `false` if no round
+    /// is due.
     pub fn start_round(&mut self, now: clock::Instant) -> bool {
         if now < self.request_at {
             return false;
@@ -57,17 +59,16 @@
         true
     }
 
-    /// Notes that `member` is being asked by `call`.
+    /// Records the request that `call` sends to `member`.
     pub fn record_request(&mut self, call: u64, member: &name::Instance, now: clock::Instant) {
         self.requests.insert(call, Request { member: member.clone(), sent_at: now });
     }
 
-    /// Takes a grant. Its term runs from when it was asked for: the member's own guard runs from
-    /// a later moment, and so outlasts it.
+    /// Handles a grant. Its duration counts from when the request was sent: the member's guard
+    /// interval starts later, and so ends later.
     ///
-    /// Whether the member is leaving is told by its newest grant: one that isn't leaving any more
-    /// is another process, and a group that went on draining for the one before would never
-    /// serve again.
+    /// The newest grant tells whether the member is leaving. A member that is no longer leaving is
+    /// a new process; if the group kept draining for the previous one, it would never serve again.
     pub fn on_granted(&mut self, call: u64, duration: Duration, leaving: bool) {
         let Some(request) = self.requests.remove(&call) else { return };
         let expires_at = request.sent_at + duration.min(timing::GROUP_GRANT);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Takes a refusal: the member no longer stands by the group, unless it has granted a request
-    /// that was sent later than the refused one.
+    /// Handles a rejection: it revokes the member's grant, unless the member granted a request that
+    /// was sent later than the rejected one.
     pub fn on_rejected(&mut self, call: u64) {
         let Some(request) = self.requests.remove(&call) else { return };
         if self.grants.get(&request.member).is_some_and(|grant| grant.sent_at <= request.sent_at) {
@@ -87,17 +88,17 @@
         }
     }
 
-    /// Forgets a call that failed.
+    /// Drops a request whose call failed.
     pub fn on_failed(&mut self, call: u64) {
         self.requests.remove(&call);
     }
 
-    /// Whether some member that stands by the group has said that it is leaving.
+    /// Whether the newest grant of any member says that the member is leaving.
     pub fn is_draining(&self) -> bool {
         self.grants.values().any(|grant| grant.leaving)
     }
 
-    /// First of `others` from which no unexpired grant is held; `None` when the group is whole.
+    /// First of `others` from which no unexpired grant is held; `None` if all have granted.
     pub fn missing<'a>(
         &self,
         others: &'a [name::Instance],
--- a/crates/hyssopfork-agent/src/lib.rs
+++ b/crates/hyssopfork-agent/src/lib.rs
@@ -1,7 +1,7 @@
-//! Agent role as a step function.
+//! Agent role: admission control in front of one upstream, as a state machine without I/O.
 //!
-//! The agent is the one gate before its back end: entries are many and may know the fleet late,
-//! so whatever must hold for one upstream is decided here.
+//! Every request to the upstream passes its agent. There are many entries, and their views of the
+//! fleet may be stale, so each condition that must hold for one upstream is enforced here.
 
 pub mod action;
 pub mod admission;
--- a/crates/hyssopfork-agent/src/monitor.rs
+++ b/crates/hyssopfork-agent/src/monitor.rs
@@ -1,42 +1,45 @@
-//! Back end as this agent knows it: alive, loaded, warm.
+//! Health monitor of the upstream: liveness from probes, the loaded model, and the concurrency
+//! limit.
 
 use crate::event;
 use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{clock, configuration, fleet, number, timing};
 use std::time::Duration;
 
-/// Time before an order that failed is given again.
+/// Time before a failed order is retried.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time after an order was answered in which a probe may still tell of the time before it.
+/// Time after the response to an order in which a probe may still report the state before it.
 const STALE_PROBE_WINDOW: Duration = Duration::from_millis(1_000);
 
-/// Age from which a probe says nothing of the back end any more.
+/// Age from which a probe's result is stale.
 ///
-/// A process that was paused goes on with what it last knew. Meanwhile the back end may have been
-/// replaced by a cold one, which the work that waited for the pause's end would tip over, or have
-/// lost the model that a grant vouches for. Five probes: an answer may take half a second.
+/// A process that was paused continues with what it knew before. Meanwhile the upstream may have
+/// been replaced by a cold one, which the requests that waited during the pause would overload, or
+/// may have lost the model that a grant guarantees. Five probe intervals, since a response may take
+/// half a second.
 pub const MAX_PROBE_AGE: Duration = Duration::from_millis(1_000);
 
-/// Time after this process's start in which work that isn't its own counts as left by the process
-/// before. A back end that goes on reporting such work for longer has callers of its own, or counts
-/// otherwise; heeded for good, that would keep all work from a cold one.
+/// Time after the start of this process in which running requests that are not its own count as
+/// left over from the previous process. An upstream that reports such requests for longer has other
+/// clients or counts differently; if they counted forever, a cold upstream would get no requests at
+/// all.
 pub const FOREIGN_WORK_TIMEOUT: Duration = timing::STOP_TIMEOUT;
 
-/// What a probe changed.
+/// Change that a probe revealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters.
+    /// No change.
     None,
-    /// It stopped answering.
+    /// The upstream stopped responding.
     Down,
-    /// It answers (again).
+    /// The upstream responds, for the first time or again.
     Up,
-    /// It is another process than before, or lost its model: cold, not loaded.
+    /// The upstream is a new process, or lost its model: it is cold and has no model loaded.
     Replaced,
 }
 
-/// The back end.
+/// Monitor.
 #[derive(Clone, Debug)]
 pub struct Monitor {
     alive: bool,
@@ -44,7 +47,7 @@
     started_at: clock::Instant,
     foreign_running: Option<u32>,
     incarnation: Option<String>,
-    /// What the last probe told.
+    /// Fencing number of the last probe's report.
     reported_fence: Option<number::Fence>,
     loaded_fence: Option<number::Fence>,
     loaded_at: clock::Instant,
@@ -52,13 +55,13 @@
     order_due_at: clock::Instant,
     slow_start: slow_start::SlowStart,
     kind: configuration::Kind,
-    /// When work last broke off; until a probe that was sent later has told, the ramp's limit
-    /// doesn't hold.
+    /// When a request last failed; until a probe that was sent later returns, the limit is lower
+    /// than the slow start's.
     suspected_at: Option<clock::Instant>,
 }
 
 impl Monitor {
-    /// A back end that hasn't been heard of yet: down and cold.
+    /// Monitor of an upstream that has not been probed yet: down and cold.
     pub fn new(profile: &fleet::Profile, now: clock::Instant) -> Monitor {
         Monitor {
             alive: false,
@@ -77,28 +80,29 @@
         }
     }
 
-    /// Whether the last probe was answered, and is recent.
+    /// Whether the upstream responded to the last probe, and the result is not stale.
     pub fn is_alive(&self, now: clock::Instant) -> bool {
         self.alive && now.since(self.probed_at) < MAX_PROBE_AGE
     }
 
-    /// Fencing number that it is loaded under, while it is alive.
+    /// Fencing number that the engine is loaded under, if it is alive.
     pub fn loaded_fence(&self, now: clock::Instant) -> Option<number::Fence> {
         self.loaded_fence.filter(|_| self.is_alive(now))
     }
 
-    /// Work that the back end has from before this process started, as far as it says.
+    /// Number of running requests that are left over from the previous process, as far as the
+    /// upstream reports them.
     pub fn foreign_running(&self, now: clock::Instant) -> u32 {
         let is_counted = now.since(self.started_at) < FOREIGN_WORK_TIMEOUT;
         self.foreign_running.filter(|_| is_counted).unwrap_or(0)
     }
 
-    /// Limit on concurrent work.
+    /// Slow start of the concurrency limit.
     pub fn slow_start(&mut self) -> &mut slow_start::SlowStart {
         &mut self.slow_start
     }
 
-    /// Attempts that it may bear at once now.
+    /// Current concurrency limit.
     pub fn limit(&self) -> u32 {
         let limit = self.slow_start.limit();
         match (self.suspected_at, self.kind) {
@@ -108,20 +112,22 @@
         }
     }
 
-    /// Notes that work broke off. The back end may have died and come back cold within the time
-    /// between two probes. Until one tells, a service gets no more than a cold one bears, and an
-    /// engine nothing new: it may have lost its model, and its group a member with it.
+    /// Records that a request failed. The upstream may have crashed and come back cold between two
+    /// probes. Until a later probe returns, a service gets no more than a cold upstream can handle,
+    /// and an engine no new requests: it may have lost its model, which leaves its group
+    /// incomplete.
     pub fn suspect(&mut self, now: clock::Instant) {
         self.suspected_at = Some(now);
     }
 
-    /// Whether it counts as warm.
+    /// Whether the upstream counts as warm.
     pub fn is_warm(&self) -> bool {
         self.slow_start.is_warm()
     }
 
-    /// Takes a probe that was sent at `sent`. `own` attempts of this process run, and `wanted` is
-    /// the fencing number that this instance is placed under.
+    /// Handles the result of a probe that was sent at `sent_at`. `own_running` is the number of
+    /// running attempts of this process, and `placed_fence` the fencing number that this instance
+    /// is placed under.
     pub fn probe(
         &mut self,
         now: clock::Instant,
@@ -154,8 +160,9 @@
 
     /// Whether an order under `fence` is due.
     ///
-    /// One order at a time: an engine that ignores fencing numbers might take two that overlap in
-    /// either order and end up with the older group's model under the newer group's number.
+    /// Only one order is pending at a time: an engine that ignores fencing numbers might carry out
+    /// overlapping orders in any sequence, and end up with the older group's model under the newer
+    /// group's number.
     pub fn is_order_due(&self, fence: number::Fence, now: clock::Instant) -> bool {
         self.is_alive(now)
             && self.loaded_fence != Some(fence)
@@ -163,13 +170,13 @@
             && now >= self.order_due_at
     }
 
-    /// Notes that an order is given. Whatever was loaded before counts no more.
+    /// Records that an order is sent. What was loaded before no longer counts.
     pub fn start_order(&mut self, fence: number::Fence, now: clock::Instant) {
         self.pending_order = Some(fence);
         self.reset(now);
     }
 
-    /// Takes the answer to an order; `false` when it isn't the one that is outstanding.
+    /// Handles the response to an order; returns `false` if that order is not pending.
     pub fn finish_order(
         &mut self,
         fence: number::Fence,
@@ -195,8 +202,9 @@
         if was_alive { Change::Down } else { Change::None }
     }
 
-    /// The process before this one may have left work at a back end that cannot cancel, which
-    /// takes up the room that a cold one has. Once none is left, all work comes through here.
+    /// Counts requests that the previous process left running at an upstream that cannot cancel:
+    /// they use up the capacity of a cold upstream. Once none is left, all requests pass this
+    /// process.
     fn count_foreign(&mut self, running: Option<u32>, own_running: u32) {
         let Some(running) = running else { return };
         if self.foreign_running != Some(0) {
@@ -204,8 +212,8 @@
         }
     }
 
-    /// A back end that tells no incarnation and fell silent is taken for a new process: nothing
-    /// shows that it isn't, and full load on a cold one would tip it over.
+    /// Whether the upstream is a new process. One that reports no incarnation and was down counts
+    /// as new: nothing shows that it is not, and full load would crash a cold upstream.
     fn is_replaced(&self, health: &event::Health, was_down: bool) -> bool {
         match (&health.incarnation, &self.incarnation) {
             (Some(now), Some(before)) => now != before,
@@ -214,8 +222,8 @@
         }
     }
 
-    /// Whether the engine says that it isn't loaded as its order's answer said, a late order of
-    /// another agent's process for example.
+    /// Whether the engine reports another fencing number than the one it confirmed, for example
+    /// because it carried out a late order of another agent process.
     fn has_lost_model(&self, now: clock::Instant, reported_fence: Option<number::Fence>) -> bool {
         let is_window_over = now.since(self.loaded_at) >= STALE_PROBE_WINDOW;
         is_window_over
@@ -224,9 +232,10 @@
             && reported_fence != self.loaded_fence
     }
 
-    /// An engine that says that it is loaded as wanted needs no order: this agent's process may
-    /// be new, or the order's answer lost. Asked before an order is given too, or the order would
-    /// be carried out, and the engine turn cold by it, after it was taken for loaded.
+    /// Accepts the reported model as loaded if it is the one that is placed: no order is needed if
+    /// this agent process is new, or the response to the order was lost. Must also be called before
+    /// an order is sent; otherwise the engine would carry the order out, and be cold, after it
+    /// counted as loaded.
     pub fn adopt_reported(&mut self, now: clock::Instant, placed_fence: Option<number::Fence>) {
         if self.reported_fence.is_none()
             || self.reported_fence != placed_fence
--- a/crates/hyssopfork-agent/src/notice.rs
+++ b/crates/hyssopfork-agent/src/notice.rs
@@ -1,47 +1,48 @@
-//! Numbered events of this role, for the log.
+//! Numbered log events of the agent.
 
 use hyssopfork_watch::notice as watch;
 use hyssopfork_wire::{attempt, level, name, number, refusal};
 use std::fmt;
 
-/// A numbered event.
+/// Numbered event.
 #[derive(Clone, Debug, PartialEq, Eq, strum::EnumDiscriminants)]
 #[strum_discriminants(derive(strum::EnumIter), name(Kind), doc = "Kind of a numbered event.")]
 pub enum Notice {
-    /// An event of the watcher.
+    /// Event of the watcher.
     Watch(watch::Notice),
-    /// An attempt was refused.
+    /// An attempt was rejected.
     Refused(attempt::Identifier, refusal::Reason),
-    /// An attempt was handed to the upstream.
+    /// An attempt was forwarded to the upstream.
     Forwarded(attempt::Identifier),
-    /// A running attempt was ended before its answer was whole.
+    /// A running attempt was aborted before its response was complete.
     Aborted(attempt::Identifier, refusal::Reason),
-    /// The group is whole and serves.
+    /// The group is complete and serves.
     GroupWhole(number::Fence),
-    /// The group is no longer whole; the member is named where one is missing.
+    /// The group is no longer complete; with the member whose grant is missing, if there is one.
     GroupLost(number::Fence, Option<name::Instance>),
     /// The engine was ordered to load.
     Ordered(number::Fence),
-    /// The engine holds the model.
+    /// The engine has loaded the model.
     Loaded(number::Fence),
-    /// The engine refused the order or failed at it.
+    /// The engine rejected the order or failed to load.
     LoadFailed(number::Fence),
-    /// The back end stopped answering.
+    /// The upstream stopped responding.
     BackEndDown,
-    /// The back end answers.
+    /// The upstream responds.
     BackEndUp,
-    /// The back end is a new process or lost its model: cold.
+    /// The upstream is cold: it is a new process, or lost its model.
     BackEndCold,
-    /// The process was asked to stop, with so many attempts running.
+    /// The process was asked to stop, with this many attempts in flight.
     Leaving(u32),
-    /// The time to stop is over; so many attempts are ended.
+    /// The time limit of the stop is over, or a second stop was requested; this many attempts are
+    /// aborted.
     LeaveOverdue(u32),
-    /// Everything has ended.
+    /// The stop is complete.
     Stopped,
 }
 
 impl Notice {
-    /// Number in the catalogue.
+    /// Number in the catalogue of events.
     pub fn number(&self) -> u16 {
         match self {
             Notice::Watch(notice) => notice.number(),
@@ -62,7 +63,7 @@
         }
     }
 
-    /// How much it matters.
+    /// Level of the event.
     pub fn level(&self) -> level::Level {
         match self {
             Notice::Watch(notice) => notice.level(),
@@ -88,28 +89,43 @@
         match self {
             Notice::Watch(notice) => notice.fmt(formatter),
             Notice::Refused(attempt, reason) => {
-                write!(formatter, "attempt {attempt} refused: {reason}")
+                write!(formatter, "attempt {attempt} rejected: {reason}")
             }
             Notice::Forwarded(attempt) => write!(formatter, "attempt {attempt} forwarded"),
             Notice::Aborted(attempt, reason) => {
-                write!(formatter, "attempt {attempt} ended before its answer was whole: {reason}")
+                write!(
+                    formatter,
+                    "attempt {attempt} aborted before its response was complete: {reason}"
+                )
             }
-            Notice::GroupWhole(fence) => write!(formatter, "group {fence} is whole and serves"),
+            Notice::GroupWhole(fence) => write!(formatter, "group {fence} is complete and serves"),
             Notice::GroupLost(fence, Some(member)) => {
-                write!(formatter, "group {fence} stopped serving: no grant of {member}")
+                write!(formatter, "group {fence} stopped serving: no unexpired grant from {member}")
             }
             Notice::GroupLost(fence, None) => write!(formatter, "group {fence} stopped serving"),
-            Notice::Ordered(fence) => write!(formatter, "engine ordered to load under {fence}"),
-            Notice::Loaded(fence) => write!(formatter, "engine loaded under {fence}"),
+            Notice::Ordered(fence) => {
+                write!(formatter, "agent ordered the engine to load under fencing number {fence}")
+            }
+            Notice::Loaded(fence) => {
+                write!(formatter, "engine loaded the model under fencing number {fence}")
+            }
             Notice::LoadFailed(fence) => {
-                write!(formatter, "engine failed to load under {fence}; the order is repeated")
+                write!(
+                    formatter,
+                    "engine failed to load under fencing number {fence}; retrying the order"
+                )
+            }
+            Notice::BackEndDown => write!(formatter, "upstream does not respond"),
+            Notice::BackEndUp => write!(formatter, "upstream responds"),
+            Notice::BackEndCold => write!(formatter, "upstream is cold"),
+            Notice::Leaving(running) => {
+                write!(formatter, "agent is stopping; {running} attempts in flight")
             }
-            Notice::BackEndDown => write!(formatter, "the back end doesn't answer"),
-            Notice::BackEndUp => write!(formatter, "the back end answers"),
-            Notice::BackEndCold => write!(formatter, "the back end is cold"),
-            Notice::Leaving(running) => write!(formatter, "leaving; {running} attempts run"),
             Notice::LeaveOverdue(running) => {
-                write!(formatter, "time to leave is over; {running} attempts are ended")
+                write!(
+                    formatter,
+                    "agent ends its graceful stop with {running} attempts in flight and aborts them"
+                )
             }
             Notice::Stopped => write!(formatter, "stopped"),
         }
--- a/crates/hyssopfork-agent/src/offers.rs
+++ b/crates/hyssopfork-agent/src/offers.rs
@@ -1,11 +1,11 @@
-//! Attempts: offered, handed to the upstream, cancelled, ended.
+//! Attempts: admission, forwarding to the upstream, cancellation, and completion.
 
 use crate::{action, attempts, core, event, notice, tombstones};
 use hyssopfork_policy::slow_start;
 use hyssopfork_wire::{attempt, clock, refusal};
 
 impl core::Core {
-    /// An offer arrived.
+    /// Handles an offer.
     pub(crate) fn on_offer(
         &mut self,
         now: clock::Instant,
@@ -28,9 +28,9 @@
         }
     }
 
-    /// The shell is about to write the first byte: everything is checked once more, since the
-    /// process may have been paused for any time since the offer was admitted, and another attempt
-    /// may have found out that the back end is gone or came back cold.
+    /// Checks admission again just before the first byte is written: since the offer was admitted,
+    /// the process may have been paused for any time, and another attempt may have found that the
+    /// upstream is gone or came back cold.
     pub(crate) fn on_connected(
         &mut self,
         now: clock::Instant,
@@ -38,7 +38,7 @@
         actions: &mut Vec<action::Action>,
     ) {
         let Some(live) = self.attempts.get(attempt) else {
-            // Cancelled or aborted since; the refusal was sent then.
+            // Cancelled or aborted since then, when the rejection was sent.
             return;
         };
         if live.state != attempts::State::Admitted {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An entry cancels an attempt.
+    /// Handles an entry's cancel request.
     pub(crate) fn on_cancel_request(
         &mut self,
         call: u64,
@@ -69,13 +69,13 @@
         let outcome = if boot == self.announcement.boot {
             self.cancel(attempt, actions)
         } else {
-            // It was offered to the process before this one, which may have run it.
+            // It was offered to a previous process, which may have run it.
             attempt::Cancelled::Unknown
         };
         actions.push(action::Action::ReplyCancel { call, outcome });
     }
 
-    /// The upstream's answer is whole.
+    /// Handles the end of a complete response of the upstream.
     pub(crate) fn on_response_finished(
         &mut self,
         now: clock::Instant,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The upstream's answer will not be whole.
+    /// Handles a failed response of the upstream.
     pub(crate) fn on_response_failed(
         &mut self,
         now: clock::Instant,
@@ -133,7 +133,7 @@
         self.end_and_reject(attempt, rejection, actions);
     }
 
-    /// Ends every attempt that is prepared or running.
+    /// Aborts every attempt that is admitted or forwarded.
     pub(crate) fn abort_all(&mut self, reason: refusal::Reason, actions: &mut Vec<action::Action>) {
         for attempt in self.attempts.unfinished() {
             self.abort(attempt, reason, actions);
@@ -188,8 +188,9 @@
         }
     }
 
-    /// A back end that cannot cancel goes on working whatever becomes of the connection: the
-    /// attempt keeps its place until it ends, or a cold one would get more than its limit.
+    /// Cancels a forwarded attempt. An upstream that cannot cancel continues to work after the
+    /// connection is closed: the attempt keeps its slot until it ends, otherwise a cold upstream
+    /// would exceed its concurrency limit.
     fn cancel_running(&mut self, attempt: attempt::Identifier, actions: &mut Vec<action::Action>) {
         if self.announcement.profile.cancels {
             self.abort(attempt, refusal::Reason::Cancelled, actions);
@@ -216,8 +217,8 @@
         self.end_and_reject(attempt, rejection, actions);
     }
 
-    /// Refuses an attempt for good: the entry may tell its caller so, and then a second copy of
-    /// the offer must not start it.
+    /// Rejects an attempt permanently: the entry may report this to its client, after which a
+    /// duplicate of the offer must not start the attempt.
     fn end_and_reject(
         &mut self,
         attempt: attempt::Identifier,
--- a/crates/hyssopfork-agent/src/tombstones.rs
+++ b/crates/hyssopfork-agent/src/tombstones.rs
@@ -1,41 +1,41 @@
-//! Identifiers that must never start any more.
+//! Tombstones: identifiers of ended attempts, which must never start again.
 //!
-//! An offer can arrive long after the entry has given the attempt up: held back by the network,
-//! or sent twice. If the agent had forgotten by then that the attempt was cancelled or refused,
-//! the work would run although the caller was told that it didn't. So a dead identifier is kept,
-//! and when there are too many the oldest of one entry's process are folded into a floor below
-//! which that process's identifiers never start.
+//! An offer can arrive long after the entry gave up the attempt, because the network delayed or
+//! duplicated it. If the agent no longer knew that the attempt was cancelled or rejected, the
+//! request would run although the client was told that it did not. So each ended identifier is
+//! kept. If there are too many, the oldest ones of one entry process are compacted into a low-water
+//! mark, below which no identifier of that process ever starts.
 
 use hyssopfork_wire::attempt;
 use std::collections::BTreeMap;
 
-/// Identifiers kept singly, of all entry processes together: 0.77 MB measured. Over it, the
-/// process with the most loses the older half of its. An entry numbers its attempts in order, so
-/// what is folded was given up long ago: at a thousand attempts a second, 16 s ago and more.
+/// Maximum number of tombstones of all entry processes together, which take 0.77 MB. Above it, the
+/// older half of the process with the most is compacted. An entry numbers its attempts in order, so
+/// these were given up long ago: at 1000 attempts per second, at least 16 s ago.
 pub const MAX_TOMBSTONES: usize = 32_768;
 
-/// Entry processes that are remembered, each at least by its floor.
+/// Maximum number of entry processes that are kept, each at least by its low-water mark.
 pub const MAX_BOOTS: usize = 16_384;
 
-/// How an attempt died.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// It never started.
     NeverStarted,
-    /// It started, and its answer did not come whole.
+    /// It started, and its response is incomplete.
     Started,
-    /// It ran to its end.
+    /// It ran to completion.
     Finished,
 }
 
-/// What is remembered of an identifier.
+/// Result of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// Nothing: it was never seen.
+    /// Never seen.
     Unseen,
-    /// It is dead, and this was its end.
+    /// Ended, and how.
     Ended(End),
-    /// It is below the floor: dead or never seen, nobody can say, and it never starts.
+    /// Below the low-water mark: ended or never seen, which cannot be told apart; it never starts.
     Compacted,
 }
 
@@ -46,20 +46,21 @@
     last_used: u64,
 }
 
-/// The memory.
+/// Tombstones of all entry processes.
 ///
-/// Invariant: an identifier that was once dead or folded is never unseen again, while fewer than
-/// [`BOOTS`] other entry processes have been heard since its own was.
+/// Invariant: an identifier that has ended or was compacted is never unseen again, as long as
+/// attempts of fewer than [`MAX_BOOTS`] other entry processes have ended since one of its own
+/// process.
 #[derive(Clone, Debug, Default)]
 pub struct Tombstones {
     boots: BTreeMap<u64, Boot>,
-    /// Invariant: the number of identifiers kept singly, in all boots.
+    /// Invariant: the number of tombstones in all boots.
     total: usize,
     uses: u64,
 }
 
 impl Tombstones {
-    /// What is remembered of `attempt`.
+    /// Looks up `attempt`.
     pub fn lookup(&self, attempt: attempt::Identifier) -> Lookup {
         let Some(boot) = self.boots.get(&attempt.boot) else { return Lookup::Unseen };
         match boot.tombstones.get(&attempt.count) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Remembers that `attempt` is dead; the first end that was told stays.
+    /// Records that `attempt` has ended; the first recorded end stays.
     pub fn insert(&mut self, attempt: attempt::Identifier, end: End) {
         self.uses += 1;
         let boot = self.boots.entry(attempt.boot).or_default();
