--- a/crates/hyssopfork-agent/tests/agent/gate.rs
+++ b/crates/hyssopfork-agent/tests/agent/admission.rs
@@ -1,4 +1,4 @@
-//! The gate: what must hold when work is handed to the back end.
+//! Admission control: what must hold when an attempt is forwarded to the upstream.
 
 use crate::fixture;
 use hyssopfork_agent::{event, monitor};
@@ -9,7 +9,7 @@
 const NOT_RUN: refusal::Ran = refusal::Ran::NotRun;
 
 #[test]
-fn whole_group_takes_work() {
+fn complete_group_accepts_attempts() {
     let mut agent = fixture::first_member();
 
     agent.forward(fixture::offer(1));
@@ -17,11 +17,11 @@
     assert!(agent.core.is_ready(agent.now));
 }
 
-// The caller is refused and tried elsewhere. The first member admits the attempt, its process is
-// paused for longer than its lease, and goes on just before the write: meanwhile the zone may have
-// been taken out or the group been moved.
+// The first member admits an attempt, is paused for longer than its lease, and resumes just before
+// the write. Meanwhile the zone may have been taken out or the group been moved, so the attempt is
+// rejected and can be retried elsewhere.
 #[test]
-fn pause_between_check_and_write_is_found() {
+fn pause_between_admission_and_write_is_detected() {
     let mut agent = fixture::first_member();
     let offered = agent.step(event::Event::Offer(fixture::offer(1)));
     assert!(fixture::has_connect(&offered));
@@ -30,13 +30,13 @@
     let actions = agent.step(event::Event::Connected(fixture::identifier(1)));
 
     assert!(!fixture::has_forward(&actions));
-    assert_eq!(fixture::find_rejection(&actions).map(|refusal| refusal.ran), Some(NOT_RUN));
+    assert_eq!(fixture::find_rejection(&actions).map(|rejection| rejection.ran), Some(NOT_RUN));
 }
 
-// As above, but the pause outlasts the other member's grant only: that member may serve another
-// group by now.
+// As above, but the pause is only longer than the other member's grant: that member may serve
+// another group by now.
 #[test]
-fn pause_past_a_grant_is_found() {
+fn pause_longer_than_a_grant_is_detected() {
     let mut agent = fixture::first_member();
     agent.step(event::Event::Offer(fixture::offer(1)));
 
@@ -44,14 +44,14 @@
     let actions = agent.step(event::Event::Connected(fixture::identifier(1)));
 
     assert!(!fixture::has_forward(&actions));
-    let reason = fixture::find_rejection(&actions).map(|refusal| refusal.reason);
+    let reason = fixture::find_rejection(&actions).map(|rejection| rejection.reason);
     assert_eq!(reason, Some(refusal::Reason::GroupIncomplete));
 }
 
-// The agent is cut off from control in silence and its zone goes out: it can't hear of that, so it
-// stops by itself when its lease lapses, counted from when it asked for it.
+// A silent partition separates the agent from control, and its zone is taken out. The agent cannot
+// learn of that, so it stops when its lease expires, counted from when it sent the renewal.
 #[test]
-fn cut_from_control_takes_nothing_after_its_lease() {
+fn agent_partitioned_from_control_rejects_after_its_lease_expires() {
     let mut agent = fixture::service_agent(true);
     let slow = Duration::from_millis(400);
     agent.renew_lease(slow);
@@ -63,11 +63,11 @@
     let after = agent.offer(fixture::service_offer(2));
 
     assert_eq!(before, None);
-    assert_eq!(after.map(|refusal| refusal.reason), Some(refusal::Reason::Stale));
+    assert_eq!(after.map(|rejection| rejection.reason), Some(refusal::Reason::Stale));
 }
 
 #[test]
-fn zone_out_drained_and_superseded_take_nothing() {
+fn agent_rejects_if_its_zone_is_out_or_it_is_drained_or_superseded() {
     let mut out = fixture::service_agent(true);
     out.change_view(|view| {
         let zone = view.configuration.zones.get_mut(&"zone-a".into());
@@ -79,34 +79,34 @@
     });
     let mut superseded = fixture::service_agent(true);
     superseded.change_view(|view| {
-        let member = view.members.get_mut(&"s0".into()).expect("it is recorded");
+        let member = view.members.get_mut(&"s0".into()).expect("the instance is recorded");
         member.announcement.boot += 1;
     });
 
     let reasons = [&mut out, &mut drained, &mut superseded]
-        .map(|agent| agent.offer(fixture::service_offer(1)).map(|refusal| refusal.reason));
+        .map(|agent| agent.offer(fixture::service_offer(1)).map(|rejection| rejection.reason));
 
     let expected =
         [refusal::Reason::ZoneOut, refusal::Reason::Draining, refusal::Reason::Stale].map(Some);
     assert_eq!(reasons, expected);
 }
 
-// A member elsewhere in the group is being drained: the group takes nothing new, or the work that
-// came would have to be cut off when the member goes.
+// Another member of the group is being drained: the group accepts no new attempts, which would have
+// to be aborted when the member leaves.
 #[test]
-fn drained_member_closes_its_group() {
+fn drained_member_stops_admission_of_its_group() {
     let mut agent = fixture::first_member();
     agent.change_view(|view| {
         view.configuration.drained.insert("i1".into());
     });
 
-    let refusal = agent.offer(fixture::offer(1));
+    let rejection = agent.offer(fixture::offer(1));
 
-    assert_eq!(refusal.map(|refusal| refusal.reason), Some(refusal::Reason::Draining));
+    assert_eq!(rejection.map(|rejection| rejection.reason), Some(refusal::Reason::Draining));
 }
 
 #[test]
-fn old_fencing_number_and_wrong_kind_are_refused() {
+fn old_fencing_number_and_wrong_kind_are_rejected() {
     let mut first = fixture::first_member();
     let mut old = fixture::offer(1);
     old.group = Some(("g1".into(), number::Fence(9)));
@@ -121,13 +121,13 @@
         Some(refusal::Reason::GroupIncomplete),
         Some(refusal::Reason::NoUpstream),
     ];
-    assert_eq!([old, plain, grouped].map(|r| r.map(|refusal| refusal.reason)), expected);
+    assert_eq!([old, plain, grouped].map(|r| r.map(|rejection| rejection.reason)), expected);
 }
 
-// A cold back end falls over under full load. It gets little until work was completed, and little
-// again when it turns out to be a new process.
+// A cold upstream crashes under full load. Its limit stays low until it has completed requests, and
+// is low again when a probe finds a new process.
 #[test]
-fn cold_back_end_gets_little() {
+fn cold_upstream_has_a_low_limit() {
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
     agent.forward(fixture::service_offer(2));
@@ -144,16 +144,16 @@
     let after = agent.offer(fixture::service_offer(27));
 
     let cold = Some(refusal::Reason::Cold);
-    assert_eq!(third.map(|refusal| refusal.reason), cold);
-    assert_eq!(held.map(|refusal| refusal.reason), cold);
-    assert_eq!(after.map(|refusal| refusal.reason), cold);
+    assert_eq!(third.map(|rejection| rejection.reason), cold);
+    assert_eq!(held.map(|rejection| rejection.reason), cold);
+    assert_eq!(after.map(|rejection| rejection.reason), cold);
 }
 
-// Found by a long run of real processes: a back end died and came back cold between two probes,
-// and was tipped over by work that its agent still let through under the limit of the one before.
-// One piece of work that breaks off is enough for the agent to hold back until it has looked.
+// An upstream crashed and came back cold between two probes, and crashed again under the requests
+// that its agent admitted by the previous process's limit. One failed request is enough to lower
+// the limit until a later probe returns.
 #[test]
-fn broken_work_holds_the_limit_down_until_probes_tell() {
+fn failed_request_lowers_the_limit_until_a_later_probe() {
     let mut agent = fixture::service_agent(true);
     run_and_complete(&mut agent, 1, slow_start::HOLD_COMPLETIONS + 2);
     (30..=32).for_each(|count| agent.forward(fixture::service_offer(count)));
@@ -169,15 +169,15 @@
     let trusted = agent.offer(fixture::service_offer(35));
 
     let cold = Some(refusal::Reason::Cold);
-    assert_eq!(suspected.map(|refusal| refusal.reason), cold);
-    assert_eq!(still.map(|refusal| refusal.reason), cold);
+    assert_eq!(suspected.map(|rejection| rejection.reason), cold);
+    assert_eq!(still.map(|rejection| rejection.reason), cold);
     assert_eq!(trusted, None);
 }
 
-// Found by a long run of real processes (seed 13): an engine died and came back without its model
-// between two probes, and its agent went on forwarding to it. Its group had lost a member.
+// An engine crashed and came back without its model between two probes, and its agent continued to
+// forward to it although the group had lost a member (soak with real processes, seed 13).
 #[test]
-fn broken_work_keeps_new_work_from_an_engine_until_a_probe_tells() {
+fn failed_request_stops_admission_to_an_engine_until_a_later_probe() {
     let mut agent = fixture::first_member();
     agent.forward(fixture::offer(1));
 
@@ -187,15 +187,15 @@
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
     let trusted = agent.offer(fixture::offer(3));
 
-    assert_eq!(suspected.map(|refusal| refusal.reason), Some(refusal::Reason::Cold));
+    assert_eq!(suspected.map(|rejection| rejection.reason), Some(refusal::Reason::Cold));
     assert_eq!(trusted, None);
 }
 
-// Found by the soak (seed 71117): an idle engine started anew between two probes, without its model.
-// Two callers' requests were admitted before anybody knew. The first finds out; the second, whose
-// write comes 0.1 ms later, must not reach the engine as well: it is refused and goes elsewhere.
+// An idle engine restarted between two probes, without its model, and two requests were admitted
+// before that was known (soak, seed 71117). The first one fails; the second, written 0.1 ms later,
+// must be rejected, so that it is retried elsewhere.
 #[test]
-fn an_attempt_that_was_admitted_before_a_failure_is_not_written_after_it() {
+fn attempt_admitted_before_a_failure_is_not_forwarded_after_it() {
     let mut agent = fixture::first_member();
     agent.forward(fixture::offer(1));
     assert!(fixture::has_connect(&agent.step(event::Event::Offer(fixture::offer(2)))));
@@ -204,8 +204,9 @@
     let actions = agent.step(event::Event::Connected(fixture::identifier(2)));
 
     assert!(!fixture::has_forward(&actions));
-    let refusal = fixture::find_rejection(&actions).map(|refusal| (refusal.reason, refusal.ran));
-    assert_eq!(refusal, Some((refusal::Reason::Cold, NOT_RUN)));
+    let rejection =
+        fixture::find_rejection(&actions).map(|rejection| (rejection.reason, rejection.ran));
+    assert_eq!(rejection, Some((refusal::Reason::Cold, NOT_RUN)));
 }
 
 fn complete(agent: &mut fixture::Agent, first: u64, count: u64) {
@@ -221,61 +222,61 @@
     }
 }
 
-// Found by random histories: the agent was paused, its back end replaced by a cold one, and all
-// that waited for the pause's end was admitted by what the agent had known before.
+// The agent was paused while its upstream was replaced by a cold one, and every request that waited
+// during the pause was admitted by the state before it (random histories).
 #[test]
-fn old_probe_says_nothing() {
+fn stale_probe_does_not_count() {
     let mut agent = fixture::service_agent(true);
     agent.pause(monitor::MAX_PROBE_AGE);
 
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
 
-    assert_eq!(refusal.map(|refusal| refusal.reason), Some(refusal::Reason::NoUpstream));
+    assert_eq!(rejection.map(|rejection| rejection.reason), Some(refusal::Reason::NoUpstream));
 }
 
-// Found by random histories: the answer to a probe waited, while the process was paused, to be read.
-// It says what was true when the probe was sent.
+// The response to a probe waited to be read while the process was paused. It describes the time at
+// which the probe was sent (random histories).
 #[test]
-fn probes_answer_that_waited_is_as_old_as_the_probe() {
+fn probe_response_read_late_counts_from_when_the_probe_was_sent() {
     let mut agent = fixture::service_agent(true);
     let sent_at = agent.now;
     agent.pause(monitor::MAX_PROBE_AGE);
     agent.step(event::Event::ProbedAt { sent_at, health: Some(fixture::health("a", None)) });
 
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
 
-    assert_eq!(refusal.map(|refusal| refusal.reason), Some(refusal::Reason::NoUpstream));
+    assert_eq!(rejection.map(|rejection| rejection.reason), Some(refusal::Reason::NoUpstream));
 }
 
-// Found by random histories: the agent's process was restarted, and gave a cold back end that can't
-// cancel its whole limit anew, beside what the process before had given it.
+// The agent restarted and gave a cold upstream that cannot cancel its whole limit again, on top of
+// the requests of the previous process (random histories).
 #[test]
-fn work_of_the_process_before_takes_up_room() {
+fn requests_of_the_previous_process_use_up_the_limit() {
     let mut agent = fixture::service_agent(false);
     let busy = event::Health { running: Some(2), ..fixture::health("a", None) };
     agent.probe(Some(busy));
 
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
 
-    assert_eq!(refusal.map(|refusal| refusal.reason), Some(refusal::Reason::Cold));
+    assert_eq!(rejection.map(|rejection| rejection.reason), Some(refusal::Reason::Cold));
 }
 
-// A back end counts its own callers, or its probes, among what runs. Taken for work of the process
-// before for good, that would keep all work from it while it is cold, and it would stay cold.
+// An upstream counts requests of other clients, or probes, as running. If they counted as left over
+// from the previous process forever, a cold upstream would get no requests and stay cold.
 #[test]
-fn constant_foreign_work_locks_nothing_out() {
+fn constant_foreign_requests_do_not_block_admission() {
     let mut agent = fixture::service_agent(true);
     agent.advance(monitor::FOREIGN_WORK_TIMEOUT);
     agent.renew_lease(Duration::ZERO);
     agent.probe(Some(event::Health { running: Some(9), ..fixture::health("a", None) }));
 
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
 
-    assert_eq!(refusal, None);
+    assert_eq!(rejection, None);
 }
 
 #[test]
-fn passed_deadline_is_refused_at_the_write() {
+fn exceeded_deadline_is_rejected_at_the_write() {
     let mut agent = fixture::service_agent(true);
     let offer = fixture::service_offer(1);
     let deadline = offer.deadline;
@@ -288,6 +289,6 @@
 
     let actions = agent.step(event::Event::Connected(fixture::identifier(1)));
 
-    let reason = fixture::find_rejection(&actions).map(|refusal| refusal.reason);
+    let reason = fixture::find_rejection(&actions).map(|rejection| rejection.reason);
     assert_eq!(reason, Some(refusal::Reason::Deadline));
 }
--- a/crates/hyssopfork-agent/tests/agent/attempts.rs
+++ b/crates/hyssopfork-agent/tests/agent/attempts.rs
@@ -1,26 +1,27 @@
-//! Attempts: started at most once, and "not run" only where that is certain.
+//! At-most-once execution: an attempt starts at most once, and "not run" is reported only if it is
+//! certain.
 
 use crate::fixture;
 use hyssopfork_agent::{action, event, tombstones};
 use hyssopfork_wire::{attempt, refusal, timing};
 
-// The caller was told "not run" after the cancel; the offer, held back by the network, comes after
-// it. It must not start.
+// The network delays an offer until after its cancel request, when the client has been told "not
+// run". The attempt must not start.
 #[test]
-fn cancel_before_the_offer_holds() {
+fn cancelled_attempt_does_not_start_when_its_offer_arrives_late() {
     let mut agent = fixture::service_agent(true);
 
     let outcome = agent.cancel(1);
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
 
     assert_eq!(outcome, attempt::Cancelled::NeverStarted);
-    assert_eq!(refusal.map(|refusal| refusal.ran), Some(refusal::Ran::NotRun));
+    assert_eq!(rejection.map(|rejection| rejection.ran), Some(refusal::Ran::NotRun));
 }
 
-// The cancel crosses the start: between the admission and the write it still stops the work, after
-// the write it can't say that nothing ran.
+// A cancel request races with the start of the attempt: between admission and write it prevents the
+// start; after the write it must not report "never started".
 #[test]
-fn cancel_crossing_the_start_tells_the_truth() {
+fn cancel_racing_with_the_start_reports_the_actual_state() {
     let mut agent = fixture::service_agent(true);
     agent.step(event::Event::Offer(fixture::service_offer(1)));
     let prepared = agent.cancel(1);
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn known_offer_is_taken_up_and_not_started_twice() {
+fn known_offer_is_resumed_and_not_started_twice() {
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
 
@@ -54,10 +55,10 @@
     assert_eq!(cancelled, attempt::Cancelled::Finished);
 }
 
-// A copy of an offer comes long after the answer was dropped: it ran, so it must not run again,
-// and nobody may be told that it didn't.
+// A duplicate of an offer arrives after the retention period of the response: the attempt ran, so
+// it must not run again or be reported as not run.
 #[test]
-fn copy_after_the_answer_was_dropped_never_starts() {
+fn duplicate_offer_after_the_retention_period_does_not_start() {
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
     agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
@@ -65,33 +66,33 @@
     agent.renew_lease(std::time::Duration::ZERO);
     agent.probe(Some(fixture::health("a", None)));
 
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
     let cancelled = agent.cancel(1);
 
-    assert_eq!(refusal.map(|refusal| refusal.ran), Some(refusal::Ran::MayHaveRun));
+    assert_eq!(rejection.map(|rejection| rejection.ran), Some(refusal::Ran::MayHaveRun));
     assert_eq!(cancelled, attempt::Cancelled::Finished);
 }
 
-// The entry was told "not run" and has tried elsewhere; a copy of the offer comes when the agent
-// could take it.
+// The entry was told "not run" and retried at another upstream; a duplicate of the offer arrives
+// when the agent could accept it.
 #[test]
-fn refused_offer_never_starts_later() {
+fn rejected_offer_does_not_start_later() {
     let mut agent = fixture::service_agent(true);
     agent.probe(None);
-    let refused = agent.offer(fixture::service_offer(1));
+    let rejected = agent.offer(fixture::service_offer(1));
     agent.probe(Some(fixture::health("a", None)));
 
     let again = agent.offer(fixture::service_offer(1));
 
     let not_run = Some(refusal::Ran::NotRun);
-    assert_eq!([refused, again].map(|r| r.map(|refusal| refusal.ran)), [not_run; 2]);
+    assert_eq!([rejected, again].map(|r| r.map(|rejection| rejection.ran)), [not_run; 2]);
 }
 
-// More attempts were cancelled than are kept singly. The oldest of the entry with the most are
-// forgotten by name, but their numbers are below its floor: an offer of theirs still doesn't start,
-// and a cancel claims nothing. Another entry's few are remembered as they were.
+// More attempts are cancelled than there are tombstones. The oldest of the entry with the most are
+// compacted below its low-water mark: an offer of one of them still does not start, and a cancel
+// request gets "unknown". The tombstones of another entry stay.
 #[test]
-fn forgotten_cancel_still_refuses() {
+fn compacted_cancel_still_rejects_the_offer() {
     let mut agent = fixture::service_agent(true);
     let other = attempt::Offer {
         attempt: attempt::Identifier { boot: 98, count: 1 },
@@ -106,22 +107,22 @@
         agent.cancel(count);
     }
 
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
     let cancelled = agent.cancel(1);
     let newer = agent.offer(fixture::service_offer(tombstones::MAX_TOMBSTONES as u64 + 2));
     let other = agent.offer(other);
 
-    assert_eq!(refusal.map(|refusal| refusal.ran), Some(refusal::Ran::MayHaveRun));
+    assert_eq!(rejection.map(|rejection| rejection.ran), Some(refusal::Ran::MayHaveRun));
     assert_eq!(cancelled, attempt::Cancelled::Unknown);
     assert_eq!(newer, None);
-    assert_eq!(other.map(|refusal| refusal.ran), Some(refusal::Ran::NotRun));
+    assert_eq!(other.map(|rejection| rejection.ran), Some(refusal::Ran::NotRun));
 }
 
-// The agent is restarted between accepting an attempt and starting it. The new process can't know
-// what the one before ran: it says "not run" only of an offer that surely goes out for the first
-// time, and nothing certain to a cancel.
+// The agent restarts between accepting an attempt and starting it. The new process does not know
+// what the previous one ran: it reports "not run" only for an offer that was certainly sent for the
+// first time, and "unknown" to a cancel request.
 #[test]
-fn other_boot_claims_nothing() {
+fn only_a_first_offer_to_a_previous_process_is_reported_as_not_run() {
     let mut agent = fixture::service_agent(true);
     let other = |count, first| attempt::Offer { boot: 6, first, ..fixture::service_offer(count) };
 
@@ -133,17 +134,17 @@
         boot: 6,
     });
 
-    assert_eq!(first.map(|refusal| refusal.ran), Some(refusal::Ran::NotRun));
-    assert_eq!(again.map(|refusal| refusal.ran), Some(refusal::Ran::MayHaveRun));
+    assert_eq!(first.map(|rejection| rejection.ran), Some(refusal::Ran::NotRun));
+    assert_eq!(again.map(|rejection| rejection.ran), Some(refusal::Ran::MayHaveRun));
     let unknown = attempt::Cancelled::Unknown;
     let says = |action: &action::Action| matches!(action, action::Action::ReplyCancel { outcome, .. } if *outcome == unknown);
     assert!(cancelled.iter().any(says));
 }
 
-// A back end that can't cancel works on after the connection is closed: the attempt keeps its
-// place, or a cold back end would get more than it can bear.
+// An upstream that cannot cancel continues to work after the connection is closed: the attempt
+// keeps its slot, otherwise a cold upstream would exceed its concurrency limit.
 #[test]
-fn uncancellable_work_keeps_its_place() {
+fn cancelled_attempt_keeps_its_slot_if_the_upstream_cannot_cancel() {
     let mut agent = fixture::service_agent(false);
     agent.forward(fixture::service_offer(1));
     agent.forward(fixture::service_offer(2));
@@ -154,12 +155,12 @@
     agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
     let free = agent.offer(fixture::service_offer(4));
 
-    assert_eq!(full.map(|refusal| refusal.reason), Some(refusal::Reason::Cold));
+    assert_eq!(full.map(|rejection| rejection.reason), Some(refusal::Reason::Cold));
     assert_eq!(free, None);
 }
 
 #[test]
-fn fault_says_whether_bytes_were_sent() {
+fn fault_tells_whether_the_attempt_may_have_run() {
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
     agent.forward(fixture::service_offer(2));
@@ -169,8 +170,9 @@
     let broken =
         agent.step(event::Event::ResponseFailed(fixture::identifier(2), event::Fault::Broken));
 
-    let ran =
-        |actions: &[action::Action]| fixture::find_rejection(actions).map(|refusal| refusal.ran);
+    let ran = |actions: &[action::Action]| {
+        fixture::find_rejection(actions).map(|rejection| rejection.ran)
+    };
     assert_eq!(ran(&unreachable), Some(refusal::Ran::NotRun));
     assert_eq!(ran(&broken), Some(refusal::Ran::MayHaveRun));
 }
--- a/crates/hyssopfork-agent/tests/agent/fixture.rs
+++ b/crates/hyssopfork-agent/tests/agent/fixture.rs
@@ -1,4 +1,4 @@
-//! Fixtures: an agent with a view, a lease and a back end, and its offers.
+//! Fixtures: an agent with a view, a lease and an upstream, and offers to it.
 
 use hyssopfork_agent::{action, core, event};
 use hyssopfork_wire::{
@@ -10,7 +10,7 @@
 /// Boot of the agent under test.
 pub const BOOT: u64 = 7;
 
-/// Time that a stop gives what runs; another than the default.
+/// Time limit of a graceful stop; differs from the default.
 pub const STOP_LIMIT: Duration = Duration::from_secs(20);
 
 /// Fencing number of the group's first placement.
@@ -24,7 +24,7 @@
     renewal: Option<u64>,
 }
 
-/// First member of a group of two whose engine is loaded and whose other member has granted.
+/// First member of a group of two, with its engine loaded and a grant from the other member.
 pub fn first_member() -> Agent {
     let mut agent = engine_agent("i0");
     agent.renew_lease(Duration::ZERO);
@@ -43,12 +43,12 @@
     agent
 }
 
-/// An agent of an engine that has started just now and knows nothing.
+/// Agent of an engine, just started, with no view and no lease.
 pub fn engine_agent(instance: &str) -> Agent {
     new_agent(instance, configuration::Kind::Engine, true)
 }
 
-/// An agent of a plain service that can take work.
+/// Agent of a service, ready for attempts.
 pub fn service_agent(cancels: bool) -> Agent {
     let mut agent = new_agent("s0", configuration::Kind::Service, cancels);
     agent.renew_lease(Duration::ZERO);
@@ -68,7 +68,7 @@
     event::Health { incarnation: Some(incarnation.into()), running: None, loaded }
 }
 
-/// An offer to the agent under test, the `count`th of one entry.
+/// Offer to the agent under test, the `count`th attempt of one entry.
 pub fn offer(count: u64) -> attempt::Offer {
     attempt::Offer {
         attempt: identifier(count),
@@ -113,7 +113,7 @@
         actions
     }
 
-    /// Time passes in ticks; nothing else happens, and no call is answered.
+    /// Advances the clock in ticks, without any other event; no call gets a response.
     pub fn advance(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -124,12 +124,12 @@
         actions
     }
 
-    /// Time passes while the process is paused: not a tick comes.
+    /// Advances the clock without a tick, as if the process were paused.
     pub fn pause(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 
-    /// Renews the lease with the fixture's view; the answer comes after `delay`.
+    /// Renews the lease with the fixture's view; the response arrives after `delay`.
     pub fn renew_lease(&mut self, delay: Duration) -> Vec<action::Action> {
         if let Some(call) = self.renewal.take() {
             self.step(event::Event::ControlResponse { call, response: None });
@@ -148,14 +148,14 @@
         self.step(event::Event::ControlResponse { call, response })
     }
 
-    /// The view moves on to another one, with a new lease.
+    /// Changes the view, as a new version, and renews the lease.
     pub fn change_view(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
         change(&mut self.view);
         self.view.version = self.view.version.next();
         self.renew_lease(Duration::ZERO)
     }
 
-    /// Time until the process may grant and order, with its lease and probes kept up.
+    /// Waits until the process may give grants and send orders, with a fresh lease and probe.
     pub fn wait_for_grant_guard(&mut self) {
         self.probe(Some(health("a", None)));
         self.advance(timing::GROUP_GRANT_GUARD);
@@ -163,7 +163,7 @@
         self.renew_lease(Duration::ZERO);
     }
 
-    /// The engine carries out the order that is outstanding.
+    /// The engine carries out the pending order.
     pub fn finish_load(&mut self, fence: number::Fence) {
         self.step(event::Event::LoadFinished { fence, succeeded: true });
     }
@@ -181,15 +181,18 @@
         })
     }
 
-    /// The other member answers the newest request.
+    /// The other member responds to the newest grant request.
     pub fn receive_grant_response(&mut self, response: member::Response) -> Vec<action::Action> {
         let actions = self.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
-        let asked =
-            actions.iter().rev().find_map(find_grant_request).expect("the members are asked");
-        self.step(event::Event::GrantResponse { call: asked.0, response: Some(response) })
+        let request = actions
+            .iter()
+            .rev()
+            .find_map(find_grant_request)
+            .expect("the member gets a grant request");
+        self.step(event::Event::GrantResponse { call: request.0, response: Some(response) })
     }
 
-    /// An attempt is offered and handed to the upstream.
+    /// Offers an attempt and forwards it to the upstream.
     pub fn forward(&mut self, offer: attempt::Offer) {
         let attempt = offer.attempt;
         let offered = self.step(event::Event::Offer(offer));
@@ -204,7 +207,7 @@
             action::Action::ReplyGrant { call: 5, response } => Some(response),
             _ => None,
         });
-        reply.expect("a request is answered at once")
+        reply.expect("a grant request gets a response at once")
     }
 
     pub fn cancel(&mut self, count: u64) -> attempt::Cancelled {
@@ -215,10 +218,10 @@
             action::Action::ReplyCancel { call: 6, outcome } => Some(outcome),
             _ => None,
         });
-        reply.expect("a cancel is answered at once")
+        reply.expect("a cancel request gets a response at once")
     }
 
-    /// What becomes of an offer: the refusal, or none when it is admitted.
+    /// Makes an offer; returns its rejection, or `None` if it is admitted.
     pub fn offer(&mut self, offer: attempt::Offer) -> Option<refusal::Refusal> {
         let actions = self.step(event::Event::Offer(offer));
         find_rejection(&actions)
--- a/crates/hyssopfork-agent/tests/agent/group.rs
+++ b/crates/hyssopfork-agent/tests/agent/group.rs
@@ -1,4 +1,4 @@
-//! Groups: a group serves only while each member stands by it, and an instance stands by one.
+//! Groups: a group serves only while each member grants it, and an instance grants only one group.
 
 use crate::fixture;
 use hyssopfork_agent::{action, event};
@@ -7,30 +7,33 @@
 
 const NEXT: number::Fence = number::Fence(11);
 
-// The other member is lost in silence (cut from the first member only, or dead): its grant lapses,
-// new work is refused, and what runs is ended with an honest error.
+// The other member fails silently (partitioned from the first member only, or crashed): its grant
+// expires, new attempts are rejected, and running ones are aborted with "may have run".
 #[test]
-fn silent_member_ends_what_runs() {
+fn silent_member_aborts_running_attempts() {
     let mut agent = fixture::first_member();
     agent.forward(fixture::offer(1));
 
     let actions = agent.advance(timing::GROUP_GRANT);
-    let refusal = agent.offer(fixture::offer(2));
+    let rejection = agent.offer(fixture::offer(2));
 
     assert!(fixture::has_abort(&actions));
     assert_eq!(fixture::find_rejection(&actions).map(|r| r.ran), Some(refusal::Ran::MayHaveRun));
-    assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::GroupIncomplete));
+    assert_eq!(rejection.map(|r| r.reason), Some(refusal::Reason::GroupIncomplete));
 }
 
-// The grant counts from when it was asked for: its answer was held back by the network, while the
-// member's own guard ran on.
+// The network delays a grant while the member's guard interval passes: the grant must count from
+// when it was requested.
 #[test]
-fn grant_counts_from_when_it_was_asked_for() {
+fn grant_counts_from_when_it_was_requested() {
     let mut agent = fixture::first_member();
     agent.advance(timing::GROUP_GRANT);
-    let asked = agent.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
-    let (call, _) =
-        asked.iter().rev().find_map(fixture::find_grant_request).expect("the member is asked");
+    let actions = agent.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
+    let (call, _) = actions
+        .iter()
+        .rev()
+        .find_map(fixture::find_grant_request)
+        .expect("the member gets a grant request");
     let duration = timing::GROUP_GRANT;
     let version = agent.view.version;
 
@@ -42,26 +45,29 @@
 }
 
 #[test]
-fn refusal_of_a_member_ends_its_grant_but_a_late_one_does_not() {
-    let refused = member::Response::Refused { version: number::Version(1) };
+fn rejection_revokes_the_grant_but_a_late_one_does_not() {
+    let rejected = member::Response::Refused { version: number::Version(1) };
     let mut agent = fixture::first_member();
-    let asked = agent.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
-    let (old, _) = asked.iter().find_map(fixture::find_grant_request).expect("the member is asked");
+    let actions = agent.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
+    let (old, _) = actions
+        .iter()
+        .find_map(fixture::find_grant_request)
+        .expect("the member gets a grant request");
     agent.receive_grant();
 
-    agent.step(event::Event::GrantResponse { call: old, response: Some(refused.clone()) });
+    agent.step(event::Event::GrantResponse { call: old, response: Some(rejected.clone()) });
     let after_late = agent.core.is_ready(agent.now);
-    agent.receive_grant_response(refused);
+    agent.receive_grant_response(rejected);
     let after_new = agent.core.is_ready(agent.now);
 
     assert!(after_late);
     assert!(!after_new);
 }
 
-// The engine dies and its agent lives. The member stops standing by the group at once; a first
-// member ends what runs. Back as another process, the engine is not loaded and cold.
+// The engine crashes and its agent survives. The member stops granting at once; a first member
+// aborts its attempts. An engine that comes back as a new process is cold and has no model loaded.
 #[test]
-fn dead_engine_takes_its_group_down() {
+fn crashed_engine_takes_its_group_out_of_service() {
     let mut second = fixture::second_member();
     let mut first = fixture::first_member();
     first.forward(fixture::offer(1));
@@ -79,7 +85,7 @@
 }
 
 #[test]
-fn missed_probe_of_the_same_engine_costs_no_load() {
+fn missed_probe_of_the_same_engine_causes_no_load_order() {
     let mut agent = fixture::second_member();
 
     agent.probe(None);
@@ -89,11 +95,11 @@
     assert!(fixture::is_granted(&agent.request_grant(fixture::grant_request(fixture::FENCE))));
 }
 
-// The group is mended while its old first member is cut off and alive. The member that is kept has
-// granted to the old one a moment ago; until that grant has surely lapsed it neither stands by the
-// new placement nor lets its engine be loaded for it.
+// The group is repaired while its old first member is partitioned but alive, and the remaining
+// member has just granted it. Until that grant has certainly expired, the member neither grants for
+// the new placement nor orders its engine to load for it.
 #[test]
-fn member_waits_for_its_old_grant_to_lapse() {
+fn member_waits_for_its_old_grant_to_expire() {
     let mut agent = fixture::second_member();
     assert!(fixture::is_granted(&agent.request_grant(fixture::grant_request(fixture::FENCE))));
     let granted_at = agent.now;
@@ -103,7 +109,10 @@
     while fixture::load_orders(&orders).is_empty() {
         orders = agent.advance(action::TICK_INTERVAL);
         agent.probe(Some(fixture::health("a", None)));
-        assert!(agent.now.since(granted_at) < timing::HOLDER_LEASE, "it is ordered in the end");
+        assert!(
+            agent.now.since(granted_at) < timing::HOLDER_LEASE,
+            "the engine gets an order before the lease expires"
+        );
     }
 
     assert!(!fixture::is_granted(&old));
@@ -111,10 +120,10 @@
     assert!(agent.now.since(granted_at) >= timing::GROUP_GRANT_GUARD);
 }
 
-// The agent is restarted with no memory while its engine lives and is still loaded. The process
-// before may have granted a moment ago, to a placement that this one never heard of.
+// The agent restarts without state while its engine is alive and loaded. The previous process may
+// have just given a grant under a placement that this one does not know.
 #[test]
-fn restarted_agent_waits_before_it_stands_by_anything() {
+fn restarted_agent_waits_before_its_first_grant() {
     let mut agent = fixture::engine_agent("i1");
     agent.renew_lease(Duration::ZERO);
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
@@ -128,11 +137,11 @@
     assert!(fixture::is_granted(&late));
 }
 
-// Found by random histories (seed 24605): a restarted agent had probed its engine, which was still
-// loaded, before it knew where the engine is placed. It ordered it to load, took it for loaded at
-// the next probe and let its limit grow; then the order was carried out and the engine was cold.
+// A restarted agent probed its engine, which was still loaded, before it knew the engine's
+// placement. It ordered a load, took the engine for loaded at the next probe and let the limit
+// grow; then the engine carried out the order and was cold (random histories, seed 24605).
 #[test]
-fn engine_that_is_loaded_as_wanted_is_not_ordered() {
+fn engine_loaded_as_placed_gets_no_order() {
     let mut agent = fixture::engine_agent("i1");
     agent.probe(Some(fixture::health("a", Some(fixture::FENCE))));
     agent.advance(timing::GROUP_GRANT_GUARD);
@@ -144,10 +153,10 @@
     assert!(fixture::is_granted(&agent.request_grant(fixture::grant_request(fixture::FENCE))));
 }
 
-// Cut off from control, a member can't know that its instance was given to another group: it stops
-// standing by the old one when its lease lapses.
+// A member that is partitioned from control cannot know that its instance was assigned to another
+// group: it stops granting when its lease expires.
 #[test]
-fn member_cut_from_control_stops_granting() {
+fn member_partitioned_from_control_stops_granting() {
     let mut agent = fixture::second_member();
 
     agent.advance(timing::HOLDER_LEASE);
@@ -158,7 +167,7 @@
 }
 
 #[test]
-fn strangers_and_other_numbers_get_no_grant() {
+fn other_first_members_and_fencing_numbers_get_no_grant() {
     let mut agent = fixture::second_member();
     let stranger = member::Request { first: "i2".into(), ..fixture::grant_request(fixture::FENCE) };
 
@@ -171,10 +180,10 @@
     assert!(!responses.iter().any(fixture::is_granted));
 }
 
-// An engine that ignores fencing numbers takes orders in whatever order they come. A second order
-// goes out only when the first has been answered, or the older might be carried out last.
+// An engine that ignores fencing numbers carries out orders as they arrive. A second order is sent
+// only after the response to the first, otherwise the older one might be carried out last.
 #[test]
-fn orders_go_out_one_at_a_time() {
+fn orders_are_sent_one_at_a_time() {
     let mut agent = fixture::engine_agent("i1");
     agent.renew_lease(Duration::ZERO);
     agent.wait_for_grant_guard();
@@ -191,10 +200,10 @@
     assert!(!fixture::is_granted(&stale));
 }
 
-// A late order of the process before reaches the engine after this one's was carried out. The
-// probe shows it: the member stops standing by the group and orders anew.
+// A late order of the previous process reaches the engine after this process's order was carried
+// out. The probe shows it: the member stops granting and sends a new order.
 #[test]
-fn engine_that_took_a_late_order_is_ordered_anew() {
+fn engine_that_carried_out_a_late_order_gets_a_new_order() {
     let mut agent = fixture::second_member();
     agent.advance(Duration::from_millis(1_000));
     agent.renew_lease(Duration::ZERO);
@@ -206,10 +215,10 @@
     assert!(!fixture::is_granted(&response));
 }
 
-// The first member's view moves on to another placement: what runs under the old one is ended at
-// once, before its engine is loaded anew.
+// The first member's view changes to another placement: attempts under the old one are aborted at
+// once, before the engine loads again.
 #[test]
-fn moved_first_member_ends_what_runs() {
+fn moved_first_member_aborts_running_attempts() {
     let mut agent = fixture::first_member();
     agent.forward(fixture::offer(1));
 
--- a/crates/hyssopfork-agent/tests/agent/stop.rs
+++ b/crates/hyssopfork-agent/tests/agent/stop.rs
@@ -1,29 +1,29 @@
-//! Graceful stop: nothing new, and nothing in flight is cut off.
+//! Graceful stop: no new attempts are admitted, and none in flight is aborted.
 
 use crate::fixture;
 use hyssopfork_agent::event;
 use hyssopfork_wire::{member, refusal, timing};
 use std::time::Duration;
 
-// A long answer runs while the process is asked to stop: it ends in full, and only then the
-// process does.
+// A long response is in flight when the process is asked to stop: the process stops only after it
+// is complete.
 #[test]
-fn what_runs_is_finished() {
+fn running_attempts_finish_before_the_process_stops() {
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
 
     agent.step(event::Event::Stop);
-    let refusal = agent.offer(fixture::service_offer(2));
+    let rejection = agent.offer(fixture::service_offer(2));
     let waiting = agent.advance(timing::HOLDER_LEASE * 3);
     let ended = agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
 
-    assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::Draining));
+    assert_eq!(rejection.map(|r| r.reason), Some(refusal::Reason::Draining));
     assert!(!fixture::has_stopped(&waiting) && !fixture::has_abort(&waiting));
     assert!(fixture::has_stopped(&ended));
 }
 
 #[test]
-fn overdue_work_and_a_second_stop_end_with_an_error() {
+fn time_limit_and_second_stop_abort_running_attempts() {
     let mut overdue = fixture::service_agent(true);
     overdue.forward(fixture::service_offer(1));
     let mut twice = fixture::service_agent(true);
@@ -43,12 +43,12 @@
     }
 }
 
-// A member that isn't the first is asked to stop while its group answers a long request. It stands
-// by the group, even without a lease, until the first member takes nothing new and nothing runs; from
-// then on it never does again. (Seeds 230, 235 and 349 of the histories found one that did: refused,
-// the first member no longer drained, asked again and got a grant, so that the process never ended.)
+// A member other than the first is asked to stop while its group serves a long request. It
+// continues to grant, even without a lease, until the first member is draining and idle, and then
+// never again. Otherwise the first member would stop draining after the rejection and get a new
+// grant, and the process would never exit (seeds 230, 235 and 349 of the histories).
 #[test]
-fn leaving_member_stands_by_what_runs() {
+fn leaving_member_grants_until_the_first_member_is_idle() {
     let mut agent = fixture::second_member();
     let request = fixture::grant_request(fixture::FENCE);
     agent.request_grant(request.clone());
@@ -71,10 +71,10 @@
     assert!(fixture::has_stopped(&actions));
 }
 
-// The first member learns from a grant that its giver leaves: what runs goes on, nothing new is
-// taken, and its next request says so.
+// The first member learns from a grant that the other member is leaving: running attempts continue,
+// new ones are rejected, and its next grant request says that it is draining.
 #[test]
-fn first_member_of_a_leaving_one_drains() {
+fn first_member_drains_when_another_member_leaves() {
     let mut agent = fixture::first_member();
     agent.forward(fixture::offer(1));
     let duration = timing::GROUP_GRANT;
@@ -85,44 +85,46 @@
         version,
         leaving: true,
     });
-    let refusal = agent.offer(fixture::offer(2));
-    let asked = agent.advance(timing::GROUP_RENEWAL_INTERVAL + Duration::from_millis(25));
+    let rejection = agent.offer(fixture::offer(2));
+    let actions = agent.advance(timing::GROUP_RENEWAL_INTERVAL + Duration::from_millis(25));
 
     assert!(!fixture::has_abort(&answered));
-    assert_eq!(refusal.map(|r| r.reason), Some(refusal::Reason::Draining));
-    let (_, request) =
-        asked.iter().find_map(fixture::find_grant_request).expect("the member is asked");
+    assert_eq!(rejection.map(|r| r.reason), Some(refusal::Reason::Draining));
+    let (_, request) = actions
+        .iter()
+        .find_map(fixture::find_grant_request)
+        .expect("the member gets a grant request");
     assert!(request.draining && request.running == 1);
 }
 
-// Found by random histories: a member left and came back as another process before control
-// had moved the group. Its first member went on draining for the process that had left, for good.
+// A member left and came back as a new process before control had moved the group, and the first
+// member kept draining for the previous process forever (random histories).
 #[test]
-fn member_that_came_back_ends_the_draining() {
+fn returning_member_ends_the_draining() {
     let mut agent = fixture::first_member();
     let duration = timing::GROUP_GRANT;
     let version = agent.view.version;
     agent.receive_grant_response(member::Response::Granted { duration, version, leaving: true });
 
     agent.receive_grant();
-    let refusal = agent.offer(fixture::offer(1));
+    let rejection = agent.offer(fixture::offer(1));
 
-    assert_eq!(refusal, None);
+    assert_eq!(rejection, None);
 }
 
-// An entry offers work before it has heard that the agent leaves. Gone, the process couldn't say that
-// the work didn't run; it stays until every entry has heard, and refuses.
+// An entry sends an offer before it learns that the agent is leaving. The process stays until every
+// entry has learned of it, so that it can reject the offer as not run.
 #[test]
-fn process_stays_until_entries_have_heard() {
+fn process_stays_until_entries_know_that_it_leaves() {
     let mut agent = fixture::service_agent(true);
 
     agent.step(event::Event::Stop);
     let heard = agent.renew_lease(Duration::ZERO);
     let early = agent.advance(timing::IN_FORCE_BOUND - Duration::from_millis(50));
-    let refusal = agent.offer(fixture::service_offer(1));
+    let rejection = agent.offer(fixture::service_offer(1));
     let late = agent.advance(Duration::from_millis(100));
 
     assert!(!fixture::has_stopped(&heard) && !fixture::has_stopped(&early));
-    assert_eq!(refusal.map(|r| r.ran), Some(refusal::Ran::NotRun));
+    assert_eq!(rejection.map(|r| r.ran), Some(refusal::Ran::NotRun));
     assert!(fixture::has_stopped(&late));
 }
