--- a/crates/hyssopfork-agent/src/admission.rs
+++ b/crates/hyssopfork-agent/src/admission.rs
@@ -66,7 +66,8 @@
     /// it holds an unexpired grant from every other member.
     pub fn is_group_complete(&self) -> bool {
         let view = self.watcher.view();
-        let Some((_, placement, 0)) = upstream::placement(view, &self.announcement.instance) else {
+        let Some((_, placement, 0)) = upstream::placement_of(view, &self.announcement.instance)
+        else {
             return false;
         };
         self.held_grants.fence() == placement.fence
@@ -128,7 +129,7 @@
 
     fn check_group(&self, offer: &attempt::Offer) -> Result<(), refusal::Refusal> {
         let view = self.watcher.view();
-        let placed = upstream::placement(view, &self.announcement.instance);
+        let placed = upstream::placement_of(view, &self.announcement.instance);
         let Some((group, placement, 0)) = placed else {
             return reject(refusal::Reason::GroupIncomplete, SHORT_RETRY_DELAY);
         };
@@ -164,22 +165,22 @@
     view: &hyssopfork_wire::change::View,
     instance: &hyssopfork_wire::name::Instance,
 ) -> Result<(), refusal::Refusal> {
-    match upstream::obstacle(view, instance) {
+    match upstream::ineligibility(view, instance) {
         // Control infers absence from missing renewals; whether a member is available is decided by
         // its grants.
-        None | Some(upstream::Obstacle::Absent) => Ok(()),
-        Some(upstream::Obstacle::Drained | upstream::Obstacle::Leaving) => {
+        None | Some(upstream::Ineligibility::Absent) => Ok(()),
+        Some(upstream::Ineligibility::Drained | upstream::Ineligibility::Leaving) => {
             reject(refusal::Reason::Draining, LONG_RETRY_DELAY)
         }
         Some(
-            upstream::Obstacle::ZoneOut
-            | upstream::Obstacle::ZoneUndeclared
-            | upstream::Obstacle::ZoneNotAllowed,
+            upstream::Ineligibility::ZoneOut
+            | upstream::Ineligibility::ZoneUndeclared
+            | upstream::Ineligibility::ZoneNotAllowed,
         ) => reject(refusal::Reason::ZoneOut, LONG_RETRY_DELAY),
         Some(
-            upstream::Obstacle::Unrecorded
-            | upstream::Obstacle::PoolUndeclared
-            | upstream::Obstacle::KindDiffers,
+            upstream::Ineligibility::Unrecorded
+            | upstream::Ineligibility::PoolUndeclared
+            | upstream::Ineligibility::KindDiffers,
         ) => reject(refusal::Reason::NoUpstream, LONG_RETRY_DELAY),
     }
 }
--- a/crates/hyssopfork-agent/src/core.rs
+++ b/crates/hyssopfork-agent/src/core.rs
@@ -218,7 +218,7 @@
     /// Fencing number that the view places this instance under.
     pub(crate) fn placed_fence(&self) -> Option<number::Fence> {
         let view = self.watcher.view();
-        upstream::placement(view, &self.announcement.instance)
+        upstream::placement_of(view, &self.announcement.instance)
             .map(|(_, placement, _)| placement.fence)
     }
 
--- a/crates/hyssopfork-control/tests/solo/answering.rs
+++ b/crates/hyssopfork-control/tests/solo/responses.rs
@@ -1,4 +1,4 @@
-//! Who is answered what, and when.
+//! Responses to calls: their content and time.
 
 use crate::solo::fixture;
 use hyssopfork_control::{calls, event, notice, steps};
@@ -15,10 +15,10 @@
     vec![patch::Operation::SetZoneOut("zone-a".into(), out)]
 }
 
-fn entry(have: u64) -> control::Request {
+fn entry(version: u64) -> control::Request {
     let holder = control::Holder::Entry("entry".into());
-    let have = number::Version(have);
-    control::Request::Renew(control::Renewal { holder, version: have, leaving: false })
+    let version = number::Version(version);
+    control::Request::Renew(control::Renewal { holder, version, leaving: false })
 }
 
 fn claim(attempt: u64) -> control::Request {
@@ -27,24 +27,24 @@
     control::Request::Claim(claim::Claim { key, digest: [0; 32], attempt })
 }
 
-// A leader restarts and is elected again. It has the accepted patch on its disk but has not applied
-// it yet; a lease now would be one on the view before the patch, and a zone that was taken out
-// would receive work for as long as that lease runs.
+// A leader restarts and is elected again. The accepted patch is on its disk but not applied yet. A
+// lease granted now would cover the view before the patch, and a zone that was taken out would
+// receive work for as long as that lease runs.
 #[test]
 fn a_new_leader_gives_no_lease_before_it_has_applied_an_entry_of_its_own_term() {
     let durable = fixture::Solo::leading().durable;
     let mut solo = fixture::Solo::start(durable);
-    solo.pass(Duration::from_millis(20));
-    solo.syncs = false;
-    solo.pass(Duration::from_secs(2));
-    let ballot = solo.held.pop().expect("stands for election");
+    solo.advance(Duration::from_millis(20));
+    solo.sync_writes = false;
+    solo.advance(Duration::from_secs(2));
+    let ballot = solo.held_writes.pop().expect("stands for election");
     solo.step(event::Event::Persisted(ballot.number));
-    solo.pass(Duration::from_millis(200));
+    solo.advance(Duration::from_millis(200));
 
-    let early = solo.ask(entry(0));
-    let mark = solo.held.last().expect("appends an entry of its term").number;
+    let early = solo.request(entry(0));
+    let mark = solo.held_writes.last().expect("appends an entry of its term").number;
     solo.step(event::Event::Persisted(mark));
-    let later = solo.ask(entry(0));
+    let later = solo.request(entry(0));
 
     assert_eq!(early, Some(control::Response::NotLeader(None)));
     let Some(control::Response::Granted(grant)) = later else { panic!("{later:?}") };
@@ -52,19 +52,19 @@
     assert_eq!(view.configuration.number, number::Configuration(1));
 }
 
-// The caller's patch was appended by a leader that lost it; another leader's entry stands at the
-// same index. Its reply must not be told as the caller's.
+// A client's patch was appended by a leader that lost leadership, and another leader's entry was
+// committed at the same index. That entry's reply must not be returned to the client.
 #[test]
-fn an_entry_of_another_term_answers_nobody() {
+fn an_entry_of_another_term_completes_no_call() {
     let mut calls = calls::Calls::default();
     let now = clock::Instant::ORIGIN;
-    let ticket = calls.wait(now, calls::Purpose::Call(1));
-    calls.append(ticket, number::Index(5), number::Term(1));
+    let ticket = calls.register(now, calls::Purpose::Call(1));
+    calls.record_position(ticket, number::Index(5), number::Term(1));
 
-    let purpose = calls.apply(number::Index(5), number::Term(2));
+    let purpose = calls.take_applied(number::Index(5), number::Term(2));
 
     assert!(purpose.is_none());
-    assert_eq!(calls.due(now + calls::PATIENCE), [1]);
+    assert_eq!(calls.take_expired(now + calls::PROPOSAL_TIMEOUT), [1]);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let view = change::View { version, ..Default::default() };
     steps.push(change::Step { version, changes: Vec::new() });
 
-    let update = |have| steps.update(&view, number::Version(have));
+    let update = |version| steps.update(&view, number::Version(version));
 
     assert_eq!(update(12), Some(change::Update::Current));
     assert!(matches!(update(10), Some(change::Update::Steps(steps)) if steps.len() == 1));
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn kept_steps_are_bounded_by_count() {
+fn retained_steps_are_bounded_by_count() {
     let mut steps = steps::Steps::new(number::Version(0));
-    let newest = steps::COUNT_LIMIT as u64 + 5;
+    let newest = steps::MAX_STEPS as u64 + 5;
     let view = change::View { version: number::Version(newest), ..Default::default() };
 
     for version in 1..=newest {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn kept_steps_are_bounded_by_weight() {
+fn retained_steps_are_bounded_by_bytes() {
     let mut steps = steps::Steps::new(number::Version(0));
     let view = change::View { version: number::Version(20), ..Default::default() };
     let forgotten = change::Change::Forgotten("x".repeat(1_000).as_str().into());
@@ -113,8 +113,8 @@
     assert!(matches!(steps.update(&view, number::Version(11)), Some(change::Update::Whole(_))));
 }
 
-// The log holds a command of another release. An instance that passed over it would hold another
-// state than the others from then on, and nobody would notice.
+// The log contains a command of another release. An instance that skipped it would diverge from the
+// other replicas, and nobody would notice.
 #[test]
 #[should_panic(expected = "a command of encoding 9 is in the log")]
 fn a_command_that_cannot_be_read_ends_the_process() {
@@ -127,17 +127,17 @@
     durable.entries.iter_mut().for_each(unreadable);
 
     let mut solo = fixture::Solo::start(durable);
-    solo.pass(Duration::from_secs(3));
+    solo.advance(Duration::from_secs(3));
 }
 
 #[test]
-fn a_watcher_that_is_behind_when_it_asks_is_told_without_waiting() {
+fn a_stale_watcher_is_answered_without_waiting() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
+    let version = solo.view().version;
     solo.submit("out", zone_out(true));
 
-    let watch = solo.call(control::Request::Watch(have));
-    solo.pass(Duration::from_millis(20));
+    let watch = solo.call(control::Request::Watch(version));
+    solo.advance(Duration::from_millis(20));
 
     assert!(matches!(
         solo.replies.get(&watch),
@@ -146,44 +146,44 @@
 }
 
 #[test]
-fn a_watch_is_held_until_the_view_moves_or_its_time_is_up() {
+fn a_watch_is_held_until_the_view_changes_or_its_deadline() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
-    let moved = solo.call(control::Request::Watch(have));
-    let abandoned = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let answered = solo.call(control::Request::Watch(version));
+    let abandoned = solo.call(control::Request::Watch(version));
     solo.step(event::Event::Abandoned(abandoned));
-    let held = !solo.replies.contains_key(&moved);
+    let held = !solo.replies.contains_key(&answered);
 
     solo.submit("out", zone_out(true));
-    let have = solo.view().version;
-    let quiet = solo.call(control::Request::Watch(have));
-    solo.pass(timing::LONG_POLL_TIMEOUT);
+    let version = solo.view().version;
+    let quiet = solo.call(control::Request::Watch(version));
+    solo.advance(timing::LONG_POLL_TIMEOUT);
 
     assert!(held);
     assert!(matches!(
-        &solo.replies[&moved],
+        &solo.replies[&answered],
         control::Response::Updated(change::Update::Steps(steps)) if steps.len() == 1
     ));
     assert_eq!(solo.replies[&quiet], control::Response::Updated(change::Update::Current));
     assert!(!solo.replies.contains_key(&abandoned));
 }
 
-// Many changes follow each other within a moment, as when a fleet starts. Told of each by itself,
-// thousands of watchers would keep the leader busy with nothing but answers.
+// Many changes are applied within a moment, as when a fleet starts. If each were sent by itself to
+// thousands of watchers, the leader would have no time for anything else.
 #[test]
-fn changes_that_follow_at_once_are_told_in_one_answer() {
+fn changes_in_quick_succession_are_sent_in_one_response() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
-    solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    solo.call(control::Request::Watch(version));
     solo.submit("out", zone_out(true));
     solo.replies.clear();
 
-    let have = solo.view().version;
-    let watch = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let watch = solo.call(control::Request::Watch(version));
     solo.submit("back", zone_out(false));
     solo.submit("again", zone_out(true));
     let at_once = solo.replies.contains_key(&watch);
-    solo.pass(Duration::from_millis(20));
+    solo.advance(Duration::from_millis(20));
 
     assert!(!at_once);
     assert!(matches!(
@@ -192,29 +192,29 @@
     ));
 }
 
-// A leader loses its quorum while a patch is pending. It may be committed by the next leader or
-// not, so the operator is told neither "accepted" nor "refused".
+// A leader loses its quorum while a patch is pending. The next leader may commit the patch or not,
+// so the operator must be told neither that it was accepted nor that it was rejected.
 #[test]
-fn a_call_whose_end_is_not_known_in_time_is_told_so() {
+fn a_call_that_times_out_is_answered_with_an_unknown_outcome() {
     let mut solo = fixture::Solo::leading();
-    solo.syncs = false;
+    solo.sync_writes = false;
 
     let call = solo.submit("out", zone_out(true));
-    solo.pass(calls::PATIENCE);
+    solo.advance(calls::PROPOSAL_TIMEOUT);
 
     assert_eq!(call, None);
     assert_eq!(solo.replies.values().collect::<Vec<_>>(), [&control::Response::Unknown]);
 }
 
 #[test]
-fn a_claim_whose_holder_fell_silent_becomes_unknown_by_the_leader_s_clock() {
+fn a_claim_without_an_outcome_becomes_unknown_by_the_leader_s_clock() {
     let mut solo = fixture::Solo::leading();
-    let granted = solo.ask(claim(1));
+    let granted = solo.request(claim(1));
 
-    solo.pass(claims::PROGRESS_LIMIT - claims::GRAIN);
-    let early = solo.ask(claim(2));
-    solo.pass(claims::GRAIN * 3);
-    let late = solo.ask(claim(3));
+    solo.advance(claims::IN_PROGRESS_TIMEOUT - claims::AGING_INTERVAL);
+    let early = solo.request(claim(2));
+    solo.advance(claims::AGING_INTERVAL * 3);
+    let late = solo.request(claim(3));
 
     let claimed = |reply| Some(control::Response::Claimed(reply));
     assert_eq!(granted, claimed(claim::Reply::Granted));
@@ -224,22 +224,22 @@
 }
 
 #[test]
-fn a_leader_that_stops_answers_held_calls_and_takes_no_more() {
+fn a_leader_that_stops_answers_held_calls_and_rejects_new_ones() {
     let mut solo = fixture::Solo::leading();
-    let have = solo.view().version;
-    let watch = solo.call(control::Request::Watch(have));
+    let version = solo.view().version;
+    let watch = solo.call(control::Request::Watch(version));
 
     solo.step(event::Event::Stop);
-    let refused = solo.ask(entry(0));
-    solo.pass(Duration::from_secs(3));
+    let rejected = solo.request(entry(0));
+    solo.advance(Duration::from_secs(3));
 
-    assert!(matches!(refused, Some(control::Response::NotLeader(_)) | None));
+    assert!(matches!(rejected, Some(control::Response::NotLeader(_)) | None));
     assert!(matches!(solo.replies[&watch], control::Response::NotLeader(_)));
     assert!(solo.stopped);
 }
 
 #[test]
-fn a_patch_too_long_for_the_log_is_refused_with_its_remedy() {
+fn a_patch_too_long_for_the_log_is_rejected_with_its_remedy() {
     let mut solo = fixture::Solo::leading();
     let put = |count: u32| {
         patch::Operation::PutGroup(
@@ -257,9 +257,9 @@
 }
 
 #[test]
-fn notices_have_numbers_of_their_own() {
+fn notices_have_distinct_numbers() {
     let mut solo = fixture::Solo::leading();
-    solo.live(Duration::from_secs(2));
+    solo.run(Duration::from_secs(2));
 
     let own = solo.notices.iter().filter(|it| !matches!(it, notice::Notice::Log(_)));
     let numbers: BTreeSet<u16> = own.clone().map(notice::Notice::number).collect();
--- a/crates/hyssopfork-entry/src/lib.rs
+++ b/crates/hyssopfork-entry/src/lib.rs
@@ -1,20 +1,21 @@
-//! Entry role as a step function.
+//! Entry role as a deterministic state machine: events in, actions out.
 //!
-//! An entry takes callers' requests, chooses upstreams and sees each request to exactly one final
-//! answer: the whole answer, a cut that says so, or a refusal that says whether work ran.
+//! An entry accepts clients' requests, chooses upstreams and gives each request exactly one final
+//! response: the complete response, an aborted one that is marked as such, or a rejection that says
+//! whether the work may have run.
 
 pub mod action;
-pub mod arrival;
 pub mod attempt;
+mod attempt_events;
 mod claims;
+mod completion;
 pub mod core;
-mod ending;
+mod dispatch;
 pub mod estimate;
 pub mod event;
-pub mod measure;
+pub mod measurement;
 pub mod notice;
-mod offer;
 pub mod pool;
 pub mod request;
-mod serve;
-pub mod stream;
+pub mod routing;
+pub mod sse;
--- a/crates/hyssopfork-entry/tests/entry/fixture.rs
+++ b/crates/hyssopfork-entry/tests/entry/fixture.rs
@@ -1,4 +1,4 @@
-//! Fixtures: an entry with a view and a lease before three services and two groups.
+//! Test fixture: an entry with a view and a lease, two services and two serving groups.
 
 use hyssopfork_entry::{action, core, event};
 use hyssopfork_wire::{
@@ -7,19 +7,19 @@
 use std::net;
 use std::time::Duration;
 
-/// Time that the fixture's entry gives what is in flight when it is stopped.
-pub const STOP_LIMIT: Duration = Duration::from_secs(30);
+/// Stop timeout of the fixture's entry.
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An entry and the time on its clock.
 pub struct Entry {
     pub core: core::Core,
     pub now: clock::Instant,
     pub view: change::View,
-    renewal: Option<u64>,
-    requests: u64,
+    renewal_call: Option<u64>,
+    last_request: u64,
 }
 
-/// What an entry offered.
+/// An attempt that the entry offered.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub to: net::SocketAddr,
@@ -27,31 +27,31 @@
     pub collect: bool,
 }
 
-/// A call about a claim.
+/// A call to control about a claim.
 pub struct ClaimCall {
     pub call: u64,
     pub request: control::Request,
 }
 
-/// An entry that can serve.
+/// An entry that holds a lease.
 pub fn entry() -> Entry {
-    let mut entry = stranger();
-    entry.hold();
+    let mut entry = entry_without_lease();
+    entry.acquire_lease();
     entry
 }
 
 /// An entry that has not heard from control yet.
-pub fn stranger() -> Entry {
+pub fn entry_without_lease() -> Entry {
     let now = clock::Instant::from_millis(1_000);
     let settings = core::Settings {
         instance: "entry-1".into(),
         zone: "zone-a".into(),
         control: vec![address(1), address(2)],
         boot: 99,
-        stop_limit: STOP_LIMIT,
+        stop_timeout: STOP_TIMEOUT,
     };
     let core = core::Core::new(settings, 1, now);
-    Entry { core, now, view: view(), renewal: None, requests: 0 }
+    Entry { core, now, view: view(), renewal_call: None, last_request: 0 }
 }
 
 pub fn arrival(path: &str) -> event::Arrival {
@@ -60,16 +60,16 @@
         method: "POST".into(),
         path: path.into(),
         headers: Vec::new(),
-        key: None,
+        idempotency_key: None,
         digest: [7; 32],
-        length: 10,
-        prefix: None,
-        cost: 100,
+        body_bytes: 10,
+        prefix_hash: None,
+        cost_tokens: 100,
     }
 }
 
-pub fn keyed(key: &str) -> event::Arrival {
-    event::Arrival { key: Some(key.into()), ..arrival("/lodge") }
+pub fn arrival_with_key(key: &str) -> event::Arrival {
+    event::Arrival { idempotency_key: Some(key.into()), ..arrival("/lodge") }
 }
 
 pub fn head(stream: bool) -> frame::Head {
@@ -80,126 +80,138 @@
 impl Entry {
     pub fn step(&mut self, event: event::Event) -> Vec<action::Action> {
         let actions = self.core.step(self.now, event);
-        self.renewal = actions.iter().find_map(renewal).or(self.renewal);
+        self.renewal_call = actions.iter().find_map(find_renewal_call).or(self.renewal_call);
         actions
     }
 
-    /// Time passes in ticks; no call is answered.
-    pub fn pass(&mut self, span: Duration) -> Vec<action::Action> {
+    /// Advances the time in ticks; calls to control stay unanswered.
+    pub fn advance_without_replies(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            self.now = (self.now + action::TICK).min(end);
+            self.now = (self.now + action::TICK_INTERVAL).min(end);
             actions.extend(self.step(event::Event::Tick));
         }
         actions
     }
 
-    /// Time passes in ticks, and renewals are answered.
-    pub fn live(&mut self, span: Duration) -> Vec<action::Action> {
+    /// Advances the time in ticks; renewals are answered.
+    pub fn advance(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            let rest = self.now.until(end).min(Duration::from_millis(100));
-            actions.extend(self.pass(rest));
-            if self.renewal.is_some() {
-                actions.extend(self.grant());
+            let step = self.now.until(end).min(Duration::from_millis(100));
+            actions.extend(self.advance_without_replies(step));
+            if self.renewal_call.is_some() {
+                actions.extend(self.grant_lease());
             }
         }
         actions
     }
 
-    /// Takes a lease on the fixture's view.
-    pub fn hold(&mut self) -> Vec<action::Action> {
-        while self.renewal.is_none() {
-            self.now = self.now + action::TICK;
+    /// Acquires a lease on the fixture's view.
+    pub fn acquire_lease(&mut self) -> Vec<action::Action> {
+        while self.renewal_call.is_none() {
+            self.now = self.now + action::TICK_INTERVAL;
             self.step(event::Event::Tick);
         }
-        self.grant()
+        self.grant_lease()
     }
 
-    /// The view moves on to another one.
-    pub fn change(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
+    /// Changes the view and renews the lease on it.
+    pub fn change_view(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
         change(&mut self.view);
         self.view.version = self.view.version.next();
-        self.hold()
+        self.acquire_lease()
     }
 
-    fn grant(&mut self) -> Vec<action::Action> {
-        let call = self.renewal.take().expect("a renewal is outstanding");
+    fn grant_lease(&mut self) -> Vec<action::Action> {
+        let call = self.renewal_call.take().expect("a renewal is outstanding");
         let update = change::Update::Whole(Box::new(self.view.clone()));
-        let term = timing::HOLDER_LEASE;
-        let grant = control::Grant { duration: term, update, incarnation: None };
+        let duration = timing::HOLDER_LEASE;
+        let grant = control::Grant { duration, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
-        self.step(event::Event::Controlled { call, response })
+        self.step(event::Event::ControlResponded { call, response })
     }
 
-    /// A request arrives; its number, and what is done.
+    /// A request arrives; returns its number and the resulting actions.
     pub fn arrive(&mut self, arrival: event::Arrival) -> (u64, Vec<action::Action>) {
-        self.requests += 1;
-        let request = self.requests;
-        (request, self.step(event::Event::Arrived { request, arrival }))
+        self.last_request += 1;
+        let request = self.last_request;
+        (request, self.step(event::Event::RequestArrived { request, arrival }))
     }
 
-    /// A request arrives and is offered; its number and the offer.
-    pub fn offered(&mut self, arrival: event::Arrival) -> (u64, Start) {
+    /// A request arrives and is offered; returns its number and the offer.
+    pub fn arrive_and_offer(&mut self, arrival: event::Arrival) -> (u64, Start) {
         let (request, actions) = self.arrive(arrival);
-        (request, start(&actions))
+        (request, single_start(&actions))
     }
 
-    /// The answer of an attempt begins.
-    pub fn begin(&mut self, attempt: attempt::Identifier, stream: bool) -> Vec<action::Action> {
-        self.step(event::Event::Started(attempt));
-        let actions = self.step(event::Event::Headed(attempt, head(stream)));
-        self.step(event::Event::Begun(attempt));
+    /// The response to an attempt starts.
+    pub fn start_response(
+        &mut self,
+        attempt: attempt::Identifier,
+        stream: bool,
+    ) -> Vec<action::Action> {
+        self.step(event::Event::AttemptStarted(attempt));
+        let actions = self.step(event::Event::HeadReceived(attempt, head(stream)));
+        self.step(event::Event::ResponseStarted(attempt));
         actions
     }
 
-    pub fn refuse(
+    pub fn reject_attempt(
         &mut self,
         attempt: attempt::Identifier,
         refusal: refusal::Refusal,
     ) -> Vec<action::Action> {
-        self.step(event::Event::Refused(attempt, refusal))
+        self.step(event::Event::AttemptRejected(attempt, refusal))
     }
 
-    pub fn fail(
+    pub fn fail_attempt(
         &mut self,
         attempt: attempt::Identifier,
         fault: event::Fault,
         delivered: u64,
     ) -> Vec<action::Action> {
-        self.step(event::Event::Failed { attempt, fault, delivered })
+        self.step(event::Event::AttemptFailed { attempt, fault, delivered })
     }
 
-    pub fn collect(&mut self, attempt: attempt::Identifier, body: &str) -> Vec<action::Action> {
+    pub fn collect_response(
+        &mut self,
+        attempt: attempt::Identifier,
+        body: &str,
+    ) -> Vec<action::Action> {
         let body = body.to_owned().into();
-        self.step(event::Event::Collected { attempt, head: head(false), body })
+        self.step(event::Event::ResponseCollected { attempt, head: head(false), body })
     }
 
-    pub fn reply(&mut self, call: u64, response: control::Response) -> Vec<action::Action> {
-        self.step(event::Event::Controlled { call, response: Some(response) })
+    pub fn respond_to_call(
+        &mut self,
+        call: u64,
+        response: control::Response,
+    ) -> Vec<action::Action> {
+        self.step(event::Event::ControlResponded { call, response: Some(response) })
     }
 
-    /// A keyed request arrives and its claim is granted; its number and the offer.
-    pub fn claimed(&mut self, key: &str) -> (u64, Start) {
-        let (request, actions) = self.arrive(keyed(key));
-        let call = claim_call(&actions).call;
+    /// A request with a key arrives and its claim is granted; returns its number and the offer.
+    pub fn arrive_and_claim(&mut self, key: &str) -> (u64, Start) {
+        let (request, actions) = self.arrive(arrival_with_key(key));
+        let call = last_claim_call(&actions).call;
         let granted = control::Response::Claimed(claim::Reply::Granted);
-        (request, start(&self.reply(call, granted)))
+        (request, single_start(&self.respond_to_call(call, granted)))
     }
 }
 
-/// The only offer among the actions.
-pub fn start(actions: &[action::Action]) -> Start {
+/// The only attempt offered by the actions.
+pub fn single_start(actions: &[action::Action]) -> Start {
     let starts = starts(actions);
-    assert_eq!(starts.len(), 1, "one attempt is offered: {actions:?}");
+    assert_eq!(starts.len(), 1, "expected exactly one offered attempt: {actions:?}");
     starts[0].clone()
 }
 
 pub fn starts(actions: &[action::Action]) -> Vec<Start> {
     let start = |action: &action::Action| match action {
-        action::Action::Start { to, offer, collect, .. } => {
+        action::Action::StartAttempt { to, offer, collect, .. } => {
             Some(Start { to: *to, offer: (**offer).clone(), collect: *collect })
         }
         _ => None,
@@ -207,51 +219,51 @@
     actions.iter().filter_map(start).collect()
 }
 
-pub fn refused(actions: &[action::Action]) -> Option<refusal::Refusal> {
+pub fn rejection(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
-        action::Action::Refuse { refusal, .. } => Some(*refusal),
+        action::Action::Reject { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
 
-pub fn cut(actions: &[action::Action]) -> Option<refusal::Refusal> {
+pub fn abort(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
-        action::Action::Cut { refusal, .. } => Some(*refusal),
+        action::Action::Abort { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
 
-pub fn answer(actions: &[action::Action]) -> Option<String> {
+pub fn response_body(actions: &[action::Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
-        action::Action::Answer { body, .. } => String::from_utf8(body.to_vec()).ok(),
+        action::Action::Respond { body, .. } => String::from_utf8(body.to_vec()).ok(),
         _ => None,
     })
 }
 
-pub fn cancels(actions: &[action::Action]) -> Vec<attempt::Identifier> {
+pub fn cancelled_attempts(actions: &[action::Action]) -> Vec<attempt::Identifier> {
     let cancel = |action: &action::Action| match action {
-        action::Action::Cancel { attempt, .. } => Some(*attempt),
+        action::Action::CancelAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     };
     actions.iter().filter_map(cancel).collect()
 }
 
-pub fn forwards(actions: &[action::Action]) -> Vec<attempt::Identifier> {
+pub fn forwarded_attempts(actions: &[action::Action]) -> Vec<attempt::Identifier> {
     let forward = |action: &action::Action| match action {
-        action::Action::Forward { attempt, .. } => Some(*attempt),
+        action::Action::ForwardResponse { attempt, .. } => Some(*attempt),
         _ => None,
     };
     actions.iter().filter_map(forward).collect()
 }
 
-pub fn stops(actions: &[action::Action]) -> bool {
+pub fn has_stopped(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Stopped))
 }
 
 /// The last call about a claim among the actions.
-pub fn claim_call(actions: &[action::Action]) -> ClaimCall {
-    let claims = actions.iter().rev().find_map(|action| match action {
-        action::Action::Control { call, request, .. } => match **request {
+pub fn last_claim_call(actions: &[action::Action]) -> ClaimCall {
+    let call = actions.iter().rev().find_map(|action| match action {
+        action::Action::CallControl { call, request, .. } => match **request {
             control::Request::Claim(_) | control::Request::Record(..) => {
                 Some(ClaimCall { call: *call, request: (**request).clone() })
             }
@@ -259,20 +271,20 @@
         },
         _ => None,
     });
-    claims.expect("control is called about a claim")
+    call.expect("expected a call about a claim")
 }
 
-/// What is recorded by the last call among the actions.
-pub fn recorded(actions: &[action::Action]) -> claim::Outcome {
-    match claim_call(actions).request {
+/// The outcome recorded by the last call among the actions.
+pub fn recorded_outcome(actions: &[action::Action]) -> claim::Outcome {
+    match last_claim_call(actions).request {
         control::Request::Record(_, _, outcome) => outcome,
-        other => panic!("an outcome is recorded, not {other:?}"),
+        other => panic!("expected a recorded outcome, got {other:?}"),
     }
 }
 
-fn renewal(action: &action::Action) -> Option<u64> {
+fn find_renewal_call(action: &action::Action) -> Option<u64> {
     match action {
-        action::Action::Control { call, request, .. } => {
+        action::Action::CallControl { call, request, .. } => {
             matches!(**request, control::Request::Renew(_)).then_some(*call)
         }
         _ => None,
