--- a/crates/hyssopfork-agent/src/action.rs
+++ b/crates/hyssopfork-agent/src/action.rs
@@ -25,7 +25,7 @@
 /// Action.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Call a control instance; ends with an [`super::event::Event::ControlResponse`].
+    /// Call a control instance; ends with [`super::event::Event::ControlResponded`].
     CallControl {
         /// Number of the call.
         call: u64,
@@ -36,7 +36,7 @@
         /// Time after which the call counts as failed.
         timeout: Duration,
     },
-    /// Request a grant from another member; ends with an [`super::event::Event::GrantResponse`].
+    /// Request a grant from another member; ends with [`super::event::Event::GrantResponded`].
     RequestGrant {
         /// Number of the call.
         call: u64,
@@ -86,7 +86,7 @@
         /// Response.
         outcome: attempt::Cancelled,
     },
-    /// Order the engine to load a model; ends with a [`super::event::Event::LoadFinished`].
+    /// Order the engine to load a model; ends with [`super::event::Event::LoadFinished`].
     Order(Order),
     /// Log a numbered event.
     Notice(super::notice::Notice),
--- a/crates/hyssopfork-agent/src/core.rs
+++ b/crates/hyssopfork-agent/src/core.rs
@@ -84,28 +84,28 @@
         }
         match event {
             event::Event::Tick => {}
-            event::Event::ControlResponse { call, response } => {
-                self.on_control_response(now, call, response, &mut actions);
+            event::Event::ControlResponded { call, response } => {
+                self.on_control_responded(now, call, response, &mut actions);
             }
-            event::Event::GrantRequest { call, request } => {
-                self.on_grant_request(now, call, &request, &mut actions);
+            event::Event::GrantRequested { call, request } => {
+                self.on_grant_requested(now, call, &request, &mut actions);
             }
-            event::Event::GrantResponse { call, response } => {
-                self.on_grant_response(call, response)
+            event::Event::GrantResponded { call, response } => {
+                self.on_grant_responded(call, response)
             }
-            event::Event::Offer(offer) => self.on_offer(now, offer, &mut actions),
+            event::Event::OfferArrived(offer) => self.on_offer_arrived(now, offer, &mut actions),
             event::Event::Connected(attempt) => self.on_connected(now, attempt, &mut actions),
-            event::Event::CancelRequest { call, attempt, boot } => {
-                self.on_cancel_request(call, attempt, boot, &mut actions);
+            event::Event::CancelRequested { call, attempt, boot } => {
+                self.on_cancel_requested(call, attempt, boot, &mut actions);
             }
             event::Event::ResponseStarted(_) => {}
-            event::Event::ResponseFinished(attempt) => self.on_response_finished(now, attempt),
+            event::Event::ResponseCompleted(attempt) => self.on_response_completed(now, attempt),
             event::Event::ResponseFailed(attempt, fault) => {
                 self.on_response_failed(now, attempt, fault, &mut actions)
             }
-            event::Event::Probed(health) => self.on_probe(now, now, health, &mut actions),
+            event::Event::Probed(health) => self.on_probed(now, now, health, &mut actions),
             event::Event::ProbedAt { sent_at, health } => {
-                self.on_probe(now, sent_at, health, &mut actions);
+                self.on_probed(now, sent_at, health, &mut actions);
             }
             event::Event::LoadFinished { fence, succeeded } => {
                 self.on_load_finished(now, fence, succeeded, &mut actions);
@@ -166,7 +166,7 @@
         }
     }
 
-    fn on_control_response(
+    fn on_control_responded(
         &mut self,
         now: clock::Instant,
         call: u64,
@@ -197,7 +197,7 @@
         }));
     }
 
-    fn on_probe(
+    fn on_probed(
         &mut self,
         now: clock::Instant,
         sent_at: clock::Instant,
--- a/crates/hyssopfork-agent/src/event.rs
+++ b/crates/hyssopfork-agent/src/event.rs
@@ -29,7 +29,7 @@
     /// Time has passed; occurs at least every [`super::action::TICK_INTERVAL`].
     Tick,
     /// A call to control ended.
-    ControlResponse {
+    ControlResponded {
         /// Number of the call, from [`super::action::Action::CallControl`].
         call: u64,
         /// Response; `None` if the call failed or timed out.
@@ -37,14 +37,14 @@
     },
     /// The group's first member requests a grant; the core responds with exactly one
     /// [`super::action::Action::ReplyGrant`].
-    GrantRequest {
+    GrantRequested {
         /// Number of the call, assigned by the process.
         call: u64,
         /// Request.
         request: member::Request,
     },
     /// A grant request to another member ended.
-    GrantResponse {
+    GrantResponded {
         /// Number of the call, from [`super::action::Action::RequestGrant`].
         call: u64,
         /// Response; `None` if the call failed or timed out.
@@ -52,14 +52,14 @@
     },
     /// An entry offers an attempt. An attempt with a known identifier is resumed, not started
     /// again; the core decides which, and the process transfers the bytes.
-    Offer(attempt::Offer),
+    OfferArrived(attempt::Offer),
     /// The upstream's connection is open and the first byte of the attempt is about to be written.
     /// The core checks admission again, with a new reading of the clock, and responds at once with
     /// [`super::action::Action::Forward`] or [`super::action::Action::Reject`].
     Connected(attempt::Identifier),
     /// An entry cancels an attempt; the core responds with exactly one
     /// [`super::action::Action::ReplyCancel`].
-    CancelRequest {
+    CancelRequested {
         /// Number of the call, assigned by the process.
         call: u64,
         /// Attempt.
@@ -70,7 +70,7 @@
     /// The first byte of the upstream's response arrived.
     ResponseStarted(attempt::Identifier),
     /// The upstream's response is complete.
-    ResponseFinished(attempt::Identifier),
+    ResponseCompleted(attempt::Identifier),
     /// The upstream's response failed and will not be complete.
     ResponseFailed(attempt::Identifier, Fault),
     /// A probe of the upstream ended; `None` if it did not respond. Counts as sent now: use
--- a/crates/hyssopfork-agent/src/group.rs
+++ b/crates/hyssopfork-agent/src/group.rs
@@ -21,7 +21,7 @@
 
 impl core::Core {
     /// Responds to a grant request of a group's first member.
-    pub(crate) fn on_grant_request(
+    pub(crate) fn on_grant_requested(
         &mut self,
         now: clock::Instant,
         call: u64,
@@ -41,7 +41,7 @@
     }
 
     /// Handles the response to a grant request.
-    pub(crate) fn on_grant_response(&mut self, call: u64, response: Option<member::Response>) {
+    pub(crate) fn on_grant_responded(&mut self, call: u64, response: Option<member::Response>) {
         match response {
             Some(member::Response::Granted { duration, version, leaving }) => {
                 self.watcher.on_version_seen(version);
--- a/crates/hyssopfork-agent/src/offers.rs
+++ b/crates/hyssopfork-agent/src/offers.rs
@@ -6,7 +6,7 @@
 
 impl core::Core {
     /// Handles an offer.
-    pub(crate) fn on_offer(
+    pub(crate) fn on_offer_arrived(
         &mut self,
         now: clock::Instant,
         offer: attempt::Offer,
@@ -59,7 +59,7 @@
     }
 
     /// Handles an entry's cancel request.
-    pub(crate) fn on_cancel_request(
+    pub(crate) fn on_cancel_requested(
         &mut self,
         call: u64,
         attempt: attempt::Identifier,
@@ -76,7 +76,7 @@
     }
 
     /// Handles the end of a complete response of the upstream.
-    pub(crate) fn on_response_finished(
+    pub(crate) fn on_response_completed(
         &mut self,
         now: clock::Instant,
         attempt: attempt::Identifier,
--- a/crates/hyssopfork-agent/tests/agent/admission.rs
+++ b/crates/hyssopfork-agent/tests/agent/admission.rs
@@ -23,7 +23,7 @@
 #[test]
 fn pause_between_admission_and_write_is_detected() {
     let mut agent = fixture::first_member();
-    let offered = agent.step(event::Event::Offer(fixture::offer(1)));
+    let offered = agent.step(event::Event::OfferArrived(fixture::offer(1)));
     assert!(fixture::has_connect(&offered));
 
     agent.pause(timing::HOLDER_LEASE);
@@ -38,7 +38,7 @@
 #[test]
 fn pause_longer_than_a_grant_is_detected() {
     let mut agent = fixture::first_member();
-    agent.step(event::Event::Offer(fixture::offer(1)));
+    agent.step(event::Event::OfferArrived(fixture::offer(1)));
 
     agent.pause(timing::GROUP_GRANT);
     let actions = agent.step(event::Event::Connected(fixture::identifier(1)));
@@ -198,7 +198,7 @@
 fn attempt_admitted_before_a_failure_is_not_forwarded_after_it() {
     let mut agent = fixture::first_member();
     agent.forward(fixture::offer(1));
-    assert!(fixture::has_connect(&agent.step(event::Event::Offer(fixture::offer(2)))));
+    assert!(fixture::has_connect(&agent.step(event::Event::OfferArrived(fixture::offer(2)))));
 
     agent.step(event::Event::ResponseFailed(fixture::identifier(1), event::Fault::Broken));
     let actions = agent.step(event::Event::Connected(fixture::identifier(2)));
@@ -211,7 +211,7 @@
 
 fn complete(agent: &mut fixture::Agent, first: u64, count: u64) {
     for count in first..first + count {
-        agent.step(event::Event::ResponseFinished(fixture::identifier(count)));
+        agent.step(event::Event::ResponseCompleted(fixture::identifier(count)));
     }
 }
 
@@ -280,7 +280,7 @@
     let mut agent = fixture::service_agent(true);
     let offer = fixture::service_offer(1);
     let deadline = offer.deadline;
-    agent.step(event::Event::Offer(offer));
+    agent.step(event::Event::OfferArrived(offer));
     for _ in 0..5 {
         agent.pause(deadline / 5);
         agent.probe(Some(fixture::health("a", None)));
--- a/crates/hyssopfork-agent/tests/agent/attempts.rs
+++ b/crates/hyssopfork-agent/tests/agent/attempts.rs
@@ -23,7 +23,7 @@
 #[test]
 fn cancel_racing_with_the_start_reports_the_actual_state() {
     let mut agent = fixture::service_agent(true);
-    agent.step(event::Event::Offer(fixture::service_offer(1)));
+    agent.step(event::Event::OfferArrived(fixture::service_offer(1)));
     let prepared = agent.cancel(1);
     let ready = agent.step(event::Event::Connected(fixture::identifier(1)));
     agent.forward(fixture::service_offer(2));
@@ -41,10 +41,10 @@
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
 
-    let running = agent.step(event::Event::Offer(fixture::service_offer(1)));
+    let running = agent.step(event::Event::OfferArrived(fixture::service_offer(1)));
     let ready = agent.step(event::Event::Connected(fixture::identifier(1)));
-    agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
-    let finished = agent.step(event::Event::Offer(fixture::service_offer(1)));
+    agent.step(event::Event::ResponseCompleted(fixture::identifier(1)));
+    let finished = agent.step(event::Event::OfferArrived(fixture::service_offer(1)));
     let cancelled = agent.cancel(1);
 
     let takes_up = |actions: &[action::Action]| {
@@ -61,7 +61,7 @@
 fn duplicate_offer_after_the_retention_period_does_not_start() {
     let mut agent = fixture::service_agent(true);
     agent.forward(fixture::service_offer(1));
-    agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
+    agent.step(event::Event::ResponseCompleted(fixture::identifier(1)));
     agent.advance(timing::RESPONSE_RETENTION);
     agent.renew_lease(std::time::Duration::ZERO);
     agent.probe(Some(fixture::health("a", None)));
@@ -98,7 +98,7 @@
         attempt: attempt::Identifier { boot: 98, count: 1 },
         ..fixture::service_offer(1)
     };
-    agent.step(event::Event::CancelRequest {
+    agent.step(event::Event::CancelRequested {
         call: 1,
         attempt: other.attempt,
         boot: fixture::BOOT,
@@ -128,7 +128,7 @@
 
     let first = agent.offer(other(1, true));
     let again = agent.offer(other(2, false));
-    let cancelled = agent.step(event::Event::CancelRequest {
+    let cancelled = agent.step(event::Event::CancelRequested {
         call: 3,
         attempt: fixture::identifier(3),
         boot: 6,
@@ -152,7 +152,7 @@
     agent.cancel(2);
 
     let full = agent.offer(fixture::service_offer(3));
-    agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
+    agent.step(event::Event::ResponseCompleted(fixture::identifier(1)));
     let free = agent.offer(fixture::service_offer(4));
 
     assert_eq!(full.map(|rejection| rejection.reason), Some(refusal::Reason::Cold));
--- a/crates/hyssopfork-agent/tests/agent/fixture.rs
+++ b/crates/hyssopfork-agent/tests/agent/fixture.rs
@@ -132,7 +132,7 @@
     /// Renews the lease with the fixture's view; the response arrives after `delay`.
     pub fn renew_lease(&mut self, delay: Duration) -> Vec<action::Action> {
         if let Some(call) = self.renewal.take() {
-            self.step(event::Event::ControlResponse { call, response: None });
+            self.step(event::Event::ControlResponded { call, response: None });
         }
         let call = loop {
             self.step(event::Event::Tick);
@@ -145,7 +145,7 @@
         let update = change::Update::Whole(Box::new(self.view.clone()));
         let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
-        self.step(event::Event::ControlResponse { call, response })
+        self.step(event::Event::ControlResponded { call, response })
     }
 
     /// Changes the view, as a new version, and renews the lease.
@@ -189,20 +189,20 @@
             .rev()
             .find_map(find_grant_request)
             .expect("the member gets a grant request");
-        self.step(event::Event::GrantResponse { call: request.0, response: Some(response) })
+        self.step(event::Event::GrantResponded { call: request.0, response: Some(response) })
     }
 
     /// Offers an attempt and forwards it to the upstream.
     pub fn forward(&mut self, offer: attempt::Offer) {
         let attempt = offer.attempt;
-        let offered = self.step(event::Event::Offer(offer));
+        let offered = self.step(event::Event::OfferArrived(offer));
         assert!(has_connect(&offered), "the offer is admitted: {offered:?}");
         let ready = self.step(event::Event::Connected(attempt));
         assert!(has_forward(&ready), "the attempt is forwarded: {ready:?}");
     }
 
     pub fn request_grant(&mut self, request: member::Request) -> member::Response {
-        let actions = self.step(event::Event::GrantRequest { call: 5, request });
+        let actions = self.step(event::Event::GrantRequested { call: 5, request });
         let reply = actions.into_iter().find_map(|action| match action {
             action::Action::ReplyGrant { call: 5, response } => Some(response),
             _ => None,
@@ -212,7 +212,7 @@
 
     pub fn cancel(&mut self, count: u64) -> attempt::Cancelled {
         let attempt = identifier(count);
-        let event = event::Event::CancelRequest { call: 6, attempt, boot: BOOT };
+        let event = event::Event::CancelRequested { call: 6, attempt, boot: BOOT };
         let actions = self.step(event);
         let reply = actions.into_iter().find_map(|action| match action {
             action::Action::ReplyCancel { call: 6, outcome } => Some(outcome),
@@ -223,7 +223,7 @@
 
     /// Makes an offer; returns its rejection, or `None` if it is admitted.
     pub fn offer(&mut self, offer: attempt::Offer) -> Option<refusal::Refusal> {
-        let actions = self.step(event::Event::Offer(offer));
+        let actions = self.step(event::Event::OfferArrived(offer));
         find_rejection(&actions)
     }
 }
--- a/crates/hyssopfork-agent/tests/agent/group.rs
+++ b/crates/hyssopfork-agent/tests/agent/group.rs
@@ -39,7 +39,7 @@
 
     agent.pause(timing::GROUP_GRANT);
     let granted = member::Response::Granted { duration, version, leaving: false };
-    agent.step(event::Event::GrantResponse { call, response: Some(granted) });
+    agent.step(event::Event::GrantResponded { call, response: Some(granted) });
 
     assert!(!agent.core.is_ready(agent.now));
 }
@@ -55,7 +55,7 @@
         .expect("the member gets a grant request");
     agent.receive_grant();
 
-    agent.step(event::Event::GrantResponse { call: old, response: Some(rejected.clone()) });
+    agent.step(event::Event::GrantResponded { call: old, response: Some(rejected.clone()) });
     let after_late = agent.core.is_ready(agent.now);
     agent.receive_grant_response(rejected);
     let after_new = agent.core.is_ready(agent.now);
--- a/crates/hyssopfork-agent/tests/agent/stop.rs
+++ b/crates/hyssopfork-agent/tests/agent/stop.rs
@@ -15,7 +15,7 @@
     agent.step(event::Event::Stop);
     let rejection = agent.offer(fixture::service_offer(2));
     let waiting = agent.advance(timing::HOLDER_LEASE * 3);
-    let ended = agent.step(event::Event::ResponseFinished(fixture::identifier(1)));
+    let ended = agent.step(event::Event::ResponseCompleted(fixture::identifier(1)));
 
     assert_eq!(rejection.map(|r| r.reason), Some(refusal::Reason::Draining));
     assert!(!fixture::has_stopped(&waiting) && !fixture::has_abort(&waiting));
--- a/crates/hyssopfork-daemon/src/agent/role.rs
+++ b/crates/hyssopfork-daemon/src/agent/role.rs
@@ -123,12 +123,12 @@
             Input::Cancel { attempt, boot, reply } => {
                 let call = self.next_call();
                 self.cancels.insert(call, reply);
-                self.step(event::Event::CancelRequest { call, attempt, boot });
+                self.step(event::Event::CancelRequested { call, attempt, boot });
             }
             Input::Ask(request, reply) => {
                 let call = self.next_call();
                 self.asks.insert(call, reply);
-                self.step(event::Event::GrantRequest { call, request });
+                self.step(event::Event::GrantRequested { call, request });
             }
         }
     }
@@ -149,7 +149,7 @@
         let answer = Arc::<answer::Answer>::default();
         let slot = Slot { answer: answer.clone(), orders, ended: None };
         self.slots.insert(attempt, slot);
-        self.step(event::Event::Offer(offer));
+        self.step(event::Event::OfferArrived(offer));
         let _receiver_gone = reply.send(Offered::New(answer, receiver));
     }
 
@@ -170,14 +170,14 @@
                 let links = self.links.clone();
                 self.call_back(async move {
                     let response = links.control(to, *request, timeout).await;
-                    event::Event::ControlResponse { call, response }
+                    event::Event::ControlResponded { call, response }
                 });
             }
             action::Action::RequestGrant { call, to, request, timeout } => {
                 let links = self.links.clone();
                 self.call_back(async move {
                     let response = links.stand(to, request, timeout).await;
-                    event::Event::GrantResponse { call, response }
+                    event::Event::GrantResponded { call, response }
                 });
             }
             action::Action::ReplyGrant { call, response } => {
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -93,7 +93,7 @@
         match result {
             Ok(()) => {
                 self.answer.end();
-                self.post(event::Event::ResponseFinished(self.offer.attempt));
+                self.post(event::Event::ResponseCompleted(self.offer.attempt));
             }
             Err(fault) => self.post(event::Event::ResponseFailed(self.offer.attempt, fault)),
         }
--- a/crates/hyssopfork-entry/tests/history/events.rs
+++ b/crates/hyssopfork-entry/tests/history/events.rs
@@ -263,7 +263,7 @@
         }
         self.upstreams[index].complete(attempt);
         self.append_frame(index, attempt, shell::Frame::End);
-        let ended = agent::event::Event::ResponseFinished(attempt);
+        let ended = agent::event::Event::ResponseCompleted(attempt);
         self.schedule_for(Node::Agent(index), 0, Event::Agent(index, ended));
     }
 
--- a/crates/hyssopfork-entry/tests/history/shell.rs
+++ b/crates/hyssopfork-entry/tests/history/shell.rs
@@ -110,7 +110,7 @@
             agent::action::Action::RequestGrant { call, to, request, timeout } => {
                 let to = usize::from(to.port() - 2_000);
                 let timeout = timeout.as_micros() as u64;
-                let none = agent::event::Event::GrantResponse { call, response: None };
+                let none = agent::event::Event::GrantResponded { call, response: None };
                 self.schedule_for(node, timeout, Event::Agent(index, none));
                 if let Some(delay) = self.message_delay(node, Node::Agent(to)) {
                     let grant_request = Event::GrantRequest { from: index, call, to, request };
@@ -251,7 +251,7 @@
     ) -> Event {
         match to {
             Node::Agent(index) => {
-                Event::Agent(index, agent::event::Event::ControlResponse { call, response })
+                Event::Agent(index, agent::event::Event::ControlResponded { call, response })
             }
             Node::Entry(index) => {
                 Event::Entry(index, entry::event::Event::ControlResponded { call, response })
@@ -328,7 +328,7 @@
         if known {
             self.replay(to, attempt);
         }
-        self.step_agent(to, agent::event::Event::Offer(offer));
+        self.step_agent(to, agent::event::Event::OfferArrived(offer));
     }
 
     /// Handles a cancel that reached the agent's shell.
@@ -338,7 +338,7 @@
         shell.calls += 1;
         let call = shell.calls;
         shell.cancels.insert(call, (entry, incarnation, attempt));
-        self.step_agent(to, agent::event::Event::CancelRequest { call, attempt, boot });
+        self.step_agent(to, agent::event::Event::CancelRequested { call, attempt, boot });
     }
 
     /// Handles a grant request that reached the agent's shell.
@@ -348,7 +348,7 @@
         shell.calls += 1;
         let number = shell.calls;
         shell.grant_requests.insert(number, (from, incarnation, call));
-        self.step_agent(to, agent::event::Event::GrantRequest { call: number, request });
+        self.step_agent(to, agent::event::Event::GrantRequested { call: number, request });
     }
 
     fn send_grant_response(&mut self, index: usize, call: u64, response: member::Response) {
@@ -360,7 +360,7 @@
         for _ in 0..copies {
             if let Some(delay) = self.message_delay(Node::Agent(index), Node::Agent(from)) {
                 let response = Some(response.clone());
-                let event = agent::event::Event::GrantResponse { call, response };
+                let event = agent::event::Event::GrantResponded { call, response };
                 let delivery = Event::Agent(from, event);
                 self.schedule_for_incarnation(Node::Agent(from), incarnation, delay, delivery);
             }
