--- a/crates/hyssopfork-entry/tests/history/shell.rs
+++ b/crates/hyssopfork-entry/tests/history/shell.rs
@@ -104,34 +104,34 @@
     fn execute_for_agent(&mut self, index: usize, action: agent::action::Action) {
         let node = Node::Agent(index);
         match action {
-            agent::action::Action::Control { call, request, timeout, .. } => {
+            agent::action::Action::CallControl { call, request, timeout, .. } => {
                 self.call_control(node, call, *request, timeout.as_micros() as u64);
             }
-            agent::action::Action::Stand { call, to, request, timeout } => {
+            agent::action::Action::RequestGrant { call, to, request, timeout } => {
                 let to = usize::from(to.port() - 2_000);
                 let timeout = timeout.as_micros() as u64;
-                let none = agent::event::Event::Stood { call, response: None };
+                let none = agent::event::Event::GrantResponded { call, response: None };
                 self.schedule_for(node, timeout, Event::Agent(index, none));
                 if let Some(delay) = self.message_delay(node, Node::Agent(to)) {
                     let grant_request = Event::GrantRequest { from: index, call, to, request };
                     self.schedule_for(Node::Agent(to), delay, grant_request);
                 }
             }
-            agent::action::Action::ReplyStand { call, response } => {
+            agent::action::Action::ReplyGrant { call, response } => {
                 self.send_grant_response(index, call, response);
             }
-            agent::action::Action::Prepare { attempt, load } => {
+            agent::action::Action::Connect { attempt, load } => {
                 self.append_frame(index, attempt, Frame::Load(load));
                 // Opening the connection to the upstream may take arbitrarily long.
                 let is_slow = !self.faultless && self.random.random_ratio(1, 20);
                 let max_delay = if is_slow { 3_000 * MILLIS } else { 2 * MILLIS };
                 let delay = self.random.random_range(10..max_delay);
-                let ready = agent::event::Event::Ready(attempt);
+                let ready = agent::event::Event::Connected(attempt);
                 self.schedule_for(node, delay, Event::Agent(index, ready));
             }
-            agent::action::Action::TakeUp(attempt) => self.replay(index, attempt),
+            agent::action::Action::Resume(attempt) => self.replay(index, attempt),
             agent::action::Action::Forward(attempt) => self.forward(index, attempt),
-            agent::action::Action::Refuse { attempt, refusal, load } => {
+            agent::action::Action::Reject { attempt, rejection: refusal, load } => {
                 self.append_frame(index, attempt, Frame::Load(load));
                 self.append_frame(index, attempt, Frame::Refused(refusal));
             }
@@ -251,7 +251,7 @@
     ) -> Event {
         match to {
             Node::Agent(index) => {
-                Event::Agent(index, agent::event::Event::Controlled { call, response })
+                Event::Agent(index, agent::event::Event::ControlResponded { call, response })
             }
             Node::Entry(index) => {
                 Event::Entry(index, entry::event::Event::ControlResponded { call, response })
@@ -328,7 +328,7 @@
         if known {
             self.replay(to, attempt);
         }
-        self.step_agent(to, agent::event::Event::Offered(offer));
+        self.step_agent(to, agent::event::Event::OfferArrived(offer));
     }
 
     /// Handles a cancel that reached the agent's shell.
@@ -338,7 +338,7 @@
         shell.calls += 1;
         let call = shell.calls;
         shell.cancels.insert(call, (entry, incarnation, attempt));
-        self.step_agent(to, agent::event::Event::Cancelled { call, attempt, boot });
+        self.step_agent(to, agent::event::Event::CancelRequested { call, attempt, boot });
     }
 
     /// Handles a grant request that reached the agent's shell.
@@ -348,7 +348,7 @@
         shell.calls += 1;
         let number = shell.calls;
         shell.grant_requests.insert(number, (from, incarnation, call));
-        self.step_agent(to, agent::event::Event::Asked { call: number, request });
+        self.step_agent(to, agent::event::Event::GrantRequested { call: number, request });
     }
 
     fn send_grant_response(&mut self, index: usize, call: u64, response: member::Response) {
@@ -360,7 +360,7 @@
         for _ in 0..copies {
             if let Some(delay) = self.message_delay(Node::Agent(index), Node::Agent(from)) {
                 let response = Some(response.clone());
-                let event = agent::event::Event::Stood { call, response };
+                let event = agent::event::Event::GrantResponded { call, response };
                 let delivery = Event::Agent(from, event);
                 self.schedule_for_incarnation(Node::Agent(from), incarnation, delay, delivery);
             }
