--- a/crates/hyssopfork-agent/src/lib.rs
+++ b/crates/hyssopfork-agent/src/lib.rs
@@ -1,17 +1,17 @@
-//! Agent role as a step function.
+//! Agent role: admission control in front of one upstream, as a state machine without I/O.
 //!
-//! The agent is the one gate before its back end: entries are many and may know the fleet late,
-//! so whatever must hold for one upstream is decided here.
+//! Every request to the upstream passes its agent. There are many entries, and their views of the
+//! fleet may be stale, so each condition that must hold for one upstream is enforced here.
 
 pub mod action;
+pub mod admission;
 pub mod attempts;
 pub mod core;
-pub mod engine;
 pub mod event;
-pub mod gate;
-pub mod grants;
+pub mod given_grants;
 mod group;
-pub mod memory;
+pub mod held_grants;
+pub mod monitor;
 pub mod notice;
 mod offers;
-pub mod standing;
+pub mod tombstones;
--- a/crates/hyssopfork-daemon/src/agent/role.rs
+++ b/crates/hyssopfork-daemon/src/agent/role.rs
@@ -93,7 +93,7 @@
     /// Runs until the core says that it has stopped.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<Input>) {
         actix_rt::spawn(engine::probe(self.upstream, self.mailbox.clone()));
-        mailbox::run(&mut self, inputs, action::TICK).await;
+        mailbox::run(&mut self, inputs, action::TICK_INTERVAL).await;
     }
 }
 
@@ -124,12 +124,12 @@
             Input::Cancel { attempt, boot, reply } => {
                 let call = self.next_call();
                 self.cancel_replies.insert(call, reply);
-                self.step(event::Event::Cancelled { call, attempt, boot });
+                self.step(event::Event::CancelRequested { call, attempt, boot });
             }
             Input::RequestGrant(request, reply) => {
                 let call = self.next_call();
                 self.grant_replies.insert(call, reply);
-                self.step(event::Event::Asked { call, request });
+                self.step(event::Event::GrantRequested { call, request });
             }
         }
     }
@@ -150,7 +150,7 @@
         let response = Arc::<response::Response>::default();
         let attempt = Attempt { response: response.clone(), commands, ended_at: None };
         self.attempts.insert(identifier, attempt);
-        self.step(event::Event::Offered(offer));
+        self.step(event::Event::OfferArrived(offer));
         let _receiver_gone = reply.send(Registration::New(response, receiver));
     }
 
@@ -167,32 +167,32 @@
 
     fn perform(&mut self, action: action::Action) {
         match action {
-            action::Action::Control { call, to, request, timeout } => {
+            action::Action::CallControl { call, to, request, timeout } => {
                 let clients = self.clients.clone();
                 self.post_result(async move {
                     let response = clients.call_control(to, *request, timeout).await;
-                    event::Event::Controlled { call, response }
+                    event::Event::ControlResponded { call, response }
                 });
             }
-            action::Action::Stand { call, to, request, timeout } => {
+            action::Action::RequestGrant { call, to, request, timeout } => {
                 let clients = self.clients.clone();
                 self.post_result(async move {
                     let response = clients.request_grant(to, request, timeout).await;
-                    event::Event::Stood { call, response }
+                    event::Event::GrantResponded { call, response }
                 });
             }
-            action::Action::ReplyStand { call, response } => {
+            action::Action::ReplyGrant { call, response } => {
                 send_reply(self.grant_replies.remove(&call), response)
             }
             action::Action::ReplyCancel { call, outcome } => {
                 send_reply(self.cancel_replies.remove(&call), outcome)
             }
-            action::Action::Prepare { attempt, load } => self.connect(attempt, load),
-            action::Action::TakeUp(_) => {}
+            action::Action::Connect { attempt, load } => self.connect(attempt, load),
+            action::Action::Resume(_) => {}
             action::Action::Forward(attempt) => {
                 self.send_command(attempt, upstream::Command::Forward)
             }
-            action::Action::Refuse { attempt, refusal, load } => {
+            action::Action::Reject { attempt, rejection: refusal, load } => {
                 if let Some(attempt) = self.attempts.get(&attempt) {
                     attempt.response.set_load(load);
                     attempt.response.reject(refusal);
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -77,9 +77,11 @@
         }
         let connection = match self.connect().await {
             Ok(connection) => connection,
-            Err(fault) => return self.post(event::Event::Failed(self.offer.attempt, fault)),
+            Err(fault) => {
+                return self.post(event::Event::ResponseFailed(self.offer.attempt, fault));
+            }
         };
-        self.post(event::Event::Ready(self.offer.attempt));
+        self.post(event::Event::Connected(self.offer.attempt));
         if commands.recv().await != Some(Command::Forward) {
             return;
         }
@@ -91,9 +93,9 @@
         match result {
             Ok(()) => {
                 self.response.complete();
-                self.post(event::Event::Ended(self.offer.attempt));
+                self.post(event::Event::ResponseCompleted(self.offer.attempt));
             }
-            Err(fault) => self.post(event::Event::Failed(self.offer.attempt, fault)),
+            Err(fault) => self.post(event::Event::ResponseFailed(self.offer.attempt, fault)),
         }
     }
 
@@ -121,7 +123,7 @@
         let head = frame::Head { status: head.status, headers: forwarded_headers(head.headers) };
         let needs_end_marker = is_event_stream(&head) && self.offer.group.is_some();
         self.response.set_head(head);
-        self.post(event::Event::Begun(self.offer.attempt));
+        self.post(event::Event::ResponseStarted(self.offer.attempt));
         let mut tail = Vec::new();
         while let Some(part) = connection.read_part().await.map_err(to_fault)? {
             if !self.response.append(&part) {
