--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -38,8 +38,8 @@
     /// Greets a peer.
     pub async fn greet(&self, to: net::SocketAddr, hello: peer::Hello) -> Option<peer::Greeting> {
         let (number, client) = self.client(to).await?;
-        let call =
-            client.greet(rpc::context_with_timeout(GREETING_TIMEOUT), envelope::Envelope::new(hello));
+        let call = client
+            .greet(rpc::context_with_timeout(GREETING_TIMEOUT), envelope::Envelope::new(hello));
         self.0.remove_if_failed(to, number, rpc::with_timeout(GREETING_TIMEOUT, call).await)
     }
 
@@ -60,8 +60,7 @@
         evidence: peer::Evidence,
     ) {
         let Some((number, client)) = self.client(to).await else { return };
-        let call =
-            client.note(
+        let call = client.note(
             rpc::context_with_timeout(GREETING_TIMEOUT),
             from,
             envelope::Envelope::new(evidence),
@@ -72,8 +71,8 @@
     /// Asks a peer to probe an upstream; returns whether the upstream responded.
     pub async fn probe(&self, to: net::SocketAddr, upstream: net::SocketAddr) -> bool {
         let Some((number, client)) = self.client(to).await else { return false };
-        let call =
-            client.probe(rpc::context_with_timeout(PROBE_TIMEOUT), envelope::Envelope::new(upstream));
+        let call = client
+            .probe(rpc::context_with_timeout(PROBE_TIMEOUT), envelope::Envelope::new(upstream));
         self.0
             .remove_if_failed(to, number, rpc::with_timeout(PROBE_TIMEOUT, call).await)
             .unwrap_or(false)
