--- a/crates/hyssopfork-daemon/tests/processes/at_most_once.rs
+++ b/crates/hyssopfork-daemon/tests/processes/at_most_once.rs
@@ -1,24 +1,26 @@
 //! Requests that may not be repeated, under kills of entries, agents and the leader.
 
-use crate::support::{caller, fleet, operator};
+use crate::support::{client, fleet, operator};
 use futures::future;
 use hyssopfork_test_support::{impairment, service};
 use hyssopfork_wire::patch;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-async fn served() -> (fleet::Fleet, operator::Operator) {
+async fn start_fleet() -> (fleet::Fleet, operator::Operator) {
     let slow = service::Profile { time: Duration::from_millis(100), ..Default::default() };
     let plan = fleet::Plan { engines: 0, service: slow, ..fleet::Plan::default() };
     let fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
-    operator.wait("everybody present", |status| operator::all_hold(status, 4)).await;
+    operator
+        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 4))
+        .await;
     (fleet, operator)
 }
 
-fn runs(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
+fn run_counts(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
     for (work, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
         *runs.entry(work).or_default() += count;
@@ -30,31 +32,31 @@
 // doesn't get its answer is told that it is in progress; a resend gets the recorded answer.
 #[actix_rt::test]
 async fn one_key_through_two_entries_runs_once() {
-    let (fleet, _) = served().await;
+    let (fleet, _) = start_fleet().await;
     let send = |entry: usize| {
-        caller::post(fleet.entry_addresses[entry], "/lodge", Some("one"), "{\"reference\":\"one\"}")
+        client::post(fleet.entry_addresses[entry], "/lodge", Some("one"), "{\"reference\":\"one\"}")
     };
 
     let (first, second) = future::join(send(0), send(1)).await;
     let resent = send(1).await;
 
-    let answers = [&first, &second].into_iter().filter(|got| got.is_answer()).count();
+    let answers = [&first, &second].into_iter().filter(|got| got.is_complete_success()).count();
     assert!(answers >= 1, "{first:?} {second:?}");
-    assert!(resent.is_answer(), "{resent:?}");
-    assert_eq!(runs(&fleet).values().sum::<u64>(), 1, "{:?}", runs(&fleet));
+    assert!(resent.is_complete_success(), "{resent:?}");
+    assert_eq!(run_counts(&fleet).values().sum::<u64>(), 1, "{:?}", run_counts(&fleet));
 }
 
 // A caller whose entry is killed while its lodgement runs sends the same key again through the
 // other entry: it never runs twice, and the caller is told the truth that it may have run.
 #[actix_rt::test]
 async fn a_resend_after_the_entry_was_killed_runs_nothing_twice() {
-    let (mut fleet, _) = served().await;
+    let (mut fleet, _) = start_fleet().await;
     let address = fleet.entry_addresses[0];
     let sent = actix_rt::spawn(async move {
         let sends = (0..8).map(|number| async move {
             let key = format!("key-{number}");
             let body = format!("{{\"reference\":\"{key}\"}}");
-            caller::post(address, "/lodge", Some(&key), &body).await
+            client::post(address, "/lodge", Some(&key), &body).await
         });
         future::join_all(sends).await
     });
@@ -66,13 +68,14 @@
     for number in 0..8 {
         let key = format!("key-{number}");
         let body = format!("{{\"reference\":\"{key}\"}}");
-        let got = caller::post(fleet.entry_addresses[1], "/lodge", Some(&key), &body).await;
+        let got = client::post(fleet.entry_addresses[1], "/lodge", Some(&key), &body).await;
         resent.push(got);
     }
 
-    assert!(runs(&fleet).values().all(|count| *count <= 1), "{:?}", runs(&fleet));
+    assert!(run_counts(&fleet).values().all(|count| *count <= 1), "{:?}", run_counts(&fleet));
     for (got, again) in first.iter().zip(&resent) {
-        let honest = again.is_answer() || again.says_may_have_run() || again.says_not_run();
+        let honest =
+            again.is_complete_success() || again.says_may_have_run() || again.says_not_run();
         assert!(honest, "{got:?} then {again:?}");
     }
 }
@@ -81,9 +84,9 @@
 // run, and a resend of the key doesn't run it again on the other upstream.
 #[actix_rt::test]
 async fn a_killed_agent_leaves_the_outcome_unknown() {
-    let (mut fleet, operator) = served().await;
+    let (mut fleet, operator) = start_fleet().await;
     let address = fleet.entry_addresses[0];
-    let send = move || caller::post(address, "/lodge", Some("k"), "{\"reference\":\"k\"}");
+    let send = move || client::post(address, "/lodge", Some("k"), "{\"reference\":\"k\"}");
     let sent = actix_rt::spawn(send());
 
     actix_rt::time::sleep(Duration::from_millis(60)).await;
@@ -93,37 +96,37 @@
     operator.status().await;
     let resent = send().await;
 
-    assert!(first.says_may_have_run() || first.is_answer(), "{first:?}");
+    assert!(first.says_may_have_run() || first.is_complete_success(), "{first:?}");
     assert!(!resent.says_not_run(), "{resent:?}");
-    assert_eq!(runs(&fleet).values().sum::<u64>(), 1, "{:?}", runs(&fleet));
+    assert_eq!(run_counts(&fleet).values().sum::<u64>(), 1, "{:?}", run_counts(&fleet));
 }
 
 // Found by a long run: a lodgement without a key ran twice. The upstream took the request, ran it
 // and closed the connection without an answer; the client library reports that as a failed
 // connection, the agent said "not run", and the entry sent it to the other upstream.
 #[actix_rt::test]
-async fn a_connection_closed_without_an_answer_may_have_run() {
-    let (fleet, _) = served().await;
+async fn a_connection_closed_without_a_response_may_have_run() {
+    let (fleet, _) = start_fleet().await;
     let cut = impairment::Order::Cut(0);
     fleet.services.iter().for_each(|upstream| upstream.fake.impair(cut));
 
     let body = "{\"reference\":\"closed\"}";
-    let got = caller::post(fleet.entry_addresses[0], "/lodge", None, body).await;
+    let got = client::post(fleet.entry_addresses[0], "/lodge", None, body).await;
 
     assert!(got.says_may_have_run(), "{got:?}");
-    assert_eq!(runs(&fleet).values().sum::<u64>(), 1, "{:?}", runs(&fleet));
+    assert_eq!(run_counts(&fleet).values().sum::<u64>(), 1, "{:?}", run_counts(&fleet));
 }
 
 // The caller must not take a part of an answer for the whole. The upstream's answer breaks off
 // after a few bytes; the client library hands such a body out with a clean end.
 #[actix_rt::test]
-async fn an_answer_that_breaks_off_is_not_passed_on_as_whole() {
-    let (fleet, _) = served().await;
+async fn a_truncated_response_is_not_forwarded_as_complete() {
+    let (fleet, _) = start_fleet().await;
     let cut = impairment::Order::Cut(5);
     fleet.services.iter().for_each(|upstream| upstream.fake.impair(cut));
 
     let body = "{\"reference\":\"part\"}";
-    let got = caller::post(fleet.entry_addresses[0], "/lodge", Some("part"), body).await;
+    let got = client::post(fleet.entry_addresses[0], "/lodge", Some("part"), body).await;
 
     assert!(got.says_may_have_run(), "{got:?}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/callers.rs
+++ b/crates/hyssopfork-daemon/tests/processes/clients.rs
@@ -1,6 +1,6 @@
 //! Callers who go away, who are wrong, and an operator who won't wait.
 
-use crate::support::{caller, fleet, operator};
+use crate::support::{client, fleet, operator};
 use bytes::Bytes;
 use hyssopfork_exchange::connection;
 use hyssopfork_wire::patch;
@@ -9,42 +9,47 @@
 use std::time::{Duration, Instant};
 
 /// Tokens of a stream that outlasts every test here.
-const LONG: u32 = 5_000;
+const LONG_STREAM_TOKENS: u32 = 5_000;
 
-async fn served() -> fleet::Fleet {
+async fn start_fleet() -> fleet::Fleet {
     let plan = fleet::Plan { engines: 2, services: 1, entries: 1, ..fleet::Plan::default() };
     let fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
-    operator.wait("everybody present", |status| operator::all_hold(status, 4)).await;
-    operator.wait("a serving group", |status| operator::serves(status, "group-1")).await;
+    operator
+        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 4))
+        .await;
+    operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     fleet
 }
 
 /// Opens a long stream and reads its first part.
-async fn begin(entry: SocketAddr) -> connection::Connection {
+async fn start_stream(entry: SocketAddr) -> connection::Connection {
     let headers = [("authorization".to_owned(), format!("Bearer {}", fleet::TOKEN))];
     let request =
         connection::Request { method: "POST", path: "/v1/completions", headers: &headers };
     let mut connection = connection::Connection::connect(entry).await.unwrap();
-    connection.send(&request, Bytes::from(caller::completion(LONG))).await.unwrap();
+    connection
+        .send(&request, Bytes::from(client::completion_body(LONG_STREAM_TOKENS)))
+        .await
+        .unwrap();
     assert_eq!(connection.read_head().await.unwrap().status, 200);
     assert!(connection.read_part().await.unwrap().is_some());
     connection
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < operator::PATIENCE, "never seen: {what}");
+        assert!(start.elapsed() < operator::WAIT_TIMEOUT, "never seen: {what}");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-fn raw(entry: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).unwrap();
-    stream.set_read_timeout(Some(operator::PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(operator::WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = Vec::new();
     let mut part = [0; 4_096];
@@ -56,33 +61,33 @@
 // A caller goes away in the middle of a long stream. Nobody wants the rest: the entry cancels the
 // attempt, the agent closes the engine's connection, and the engine's place is free again.
 #[actix_rt::test]
-async fn work_of_a_caller_who_went_away_is_cancelled_upstream() {
-    let fleet = served().await;
-    let stream = begin(fleet.entry_addresses[0]).await;
+async fn work_of_a_disconnected_client_is_cancelled_upstream() {
+    let fleet = start_fleet().await;
+    let stream = start_stream(fleet.entry_addresses[0]).await;
 
     drop(stream);
 
     let cancelled = || fleet.engines.iter().any(|engine| engine.fake.counts().cancelled == 1);
-    until("the engine's work is cancelled", cancelled).await;
+    wait_until("the engine's work is cancelled", cancelled).await;
     assert!(fleet.engines.iter().all(|engine| engine.fake.running() == 0));
 }
 
 // An operator asks an entry to stop while long streams run, and then asks again since it takes too
 // long: the process ends at once.
 #[actix_rt::test]
-async fn a_second_signal_stops_at_once() {
-    let mut fleet = served().await;
-    let _stream = begin(fleet.entry_addresses[0]).await;
+async fn a_second_signal_stops_the_process_immediately() {
+    let mut fleet = start_fleet().await;
+    let _stream = start_stream(fleet.entry_addresses[0]).await;
 
     fleet.entries[0].terminate();
     actix_rt::time::sleep(Duration::from_millis(500)).await;
-    let early = fleet.entries[0].exit();
+    let early = fleet.entries[0].exit_code();
     fleet.entries[0].terminate();
     let start = Instant::now();
     let mut code = None;
-    while code.is_none() && start.elapsed() < operator::PATIENCE {
+    while code.is_none() && start.elapsed() < operator::WAIT_TIMEOUT {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
-        code = fleet.entries[0].exit();
+        code = fleet.entries[0].exit_code();
     }
 
     assert_eq!(early, None);
@@ -91,15 +96,15 @@
 
 // Callers who are wrong are told so at once, with the truth that nothing ran, and the entry goes on.
 #[actix_rt::test]
-async fn wrong_requests_are_refused_and_nothing_is_lost() {
-    let fleet = served().await;
+async fn invalid_requests_are_rejected_as_not_run() {
+    let fleet = start_fleet().await;
     let entry = fleet.entry_addresses[0];
 
-    let garbage = raw(entry, b"NOT HTTP AT ALL\r\n\r\n");
-    let stranger = raw(entry, b"GET /status HTTP/1.1\r\nhost: x\r\n\r\n");
-    let nowhere = caller::get(entry, "/nowhere").await;
-    let keyless = caller::post(entry, "/lodge", Some(""), "{\"reference\":\"r\"}").await;
-    let sound = caller::post(entry, "/lodge", Some("key"), "{\"reference\":\"r\"}").await;
+    let garbage = send_raw(entry, b"NOT HTTP AT ALL\r\n\r\n");
+    let stranger = send_raw(entry, b"GET /status HTTP/1.1\r\nhost: x\r\n\r\n");
+    let nowhere = client::get(entry, "/nowhere").await;
+    let keyless = client::post(entry, "/lodge", Some(""), "{\"reference\":\"r\"}").await;
+    let sound = client::post(entry, "/lodge", Some("key"), "{\"reference\":\"r\"}").await;
 
     assert!(garbage.starts_with("HTTP/1.1 400"), "{garbage}");
     assert!(stranger.starts_with("HTTP/1.1 401"), "{stranger}");
@@ -108,5 +113,5 @@
     assert!(nowhere.says_not_run(), "{nowhere:?}");
     assert_eq!(keyless.status.map(|status| status.as_u16()), Some(400));
     assert!(keyless.says_not_run(), "{keyless:?}");
-    assert!(sound.is_answer(), "{sound:?}");
+    assert!(sound.is_complete_success(), "{sound:?}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/whole_path.rs
+++ b/crates/hyssopfork-daemon/tests/processes/end_to_end.rs
@@ -1,6 +1,6 @@
 //! The whole path as separate processes: declaration, announcement, group, answers.
 
-use crate::support::{caller, fleet, operator};
+use crate::support::{client, fleet, operator};
 use hyssopfork_wire::{number, patch};
 
 #[actix_rt::test]
@@ -10,22 +10,28 @@
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
 
     let outcome = operator.submit("declare", 0, vec![declare]).await;
-    operator.wait("a serving group", |status| operator::serves(status, "group-1")).await;
-    operator.wait("everybody present", |status| operator::all_hold(status, 7)).await;
-    let streamed =
-        caller::post(fleet.entry_addresses[0], "/v1/completions", None, &caller::completion(8))
-            .await;
+    operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
+    operator
+        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 7))
+        .await;
+    let streamed = client::post(
+        fleet.entry_addresses[0],
+        "/v1/completions",
+        None,
+        &client::completion_body(8),
+    )
+    .await;
     let lodged =
-        caller::post(fleet.entry_addresses[1], "/lodge", Some("key-1"), "{\"reference\":\"a\"}")
+        client::post(fleet.entry_addresses[1], "/lodge", Some("key-1"), "{\"reference\":\"a\"}")
             .await;
     let again =
-        caller::post(fleet.entry_addresses[0], "/lodge", Some("key-1"), "{\"reference\":\"a\"}")
+        client::post(fleet.entry_addresses[0], "/lodge", Some("key-1"), "{\"reference\":\"a\"}")
             .await;
 
     assert_eq!(outcome, patch::Outcome::Accepted(number::Configuration(1)));
-    assert!(streamed.is_answer(), "{streamed:?}");
+    assert!(streamed.is_complete_success(), "{streamed:?}");
     assert!(streamed.text().trim_end().ends_with("data: [DONE]"), "{streamed:?}");
-    assert!(lodged.is_answer(), "{lodged:?}");
+    assert!(lodged.is_complete_success(), "{lodged:?}");
     assert_eq!(again.body, lodged.body);
     let ran: u64 = fleet
         .services
--- a/crates/hyssopfork-daemon/tests/processes/stop.rs
+++ b/crates/hyssopfork-daemon/tests/processes/graceful_stop.rs
@@ -1,85 +1,87 @@
 //! Graceful stops under load.
 
-use crate::support::{caller, daemon, fleet, operator};
+use crate::support::{client, daemon, fleet, operator};
 use futures::future;
 use hyssopfork_wire::patch;
 use std::time::{Duration, Instant};
 
-async fn served() -> (fleet::Fleet, operator::Operator) {
+async fn start_fleet() -> (fleet::Fleet, operator::Operator) {
     let fleet = fleet::Fleet::start(fleet::Plan::default());
     let operator = fleet.operator();
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
-    operator.wait("everybody present", |status| operator::all_hold(status, 7)).await;
-    operator.wait("a serving group", |status| operator::serves(status, "group-1")).await;
+    operator
+        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 7))
+        .await;
+    operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     (fleet, operator)
 }
 
-async fn exit(daemon: &mut daemon::Daemon) -> i32 {
+async fn wait_for_exit(daemon: &mut daemon::Daemon) -> i32 {
     let start = Instant::now();
     loop {
-        if let Some(code) = daemon.exit() {
+        if let Some(code) = daemon.exit_code() {
             return code;
         }
-        assert!(start.elapsed() < operator::PATIENCE, "it doesn't end: {}", daemon.log());
+        assert!(start.elapsed() < operator::WAIT_TIMEOUT, "it doesn't end: {}", daemon.read_log());
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn streams(address: std::net::SocketAddr) -> Vec<caller::Got> {
-    let bodies: Vec<String> = (0..4).map(|_| caller::completion(150)).collect();
-    let sends = bodies.iter().map(|body| caller::post(address, "/v1/completions", None, body));
+async fn run_streams(address: std::net::SocketAddr) -> Vec<client::Response> {
+    let bodies: Vec<String> = (0..4).map(|_| client::completion_body(150)).collect();
+    let sends = bodies.iter().map(|body| client::post(address, "/v1/completions", None, body));
     future::join_all(sends).await
 }
 
 // Callers have long streams open when their entry is asked to stop: each gets its stream whole,
 // and only then does the process end, with exit code 0.
 #[actix_rt::test]
-async fn an_entry_that_stops_cuts_no_stream() {
-    let (mut fleet, _) = served().await;
-    let running = actix_rt::spawn(streams(fleet.entry_addresses[0]));
+async fn a_stopping_entry_aborts_no_stream() {
+    let (mut fleet, _) = start_fleet().await;
+    let running = actix_rt::spawn(run_streams(fleet.entry_addresses[0]));
 
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     fleet.entries[0].terminate();
     let answers = running.await.unwrap();
-    let code = exit(&mut fleet.entries[0]).await;
+    let code = wait_for_exit(&mut fleet.entries[0]).await;
 
-    assert!(answers.iter().all(caller::Got::is_answer), "{answers:?}");
+    assert!(answers.iter().all(client::Response::is_complete_success), "{answers:?}");
     assert_eq!(code, 0);
 }
 
 // Callers have long streams open when the agent of the group's first member is asked to stop: each
 // gets its stream whole, new work goes nowhere near it, and the process ends with exit code 0.
 #[actix_rt::test]
-async fn an_agent_that_stops_cuts_no_stream() {
-    let (mut fleet, operator) = served().await;
+async fn a_stopping_agent_aborts_no_stream() {
+    let (mut fleet, operator) = start_fleet().await;
     let first = operator.status().await.view.placements[&"group-1".into()].members[0].to_string();
-    let running = actix_rt::spawn(streams(fleet.entry_addresses[0]));
+    let running = actix_rt::spawn(run_streams(fleet.entry_addresses[0]));
 
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     let upstream = fleet.engines.iter_mut().find(|upstream| upstream.name == first).unwrap();
     upstream.agent.terminate();
     let answers = running.await.unwrap();
-    let code = exit(&mut upstream.agent).await;
+    let code = wait_for_exit(&mut upstream.agent).await;
 
-    assert!(answers.iter().all(caller::Got::is_answer), "{answers:?}");
+    assert!(answers.iter().all(client::Response::is_complete_success), "{answers:?}");
     assert_eq!(code, 0);
 }
 
 // Callers notice nothing when the leading control instance is asked to stop: it hands over, and
 // the fleet's leases go on.
 #[actix_rt::test]
-async fn a_leader_that_stops_hands_over() {
-    let (mut fleet, operator) = served().await;
+async fn a_stopping_leader_hands_over() {
+    let (mut fleet, operator) = start_fleet().await;
     let leader = operator.status().await.leader;
     let place = (0..3).find(|place| format!("control-{}", place + 1) == leader.as_str()).unwrap();
 
     fleet.controls[place].terminate();
-    let code = exit(&mut fleet.controls[place]).await;
+    let code = wait_for_exit(&mut fleet.controls[place]).await;
     let status = operator.status().await;
-    let answers = streams(fleet.entry_addresses[1]).await;
+    let answers = run_streams(fleet.entry_addresses[1]).await;
 
     assert_eq!(code, 0);
     assert_ne!(status.leader, leader);
-    assert!(answers.iter().all(caller::Got::is_answer), "{answers:?}");
+    assert!(answers.iter().all(client::Response::is_complete_success), "{answers:?}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/limits.rs
+++ b/crates/hyssopfork-daemon/tests/processes/limits.rs
@@ -7,10 +7,10 @@
 
 /// Longest time that a test waits for a process to listen or to answer. Shorter than every default
 /// of the limits, so that an entry which left its settings unread would not pass.
-const PATIENCE: Duration = Duration::from_secs(4);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// An entry alone, with short limits; it has no control instance and needs none to refuse.
-fn entry(layout: &layout::Layout, limits: &str) -> (daemon::Daemon, SocketAddr) {
+fn start_entry(layout: &layout::Layout, limits: &str) -> (daemon::Daemon, SocketAddr) {
     let listen = layout.address();
     let text = format!(
         r#"{{ "instance": "entry-1", "zone": "zone-a", "roles": ["entry"],
@@ -28,10 +28,10 @@
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 return stream;
             }
-            Err(error) => assert!(start.elapsed() < PATIENCE, "{error}"),
+            Err(error) => assert!(start.elapsed() < WAIT_TIMEOUT, "{error}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn a_head_that_does_not_come_in_time_is_refused() {
+fn a_head_that_does_not_arrive_in_time_is_rejected() {
     let layout = layout::Layout::new();
-    let (_entry, address) = entry(&layout, r#""head_timeout_ms": 200"#);
+    let (_entry, address) = start_entry(&layout, r#""head_timeout_ms": 200"#);
 
     let answer = send(address, "POST /lodge HTTP/1.1\r\nhost: a\r\n");
 
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_in_time_is_refused_as_not_run() {
+fn a_body_that_does_not_arrive_in_time_is_rejected_as_not_run() {
     let layout = layout::Layout::new();
-    let (_entry, address) = entry(&layout, r#""body_timeout_ms": 200"#);
+    let (_entry, address) = start_entry(&layout, r#""body_timeout_ms": 200"#);
     let head = "POST /lodge HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 9\r\n\r\n";
 
     let answer = send(address, &format!("{head}part"));
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn a_body_over_the_limit_is_refused_as_not_run() {
+fn a_body_over_the_limit_is_rejected_as_not_run() {
     let layout = layout::Layout::new();
-    let (_entry, address) = entry(&layout, r#""body_limit_bytes": 8"#);
+    let (_entry, address) = start_entry(&layout, r#""body_limit_bytes": 8"#);
     let head = "POST /lodge HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 9\r\n\r\n";
 
     let answer = send(address, &format!("{head}123456789"));
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_after_its_time() {
+fn an_idle_connection_is_closed_after_its_keep_alive_time() {
     let layout = layout::Layout::new();
-    let (_entry, address) = entry(&layout, r#""keep_alive_ms": 200"#);
+    let (_entry, address) = start_entry(&layout, r#""keep_alive_ms": 200"#);
 
     let answer = send(address, "GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n");
 
@@ -92,7 +92,7 @@
 #[test]
 fn connections_over_the_limit_wait_until_others_end() {
     let layout = layout::Layout::new();
-    let (_entry, address) = entry(&layout, r#""connection_limit": 1"#);
+    let (_entry, address) = start_entry(&layout, r#""connection_limit": 1"#);
     let first = connect(address);
     std::thread::sleep(Duration::from_millis(100));
     let mut second = connect(address);
@@ -101,7 +101,7 @@
     second.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
     let early = second.read(&mut [0; 16]);
     drop(first);
-    second.set_read_timeout(Some(PATIENCE)).unwrap();
+    second.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut answer = String::new();
     second.read_to_string(&mut answer).unwrap();
 
--- a/crates/hyssopfork-daemon/tests/processes/main.rs
+++ b/crates/hyssopfork-daemon/tests/processes/main.rs
@@ -1,16 +1,16 @@
 //! Tests with real processes on loopback, under kills, freezes and connections that go silent.
 
+mod aborted_responses;
 mod at_most_once;
-mod callers;
-mod cut_answers;
+mod clients;
+mod control_failures;
+mod end_to_end;
+mod graceful_stop;
 mod groups;
 mod limits;
-mod lost_control;
 mod metrics;
-mod paused;
+mod paused_processes;
 mod silent_connections;
 mod soak;
-mod stop;
 mod support;
-mod whole_path;
 mod zones;
--- a/crates/hyssopfork-daemon/tests/processes/paused.rs
+++ b/crates/hyssopfork-daemon/tests/processes/paused_processes.rs
@@ -1,7 +1,7 @@
 //! Processes that freeze past a change and thaw with work waiting, and agents that start anew
 //! before an upstream that has work.
 
-use crate::support::{caller, fleet, operator, wires};
+use crate::support::{client, fleet, operator, relays};
 use futures::future;
 use hyssopfork_test_support::service;
 use hyssopfork_wire::{patch, timing};
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 /// Longer than the bound within which an accepted change is in force, for a busy test machine.
-const A_FEW_SECONDS: Duration = Duration::from_secs(4);
+const IN_FORCE_WAIT: Duration = Duration::from_secs(4);
 
 /// Deadline of lodgements: they still wait when what was frozen thaws.
 const DEADLINE_MS: u64 = 7_000;
 
 /// Lodgements that wait at once.
-const WAITING: usize = 8;
+const PENDING_REQUESTS: usize = 8;
 
-async fn served(plan: fleet::Plan) -> (fleet::Fleet, operator::Operator) {
+async fn start_fleet(plan: fleet::Plan) -> (fleet::Fleet, operator::Operator) {
     let fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
     let mut declared = fleet::declaration();
@@ -25,40 +25,42 @@
     let declare = patch::Operation::Declare(Box::new(declared));
     operator.submit("declare", 0, vec![declare]).await;
     let holders = plan.entries + plan.services;
-    operator.wait("everybody present", |status| operator::all_hold(status, holders)).await;
+    operator
+        .wait_for("everybody present", |status| operator::all_hold_current_view(status, holders))
+        .await;
     (fleet, operator)
 }
 
-fn services() -> fleet::Plan {
+fn services_only() -> fleet::Plan {
     fleet::Plan { engines: 0, relayed: true, ..fleet::Plan::default() }
 }
 
-fn ran(fleet: &fleet::Fleet, place: usize) -> u64 {
+fn run_count(fleet: &fleet::Fleet, place: usize) -> u64 {
     fleet.services[place].fake.ran().values().sum()
 }
 
-async fn lodge(entry: SocketAddr, name: &str, count: usize) -> Vec<caller::Got> {
+async fn lodge(entry: SocketAddr, name: &str, count: usize) -> Vec<client::Response> {
     let sends = (0..count).map(|number| async move {
         let body = format!("{{\"reference\":\"{name}-{number}\"}}");
-        caller::post(entry, "/lodge", None, &body).await
+        client::post(entry, "/lodge", None, &body).await
     });
     future::join_all(sends).await
 }
 
-fn is_honest(got: &caller::Got) -> bool {
-    got.is_answer() || got.says_not_run() || got.says_may_have_run()
+fn reports_outcome(got: &client::Response) -> bool {
+    got.is_complete_success() || got.says_not_run() || got.says_may_have_run()
 }
 
 /// Takes zone-b out while those who are frozen are cut off from control, so that the news doesn't
 /// wait in their sockets when they thaw.
-async fn take_out(fleet: &fleet::Fleet, operator: &operator::Operator, frozen: &[&str]) {
-    frozen.iter().for_each(|name| fleet.wires.silence(wires::Link::Control, name));
+async fn take_zone_out(fleet: &fleet::Fleet, operator: &operator::Operator, frozen: &[&str]) {
+    frozen.iter().for_each(|name| fleet.relays.silence_link(relays::Link::Control, name));
     let out = patch::Operation::SetZoneOut("zone-b".into(), true);
     operator.submit("out", 1, vec![out]).await;
-    actix_rt::time::sleep(A_FEW_SECONDS).await;
+    actix_rt::time::sleep(IN_FORCE_WAIT).await;
 }
 
-fn assert_once(fleet: &fleet::Fleet) {
+fn assert_ran_once(fleet: &fleet::Fleet) {
     for upstream in &fleet.services {
         let ran = upstream.fake.ran();
         assert!(ran.values().all(|count| *count == 1), "{ran:?}");
@@ -69,73 +71,73 @@
 // nothing ran. Zone-b is taken out while the entry is frozen; it thaws with the view it had, in
 // which zone-b is in, and with a lease that has lapsed.
 #[actix_rt::test]
-async fn an_entry_that_froze_past_a_zones_end_sends_it_nothing() {
-    let (fleet, operator) = served(services()).await;
+async fn an_entry_paused_while_a_zone_is_taken_out_sends_it_nothing() {
+    let (fleet, operator) = start_fleet(services_only()).await;
     let entry = fleet.entry_addresses[0];
 
     fleet.entries[0].pause();
-    let waiting = actix_rt::spawn(lodge(entry, "waiting", WAITING));
-    take_out(&fleet, &operator, &["entry-1"]).await;
-    let before = ran(&fleet, 1);
+    let waiting = actix_rt::spawn(lodge(entry, "waiting", PENDING_REQUESTS));
+    take_zone_out(&fleet, &operator, &["entry-1"]).await;
+    let before = run_count(&fleet, 1);
     fleet.entries[0].resume();
     let got = waiting.await.unwrap();
 
-    assert_eq!(ran(&fleet, 1), before);
-    assert!(got.iter().all(|got| got.is_answer() || got.says_not_run()), "{got:?}");
-    assert_once(&fleet);
+    assert_eq!(run_count(&fleet, 1), before);
+    assert!(got.iter().all(|got| got.is_complete_success() || got.says_not_run()), "{got:?}");
+    assert_ran_once(&fleet);
 }
 
 // Callers whose requests were sent to a frozen agent are told the truth. Zone-b is taken out while
 // its agent is frozen with offers in its sockets; it thaws before it has heard of the change, and
 // only its lapsed lease keeps it from forwarding them.
 #[actix_rt::test]
-async fn an_agent_that_froze_past_its_zones_end_starts_nothing() {
-    let (fleet, operator) = served(services()).await;
+async fn an_agent_paused_while_its_zone_is_taken_out_starts_nothing() {
+    let (fleet, operator) = start_fleet(services_only()).await;
     let entry = fleet.entry_addresses[0];
 
     fleet.services[1].agent.pause();
-    let waiting = actix_rt::spawn(lodge(entry, "waiting", WAITING));
-    take_out(&fleet, &operator, &["service-2"]).await;
+    let waiting = actix_rt::spawn(lodge(entry, "waiting", PENDING_REQUESTS));
+    take_zone_out(&fleet, &operator, &["service-2"]).await;
     fleet.services[1].agent.resume();
     let got = waiting.await.unwrap();
     actix_rt::time::sleep(timing::CONNECTION_IDLE_TIMEOUT).await;
 
-    assert_eq!(ran(&fleet, 1), 0);
-    assert!(got.iter().all(is_honest), "{got:?}");
-    assert_once(&fleet);
+    assert_eq!(run_count(&fleet, 1), 0);
+    assert!(got.iter().all(reports_outcome), "{got:?}");
+    assert_ran_once(&fleet);
 }
 
 // As above, with an entry frozen as well: both thaw with the view in which zone-b is in.
 #[actix_rt::test]
-async fn an_entry_and_an_agent_that_froze_together_start_nothing() {
-    let (fleet, operator) = served(services()).await;
+async fn an_entry_and_an_agent_paused_together_start_nothing() {
+    let (fleet, operator) = start_fleet(services_only()).await;
     let entry = fleet.entry_addresses[0];
 
     fleet.services[1].agent.pause();
-    let sent = actix_rt::spawn(lodge(entry, "sent", WAITING));
+    let sent = actix_rt::spawn(lodge(entry, "sent", PENDING_REQUESTS));
     actix_rt::time::sleep(timing::KEEP_ALIVE_INTERVAL).await;
     fleet.entries[0].pause();
-    let waiting = actix_rt::spawn(lodge(entry, "waiting", WAITING));
-    take_out(&fleet, &operator, &["entry-1", "service-2"]).await;
+    let waiting = actix_rt::spawn(lodge(entry, "waiting", PENDING_REQUESTS));
+    take_zone_out(&fleet, &operator, &["entry-1", "service-2"]).await;
     fleet.services[1].agent.resume();
     fleet.entries[0].resume();
     let (sent, waiting) = (sent.await.unwrap(), waiting.await.unwrap());
     actix_rt::time::sleep(timing::CONNECTION_IDLE_TIMEOUT).await;
 
-    assert_eq!(ran(&fleet, 1), 0);
-    assert!(sent.iter().chain(&waiting).all(is_honest), "{sent:?} {waiting:?}");
-    assert_once(&fleet);
+    assert_eq!(run_count(&fleet, 1), 0);
+    assert!(sent.iter().chain(&waiting).all(reports_outcome), "{sent:?} {waiting:?}");
+    assert_ran_once(&fleet);
 }
 
 // Callers whose work was on a cold upstream when its agent was killed are told that it may have
 // run; nothing of it runs again. The new agent process finds the upstream with work that the old
 // one sent, as much as it bears while cold: a burst that comes at once must wait for it.
 #[actix_rt::test]
-async fn an_agent_that_starts_anew_counts_the_work_that_its_upstream_has() {
+async fn a_restarted_agent_counts_the_work_of_its_upstream() {
     let service =
         service::Profile { time: Duration::from_millis(1_500), cold_bearing: 2, warm_after: 1_000 };
-    let plan = fleet::Plan { services: 1, entries: 1, service, ..services() };
-    let (mut fleet, _) = served(plan).await;
+    let plan = fleet::Plan { services: 1, entries: 1, service, ..services_only() };
+    let (mut fleet, _) = start_fleet(plan).await;
     let entry = fleet.entry_addresses[0];
 
     let lost = actix_rt::spawn(lodge(entry, "lost", 2));
@@ -146,6 +148,6 @@
     let lost = lost.await.unwrap();
 
     assert_eq!(fleet.services[0].fake.falls(), 0);
-    assert!(lost.iter().chain(&burst).all(is_honest), "{lost:?} {burst:?}");
-    assert_once(&fleet);
+    assert!(lost.iter().chain(&burst).all(reports_outcome), "{lost:?} {burst:?}");
+    assert_ran_once(&fleet);
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/callers.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Callers of every kind.
 
-use super::record::{self, Told};
-use crate::support::caller;
+use super::record::{self, Outcome};
+use crate::support::client;
 use hyssopfork_test_support::token;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 /// Tries of one key before its caller gives up.
-const TRIES: u64 = 4;
+const MAX_TRIES: u64 = 4;
 
 /// Most tokens of a streamed answer.
-const TOKENS: u32 = 120;
+const MAX_STREAM_TOKENS: u32 = 120;
 
-/// A caller.
+/// A client.
 #[derive(Clone)]
-pub struct Caller {
+pub struct Client {
     /// Tells its references from others'.
     pub number: u64,
     /// Entries.
@@ -29,7 +29,7 @@
     pub end: Instant,
 }
 
-impl Caller {
+impl Client {
     fn entry(&self, random: &mut ChaCha8Rng) -> SocketAddr {
         self.entries[random.random_range(0..self.entries.len())]
     }
@@ -44,22 +44,22 @@
         while Instant::now() < self.end {
             count += 1;
             let mark = format!("stream-{}-{count}", self.number);
-            let tokens = random.random_range(1..TOKENS);
+            let tokens = random.random_range(1..MAX_STREAM_TOKENS);
             let told = self.stream_one(self.entry(&mut random), &mark, tokens).await;
-            self.record.borrow_mut().note("stream", told);
+            self.record.borrow_mut().count_outcome("stream", told);
             Self::pause(&mut random).await;
         }
     }
 
-    async fn stream_one(&self, entry: SocketAddr, mark: &str, tokens: u32) -> Told {
+    async fn stream_one(&self, entry: SocketAddr, mark: &str, tokens: u32) -> Outcome {
         let body = format!(
             r#"{{"model":"model-1","prompt":"[#{mark}]","max_tokens":{tokens},"stream":true}}"#
         );
-        let got = caller::post(entry, "/v1/completions", None, &body).await;
-        let told = record::told(&got);
-        if told == Told::Answered && got.text() != expected(mark, tokens) {
+        let got = client::post(entry, "/v1/completions", None, &body).await;
+        let told = record::outcome_of(&got);
+        if told == Outcome::Completed && got.text() != expected_stream(mark, tokens) {
             let fault = format!("{mark} got a whole answer that is not its own: {}", got.text());
-            self.record.borrow_mut().seen.push(fault);
+            self.record.borrow_mut().violations.push(fault);
         }
         told
     }
@@ -72,12 +72,12 @@
             count += 1;
             let reference = format!("key-{}-{count}", self.number);
             let body = format!(r#"{{"reference":"{reference}"}}"#);
-            for _ in 0..TRIES {
+            for _ in 0..MAX_TRIES {
                 let entry = self.entry(&mut random);
-                let got = caller::post(entry, "/lodge", Some(&reference), &body).await;
-                let told = record::told(&got);
-                self.note_work("lodge with key", &reference, told);
-                if told == Told::Answered {
+                let got = client::post(entry, "/lodge", Some(&reference), &body).await;
+                let told = record::outcome_of(&got);
+                self.record_work("lodge with key", &reference, told);
+                if told == Outcome::Completed {
                     break;
                 }
                 Self::pause(&mut random).await;
@@ -93,39 +93,39 @@
             count += 1;
             let reference = format!("plain-{}-{count}", self.number);
             let body = format!(r#"{{"reference":"{reference}"}}"#);
-            let got = caller::post(self.entry(&mut random), "/lodge", None, &body).await;
-            self.note_work("lodge", &reference, record::told(&got));
+            let got = client::post(self.entry(&mut random), "/lodge", None, &body).await;
+            self.record_work("lodge", &reference, record::outcome_of(&got));
             Self::pause(&mut random).await;
         }
     }
 
-    fn note_work(&self, kind: &'static str, reference: &str, told: Told) {
+    fn record_work(&self, kind: &'static str, reference: &str, told: Outcome) {
         let mut record = self.record.borrow_mut();
-        record.note(kind, told);
-        record.work.entry(reference.to_owned()).or_default().push(told);
+        record.count_outcome(kind, told);
+        record.non_repeatable.entry(reference.to_owned()).or_default().push(told);
     }
 
     /// Asks for status, which may be repeated.
-    pub async fn ask_status(self, mut random: ChaCha8Rng) {
+    pub async fn request_status(self, mut random: ChaCha8Rng) {
         while Instant::now() < self.end {
-            let got = caller::get(self.entry(&mut random), "/status?reference=status").await;
-            self.record.borrow_mut().note("status", record::told(&got));
+            let got = client::get(self.entry(&mut random), "/status?reference=status").await;
+            self.record.borrow_mut().count_outcome("status", record::outcome_of(&got));
             Self::pause(&mut random).await;
         }
     }
 
     /// Sends this many requests of each kind; gives what those got that were not answered.
-    pub async fn unserved(&self, requests: u64) -> Vec<String> {
+    pub async fn find_unanswered(&self, requests: u64) -> Vec<String> {
         let mut unserved = Vec::new();
         for number in 0..requests {
             let entry = self.entries[number as usize % self.entries.len()];
             let streamed = self.stream_one(entry, &format!("last-{number}"), 4).await;
-            if streamed != Told::Answered {
+            if streamed != Outcome::Completed {
                 unserved.push(format!("stream {number} at {entry}: {streamed:?}"));
             }
-            let asked = caller::get(entry, "/status?reference=status").await;
-            if !asked.is_answer() {
-                let told = record::told(&asked);
+            let asked = client::get(entry, "/status?reference=status").await;
+            if !asked.is_complete_success() {
+                let told = record::outcome_of(&asked);
                 unserved.push(format!("status check {number} at {entry}: {told:?}"));
             }
         }
@@ -133,7 +133,7 @@
     }
 }
 
-fn expected(mark: &str, tokens: u32) -> String {
+fn expected_stream(mark: &str, tokens: u32) -> String {
     let events = (0..tokens).map(|place| token::event(token::Shape::Text, mark, place.into()));
     let mut text: String = events.collect();
     text.push_str(token::DONE);
--- a/crates/hyssopfork-daemon/tests/processes/soak/chaos.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/faults.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 /// Faults at once.
-const AT_ONCE: usize = 3;
+const MAX_CONCURRENT_FAULTS: usize = 3;
 
 /// Time between two looks at what is due.
-const STEP: Duration = Duration::from_millis(50);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time for which every control instance must have been up before one may lose its disk: with
 /// another one away at the same time, accepted changes may be lost, which no log can prevent.
-const CALM_BEFORE_LOSS: Duration = Duration::from_secs(6);
+const MIN_CONTROL_UPTIME_BEFORE_DISK_LOSS: Duration = Duration::from_secs(6);
 
 /// A process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,19 +31,19 @@
 
 /// How a fault ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum Recovery {
     Resume(Process),
     Restart(Process),
     HealEngine(usize),
     HealService(usize),
 }
 
-struct Chaos<'a> {
+struct Injector<'a> {
     fleet: &'a mut fleet::Fleet,
     record: Rc<RefCell<record::Record>>,
     random: ChaCha8Rng,
-    pending: Vec<(Instant, End)>,
-    control_calm_since: Instant,
+    pending_recoveries: Vec<(Instant, Recovery)>,
+    controls_up_since: Instant,
 }
 
 /// Brings faults about until `end`, then ends them all.
@@ -54,38 +54,52 @@
     end: Instant,
 ) {
     let pending = Vec::new();
-    let mut chaos = Chaos { fleet, record, random, pending, control_calm_since: Instant::now() };
+    let mut chaos = Injector {
+        fleet,
+        record,
+        random,
+        pending_recoveries: pending,
+        controls_up_since: Instant::now(),
+    };
     while Instant::now() < end {
-        chaos.end_due(Instant::now());
-        if chaos.pending.len() < AT_ONCE && chaos.random.random_bool(0.15) {
-            chaos.begin();
+        chaos.recover_due(Instant::now());
+        if chaos.pending_recoveries.len() < MAX_CONCURRENT_FAULTS && chaos.random.random_bool(0.15)
+        {
+            chaos.inject();
         }
-        actix_rt::time::sleep(STEP).await;
+        actix_rt::time::sleep(STEP_INTERVAL).await;
     }
-    chaos.end_due(end + Duration::from_secs(3_600));
+    chaos.recover_due(end + Duration::from_secs(3_600));
 }
 
-impl Chaos<'_> {
-    fn end_due(&mut self, now: Instant) {
-        let due: Vec<End> =
-            self.pending.iter().filter(|(at, _)| *at <= now).map(|(_, end)| *end).collect();
-        self.pending.retain(|(at, _)| *at > now);
-        due.into_iter().for_each(|end| self.end(end));
+impl Injector<'_> {
+    fn recover_due(&mut self, now: Instant) {
+        let due: Vec<Recovery> = self
+            .pending_recoveries
+            .iter()
+            .filter(|(at, _)| *at <= now)
+            .map(|(_, end)| *end)
+            .collect();
+        self.pending_recoveries.retain(|(at, _)| *at > now);
+        due.into_iter().for_each(|end| self.recover(end));
     }
 
-    fn end(&mut self, end: End) {
+    fn recover(&mut self, end: Recovery) {
         match end {
-            End::Resume(process) => self.daemon(process).resume(),
-            End::Restart(process) => self.daemon(process).restart(),
-            End::HealEngine(place) => {
+            Recovery::Resume(process) => self.daemon(process).resume(),
+            Recovery::Restart(process) => self.daemon(process).restart(),
+            Recovery::HealEngine(place) => {
                 self.fleet.engines[place].fake.impair(impairment::Order::Heal)
             }
-            End::HealService(place) => {
+            Recovery::HealService(place) => {
                 self.fleet.services[place].fake.impair(impairment::Order::Heal)
             }
         }
-        if matches!(end, End::Resume(Process::Control(_)) | End::Restart(Process::Control(_))) {
-            self.control_calm_since = Instant::now();
+        if matches!(
+            end,
+            Recovery::Resume(Process::Control(_)) | Recovery::Restart(Process::Control(_))
+        ) {
+            self.controls_up_since = Instant::now();
         }
     }
 
@@ -98,7 +112,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn inject(&mut self) {
         match self.random.random_range(0..10) {
             0..=2 => self.impair_process(),
             3 => self.impair_control(),
@@ -107,14 +121,14 @@
         }
     }
 
-    fn later(&mut self, least: u64, most: u64, end: End) {
+    fn schedule_recovery(&mut self, least: u64, most: u64, end: Recovery) {
         let wait = Duration::from_millis(self.random.random_range(least..most));
-        self.pending.push((Instant::now() + wait, end));
+        self.pending_recoveries.push((Instant::now() + wait, end));
     }
 
     fn is_impaired(&self, process: Process) -> bool {
-        let same = |end: &End| matches!(end, End::Resume(other) | End::Restart(other) if *other == process);
-        self.pending.iter().any(|(_, end)| same(end))
+        let same = |end: &Recovery| matches!(end, Recovery::Resume(other) | Recovery::Restart(other) if *other == process);
+        self.pending_recoveries.iter().any(|(_, end)| same(end))
     }
 
     fn impair_process(&mut self) {
@@ -131,10 +145,10 @@
     fn kill_or_pause(&mut self, process: Process) {
         if self.random.random_bool(0.5) {
             self.daemon(process).kill();
-            self.later(100, 3_000, End::Restart(process));
+            self.schedule_recovery(100, 3_000, Recovery::Restart(process));
         } else {
             self.daemon(process).pause();
-            self.later(200, 4_000, End::Resume(process));
+            self.schedule_recovery(200, 4_000, Recovery::Resume(process));
         }
     }
 
@@ -145,12 +159,12 @@
             return;
         }
         let place = self.random.random_range(places);
-        let calm = self.control_calm_since.elapsed() > CALM_BEFORE_LOSS;
+        let calm = self.controls_up_since.elapsed() > MIN_CONTROL_UPTIME_BEFORE_DISK_LOSS;
         if calm && self.random.random_bool(0.4) {
             self.fleet.controls[place].kill();
             let folder = self.fleet.layout.folder.join(format!("control-{}", place + 1));
             fs::remove_dir_all(folder).unwrap();
-            self.later(100, 2_000, End::Restart(Process::Control(place)));
+            self.schedule_recovery(100, 2_000, Recovery::Restart(Process::Control(place)));
         } else {
             self.kill_or_pause(Process::Control(place));
         }
@@ -158,28 +172,28 @@
 
     fn impair_engine(&mut self) {
         let place = self.random.random_range(0..self.fleet.engines.len());
-        let order = self.order();
+        let order = self.random_impairment();
         match order {
             impairment::Order::Cold => {
-                *self.record.borrow_mut().silent_colds.entry(place).or_default() += 1;
+                *self.record.borrow_mut().unannounced_colds.entry(place).or_default() += 1;
             }
             impairment::Order::Die(_) => {
-                *self.record.borrow_mut().silent_restarts.entry(place).or_default() += 1;
+                *self.record.borrow_mut().unannounced_restarts.entry(place).or_default() += 1;
             }
             _ => {}
         }
         self.fleet.engines[place].fake.impair(order);
-        self.later(200, 1_500, End::HealEngine(place));
+        self.schedule_recovery(200, 1_500, Recovery::HealEngine(place));
     }
 
     fn impair_service(&mut self) {
         let place = self.random.random_range(0..self.fleet.services.len());
-        let order = self.order();
+        let order = self.random_impairment();
         self.fleet.services[place].fake.impair(order);
-        self.later(200, 1_500, End::HealService(place));
+        self.schedule_recovery(200, 1_500, Recovery::HealService(place));
     }
 
-    fn order(&mut self) -> impairment::Order {
+    fn random_impairment(&mut self) -> impairment::Order {
         match self.random.random_range(0..5) {
             0 => impairment::Order::Stall,
             1 => impairment::Order::Cold,
--- a/crates/hyssopfork-daemon/tests/processes/soak/mod.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/mod.rs
@@ -1,8 +1,8 @@
 //! Long randomised runs with real processes: faults of every kind come and go while callers and
 //! operators go on, and what they were told is compared with what the back ends ran.
 
-mod callers;
-mod chaos;
+mod clients;
+mod faults;
 mod operators;
 mod record;
 
@@ -19,19 +19,19 @@
 const SEED: u64 = 1;
 
 /// Length of the run in continuous integration.
-const SECONDS: u64 = 12;
+const DURATION_SECONDS: u64 = 12;
 
 /// Callers of each kind.
-const CALLERS: u64 = 3;
+const CLIENTS_PER_KIND: u64 = 3;
 
 /// Requests that must all be answered once the faults have ended.
-const LAST_REQUESTS: u64 = 10;
+const FINAL_REQUESTS: u64 = 10;
 
-fn setting(name: &str, default: u64) -> u64 {
+fn read_setting(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-fn random(seed: u64, stream: u64) -> ChaCha8Rng {
+fn random_stream(seed: u64, stream: u64) -> ChaCha8Rng {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(stream);
     random
@@ -41,53 +41,60 @@
 // ends, and zones that leave and return, alone and together; whatever they were told is true of
 // what ran, and once the faults have ended every request is answered again.
 #[actix_rt::test]
-async fn what_callers_are_told_is_true_through_random_faults() {
-    let seed = setting("HYSSOPFORK_SOAK_SEED", SEED);
-    let length = Duration::from_secs(setting("HYSSOPFORK_SOAK_SECONDS", SECONDS));
+async fn reported_outcomes_match_what_ran_under_random_faults() {
+    let seed = read_setting("HYSSOPFORK_SOAK_SEED", SEED);
+    let length = Duration::from_secs(read_setting("HYSSOPFORK_SOAK_SECONDS", DURATION_SECONDS));
     let plan = fleet::Plan { engines: 5, services: 3, ..fleet::Plan::default() };
     let mut fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
-    operator.wait("everybody present", |status| operator::all_hold(status, 10)).await;
-    operator.wait("a serving group", |status| operator::serves(status, "group-1")).await;
+    operator
+        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 10))
+        .await;
+    operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     let record = Rc::new(RefCell::new(record::Record::default()));
     let end = Instant::now() + length;
 
     let mut tasks = Vec::new();
-    for number in 0..CALLERS {
-        let caller = callers::Caller {
+    for number in 0..CLIENTS_PER_KIND {
+        let client = clients::Client {
             number,
             entries: fleet.entry_addresses.clone(),
             record: record.clone(),
             end,
         };
-        tasks.push(actix_rt::spawn(caller.clone().stream(random(seed, 10 + number))));
-        tasks.push(actix_rt::spawn(caller.clone().lodge_with_key(random(seed, 20 + number))));
-        tasks.push(actix_rt::spawn(caller.clone().lodge(random(seed, 30 + number))));
-        tasks.push(actix_rt::spawn(caller.ask_status(random(seed, 40 + number))));
+        tasks.push(actix_rt::spawn(client.clone().stream(random_stream(seed, 10 + number))));
+        tasks
+            .push(actix_rt::spawn(client.clone().lodge_with_key(random_stream(seed, 20 + number))));
+        tasks.push(actix_rt::spawn(client.clone().lodge(random_stream(seed, 30 + number))));
+        tasks.push(actix_rt::spawn(client.request_status(random_stream(seed, 40 + number))));
     }
-    let desk = operators::Desk::new(&fleet, record.clone(), end);
-    tasks.push(actix_rt::spawn(desk.run(random(seed, 50))));
-    chaos::run(&mut fleet, record.clone(), random(seed, 60), end).await;
+    let desk = operators::Operators::new(&fleet, record.clone(), end);
+    tasks.push(actix_rt::spawn(desk.run(random_stream(seed, 50))));
+    faults::run(&mut fleet, record.clone(), random_stream(seed, 60), end).await;
     for task in tasks {
         task.await.unwrap();
     }
-    operator.wait("a serving group again", |status| operator::serves(status, "group-1")).await;
-    operator.wait("everybody present again", |status| operator::all_hold(status, 10)).await;
-    let last = callers::Caller {
+    operator
+        .wait_for("a serving group again", |status| operator::is_serving(status, "group-1"))
+        .await;
+    operator
+        .wait_for("everybody present again", |status| operator::all_hold_current_view(status, 10))
+        .await;
+    let last = clients::Client {
         number: 99,
         entries: fleet.entry_addresses.clone(),
         record: record.clone(),
-        end: Instant::now() + operator::PATIENCE,
+        end: Instant::now() + operator::WAIT_TIMEOUT,
     };
-    let unserved = last.unserved(LAST_REQUESTS).await;
+    let unserved = last.find_unanswered(FINAL_REQUESTS).await;
 
     let record = record.borrow();
     println!("seed {seed}: {record}");
-    let faults = record.faults(&fleet);
+    let faults = record.find_violations(&fleet);
     if !faults.is_empty() || !unserved.is_empty() {
-        println!("seed {seed}: logs are kept in {}", fleet.keep_logs(seed).display());
+        println!("seed {seed}: logs are kept in {}", fleet.copy_logs(seed).display());
     }
     assert!(faults.is_empty(), "seed {seed}: {faults:#?}");
     assert!(unserved.is_empty(), "seed {seed}: not answered after the faults: {unserved:#?}");
--- a/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
@@ -13,31 +13,35 @@
 use std::time::{Duration, Instant};
 
 /// Added to the bound within which a change is in force, for a busy test machine.
-const MARGIN: Duration = Duration::from_millis(700);
+const IN_FORCE_MARGIN: Duration = Duration::from_millis(700);
 
 /// How long a zone that is out is watched for new work.
-const LOOK: Duration = Duration::from_millis(800);
+const OBSERVATION_TIME: Duration = Duration::from_millis(800);
 
 /// The operators' desk.
-pub struct Desk {
+pub struct Operators {
     first: operator::Operator,
     second: operator::Operator,
     services: Vec<Arc<service::Service>>,
     record: Rc<RefCell<record::Record>>,
     end: Instant,
-    races: u64,
+    race_count: u64,
 }
 
-impl Desk {
+impl Operators {
     /// A desk for `fleet` until `end`.
-    pub fn new(fleet: &fleet::Fleet, record: Rc<RefCell<record::Record>>, end: Instant) -> Desk {
-        Desk {
+    pub fn new(
+        fleet: &fleet::Fleet,
+        record: Rc<RefCell<record::Record>>,
+        end: Instant,
+    ) -> Operators {
+        Operators {
             first: fleet.operator(),
             second: fleet.operator(),
             services: fleet.services.iter().map(|upstream| upstream.fake.clone()).collect(),
             record,
             end,
-            races: 0,
+            race_count: 0,
         }
     }
 
@@ -45,31 +49,31 @@
     pub async fn run(mut self, mut random: ChaCha8Rng) {
         while Instant::now() < self.end {
             let place = random.random_range(1..fleet::ZONES.len());
-            self.set(place, true).await;
-            actix_rt::time::sleep(timing::IN_FORCE_BOUND + MARGIN).await;
-            let before = self.ran(place);
-            actix_rt::time::sleep(LOOK).await;
-            let after = self.ran(place);
+            self.race_to_set_zone_out(place, true).await;
+            actix_rt::time::sleep(timing::IN_FORCE_BOUND + IN_FORCE_MARGIN).await;
+            let before = self.run_count(place);
+            actix_rt::time::sleep(OBSERVATION_TIME).await;
+            let after = self.run_count(place);
             if before != after {
                 let fault = format!("{} ran {before}, then {after} while out", fleet::ZONES[place]);
-                self.record.borrow_mut().seen.push(fault);
+                self.record.borrow_mut().violations.push(fault);
             }
-            self.set(place, false).await;
+            self.race_to_set_zone_out(place, false).await;
             actix_rt::time::sleep(Duration::from_millis(random.random_range(100..2_000))).await;
         }
     }
 
-    fn ran(&self, place: usize) -> u64 {
+    fn run_count(&self, place: usize) -> u64 {
         self.services[place].ran().values().sum()
     }
 
     /// Both operators submit the same change against the same number: exactly one is accepted,
     /// the other is told what changed.
-    async fn set(&mut self, place: usize, out: bool) {
-        self.races += 1;
+    async fn race_to_set_zone_out(&mut self, place: usize, out: bool) {
+        self.race_count += 1;
         let base = self.first.status().await.view.configuration.number.0;
         let change = || vec![patch::Operation::SetZoneOut(fleet::ZONES[place].into(), out)];
-        let names = [format!("race-{}-a", self.races), format!("race-{}-b", self.races)];
+        let names = [format!("race-{}-a", self.race_count), format!("race-{}-b", self.race_count)];
         let (one, two) = future::join(
             self.first.submit(&names[0], base, change()),
             self.second.submit(&names[1], base, change()),
@@ -80,10 +84,10 @@
         record.patches += 1;
         let accepted = |outcome: &patch::Outcome| matches!(outcome, patch::Outcome::Accepted(_));
         if accepted(&one) == accepted(&two) {
-            record.seen.push(format!("two patches raced on {base}: {one:?} and {two:?}"));
+            record.violations.push(format!("two patches raced on {base}: {one:?} and {two:?}"));
         }
         if accepted(&one) != accepted(&resent) || (accepted(&one) && one != resent) {
-            record.seen.push(format!("a resent patch got {resent:?} after {one:?}"));
+            record.violations.push(format!("a resent patch got {resent:?} after {one:?}"));
         }
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/record.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/record.rs
@@ -1,71 +1,71 @@
 //! What callers and operators were told, and how it compares with what ran.
 
-use crate::support::{caller, fleet};
+use crate::support::{client, fleet};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How one try of a request ended for its caller.
+/// How one try of a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Told {
+pub enum Outcome {
     /// The whole answer.
-    Answered,
+    Completed,
     /// A refusal that says that the work did not run.
     NotRun,
     /// A refusal that says that the work may have run.
     MayHaveRun,
     /// A part of the answer and a mark that the rest is missing.
-    Cut,
+    Aborted,
     /// Nothing: the connection broke.
-    Nothing,
+    NoResponse,
 }
 
 /// The record.
 #[derive(Default)]
 pub struct Record {
     /// Non-repeatable work by reference, and what its caller was told, try by try.
-    pub work: BTreeMap<String, Vec<Told>>,
+    pub non_repeatable: BTreeMap<String, Vec<Outcome>>,
     /// How often callers of each kind were told what.
-    pub counts: BTreeMap<(&'static str, Told), u64>,
+    pub counts: BTreeMap<(&'static str, Outcome), u64>,
     /// Accepted patches.
     pub patches: u64,
     /// How often each engine was made cold without a word: the first piece of work over what it
     /// then bears tips it, since nothing could have told its agent.
-    pub silent_colds: BTreeMap<usize, u64>,
+    pub unannounced_colds: BTreeMap<usize, u64>,
     /// How often each engine was made to start anew: nothing tells its agent before its next probe
     /// if no work breaks off.
-    pub silent_restarts: BTreeMap<usize, u64>,
+    pub unannounced_restarts: BTreeMap<usize, u64>,
     /// Faults that were seen while it ran.
-    pub seen: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// What a caller was told.
-pub fn told(got: &caller::Got) -> Told {
-    if got.is_answer() {
-        Told::Answered
+pub fn outcome_of(got: &client::Response) -> Outcome {
+    if got.is_complete_success() {
+        Outcome::Completed
     } else if got.says_not_run() {
-        Told::NotRun
+        Outcome::NotRun
     } else if got.says_may_have_run() {
-        Told::MayHaveRun
+        Outcome::MayHaveRun
     } else if got.status.is_some() {
-        Told::Cut
+        Outcome::Aborted
     } else {
-        Told::Nothing
+        Outcome::NoResponse
     }
 }
 
 impl Record {
     /// Notes one try.
-    pub fn note(&mut self, kind: &'static str, told: Told) {
+    pub fn count_outcome(&mut self, kind: &'static str, told: Outcome) {
         *self.counts.entry((kind, told)).or_default() += 1;
     }
 
     /// Everything that did not hold.
-    pub fn faults(&self, fleet: &fleet::Fleet) -> Vec<String> {
-        let mut faults = self.seen.clone();
-        let runs = runs(fleet);
-        for (reference, tries) in &self.work {
+    pub fn find_violations(&self, fleet: &fleet::Fleet) -> Vec<String> {
+        let mut faults = self.violations.clone();
+        let runs = run_counts(fleet);
+        for (reference, tries) in &self.non_repeatable {
             let ran = runs.get(reference).copied().unwrap_or(0);
-            if let Some(fault) = contradiction(ran, tries) {
+            if let Some(fault) = find_contradiction(ran, tries) {
                 faults.push(format!(
                     "{reference} ran {ran} times; its caller got {tries:?}: {fault}"
                 ));
@@ -73,10 +73,11 @@
         }
         for (place, upstream) in fleet.engines.iter().enumerate() {
             let counts = upstream.fake.counts();
-            let silent = self.silent_colds.get(&place).copied().unwrap_or(0);
+            let silent = self.unannounced_colds.get(&place).copied().unwrap_or(0);
             // An idle engine that starts anew between two probes gets the one request that finds out,
             // and runs none of it; whatever else was admitted before must not follow.
-            let restarts = self.silent_restarts.get(&place).copied().unwrap_or(0) + counts.falls;
+            let restarts =
+                self.unannounced_restarts.get(&place).copied().unwrap_or(0) + counts.falls;
             if counts.misdirected > restarts || counts.falls > silent {
                 faults.push(format!("{} was misused: {counts:?}", upstream.name));
             }
@@ -86,7 +87,7 @@
                 faults.push(format!("{} fell over while cold", upstream.name));
             }
         }
-        for log in fleet.logs() {
+        for log in fleet.read_logs() {
             let broken = log.lines().filter(|line| {
                 line.contains("panicked") || (line.contains(" ERROR ") && line.contains("number="))
             });
@@ -97,9 +98,9 @@
 }
 
 /// Why what callers were told is not true of work that ran `ran` times.
-fn contradiction(ran: u64, tries: &[Told]) -> Option<&'static str> {
-    let answered = tries.contains(&Told::Answered);
-    let only_not_run = tries.iter().all(|told| *told == Told::NotRun);
+fn find_contradiction(ran: u64, tries: &[Outcome]) -> Option<&'static str> {
+    let answered = tries.contains(&Outcome::Completed);
+    let only_not_run = tries.iter().all(|told| *told == Outcome::NotRun);
     if ran > 1 {
         Some("non-repeatable work ran more than once")
     } else if answered && ran == 0 {
@@ -111,7 +112,7 @@
     }
 }
 
-fn runs(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
+fn run_counts(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
     for (reference, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
         *runs.entry(reference).or_default() += count;
--- a/crates/hyssopfork-daemon/tests/processes/support/caller.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/client.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// Longest time that a caller waits.
-const TIMEOUT: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a caller got.
 #[derive(Debug)]
-pub struct Got {
+pub struct Response {
     /// HTTP status; `None` when no head came.
     pub status: Option<StatusCode>,
     /// The body as far as it came.
@@ -23,9 +23,9 @@
     pub retry_after: Option<String>,
 }
 
-impl Got {
+impl Response {
     /// Whether the caller has a whole good answer.
-    pub fn is_answer(&self) -> bool {
+    pub fn is_complete_success(&self) -> bool {
         self.whole && self.status.is_some_and(|status| status.is_success())
     }
 
@@ -46,7 +46,7 @@
 }
 
 /// Sends a request as the one team, with a key where one is given.
-pub async fn post(entry: SocketAddr, path: &str, key: Option<&str>, body: &str) -> Got {
+pub async fn post(entry: SocketAddr, path: &str, key: Option<&str>, body: &str) -> Response {
     let mut headers = vec![
         ("authorization".to_owned(), format!("Bearer {}", fleet::TOKEN)),
         ("content-type".to_owned(), "application/json".to_owned()),
@@ -56,15 +56,15 @@
 }
 
 /// Asks with GET as the one team.
-pub async fn get(entry: SocketAddr, path: &str) -> Got {
+pub async fn get(entry: SocketAddr, path: &str) -> Response {
     let headers = [("authorization".to_owned(), format!("Bearer {}", fleet::TOKEN))];
     receive(entry, &connection::Request { method: "GET", path, headers: &headers }, "").await
 }
 
-async fn receive(entry: SocketAddr, request: &connection::Request<'_>, body: &str) -> Got {
-    let mut got = Got { status: None, body: Bytes::new(), whole: false, retry_after: None };
+async fn receive(entry: SocketAddr, request: &connection::Request<'_>, body: &str) -> Response {
+    let mut got = Response { status: None, body: Bytes::new(), whole: false, retry_after: None };
     let exchange = exchange(entry, request, body, &mut got);
-    let ended = actix_rt::time::timeout(TIMEOUT, exchange).await;
+    let ended = actix_rt::time::timeout(RESPONSE_TIMEOUT, exchange).await;
     got.whole = matches!(ended, Ok(Ok(())));
     got
 }
@@ -74,7 +74,7 @@
     entry: SocketAddr,
     request: &connection::Request<'_>,
     body: &str,
-    got: &mut Got,
+    got: &mut Response,
 ) -> Result<(), error::Error> {
     let mut connection = connection::Connection::connect(entry).await?;
     connection.send(request, Bytes::from(body.to_owned())).await?;
@@ -90,7 +90,7 @@
 }
 
 /// A streamed completion's request body.
-pub fn completion(tokens: u32) -> String {
+pub fn completion_body(tokens: u32) -> String {
     format!(
         r#"{{"model":"model-1","prompt":"emissions of plant 7","max_tokens":{tokens},"stream":true}}"#
     )
--- a/crates/hyssopfork-daemon/tests/processes/support/daemon.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/daemon.rs
@@ -49,12 +49,12 @@
     }
 
     /// Its exit code, when it has ended.
-    pub fn exit(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().unwrap().map(|status| status.code().unwrap_or(-1))
     }
 
     /// All that it has logged.
-    pub fn log(&self) -> String {
+    pub fn read_log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
--- a/crates/hyssopfork-daemon/tests/processes/support/fleet.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/fleet.rs
@@ -1,6 +1,6 @@
 //! A small fleet: three control instances, two entries, engines and a plain service.
 
-use super::{daemon, layout, operator, wires};
+use super::{daemon, layout, operator, relays};
 use hyssopfork_test_support::{engine, http, service};
 use hyssopfork_wire::configuration;
 use sha2::{Digest, Sha256};
@@ -43,7 +43,7 @@
     /// Plain services.
     pub services: Vec<Upstream<service::Service>>,
     /// Relays that the links run through.
-    pub wires: wires::Wires,
+    pub relays: relays::Relays,
     /// Files and addresses; dropped last.
     pub layout: layout::Layout,
 }
@@ -96,7 +96,7 @@
             entry_addresses: Vec::new(),
             engines: Vec::new(),
             services: Vec::new(),
-            wires: wires::Wires::new(plan.relayed),
+            relays: relays::Relays::new(plan.relayed),
             layout,
         };
         fleet.start_controls(&controls);
@@ -114,11 +114,11 @@
 
     fn start_controls(&mut self, controls: &[(String, SocketAddr)]) {
         for (number, (name, listen)) in controls.iter().enumerate() {
-            let voters = layout::voters(&self.wires.voters(name, controls));
+            let voters = layout::voters_setting(&self.relays.voters(name, controls));
             let folder = self.layout.folder.join(name);
             let rest = format!(r#""data_folder": "{}", {voters}"#, folder.display());
             let zone = ZONES[number % ZONES.len()];
-            let text = layout::control(name, zone, *listen, self.layout.address(), &rest);
+            let text = layout::control_settings(name, zone, *listen, self.layout.address(), &rest);
             self.controls.push(daemon::Daemon::start(&self.layout.folder, name, &text));
         }
     }
@@ -126,17 +126,17 @@
     fn start_entry(&mut self, number: usize) {
         let name = format!("entry-{}", number + 1);
         let listen = self.layout.address();
-        let controls = self.wires.controls(&name, &self.control_addresses);
+        let controls = self.relays.controls(&name, &self.control_addresses);
         let text = format!(
             r#"{{ "instance": "{name}", "zone": "{}", "roles": ["entry"],
                   "control_addresses": {}, "metrics_listen": "{}",
                   "log": {{ "level": "debug" }}, "entry": {{ "listen": "{listen}" }} }}"#,
             ZONES[number % ZONES.len()],
-            layout::addresses(&controls),
+            layout::address_list(&controls),
             self.layout.address(),
         );
         self.entries.push(daemon::Daemon::start(&self.layout.folder, &name, &text));
-        self.entry_addresses.push(self.wires.route(wires::Link::Caller, &name, listen));
+        self.entry_addresses.push(self.relays.route(relays::Link::Client, &name, listen));
     }
 
     fn start_engine(&mut self, number: usize, profile: engine::Profile) {
@@ -145,7 +145,7 @@
         let name = format!("engine-{}", number + 1);
         let profile = r#"{ "kind": "engine", "resumes": true, "cancels": true,
                            "accelerators": 4, "concurrency": 8 }"#;
-        let part = Part { name: &name, zone: ZONES[0], pool: "engines", profile };
+        let part = AgentSpec { name: &name, zone: ZONES[0], pool: "engines", profile };
         let agent = self.start_agent(&part, server.address());
         self.engines.push(Upstream { name, agent, fake, server: Some(server) });
     }
@@ -156,17 +156,17 @@
         let name = format!("service-{}", number + 1);
         let zone = ZONES[number % ZONES.len()];
         let profile = r#"{ "kind": "service", "concurrency": 8 }"#;
-        let part = Part { name: &name, zone, pool: "services", profile };
+        let part = AgentSpec { name: &name, zone, pool: "services", profile };
         let agent = self.start_agent(&part, server.address());
         self.services.push(Upstream { name, agent, fake, server: Some(server) });
     }
 
-    fn start_agent(&mut self, part: &Part<'_>, upstream: SocketAddr) -> daemon::Daemon {
-        let controls = self.wires.controls(part.name, &self.control_addresses);
+    fn start_agent(&mut self, part: &AgentSpec<'_>, upstream: SocketAddr) -> daemon::Daemon {
+        let controls = self.relays.controls(part.name, &self.control_addresses);
         let traffic = self.layout.address();
         let peer = self.layout.address();
-        let traffic_announce = self.wires.route(wires::Link::Traffic, part.name, traffic);
-        let peer_announce = self.wires.route(wires::Link::Peer, part.name, peer);
+        let traffic_announce = self.relays.route(relays::Link::Traffic, part.name, traffic);
+        let peer_announce = self.relays.route(relays::Link::Peer, part.name, peer);
         let text = format!(
             r#"{{ "instance": "{}", "zone": "{}", "roles": ["agent"],
                   "control_addresses": {}, "metrics_listen": "{}", "log": {{ "level": "debug" }},
@@ -177,7 +177,7 @@
                               "profile": {} }} }}"#,
             part.name,
             part.zone,
-            layout::addresses(&controls),
+            layout::address_list(&controls),
             self.layout.address(),
             part.pool,
             part.profile,
@@ -186,15 +186,15 @@
     }
 
     /// Logs of all daemons.
-    pub fn logs(&self) -> Vec<String> {
+    pub fn read_logs(&self) -> Vec<String> {
         let engines = self.engines.iter().map(|upstream| &upstream.agent);
         let services = self.services.iter().map(|upstream| &upstream.agent);
         let daemons = self.controls.iter().chain(&self.entries).chain(engines).chain(services);
-        daemons.map(daemon::Daemon::log).collect()
+        daemons.map(daemon::Daemon::read_log).collect()
     }
 
     /// Copies the logs of all daemons to a folder that outlasts the test.
-    pub fn keep_logs(&self, seed: u64) -> PathBuf {
+    pub fn copy_logs(&self, seed: u64) -> PathBuf {
         let name = format!("hyssopfork-soak-{seed}-{}", std::process::id());
         let kept = std::env::temp_dir().join(name);
         fs::create_dir_all(&kept).unwrap();
@@ -213,7 +213,7 @@
     }
 }
 
-struct Part<'a> {
+struct AgentSpec<'a> {
     name: &'a str,
     zone: &'a str,
     pool: &'a str,
--- a/crates/hyssopfork-daemon/tests/processes/support/layout.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/layout.rs
@@ -9,16 +9,16 @@
 const FIRST_PORT: u16 = 10_000;
 
 /// Ports of one fleet.
-const PORTS: u16 = 100;
+const PORTS_PER_FLEET: u16 = 100;
 
-static FLEETS: AtomicU16 = AtomicU16::new(0);
+static FLEET_COUNT: AtomicU16 = AtomicU16::new(0);
 
 /// Addresses and folder of one fleet.
 ///
 /// Every test process has a loopback address of its own, made from its process id, so that fleets
 /// of tests that run at once never meet.
 pub struct Layout {
-    next: AtomicU16,
+    next_port: AtomicU16,
     /// Folder of the fleet's files.
     pub folder: PathBuf,
 }
@@ -26,15 +26,15 @@
 impl Layout {
     /// A layout that no other test uses.
     pub fn new() -> Layout {
-        let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let fleet = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         let folder = env::temp_dir().join(format!("hyssopfork-{}-{fleet}", process::id()));
         fs::create_dir_all(&folder).unwrap();
-        Layout { next: AtomicU16::new(FIRST_PORT + fleet * PORTS), folder }
+        Layout { next_port: AtomicU16::new(FIRST_PORT + fleet * PORTS_PER_FLEET), folder }
     }
 
     /// An address that nothing else listens on.
     pub fn address(&self) -> SocketAddr {
-        let port = self.next.fetch_add(1, Ordering::Relaxed);
+        let port = self.next_port.fetch_add(1, Ordering::Relaxed);
         SocketAddr::new(host(), port)
     }
 }
@@ -53,7 +53,7 @@
 }
 
 /// Settings of a control instance.
-pub fn control(
+pub fn control_settings(
     name: &str,
     zone: &str,
     listen: SocketAddr,
@@ -68,7 +68,7 @@
 }
 
 /// The `voters` list of a control section.
-pub fn voters(controls: &[(String, SocketAddr)]) -> String {
+pub fn voters_setting(controls: &[(String, SocketAddr)]) -> String {
     let seats: Vec<String> = controls
         .iter()
         .map(|(name, address)| format!(r#"{{ "instance": "{name}", "address": "{address}" }}"#))
@@ -77,7 +77,7 @@
 }
 
 /// The list of control addresses.
-pub fn addresses(controls: &[SocketAddr]) -> String {
+pub fn address_list(controls: &[SocketAddr]) -> String {
     let quoted: Vec<String> = controls.iter().map(|address| format!("\"{address}\"")).collect();
     format!("[{}]", quoted.join(", "))
 }
--- a/crates/hyssopfork-daemon/tests/processes/support/mod.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/mod.rs
@@ -1,8 +1,8 @@
 //! Real processes on loopback for tests of failures: small fleets, their callers and operators.
 
-pub mod caller;
+pub mod client;
 pub mod daemon;
 pub mod fleet;
 pub mod layout;
 pub mod operator;
-pub mod wires;
+pub mod relays;
--- a/crates/hyssopfork-daemon/tests/processes/support/operator.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/operator.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 /// Longest time that a test waits for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-const TIMEOUT: Duration = Duration::from_millis(1_500);
-const PAUSE: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An operator.
 pub struct Operator {
@@ -28,7 +28,7 @@
         let start = Instant::now();
         loop {
             for to in &self.controls {
-                match self.clients.call_control(*to, request.clone(), TIMEOUT).await {
+                match self.clients.call_control(*to, request.clone(), CALL_TIMEOUT).await {
                     None
                     | Some(control::Response::NotLeader(_))
                     | Some(control::Response::Unknown)
@@ -36,8 +36,8 @@
                     Some(response) => return response,
                 }
             }
-            assert!(start.elapsed() < PATIENCE, "no control instance leads");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(start.elapsed() < WAIT_TIMEOUT, "no control instance leads");
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Waits until the status shows what is wanted.
-    pub async fn wait(
+    pub async fn wait_for(
         &self,
         what: &str,
         shows: impl Fn(&control::Status) -> bool,
@@ -80,21 +80,21 @@
             if shows(&status) {
                 return status;
             }
-            assert!(start.elapsed() < PATIENCE, "never seen: {what}; last {status:#?}");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(start.elapsed() < WAIT_TIMEOUT, "never seen: {what}; last {status:#?}");
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 /// Whether so many entries and agents hold leases on the newest view.
-pub fn all_hold(status: &control::Status, holders: usize) -> bool {
+pub fn all_hold_current_view(status: &control::Status, holders: usize) -> bool {
     let newest = status.view.version;
     let current = status.holdings.iter().filter(|holding| holding.version == newest);
     current.count() == holders
 }
 
 /// Whether the group's first member reports that it serves under its newest fencing number.
-pub fn serves(status: &control::Status, group: &str) -> bool {
+pub fn is_serving(status: &control::Status, group: &str) -> bool {
     let Some(placement) = status.view.placements.get(&group.into()) else { return false };
     status.holdings.iter().any(|holding| {
         let report = holding.report.as_ref();
--- a/crates/hyssopfork-daemon/tests/processes/support/wires.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/relays.rs
@@ -15,35 +15,35 @@
     /// Agents of a group call an agent.
     Peer,
     /// Callers connect to an entry.
-    Caller,
+    Client,
 }
 
-struct Wire {
+struct LinkRelay {
     link: Link,
     name: String,
     relay: relay::Relay,
 }
 
 /// The relays of a fleet; none when it runs without.
-pub struct Wires {
-    used: bool,
-    wires: Vec<Wire>,
+pub struct Relays {
+    enabled: bool,
+    relays: Vec<LinkRelay>,
 }
 
-impl Wires {
+impl Relays {
     /// No relay yet; `used` says whether routes get any.
-    pub fn new(used: bool) -> Wires {
-        Wires { used, wires: Vec::new() }
+    pub fn new(used: bool) -> Relays {
+        Relays { enabled: used, relays: Vec::new() }
     }
 
     /// The address that leads to `target`; `name` is the process that the link belongs to.
     pub fn route(&mut self, link: Link, name: &str, target: SocketAddr) -> SocketAddr {
-        if !self.used {
+        if !self.enabled {
             return target;
         }
         let relay = relay::Relay::start(target).unwrap();
         let address = relay.address();
-        self.wires.push(Wire { link, name: name.to_owned(), relay });
+        self.relays.push(LinkRelay { link, name: name.to_owned(), relay });
         address
     }
 
@@ -68,15 +68,15 @@
     }
 
     /// Makes the open connections of all links of a kind silent for good; new ones work.
-    pub fn forget(&self, link: Link) {
-        let wires = self.wires.iter().filter(|wire| wire.link == link);
-        wires.for_each(|wire| wire.relay.forget());
+    pub fn silence_open_connections(&self, link: Link) {
+        let relays = self.relays.iter().filter(|link_relay| link_relay.link == link);
+        relays.for_each(|link_relay| link_relay.relay.forget());
     }
 
     /// Makes all links of a kind that belong to `name` silent, new connections too.
-    pub fn silence(&self, link: Link, name: &str) {
-        let wires = self.wires.iter().filter(|wire| wire.link == link);
-        let own = wires.filter(|wire| wire.name.split(' ').any(|end| end == name));
-        own.for_each(|wire| wire.relay.silence());
+    pub fn silence_link(&self, link: Link, name: &str) {
+        let relays = self.relays.iter().filter(|link_relay| link_relay.link == link);
+        let own = relays.filter(|link_relay| link_relay.name.split(' ').any(|end| end == name));
+        own.for_each(|link_relay| link_relay.relay.silence());
     }
 }
--- a/crates/hyssopfork-daemon/tests/running.rs
+++ b/crates/hyssopfork-daemon/tests/running.rs
@@ -16,7 +16,7 @@
 // listens and answers nothing, and the balancer one that says that it is ready; the process must
 // hear of the end and end itself.
 #[actix_rt::test]
-async fn a_role_that_ends_by_itself_is_heard_of() {
+async fn a_role_that_ends_unexpectedly_is_detected() {
     let (_first, healthy) = role();
     let (second, broken) = role();
     let mut running = [healthy, broken];
