--- a/crates/hyssopfork-daemon/benches/capacity/experiment.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/experiment.rs
@@ -1,56 +1,59 @@
-//! The experiments, one after the other on the same processes.
+//! The experiments, run in sequence on the same processes.
 
-use super::{callers, operator, table, usage, watchers};
+use super::{clients, operator, table, usage, watchers};
 use hyssopfork_wire::{configuration, number, patch};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Time for processes to settle after a change of size.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for processes to settle after a change of load.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Window over which each point is measured.
-const WINDOW: Duration = Duration::from_secs(5);
+/// Duration of each measurement.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(5);
 
-/// Time between two watchers' arrivals: instances come one by one but for a start of the fleet.
-const ARRIVAL: Duration = Duration::from_millis(10);
+/// Interval between the starts of two watchers: except when a fleet starts, instances start one by
+/// one.
+const WATCHER_START_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Watchers, in steps.
-const WATCHERS: [u16; 4] = [100, 200, 400, 800];
+/// Numbers of watchers.
+const WATCHER_COUNTS: [u16; 4] = [100, 200, 400, 800];
 
-/// Changes a second.
-const CHANGES: [f64; 4] = [2.0, 5.0, 10.0, 20.0];
+/// Changes per second.
+const CHANGE_RATES: [f64; 4] = [2.0, 5.0, 10.0, 20.0];
 
-/// Changes whose way to every watcher is timed, and the pause after each.
-const DELAYS: u32 = 40;
-const PAUSE: Duration = Duration::from_millis(200);
+/// Changes whose propagation to every watcher is timed.
+const TIMED_CHANGES: u32 = 40;
 
-/// Requests a second.
-const REQUESTS: [f64; 4] = [50.0, 100.0, 200.0, 400.0];
+/// Interval between timed changes.
+const TIMED_CHANGE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Claimed requests a second.
-const CLAIMS: [f64; 4] = [25.0, 50.0, 100.0, 200.0];
+/// Requests per second.
+const REQUEST_RATES: [f64; 4] = [50.0, 100.0, 200.0, 400.0];
 
-/// Streams at once.
-const STREAMS: [u64; 4] = [4, 8, 16, 32];
+/// Claimed requests per second.
+const CLAIM_RATES: [f64; 4] = [25.0, 50.0, 100.0, 200.0];
+
+/// Numbers of concurrent streams.
+const STREAM_COUNTS: [u64; 4] = [4, 8, 16, 32];
 
 /// Tokens of each stream.
-const TOKENS: u32 = 100;
+const TOKENS_PER_STREAM: u32 = 100;
 
-/// Members of a group.
-const MEMBERS: [u32; 4] = [1, 2, 4, 8];
+/// Numbers of members in a group.
+const GROUP_SIZES: [u32; 4] = [1, 2, 4, 8];
 
 /// Runs every experiment and prints the table.
 pub async fn run_all(fleet: &usage::Fleet) {
     let controls = fleet.addresses("control");
     let operator = operator::Operator::find(&controls).await;
     table::print_head();
-    serve(fleet, &operator).await;
-    members(fleet, &operator).await;
-    watch(fleet, &operator).await;
+    measure_traffic(fleet, &operator).await;
+    measure_groups(fleet, &operator).await;
+    measure_watchers(fleet, &operator).await;
 }
 
-fn ids(fleet: &usage::Fleet) -> Vec<u32> {
+fn process_ids(fleet: &usage::Fleet) -> Vec<u32> {
     fleet.processes.values().map(|process| process.id).collect()
 }
 
@@ -74,49 +77,50 @@
     table::print(&table::Row { role, value, unit, scale, points });
 }
 
-/// Requests, claims and tokens through the entry.
-async fn serve(fleet: &usage::Fleet, operator: &operator::Operator) {
+/// Measures requests, claims and tokens through the entry.
+async fn measure_traffic(fleet: &usage::Fleet, operator: &operator::Operator) {
     let entry = fleet.of("entry")[0].1.clone();
     let agent = fleet.of("service")[0].1.clone();
     let leader = leader_id(fleet, operator);
     let follower = follower_id(fleet, operator);
     let mut by_request = (Vec::new(), Vec::new());
-    for rate in REQUESTS {
-        let window = usage::Window::open(&ids(fleet));
-        let end = Instant::now() + WINDOW;
-        let answered = callers::send_at(entry.address, rate, end, |_| callers::Ask::status()).await;
-        let rate = answered as f64 / window.seconds();
+    for rate in REQUEST_RATES {
+        let window = usage::Window::open(&process_ids(fleet));
+        let end = Instant::now() + MEASUREMENT_TIME;
+        let completed =
+            clients::send_at_rate(entry.address, rate, end, |_| clients::Request::status()).await;
+        let rate = completed as f64 / window.seconds();
         by_request.0.push((rate, window.share(entry.id)));
         by_request.1.push((rate, window.share(agent.id)));
     }
     print("entry", "µs of processor time", "request", 1e6, by_request.0);
     print("agent", "µs of processor time", "request", 1e6, by_request.1);
     let mut by_claim = (Vec::new(), Vec::new());
-    for (step, rate) in CLAIMS.into_iter().enumerate() {
-        let window = usage::Window::open(&ids(fleet));
-        let end = Instant::now() + WINDOW;
-        let key = |number| callers::Ask::lodge(format!("claim-{step}-{number}"));
-        let answered = callers::send_at(entry.address, rate, end, key).await;
-        let rate = answered as f64 / window.seconds();
+    for (step, rate) in CLAIM_RATES.into_iter().enumerate() {
+        let window = usage::Window::open(&process_ids(fleet));
+        let end = Instant::now() + MEASUREMENT_TIME;
+        let key = |number| clients::Request::lodge(format!("claim-{step}-{number}"));
+        let completed = clients::send_at_rate(entry.address, rate, end, key).await;
+        let rate = completed as f64 / window.seconds();
         by_claim.0.push((rate, window.share(leader)));
         by_claim.1.push((rate, window.share(follower)));
     }
     print("control leader", "µs of processor time", "claimed request", 1e6, by_claim.0);
     print("control follower", "µs of processor time", "claimed request", 1e6, by_claim.1);
     let mut by_token = Vec::new();
-    for count in STREAMS {
-        let window = usage::Window::open(&ids(fleet));
-        let end = Instant::now() + WINDOW;
-        let events = callers::stream(entry.address, count, TOKENS, end).await;
+    for count in STREAM_COUNTS {
+        let window = usage::Window::open(&process_ids(fleet));
+        let end = Instant::now() + MEASUREMENT_TIME;
+        let events = clients::run_streams(entry.address, count, TOKENS_PER_STREAM, end).await;
         by_token.push((events as f64 / window.seconds(), window.share(entry.id)));
     }
     print("entry", "µs of processor time, streams of 100", "token", 1e6, by_token);
 }
 
-/// Groups of growing size: what the first member's agent spends on grants.
-async fn members(fleet: &usage::Fleet, operator: &operator::Operator) {
+/// Measures the processor time for grants of the first member's agent, in groups of growing size.
+async fn measure_groups(fleet: &usage::Fleet, operator: &operator::Operator) {
     let mut points = Vec::new();
-    for size in MEMBERS {
+    for size in GROUP_SIZES {
         let group = configuration::Group {
             pool: "engines".into(),
             model: "model-1".into(),
@@ -125,12 +129,12 @@
         };
         clear_groups(operator).await;
         operator.submit(patch::Operation::PutGroup("sized".into(), group)).await;
-        actix_rt::time::sleep(SETTLE).await;
+        actix_rt::time::sleep(SETTLE_TIME).await;
         let status = operator.status().await;
         let Some(placement) = status.view.placements.get(&"sized".into()) else { continue };
         let first = fleet.processes[placement.members[0].as_str()].id;
-        let window = usage::Window::open(&ids(fleet));
-        actix_rt::time::sleep(WINDOW).await;
+        let window = usage::Window::open(&process_ids(fleet));
+        actix_rt::time::sleep(MEASUREMENT_TIME).await;
         points.push((f64::from(size) - 1.0, window.share(first)));
     }
     print("agent, first member", "% of a core", "other member", 100.0, points);
@@ -141,11 +145,11 @@
     for group in status.view.configuration.groups.keys() {
         operator.submit(patch::Operation::RemoveGroup(group.clone())).await;
     }
-    actix_rt::time::sleep(SETTLE).await;
+    actix_rt::time::sleep(SETTLE_TIME).await;
 }
 
-/// Watchers: leases, memory, and changes.
-async fn watch(fleet: &usage::Fleet, operator: &operator::Operator) {
+/// Measures watchers: leases, memory and changes.
+async fn measure_watchers(fleet: &usage::Fleet, operator: &operator::Operator) {
     let tally = Arc::new(watchers::Tally::default());
     let leader = leader_id(fleet, operator);
     let follower = follower_id(fleet, operator);
@@ -155,16 +159,16 @@
     let mut memory = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let mut bytes = Vec::new();
     let mut opened = 0;
-    for count in WATCHERS {
+    for count in WATCHER_COUNTS {
         while opened < count {
-            watchers::open(opened, operator.leader, tally.clone());
+            watchers::start(opened, operator.leader, tally.clone());
             opened += 1;
-            actix_rt::time::sleep(ARRIVAL).await;
+            actix_rt::time::sleep(WATCHER_START_INTERVAL).await;
         }
-        actix_rt::time::sleep(SETTLE * 2).await;
-        let window = usage::Window::open(&ids(fleet));
+        actix_rt::time::sleep(SETTLE_TIME * 2).await;
+        let window = usage::Window::open(&process_ids(fleet));
         let before = tally.bytes.load(Ordering::Relaxed);
-        actix_rt::time::sleep(WINDOW).await;
+        actix_rt::time::sleep(MEASUREMENT_TIME).await;
         let rate = (tally.bytes.load(Ordering::Relaxed) - before) as f64 / window.seconds();
         let count = f64::from(count);
         shares.0.push((count, window.share(leader)));
@@ -182,34 +186,38 @@
     print("control follower", "KiB resident", "instance in the view", 1.0 / 1024.0, memory.1);
     print("entry", "KiB resident", "instance in the view", 1.0 / 1024.0, memory.2);
     print("agent", "KiB resident", "instance in the view", 1.0 / 1024.0, memory.3);
-    changes(fleet, operator, &tally).await;
+    measure_changes(fleet, operator, &tally).await;
 }
 
-/// Changes at a rate, before the largest number of watchers: first ones that concern every agent,
-/// then ones that concern a single instance.
-async fn changes(fleet: &usage::Fleet, operator: &operator::Operator, tally: &watchers::Tally) {
+/// Measures changes at several rates with the largest number of watchers: first changes that affect
+/// every agent, then changes that affect a single instance.
+async fn measure_changes(
+    fleet: &usage::Fleet,
+    operator: &operator::Operator,
+    tally: &watchers::Tally,
+) {
     let zone = |flip| patch::Operation::SetZoneOut("zone-z".into(), flip);
-    let (shares, bytes) = change_at_rates(fleet, operator, tally, zone).await;
+    let (shares, bytes) = submit_at_rates(fleet, operator, tally, zone).await;
     print("control leader", "ms of processor time", "change for 800 agents", 1e3, shares);
     print("control leader", "KB to all holders", "change for 800 agents", 1e-3, bytes);
     let one = |flip| patch::Operation::SetDrained("probe-1".into(), flip);
-    let (shares, bytes) = change_at_rates(fleet, operator, tally, one).await;
+    let (shares, bytes) = submit_at_rates(fleet, operator, tally, one).await;
     print("control leader", "ms of processor time", "change for one of 800", 1e3, shares);
     print("control leader", "KB to all holders", "change for one of 800", 1e-3, bytes);
     let mut accepted = Vec::new();
-    for count in 0..DELAYS {
+    for count in 0..TIMED_CHANGES {
         let at = operator.submit(zone(count % 2 == 0)).await;
         accepted.push((operator.status().await.view.version, at));
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(TIMED_CHANGE_INTERVAL).await;
     }
-    print_delays(&accepted, tally);
+    print_propagation_times(&accepted, tally);
 }
 
 type Points = Vec<(f64, f64)>;
 
-/// Submits one change after the other at each rate: the leader's share of a core, and the bytes a
+/// Submits changes in sequence at each rate; returns the leader's share of a core and the bytes per
 /// second of all watchers.
-async fn change_at_rates(
+async fn submit_at_rates(
     fleet: &usage::Fleet,
     operator: &operator::Operator,
     tally: &watchers::Tally,
@@ -218,11 +226,11 @@
     let leader = leader_id(fleet, operator);
     let mut shares = Vec::new();
     let mut bytes = Vec::new();
-    for rate in CHANGES {
-        let window = usage::Window::open(&ids(fleet));
+    for rate in CHANGE_RATES {
+        let window = usage::Window::open(&process_ids(fleet));
         let before = tally.bytes.load(Ordering::Relaxed);
         let mut count = 0;
-        while window.seconds() < WINDOW.as_secs_f64() {
+        while window.seconds() < MEASUREMENT_TIME.as_secs_f64() {
             operator.submit(change(count % 2 == 0)).await;
             count += 1;
             actix_rt::time::sleep(Duration::from_secs_f64(1.0 / rate)).await;
@@ -235,8 +243,8 @@
     (shares, bytes)
 }
 
-/// Time from accepting a change to each watcher's having it, in milliseconds.
-fn print_delays(accepted: &[(number::Version, Instant)], tally: &watchers::Tally) {
+/// Prints the time from the acceptance of a change to its receipt by each watcher, in milliseconds.
+fn print_propagation_times(accepted: &[(number::Version, Instant)], tally: &watchers::Tally) {
     let mut delays: Vec<f64> = Vec::new();
     for (version, seen) in tally.seen.lock().expect("no holder panics").iter() {
         let accepted = accepted.iter().find(|(other, _)| other == version);
--- a/crates/hyssopfork-daemon/benches/capacity/fit.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/fit.rs
@@ -1,13 +1,13 @@
-//! Lines through measured points.
+//! Linear regression through measured points.
 
 /// A line `base + slope * x`, by least squares.
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
     /// Value at 0.
     pub base: f64,
-    /// Growth with each unit.
+    /// Increase for each unit of `x`.
     pub slope: f64,
-    /// Root of the mean squared distance of the points from the line, in units of the value.
+    /// Root mean square of the points' distance from the line, in units of the value.
     pub residual: f64,
 }
 
--- a/crates/hyssopfork-daemon/benches/capacity/main.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/main.rs
@@ -1,9 +1,10 @@
-//! Measures what each role costs and how it grows: `scripts/capacity` starts the processes and
-//! calls this program, which varies watchers, changes, requests, tokens, claims and group sizes,
-//! reads processor time and memory of the processes from the operating system, and prints a table
-//! of lines fitted to at least four sizes each.
+//! Capacity benchmark: measures the resource use of each role and how it scales.
+//!
+//! `scripts/capacity` starts the processes and runs this program, which varies watchers, changes,
+//! requests, tokens, claims and group sizes, reads processor time and memory of the processes from
+//! the operating system, and prints a table of lines fitted to at least four sizes each.
 
-mod callers;
+mod clients;
 mod experiment;
 mod fit;
 mod operator;
--- a/crates/hyssopfork-daemon/benches/capacity/operator.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who submits patches one after the other.
+//! An operator that submits patches in sequence.
 
 use hyssopfork_wire::{control, envelope, number, patch};
 use std::cell::RefCell;
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 use tarpc::{client, context, serde_transport, tokio_serde};
 
-const TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An operator on one connection to the leader.
 pub struct Operator {
     client: control::ControlClient,
-    /// Where the leader takes calls.
+    /// Address of the leader.
     pub leader: SocketAddr,
     /// Instance of the leader.
     pub name: String,
@@ -23,7 +23,7 @@
     pub async fn find(controls: &[SocketAddr]) -> Operator {
         for _ in 0..100 {
             for address in controls {
-                if let Some(operator) = Operator::open(*address).await {
+                if let Some(operator) = Operator::connect(*address).await {
                     return operator;
                 }
             }
@@ -32,7 +32,7 @@
         panic!("no control instance leads");
     }
 
-    async fn open(address: SocketAddr) -> Option<Operator> {
+    async fn connect(address: SocketAddr) -> Option<Operator> {
         let connecting =
             serde_transport::tcp::connect(address, tokio_serde::formats::Bincode::default);
         let client =
@@ -42,12 +42,12 @@
         Some(Operator { client, leader: address, name: status.leader.to_string(), base })
     }
 
-    /// What operators see.
+    /// Requests the status.
     pub async fn status(&self) -> control::Status {
         status(&self.client).await.expect("the leader answers")
     }
 
-    /// Submits one operation; returns when it was accepted.
+    /// Submits one operation; returns the time of its acceptance.
     pub async fn submit(&self, operation: patch::Operation) -> Instant {
         let base = *self.base.borrow();
         let patch = patch::Patch {
@@ -78,6 +78,6 @@
     request: control::Request,
 ) -> Option<control::Response> {
     let mut context = context::current();
-    context.deadline = Instant::now() + TIMEOUT;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     client.call(context, envelope::Envelope::new(request)).await.ok()
 }
--- a/crates/hyssopfork-daemon/benches/capacity/table.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/table.rs
@@ -1,14 +1,14 @@
-//! The printed table: one row for each fitted line.
+//! The printed table, with one row for each fitted line.
 
 use super::fit;
 
 /// One measured line.
 pub struct Row {
-    /// Role that is measured.
+    /// Measured role.
     pub role: &'static str,
-    /// What is measured, with its unit.
+    /// Measured quantity, with its unit.
     pub value: &'static str,
-    /// What it grows with.
+    /// Quantity on which it depends.
     pub unit: &'static str,
     /// Factor from the measured to the printed unit.
     pub scale: f64,
@@ -33,7 +33,7 @@
     );
 }
 
-/// Prints the table's head.
+/// Prints the table's header.
 pub fn print_head() {
     println!("| role | value | for each | slope | at 0 | residual | points |");
     println!("|---|---|---|---|---|---|---|");
--- a/crates/hyssopfork-daemon/benches/capacity/usage.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/usage.rs
@@ -1,4 +1,4 @@
-//! What processes use, as the operating system tells.
+//! Resource use of processes, as reported by the operating system.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,15 +7,15 @@
 /// A process of the fleet.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// Role's word in the manifest.
+    /// Role, as in the manifest.
     pub role: String,
-    /// Where others reach it.
+    /// Address of the process.
     pub address: net::SocketAddr,
-    /// Its process id.
+    /// Process id.
     pub id: u32,
 }
 
-/// All processes by instance.
+/// All processes of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     /// Processes by the name of their instance.
@@ -46,13 +46,13 @@
         self.processes.iter().filter(|(_, process)| process.role == role).collect()
     }
 
-    /// Where the processes of a role are reached.
+    /// Addresses of the processes of a role.
     pub fn addresses(&self, role: &str) -> Vec<net::SocketAddr> {
         self.of(role).iter().map(|(_, process)| process.address).collect()
     }
 }
 
-/// Processor time that a process has used so far, over all its threads.
+/// Processor time that all threads of a process have used.
 pub fn processor_time(id: u32) -> Duration {
     let Ok(threads) = fs::read_dir(format!("/proc/{id}/task")) else { return Duration::ZERO };
     let nanoseconds = threads.flatten().filter_map(|thread| {
@@ -70,27 +70,27 @@
     kibibytes.unwrap_or(0.0) * 1024.0
 }
 
-/// Measures processor time of several processes over a window.
+/// Measures the processor time of several processes over a time window.
 pub struct Window {
     start: Instant,
     before: BTreeMap<u32, Duration>,
 }
 
 impl Window {
-    /// Opens a window over the processes with these ids.
+    /// Starts a window for the processes with these ids.
     pub fn open(ids: &[u32]) -> Window {
         let before = ids.iter().map(|id| (*id, processor_time(*id))).collect();
         Window { start: Instant::now(), before }
     }
 
-    /// Share of one core that a process used in the window so far.
+    /// Share of one core that a process has used in the window.
     pub fn share(&self, id: u32) -> f64 {
         let before = self.before.get(&id).copied().unwrap_or_default();
         let used = processor_time(id).saturating_sub(before);
         used.as_secs_f64() / self.start.elapsed().as_secs_f64()
     }
 
-    /// Seconds since the window was opened.
+    /// Seconds since the start of the window.
     pub fn seconds(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
--- a/crates/hyssopfork-daemon/benches/capacity/watchers.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/watchers.rs
@@ -1,4 +1,4 @@
-//! Holders of leases by the hundred, each on a connection of its own whose bytes are counted.
+//! Hundreds of lease holders, each on its own connection whose bytes are counted.
 
 use hyssopfork_test_support::fixture;
 use hyssopfork_wire::{change, control, envelope, fleet, number, timing};
@@ -16,33 +16,33 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Answers are waited for this long.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of calls.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What all watchers see together.
+/// Totals over all watchers.
 #[derive(Default)]
 pub struct Tally {
     /// Bytes read and written on all connections, without the headers of TCP and IP.
     pub bytes: AtomicU64,
-    /// Renewals answered with a lease.
+    /// Granted renewals.
     pub granted: AtomicU64,
-    /// When each watcher first saw each version that it saw.
+    /// Time at which each watcher first received each version.
     pub seen: Mutex<Vec<(number::Version, Instant)>>,
 }
 
-/// A stream that counts what passes.
-struct Counting {
+/// A stream that counts the bytes read and written.
+struct CountingStream {
     stream: TcpStream,
     tally: Arc<Tally>,
 }
 
-impl Counting {
+impl CountingStream {
     fn add(&self, bytes: usize) {
         self.tally.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-impl AsyncRead for Counting {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -55,7 +55,7 @@
     }
 }
 
-impl AsyncWrite for Counting {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -77,25 +77,25 @@
     }
 }
 
-/// Opens watcher number `number`, which goes on until the program ends.
-pub fn open(number: u16, leader: SocketAddr, tally: Arc<Tally>) {
+/// Starts watcher number `number`, which runs until the program exits.
+pub fn start(number: u16, leader: SocketAddr, tally: Arc<Tally>) {
     actix_rt::spawn(async move {
         let stream = TcpStream::connect(leader).await.expect("the leader listens");
         stream.set_nodelay(true).expect("a socket takes its options");
-        let counting = Counting { stream, tally: tally.clone() };
+        let counting = CountingStream { stream, tally: tally.clone() };
         let framed = Framed::new(counting, LengthDelimitedCodec::new());
         let transport = serde_transport::new(framed, tokio_serde::formats::Bincode::default());
         let client = control::ControlClient::new(client::Config::default(), transport).spawn();
-        let have = Rc::new(Cell::new(number::Version::default()));
-        actix_rt::spawn(watch(number, client.clone(), have.clone(), tally.clone()));
-        renew(client, number, have, tally).await;
+        let current = Rc::new(Cell::new(number::Version::default()));
+        actix_rt::spawn(watch(number, client.clone(), current.clone(), tally.clone()));
+        renew(client, number, current, tally).await;
     });
 }
 
 async fn renew(
     client: control::ControlClient,
     number: u16,
-    have: Rc<Cell<number::Version>>,
+    current: Rc<Cell<number::Version>>,
     tally: Arc<Tally>,
 ) {
     let mut announcement = fixture::announcement("zone-a", "domain-x", number);
@@ -104,11 +104,11 @@
     let report = fleet::Report { alive: true, warm: true, ..fleet::Report::default() };
     loop {
         let holder = control::Holder::Agent(Box::new(announcement.clone()), report.clone());
-        let renewal = control::Renewal { holder, version: have.get(), leaving: false };
+        let renewal = control::Renewal { holder, version: current.get(), leaving: false };
         let response = call(&client, control::Request::Renew(renewal)).await;
         if let Some(control::Response::Granted(grant)) = response {
             tally.granted.fetch_add(1, Ordering::Relaxed);
-            take(&have, &grant.update, &tally);
+            record_version(&current, &grant.update, &tally);
         }
         actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await;
     }
@@ -117,13 +117,13 @@
 async fn watch(
     number: u16,
     client: control::ControlClient,
-    have: Rc<Cell<number::Version>>,
+    current: Rc<Cell<number::Version>>,
     tally: Arc<Tally>,
 ) {
     loop {
         let instance = format!("probe-{number}").as_str().into();
-        match call(&client, control::Request::Follow(have.get(), instance)).await {
-            Some(control::Response::Updated(update)) => take(&have, &update, &tally),
+        match call(&client, control::Request::Follow(current.get(), instance)).await {
+            Some(control::Response::Updated(update)) => record_version(&current, &update, &tally),
             _ => actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await,
         }
     }
@@ -134,18 +134,18 @@
     request: control::Request,
 ) -> Option<control::Response> {
     let mut context = context::current();
-    context.deadline = time::Instant::now() + TIMEOUT;
+    context.deadline = time::Instant::now() + CALL_TIMEOUT;
     client.call(context, envelope::Envelope::new(request)).await.ok()
 }
 
-fn take(have: &Cell<number::Version>, update: &change::Update, tally: &Tally) {
+fn record_version(current: &Cell<number::Version>, update: &change::Update, tally: &Tally) {
     let version = match update {
         change::Update::Current => return,
-        change::Update::Steps(steps) => steps.last().map_or(have.get(), |step| step.version),
+        change::Update::Steps(steps) => steps.last().map_or(current.get(), |step| step.version),
         change::Update::Whole(view) => view.version,
     };
-    if version > have.get() {
-        have.set(version);
+    if version > current.get() {
+        current.set(version);
         tally.seen.lock().expect("no holder panics").push((version, Instant::now()));
     }
 }
