--- a/crates/hyssopfork-daemon/tests/events.rs
+++ b/crates/hyssopfork-daemon/tests/events.rs
@@ -1,11 +1,11 @@
-//! The catalogue of numbered events agrees with the code: number and name of each.
+//! Compares the catalogue of numbered events with the code: the number and name of each event.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Packages with numbered events, and the heading of their part of the catalogue.
-const PARTS: [(&str, &str); 8] = [
+/// Packages with numbered events, and the heading of their section of the catalogue.
+const SECTIONS: [(&str, &str); 8] = [
     ("hyssopfork-consensus", "## Replicated log"),
     ("hyssopfork-control", "## Control"),
     ("hyssopfork-entry", "## Entry"),
@@ -20,9 +20,9 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Numbers by name, from the arms `Notice::Name... => 1234,` or `Kind::Name => 1234,` of the
-/// package's `number`.
-fn coded(package: &str) -> BTreeMap<String, u16> {
+/// Numbers by name in the code, from the arms `Notice::Name... => 1234,` or `Kind::Name => 1234,`
+/// of the package's `number`.
+fn numbers_in_code(package: &str) -> BTreeMap<String, u16> {
     let path = root().join("crates").join(package).join("src/notice.rs");
     let text = fs::read_to_string(path).expect("the package has notices");
     let arm = |line: &str| {
@@ -36,8 +36,8 @@
     text.lines().filter_map(arm).collect()
 }
 
-/// Numbers by name, from the rows below a heading.
-fn catalogued(heading: &str) -> BTreeMap<String, u16> {
+/// Numbers by name in the catalogue, from the rows below a heading.
+fn numbers_in_catalogue(heading: &str) -> BTreeMap<String, u16> {
     let text = fs::read_to_string(root().join("docs/events.md")).expect("the catalogue is there");
     let part = text.split("\n## ").find(|part| format!("## {part}").starts_with(heading));
     let row = |line: &str| {
@@ -49,19 +49,19 @@
 }
 
 #[test]
-fn every_event_is_catalogued_under_its_number_and_no_other() {
-    for (package, heading) in PARTS {
-        let coded = coded(package);
+fn catalogue_and_code_have_the_same_names_and_numbers() {
+    for (package, heading) in SECTIONS {
+        let coded = numbers_in_code(package);
 
         assert!(!coded.is_empty(), "{package}");
-        assert_eq!(coded, catalogued(heading), "{package}");
+        assert_eq!(coded, numbers_in_catalogue(heading), "{package}");
     }
 }
 
 #[test]
-fn no_number_is_given_twice() {
+fn every_number_is_unique() {
     let numbers: Vec<u16> =
-        PARTS.iter().flat_map(|(package, _)| coded(package).into_values()).collect();
+        SECTIONS.iter().flat_map(|(package, _)| numbers_in_code(package).into_values()).collect();
 
     let mut unique = numbers.clone();
     unique.sort_unstable();
--- a/crates/hyssopfork-daemon/tests/processes/aborted_responses.rs
+++ b/crates/hyssopfork-daemon/tests/processes/aborted_responses.rs
@@ -1,4 +1,4 @@
-//! Back ends that break off: before their answer's head, and within its body.
+//! Upstreams whose connection breaks before the response's head or within its body.
 
 use crate::support::{client, fleet, operator};
 use hyssopfork_test_support::impairment;
@@ -12,7 +12,7 @@
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
     operator
-        .wait_for("everybody present", |status| {
+        .wait_for("all instances present", |status| {
             operator::all_hold_current_view(status, engines + 3)
         })
         .await;
@@ -28,9 +28,9 @@
     client::post(fleet.entry_addresses[0], "/lodge", key, "{\"reference\":\"r\"}").await
 }
 
-// The service does the work and its connection closes before the head of the answer. What came
-// back is nothing at all, just as when nobody had been there: an agent that takes the one for the
-// other says "not run", the entry sends the work once more, and it has run twice.
+// The service does the work and closes the connection before the response's head. This looks like a
+// service that was never reached: an agent that confuses the two reports "not run", the entry
+// retries, and the work runs twice.
 #[actix_rt::test]
 async fn a_connection_closed_before_the_head_may_have_run() {
     for key in [Some("k"), None] {
@@ -44,9 +44,9 @@
     }
 }
 
-// The service promises a length and its connection closes after five bytes. An agent that takes
-// the connection's end for the answer's end hands half a receipt on as a whole one, and the log
-// keeps it as the outcome for good.
+// The service announces a length and closes the connection after five bytes. An agent that takes
+// the end of the connection for the end of the response forwards half a receipt as complete, and
+// the log records it as the outcome permanently.
 #[actix_rt::test]
 async fn a_response_shorter_than_its_length_is_not_complete() {
     for key in [Some("k"), None] {
@@ -60,8 +60,8 @@
     }
 }
 
-// The only group's engine breaks off within a stream. The caller has its first events; the rest
-// is resumed, or the stream ends in a mark and never cleanly.
+// The engine of the only group breaks off within a stream whose first events the client has. The
+// rest is resumed, or the stream ends in an error event and never cleanly.
 #[actix_rt::test]
 async fn an_interrupted_stream_is_resumed_or_ends_in_an_error_event() {
     let fleet = start_fleet(2).await;
@@ -78,14 +78,14 @@
     .await;
 
     let text = got.text();
-    let whole = got.is_complete_success() && text.trim_end().ends_with("data: [DONE]");
-    assert!(whole || text.contains("event: error"), "{got:?}");
-    assert_eq!(whole, text.matches("text_completion").count() == 12, "{got:?}");
+    let complete = got.is_complete_success() && text.trim_end().ends_with("data: [DONE]");
+    assert!(complete || text.contains("event: error"), "{got:?}");
+    assert_eq!(complete, text.matches("text_completion").count() == 12, "{got:?}");
 }
 
-// Every engine dies while a stream runs, and nothing is left to resume on. The caller has a part
-// and the entry breaks the connection so that it doesn't look whole; the mark that says why is
-// written just before, and must have gone out before the connection is gone.
+// Every engine dies while a stream runs, so it can't be resumed. The entry breaks the connection so
+// that the partial response doesn't look complete; the error event that gives the reason must be
+// sent before the connection closes.
 #[actix_rt::test]
 async fn a_stream_that_cannot_be_resumed_ends_in_an_error_event() {
     let fleet = start_fleet(2).await;
@@ -102,13 +102,13 @@
 
     assert!(!got.is_complete_success(), "{got:?}");
     let text = got.text();
-    let mark = text.rsplit("\n\n").find(|event| !event.is_empty()).unwrap_or_default();
-    assert!(mark.starts_with("event: error") && got.says_may_have_run(), "{mark:?}");
+    let last_event = text.rsplit("\n\n").find(|event| !event.is_empty()).unwrap_or_default();
+    assert!(last_event.starts_with("event: error") && got.says_may_have_run(), "{last_event:?}");
 }
 
-// An idle engine starts anew between two probes of its agent and holds no model. The first request
-// finds out: the engine says 503 to it. Taken for an answer of the model's, that would be what the
-// caller gets, and the gate would stay open for the next requests until a probe tells.
+// An idle engine restarts between two probes of its agent and has no model. It rejects the first
+// request with 503. If that were forwarded as the model's response, the client would get the error,
+// and further requests would be admitted until the next probe.
 #[actix_rt::test]
 async fn the_first_request_detects_an_engine_that_lost_its_model() {
     let fleet = start_fleet(2).await;
--- a/crates/hyssopfork-daemon/tests/processes/at_most_once.rs
+++ b/crates/hyssopfork-daemon/tests/processes/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated, under kills of entries, agents and the leader.
+//! At-most-once execution of non-repeatable requests while entries and agents are killed.
 
 use crate::support::{client, fleet, operator};
 use futures::future;
@@ -15,7 +15,7 @@
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
     operator
-        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 4))
+        .wait_for("all instances present", |status| operator::all_hold_current_view(status, 4))
         .await;
     (fleet, operator)
 }
@@ -28,8 +28,9 @@
     runs
 }
 
-// Two callers send the same key at once through two entries: the work runs once, and whoever
-// doesn't get its answer is told that it is in progress; a resend gets the recorded answer.
+// Two clients send the same key concurrently through two entries: the work runs once, and a client
+// that doesn't get its response is told that it is in progress; a resend gets the recorded
+// response.
 #[actix_rt::test]
 async fn one_key_through_two_entries_runs_once() {
     let (fleet, _) = start_fleet().await;
@@ -46,8 +47,8 @@
     assert_eq!(run_counts(&fleet).values().sum::<u64>(), 1, "{:?}", run_counts(&fleet));
 }
 
-// A caller whose entry is killed while its lodgement runs sends the same key again through the
-// other entry: it never runs twice, and the caller is told the truth that it may have run.
+// A client whose entry is killed while its lodgement runs resends the same key through the other
+// entry: the work never runs twice, and the client gets the response or a correct `ran`.
 #[actix_rt::test]
 async fn a_resend_after_the_entry_was_killed_runs_nothing_twice() {
     let (mut fleet, _) = start_fleet().await;
@@ -74,13 +75,13 @@
 
     assert!(run_counts(&fleet).values().all(|count| *count <= 1), "{:?}", run_counts(&fleet));
     for (got, again) in first.iter().zip(&resent) {
-        let honest =
+        let has_outcome =
             again.is_complete_success() || again.says_may_have_run() || again.says_not_run();
-        assert!(honest, "{got:?} then {again:?}");
+        assert!(has_outcome, "{got:?} then {again:?}");
     }
 }
 
-// A caller's lodgement is under way when its agent is killed: it is told that the work may have
+// The agent is killed while a client's lodgement runs: the client is told that the work may have
 // run, and a resend of the key doesn't run it again on the other upstream.
 #[actix_rt::test]
 async fn a_killed_agent_leaves_the_outcome_unknown() {
@@ -90,8 +91,8 @@
     let sent = actix_rt::spawn(send());
 
     actix_rt::time::sleep(Duration::from_millis(60)).await;
-    let place = usize::from(fleet.services[0].fake.ran().is_empty());
-    fleet.services[place].agent.kill();
+    let index = usize::from(fleet.services[0].fake.ran().is_empty());
+    fleet.services[index].agent.kill();
     let first = sent.await.unwrap();
     operator.status().await;
     let resent = send().await;
@@ -101,9 +102,9 @@
     assert_eq!(run_counts(&fleet).values().sum::<u64>(), 1, "{:?}", run_counts(&fleet));
 }
 
-// Found by a long run: a lodgement without a key ran twice. The upstream took the request, ran it
-// and closed the connection without an answer; the client library reports that as a failed
-// connection, the agent said "not run", and the entry sent it to the other upstream.
+// A lodgement without a key ran twice in a long soak run. The upstream ran the request and closed
+// the connection without a response; the client library reports that as a failed connection, so the
+// agent reported "not run" and the entry sent the request to the other upstream.
 #[actix_rt::test]
 async fn a_connection_closed_without_a_response_may_have_run() {
     let (fleet, _) = start_fleet().await;
@@ -117,8 +118,8 @@
     assert_eq!(run_counts(&fleet).values().sum::<u64>(), 1, "{:?}", run_counts(&fleet));
 }
 
-// The caller must not take a part of an answer for the whole. The upstream's answer breaks off
-// after a few bytes; the client library hands such a body out with a clean end.
+// The upstream's response breaks off after a few bytes, and the client library returns such a body
+// with a clean end. The client must not receive it as a complete response.
 #[actix_rt::test]
 async fn a_truncated_response_is_not_forwarded_as_complete() {
     let (fleet, _) = start_fleet().await;
--- a/crates/hyssopfork-daemon/tests/processes/clients.rs
+++ b/crates/hyssopfork-daemon/tests/processes/clients.rs
@@ -1,4 +1,4 @@
-//! Callers who go away, who are wrong, and an operator who won't wait.
+//! Clients that disconnect, invalid requests, and a second stop signal.
 
 use crate::support::{client, fleet, operator};
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Tokens of a stream that outlasts every test here.
+/// Tokens of a stream that outlasts every test of this file.
 const LONG_STREAM_TOKENS: u32 = 5_000;
 
 async fn start_fleet() -> fleet::Fleet {
@@ -18,7 +18,7 @@
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
     operator
-        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 4))
+        .wait_for("all instances present", |status| operator::all_hold_current_view(status, 4))
         .await;
     operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     fleet
@@ -51,15 +51,15 @@
     let mut stream = TcpStream::connect(entry).unwrap();
     stream.set_read_timeout(Some(operator::WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut part = [0; 4_096];
     let read = stream.read(&mut part).unwrap_or(0);
-    answer.extend_from_slice(&part[..read]);
-    String::from_utf8_lossy(&answer).into_owned()
+    response.extend_from_slice(&part[..read]);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-// A caller goes away in the middle of a long stream. Nobody wants the rest: the entry cancels the
-// attempt, the agent closes the engine's connection, and the engine's place is free again.
+// A client disconnects in the middle of a long stream: the entry cancels the attempt, the agent
+// closes the engine's connection, and the engine's slot is free again.
 #[actix_rt::test]
 async fn work_of_a_disconnected_client_is_cancelled_upstream() {
     let fleet = start_fleet().await;
@@ -72,8 +72,8 @@
     assert!(fleet.engines.iter().all(|engine| engine.fake.running() == 0));
 }
 
-// An operator asks an entry to stop while long streams run, and then asks again since it takes too
-// long: the process ends at once.
+// An operator stops an entry while long streams run and then sends the signal again because
+// draining takes too long: the process ends immediately.
 #[actix_rt::test]
 async fn a_second_signal_stops_the_process_immediately() {
     let mut fleet = start_fleet().await;
@@ -94,24 +94,24 @@
     assert_eq!(code, Some(0));
 }
 
-// Callers who are wrong are told so at once, with the truth that nothing ran, and the entry goes on.
+// Invalid requests are rejected immediately as not run, and the entry keeps serving.
 #[actix_rt::test]
 async fn invalid_requests_are_rejected_as_not_run() {
     let fleet = start_fleet().await;
     let entry = fleet.entry_addresses[0];
 
     let garbage = send_raw(entry, b"NOT HTTP AT ALL\r\n\r\n");
-    let stranger = send_raw(entry, b"GET /status HTTP/1.1\r\nhost: x\r\n\r\n");
-    let nowhere = client::get(entry, "/nowhere").await;
-    let keyless = client::post(entry, "/lodge", Some(""), "{\"reference\":\"r\"}").await;
-    let sound = client::post(entry, "/lodge", Some("key"), "{\"reference\":\"r\"}").await;
+    let unauthorized = send_raw(entry, b"GET /status HTTP/1.1\r\nhost: x\r\n\r\n");
+    let unrouted = client::get(entry, "/nowhere").await;
+    let empty_key = client::post(entry, "/lodge", Some(""), "{\"reference\":\"r\"}").await;
+    let valid = client::post(entry, "/lodge", Some("key"), "{\"reference\":\"r\"}").await;
 
     assert!(garbage.starts_with("HTTP/1.1 400"), "{garbage}");
-    assert!(stranger.starts_with("HTTP/1.1 401"), "{stranger}");
-    assert!(stranger.contains("\"ran\":\"not_run\""), "{stranger}");
-    assert_eq!(nowhere.status.map(|status| status.as_u16()), Some(404));
-    assert!(nowhere.says_not_run(), "{nowhere:?}");
-    assert_eq!(keyless.status.map(|status| status.as_u16()), Some(400));
-    assert!(keyless.says_not_run(), "{keyless:?}");
-    assert!(sound.is_complete_success(), "{sound:?}");
+    assert!(unauthorized.starts_with("HTTP/1.1 401"), "{unauthorized}");
+    assert!(unauthorized.contains("\"ran\":\"not_run\""), "{unauthorized}");
+    assert_eq!(unrouted.status.map(|status| status.as_u16()), Some(404));
+    assert!(unrouted.says_not_run(), "{unrouted:?}");
+    assert_eq!(empty_key.status.map(|status| status.as_u16()), Some(400));
+    assert!(empty_key.says_not_run(), "{empty_key:?}");
+    assert!(valid.is_complete_success(), "{valid:?}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/end_to_end.rs
+++ b/crates/hyssopfork-daemon/tests/processes/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path as separate processes: declaration, announcement, group, answers.
+//! End to end with separate processes: declaration, announcement, group formation, responses.
 
 use crate::support::{client, fleet, operator};
 use hyssopfork_wire::{number, patch};
@@ -12,7 +12,7 @@
     let outcome = operator.submit("declare", 0, vec![declare]).await;
     operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     operator
-        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 7))
+        .wait_for("all instances present", |status| operator::all_hold_current_view(status, 7))
         .await;
     let streamed = client::post(
         fleet.entry_addresses[0],
--- a/crates/hyssopfork-daemon/tests/processes/graceful_stop.rs
+++ b/crates/hyssopfork-daemon/tests/processes/graceful_stop.rs
@@ -11,7 +11,7 @@
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
     operator
-        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 7))
+        .wait_for("all instances present", |status| operator::all_hold_current_view(status, 7))
         .await;
     operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     (fleet, operator)
@@ -23,7 +23,11 @@
         if let Some(code) = daemon.exit_code() {
             return code;
         }
-        assert!(start.elapsed() < operator::WAIT_TIMEOUT, "it doesn't end: {}", daemon.read_log());
+        assert!(
+            start.elapsed() < operator::WAIT_TIMEOUT,
+            "the process did not exit: {}",
+            daemon.read_log()
+        );
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -34,8 +38,8 @@
     future::join_all(sends).await
 }
 
-// Callers have long streams open when their entry is asked to stop: each gets its stream whole,
-// and only then does the process end, with exit code 0.
+// An entry is asked to stop while clients have long streams open: each stream completes, and only
+// then does the process exit, with code 0.
 #[actix_rt::test]
 async fn a_stopping_entry_aborts_no_stream() {
     let (mut fleet, _) = start_fleet().await;
@@ -43,15 +47,15 @@
 
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     fleet.entries[0].terminate();
-    let answers = running.await.unwrap();
+    let responses = running.await.unwrap();
     let code = wait_for_exit(&mut fleet.entries[0]).await;
 
-    assert!(answers.iter().all(client::Response::is_complete_success), "{answers:?}");
+    assert!(responses.iter().all(client::Response::is_complete_success), "{responses:?}");
     assert_eq!(code, 0);
 }
 
-// Callers have long streams open when the agent of the group's first member is asked to stop: each
-// gets its stream whole, new work goes nowhere near it, and the process ends with exit code 0.
+// The agent of a group's first member is asked to stop while clients have long streams open: each
+// stream completes, the agent gets no new work, and the process exits with code 0.
 #[actix_rt::test]
 async fn a_stopping_agent_aborts_no_stream() {
     let (mut fleet, operator) = start_fleet().await;
@@ -61,27 +65,27 @@
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     let upstream = fleet.engines.iter_mut().find(|upstream| upstream.name == first).unwrap();
     upstream.agent.terminate();
-    let answers = running.await.unwrap();
+    let responses = running.await.unwrap();
     let code = wait_for_exit(&mut upstream.agent).await;
 
-    assert!(answers.iter().all(client::Response::is_complete_success), "{answers:?}");
+    assert!(responses.iter().all(client::Response::is_complete_success), "{responses:?}");
     assert_eq!(code, 0);
 }
 
-// Callers notice nothing when the leading control instance is asked to stop: it hands over, and
-// the fleet's leases go on.
+// The leading control instance is asked to stop: it hands over leadership, the leases stay valid,
+// and clients notice nothing.
 #[actix_rt::test]
 async fn a_stopping_leader_hands_over() {
     let (mut fleet, operator) = start_fleet().await;
     let leader = operator.status().await.leader;
-    let place = (0..3).find(|place| format!("control-{}", place + 1) == leader.as_str()).unwrap();
+    let index = (0..3).find(|index| format!("control-{}", index + 1) == leader.as_str()).unwrap();
 
-    fleet.controls[place].terminate();
-    let code = wait_for_exit(&mut fleet.controls[place]).await;
+    fleet.controls[index].terminate();
+    let code = wait_for_exit(&mut fleet.controls[index]).await;
     let status = operator.status().await;
-    let answers = run_streams(fleet.entry_addresses[1]).await;
+    let responses = run_streams(fleet.entry_addresses[1]).await;
 
     assert_eq!(code, 0);
     assert_ne!(status.leader, leader);
-    assert!(answers.iter().all(client::Response::is_complete_success), "{answers:?}");
+    assert!(responses.iter().all(client::Response::is_complete_success), "{responses:?}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/limits.rs
+++ b/crates/hyssopfork-daemon/tests/processes/limits.rs
@@ -1,15 +1,15 @@
-//! Limits of an entry towards its callers, as its settings give them.
+//! An entry's limits for client connections, as set in its settings.
 
 use crate::support::{daemon, layout};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Longest time that a test waits for a process to listen or to answer. Shorter than every default
-/// of the limits, so that an entry which left its settings unread would not pass.
+/// Time within which a process must listen and respond. Shorter than the defaults of all limits, so
+/// that an entry that ignores its settings fails the tests.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// An entry alone, with short limits; it has no control instance and needs none to refuse.
+/// Starts an entry with short limits and without a control instance, which rejections don't need.
 fn start_entry(layout: &layout::Layout, limits: &str) -> (daemon::Daemon, SocketAddr) {
     let listen = layout.address();
     let text = format!(
@@ -40,9 +40,9 @@
 fn send(address: SocketAddr, bytes: &str) -> String {
     let mut stream = connect(address);
     stream.write_all(bytes.as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
 #[test]
@@ -50,9 +50,9 @@
     let layout = layout::Layout::new();
     let (_entry, address) = start_entry(&layout, r#""head_timeout_ms": 200"#);
 
-    let answer = send(address, "POST /lodge HTTP/1.1\r\nhost: a\r\n");
+    let response = send(address, "POST /lodge HTTP/1.1\r\nhost: a\r\n");
 
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
 }
 
 #[test]
@@ -61,10 +61,10 @@
     let (_entry, address) = start_entry(&layout, r#""body_timeout_ms": 200"#);
     let head = "POST /lodge HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 9\r\n\r\n";
 
-    let answer = send(address, &format!("{head}part"));
+    let response = send(address, &format!("{head}part"));
 
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    assert!(answer.contains("not_run"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+    assert!(response.contains("not_run"), "{response}");
 }
 
 #[test]
@@ -73,10 +73,10 @@
     let (_entry, address) = start_entry(&layout, r#""body_limit_bytes": 8"#);
     let head = "POST /lodge HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 9\r\n\r\n";
 
-    let answer = send(address, &format!("{head}123456789"));
+    let response = send(address, &format!("{head}123456789"));
 
-    assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
-    assert!(answer.contains("not_run"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 413"), "{response}");
+    assert!(response.contains("not_run"), "{response}");
 }
 
 #[test]
@@ -84,9 +84,9 @@
     let layout = layout::Layout::new();
     let (_entry, address) = start_entry(&layout, r#""keep_alive_ms": 200"#);
 
-    let answer = send(address, "GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n");
+    let response = send(address, "GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n");
 
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
@@ -102,9 +102,9 @@
     let early = second.read(&mut [0; 16]);
     drop(first);
     second.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    let mut answer = String::new();
-    second.read_to_string(&mut answer).unwrap();
+    let mut response = String::new();
+    second.read_to_string(&mut response).unwrap();
 
     assert!(early.is_err(), "{early:?}");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/main.rs
+++ b/crates/hyssopfork-daemon/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Tests with real processes on loopback, under kills, freezes and connections that go silent.
+//! Tests with real processes on loopback that are killed, paused or lose their connections.
 
 mod aborted_responses;
 mod at_most_once;
--- a/crates/hyssopfork-daemon/tests/processes/metrics.rs
+++ b/crates/hyssopfork-daemon/tests/processes/metrics.rs
@@ -1,4 +1,4 @@
-//! What a process tells of itself at its metrics address.
+//! Metrics that a process serves at its metrics address.
 
 use crate::support::{daemon, fleet, layout, operator};
 use bytes::Bytes;
--- a/crates/hyssopfork-daemon/tests/processes/paused_processes.rs
+++ b/crates/hyssopfork-daemon/tests/processes/paused_processes.rs
@@ -1,5 +1,5 @@
-//! Processes that freeze past a change and thaw with work waiting, and agents that start anew
-//! before an upstream that has work.
+//! Processes that are paused during a change and resume with pending requests, and agents that
+//! restart while their upstream has work.
 
 use crate::support::{client, fleet, operator, relays};
 use futures::future;
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longer than the bound within which an accepted change is in force, for a busy test machine.
+/// Time within which an accepted change must be in force, with a margin for a busy test machine.
 const IN_FORCE_WAIT: Duration = Duration::from_secs(4);
 
-/// Deadline of lodgements: they still wait when what was frozen thaws.
+/// Deadline of lodgements; they are still pending when the paused process resumes.
 const DEADLINE_MS: u64 = 7_000;
 
-/// Lodgements that wait at once.
+/// Lodgements that are pending concurrently.
 const PENDING_REQUESTS: usize = 8;
 
 async fn start_fleet(plan: fleet::Plan) -> (fleet::Fleet, operator::Operator) {
@@ -26,7 +26,9 @@
     operator.submit("declare", 0, vec![declare]).await;
     let holders = plan.entries + plan.services;
     operator
-        .wait_for("everybody present", |status| operator::all_hold_current_view(status, holders))
+        .wait_for("all instances present", |status| {
+            operator::all_hold_current_view(status, holders)
+        })
         .await;
     (fleet, operator)
 }
@@ -35,8 +37,8 @@
     fleet::Plan { engines: 0, relayed: true, ..fleet::Plan::default() }
 }
 
-fn run_count(fleet: &fleet::Fleet, place: usize) -> u64 {
-    fleet.services[place].fake.ran().values().sum()
+fn run_count(fleet: &fleet::Fleet, index: usize) -> u64 {
+    fleet.services[index].fake.ran().values().sum()
 }
 
 async fn lodge(entry: SocketAddr, name: &str, count: usize) -> Vec<client::Response> {
@@ -51,10 +53,10 @@
     got.is_complete_success() || got.says_not_run() || got.says_may_have_run()
 }
 
-/// Takes zone-b out while those who are frozen are cut off from control, so that the news doesn't
-/// wait in their sockets when they thaw.
-async fn take_zone_out(fleet: &fleet::Fleet, operator: &operator::Operator, frozen: &[&str]) {
-    frozen.iter().for_each(|name| fleet.relays.silence_link(relays::Link::Control, name));
+/// Takes zone-b out while the paused processes are cut off from control, so that the change isn't
+/// waiting in their sockets when they resume.
+async fn take_zone_out(fleet: &fleet::Fleet, operator: &operator::Operator, paused: &[&str]) {
+    paused.iter().for_each(|name| fleet.relays.silence_link(relays::Link::Control, name));
     let out = patch::Operation::SetZoneOut("zone-b".into(), true);
     operator.submit("out", 1, vec![out]).await;
     actix_rt::time::sleep(IN_FORCE_WAIT).await;
@@ -67,9 +69,9 @@
     }
 }
 
-// Callers whose requests waited in a frozen entry are answered by another zone, or told truly that
-// nothing ran. Zone-b is taken out while the entry is frozen; it thaws with the view it had, in
-// which zone-b is in, and with a lease that has lapsed.
+// Zone-b is taken out while an entry with waiting requests is paused. It resumes with its old view,
+// in which zone-b is in, and an expired lease: its requests are served by another zone or rejected
+// as not run.
 #[actix_rt::test]
 async fn an_entry_paused_while_a_zone_is_taken_out_sends_it_nothing() {
     let (fleet, operator) = start_fleet(services_only()).await;
@@ -87,9 +89,9 @@
     assert_ran_once(&fleet);
 }
 
-// Callers whose requests were sent to a frozen agent are told the truth. Zone-b is taken out while
-// its agent is frozen with offers in its sockets; it thaws before it has heard of the change, and
-// only its lapsed lease keeps it from forwarding them.
+// Zone-b is taken out while its agent is paused with offers in its sockets. It resumes before it
+// learns of the change, and only its expired lease prevents it from forwarding them. Clients get a
+// response or a correct `ran`.
 #[actix_rt::test]
 async fn an_agent_paused_while_its_zone_is_taken_out_starts_nothing() {
     let (fleet, operator) = start_fleet(services_only()).await;
@@ -107,7 +109,7 @@
     assert_ran_once(&fleet);
 }
 
-// As above, with an entry frozen as well: both thaw with the view in which zone-b is in.
+// As above, with an entry paused as well: both resume with the view in which zone-b is in.
 #[actix_rt::test]
 async fn an_entry_and_an_agent_paused_together_start_nothing() {
     let (fleet, operator) = start_fleet(services_only()).await;
@@ -129,9 +131,9 @@
     assert_ran_once(&fleet);
 }
 
-// Callers whose work was on a cold upstream when its agent was killed are told that it may have
-// run; nothing of it runs again. The new agent process finds the upstream with work that the old
-// one sent, as much as it bears while cold: a burst that comes at once must wait for it.
+// An agent is killed while its cold upstream runs as much work as it can bear. Clients are told
+// that the work may have run, and none of it runs again. The new agent process finds the upstream
+// with the old work: a concurrent burst must wait for it.
 #[actix_rt::test]
 async fn a_restarted_agent_counts_the_work_of_its_upstream() {
     let service =
--- a/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
+++ b/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good while new ones work, on every link.
+//! Connections that become permanently silent while new ones work, on every link.
 
 use crate::support::{client, fleet, operator, relays};
 use futures::future;
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for all links of a kind to be in use before they go silent.
+/// Time for all links of a kind to be in use before they become silent.
 const WARM_UP: Duration = Duration::from_millis(300);
 
-/// Events of a stream that outlasts the silence limit.
+/// Events of a stream that outlasts `CONNECTION_IDLE_TIMEOUT`.
 const STREAM_EVENTS: u32 = 300;
 
 async fn start_fleet(engines: usize) -> (fleet::Fleet, operator::Operator) {
@@ -21,7 +21,7 @@
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
     operator
-        .wait_for("everybody present", |status| {
+        .wait_for("all instances present", |status| {
             operator::all_hold_current_view(status, engines + 4)
         })
         .await;
@@ -41,7 +41,7 @@
     runs
 }
 
-/// Sends one lodgement after the other through both entries for `time`.
+/// Sends lodgements one at a time, alternating between the entries, for `time`.
 async fn lodge(
     entries: Vec<std::net::SocketAddr>,
     time: Duration,
@@ -61,7 +61,7 @@
     all
 }
 
-/// Makes a kind of link go silent while callers lodge; what they got.
+/// Silences the open connections of a kind of link while clients lodge; returns their responses.
 async fn lodge_while_silencing(
     fleet: &fleet::Fleet,
     link: relays::Link,
@@ -76,7 +76,7 @@
     lodged
 }
 
-/// An operator's change, once every entry and agent of the small fleet has it.
+/// Submits a change and waits until every entry and agent has it.
 async fn submit_and_wait(operator: &operator::Operator) -> patch::Outcome {
     let out = patch::Operation::SetZoneOut("zone-b".into(), true);
     let outcome = operator.submit("out", 1, vec![out]).await;
@@ -95,9 +95,9 @@
     }
 }
 
-// Callers notice nothing, and an operator's change is accepted and in force. All connections
-// between control instances go silent while callers' keys are claimed in the log; messages on them
-// are given up and the next ones go over new connections, before or after an election.
+// All connections between control instances become silent while clients' keys are claimed in the
+// log. Messages on them time out and the next ones use new connections, before or after an
+// election: clients notice nothing, and an operator's change is accepted and in force.
 #[actix_rt::test]
 async fn control_continues_when_its_connections_go_silent() {
     let (fleet, operator) = start_fleet(0).await;
@@ -109,9 +109,9 @@
     assert_eq!(outcome, patch::Outcome::Accepted(number::Configuration(2)));
 }
 
-// Callers notice nothing. The connections of entries and agents to control go silent with a watch
-// held and renewals and claims under way; each is given up after its time and asked again over
-// another connection, long before the leases lapse.
+// The connections of entries and agents to control become silent with watches, renewals and claims
+// in flight. Each call times out and is repeated over another connection long before the leases
+// expire: clients notice nothing.
 #[actix_rt::test]
 async fn leases_and_claims_continue_when_connections_to_control_go_silent() {
     let (fleet, operator) = start_fleet(0).await;
@@ -123,9 +123,9 @@
     assert_eq!(outcome, patch::Outcome::Accepted(number::Configuration(2)));
 }
 
-// Callers notice nothing but a second's wait. The connections from entries to agents go silent
-// with lodgements on them, which may not be sent again; the entry takes each up where it runs over
-// a new connection, and nothing runs twice.
+// The connections from entries to agents become silent with lodgements on them, which may not be
+// sent again. The entry resumes each one over a new connection: clients notice a delay of a second,
+// and nothing runs twice.
 #[actix_rt::test]
 async fn lodgements_are_resumed_when_connections_to_agents_go_silent() {
     let (fleet, _) = start_fleet(0).await;
@@ -135,9 +135,9 @@
     assert_complete_and_once(&fleet, &lodged);
 }
 
-// The caller's stream stops for a second and goes on to its end with every event once. The
-// connection to the agent goes silent in the midst of it; the entry takes the answer up on a new
-// connection from the byte it has.
+// The connection to the agent becomes silent in the middle of a stream. The entry resumes the
+// response on a new connection from the first missing byte: the stream pauses for a second and then
+// completes with every event once.
 #[actix_rt::test]
 async fn a_stream_continues_when_its_connection_to_the_agent_goes_silent() {
     let (fleet, _) = start_fleet(2).await;
@@ -154,11 +154,11 @@
     assert!(got.is_complete_success() && text.trim_end().ends_with("data: [DONE]"), "{got:?}");
     assert_eq!(text.matches("text_completion").count(), STREAM_EVENTS as usize, "{got:?}");
     let started: u64 = fleet.engines.iter().map(|engine| engine.fake.counts().started).sum();
-    assert_eq!(started, 1, "the stream was run anew in place of being taken up");
+    assert_eq!(started, 1, "the stream was run again instead of being resumed");
 }
 
-// Callers notice nothing. The connections between a group's agents go silent; its first member asks
-// for the next grant over a new connection before the last one lapses.
+// The connections between a group's agents become silent. Its first member requests the next grant
+// over a new connection before the last one expires: clients notice nothing.
 #[actix_rt::test]
 async fn a_group_keeps_serving_when_connections_between_its_agents_go_silent() {
     let (fleet, operator) = start_fleet(3).await;
@@ -178,11 +178,11 @@
     assert!(all.iter().all(client::Response::is_complete_success), "{all:?}");
     assert!(last.is_complete_success(), "{last:?}");
     let lost = fleet.read_logs().iter().filter(|log| log.contains("name=\"GroupLost\"")).count();
-    assert_eq!(lost, 0, "the group was out of service for a moment");
+    assert_eq!(lost, 0, "the group was temporarily out of service");
 }
 
-// A caller whose connection to the entry went silent sends its lodgement again over a new one,
-// under the same key, and gets the whole answer; the work ran once.
+// A client whose connection to the entry became silent resends its lodgement over a new one, under
+// the same key, and gets the complete response; the work ran once.
 #[actix_rt::test]
 async fn a_resend_is_answered_when_a_clients_connection_went_silent() {
     let (fleet, _) = start_fleet(0).await;
--- a/crates/hyssopfork-daemon/tests/processes/soak/clients.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Callers of every kind.
+//! Clients of every kind of request.
 
 use super::record::{self, Outcome};
 use crate::support::client;
@@ -10,22 +10,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Tries of one key before its caller gives up.
+/// Requests with one key before its client gives up.
 const MAX_TRIES: u64 = 4;
 
-/// Most tokens of a streamed answer.
+/// Upper limit of the tokens of a streamed response.
 const MAX_STREAM_TOKENS: u32 = 120;
 
 /// A client.
 #[derive(Clone)]
 pub struct Client {
-    /// Tells its references from others'.
+    /// Number of the client; makes its references unique.
     pub number: u64,
     /// Entries.
     pub entries: Vec<SocketAddr>,
-    /// What it was told.
+    /// Record of its outcomes.
     pub record: Rc<RefCell<record::Record>>,
-    /// When it stops.
+    /// Time at which it stops.
     pub end: Instant,
 }
 
@@ -38,15 +38,15 @@
         actix_rt::time::sleep(Duration::from_millis(random.random_range(10..60))).await;
     }
 
-    /// Streams completions and compares each whole answer with its own tokens.
+    /// Streams completions and compares each complete response with the expected tokens.
     pub async fn stream(self, mut random: ChaCha8Rng) {
         let mut count = 0;
         while Instant::now() < self.end {
             count += 1;
             let mark = format!("stream-{}-{count}", self.number);
             let tokens = random.random_range(1..MAX_STREAM_TOKENS);
-            let told = self.stream_one(self.entry(&mut random), &mark, tokens).await;
-            self.record.borrow_mut().count_outcome("stream", told);
+            let outcome = self.stream_one(self.entry(&mut random), &mark, tokens).await;
+            self.record.borrow_mut().count_outcome("stream", outcome);
             Self::pause(&mut random).await;
         }
     }
@@ -56,16 +56,17 @@
             r#"{{"model":"model-1","prompt":"[#{mark}]","max_tokens":{tokens},"stream":true}}"#
         );
         let got = client::post(entry, "/v1/completions", None, &body).await;
-        let told = record::outcome_of(&got);
-        if told == Outcome::Completed && got.text() != expected_stream(mark, tokens) {
-            let fault = format!("{mark} got a whole answer that is not its own: {}", got.text());
+        let outcome = record::outcome_of(&got);
+        if outcome == Outcome::Completed && got.text() != expected_stream(mark, tokens) {
+            let fault =
+                format!("{mark} got a complete response with other contents: {}", got.text());
             self.record.borrow_mut().violations.push(fault);
         }
-        told
+        outcome
     }
 
-    /// Lodges work under a key and sends the same key again, through any entry, until it is
-    /// answered or told that the outcome is unknown.
+    /// Lodges work under a key and resends the same key, through any entry, until the request is
+    /// completed or `MAX_TRIES` is reached.
     pub async fn lodge_with_key(self, mut random: ChaCha8Rng) {
         let mut count = 0;
         while Instant::now() < self.end {
@@ -75,9 +76,9 @@
             for _ in 0..MAX_TRIES {
                 let entry = self.entry(&mut random);
                 let got = client::post(entry, "/lodge", Some(&reference), &body).await;
-                let told = record::outcome_of(&got);
-                self.record_work("lodge with key", &reference, told);
-                if told == Outcome::Completed {
+                let outcome = record::outcome_of(&got);
+                self.record_work("lodge with key", &reference, outcome);
+                if outcome == Outcome::Completed {
                     break;
                 }
                 Self::pause(&mut random).await;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Lodges work without a key, once.
+    /// Lodges each piece of work once, without a key.
     pub async fn lodge(self, mut random: ChaCha8Rng) {
         let mut count = 0;
         while Instant::now() < self.end {
@@ -99,13 +100,13 @@
         }
     }
 
-    fn record_work(&self, kind: &'static str, reference: &str, told: Outcome) {
+    fn record_work(&self, kind: &'static str, reference: &str, outcome: Outcome) {
         let mut record = self.record.borrow_mut();
-        record.count_outcome(kind, told);
-        record.non_repeatable.entry(reference.to_owned()).or_default().push(told);
+        record.count_outcome(kind, outcome);
+        record.non_repeatable.entry(reference.to_owned()).or_default().push(outcome);
     }
 
-    /// Asks for status, which may be repeated.
+    /// Requests the status, which is repeatable.
     pub async fn request_status(self, mut random: ChaCha8Rng) {
         while Instant::now() < self.end {
             let got = client::get(self.entry(&mut random), "/status?reference=status").await;
@@ -114,22 +115,22 @@
         }
     }
 
-    /// Sends this many requests of each kind; gives what those got that were not answered.
+    /// Sends `requests` streams and status requests; returns those that were not completed.
     pub async fn find_unanswered(&self, requests: u64) -> Vec<String> {
-        let mut unserved = Vec::new();
+        let mut unanswered = Vec::new();
         for number in 0..requests {
             let entry = self.entries[number as usize % self.entries.len()];
             let streamed = self.stream_one(entry, &format!("last-{number}"), 4).await;
             if streamed != Outcome::Completed {
-                unserved.push(format!("stream {number} at {entry}: {streamed:?}"));
+                unanswered.push(format!("stream {number} at {entry}: {streamed:?}"));
             }
-            let asked = client::get(entry, "/status?reference=status").await;
-            if !asked.is_complete_success() {
-                let told = record::outcome_of(&asked);
-                unserved.push(format!("status check {number} at {entry}: {told:?}"));
+            let status = client::get(entry, "/status?reference=status").await;
+            if !status.is_complete_success() {
+                let outcome = record::outcome_of(&status);
+                unanswered.push(format!("status check {number} at {entry}: {outcome:?}"));
             }
         }
-        unserved
+        unanswered
     }
 }
 
--- a/crates/hyssopfork-daemon/tests/processes/soak/faults.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that come and go, up to a few at once.
+//! Fault injection: random temporary faults, up to `MAX_CONCURRENT_FAULTS` at a time.
 
 use super::record;
 use crate::support::{daemon, fleet};
@@ -10,14 +10,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Faults at once.
+/// Concurrent faults.
 const MAX_CONCURRENT_FAULTS: usize = 3;
 
-/// Time between two looks at what is due.
+/// Interval at which faults are injected and recovered.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for which every control instance must have been up before one may lose its disk: with
-/// another one away at the same time, accepted changes may be lost, which no log can prevent.
+/// Time for which every control instance must have been up before one may lose its disk. With
+/// another one down at the same time, accepted changes may be lost, which no log can prevent.
 const MIN_CONTROL_UPTIME_BEFORE_DISK_LOSS: Duration = Duration::from_secs(6);
 
 /// A process of the fleet.
@@ -29,7 +29,7 @@
     ServiceAgent(usize),
 }
 
-/// How a fault ends.
+/// How a fault is recovered from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recovery {
     Resume(Process),
@@ -46,30 +46,30 @@
     controls_up_since: Instant,
 }
 
-/// Brings faults about until `end`, then ends them all.
+/// Injects faults until `end`, then recovers from all of them.
 pub async fn run(
     fleet: &mut fleet::Fleet,
     record: Rc<RefCell<record::Record>>,
     random: ChaCha8Rng,
     end: Instant,
 ) {
-    let pending = Vec::new();
-    let mut chaos = Injector {
+    let mut injector = Injector {
         fleet,
         record,
         random,
-        pending_recoveries: pending,
+        pending_recoveries: Vec::new(),
         controls_up_since: Instant::now(),
     };
     while Instant::now() < end {
-        chaos.recover_due(Instant::now());
-        if chaos.pending_recoveries.len() < MAX_CONCURRENT_FAULTS && chaos.random.random_bool(0.15)
+        injector.recover_due(Instant::now());
+        if injector.pending_recoveries.len() < MAX_CONCURRENT_FAULTS
+            && injector.random.random_bool(0.15)
         {
-            chaos.inject();
+            injector.inject();
         }
         actix_rt::time::sleep(STEP_INTERVAL).await;
     }
-    chaos.recover_due(end + Duration::from_secs(3_600));
+    injector.recover_due(end + Duration::from_secs(3_600));
 }
 
 impl Injector<'_> {
@@ -78,25 +78,25 @@
             .pending_recoveries
             .iter()
             .filter(|(at, _)| *at <= now)
-            .map(|(_, end)| *end)
+            .map(|(_, recovery)| *recovery)
             .collect();
         self.pending_recoveries.retain(|(at, _)| *at > now);
-        due.into_iter().for_each(|end| self.recover(end));
+        due.into_iter().for_each(|recovery| self.recover(recovery));
     }
 
-    fn recover(&mut self, end: Recovery) {
-        match end {
+    fn recover(&mut self, recovery: Recovery) {
+        match recovery {
             Recovery::Resume(process) => self.daemon(process).resume(),
             Recovery::Restart(process) => self.daemon(process).restart(),
-            Recovery::HealEngine(place) => {
-                self.fleet.engines[place].fake.impair(impairment::Order::Heal)
+            Recovery::HealEngine(index) => {
+                self.fleet.engines[index].fake.impair(impairment::Order::Heal)
             }
-            Recovery::HealService(place) => {
-                self.fleet.services[place].fake.impair(impairment::Order::Heal)
+            Recovery::HealService(index) => {
+                self.fleet.services[index].fake.impair(impairment::Order::Heal)
             }
         }
         if matches!(
-            end,
+            recovery,
             Recovery::Resume(Process::Control(_)) | Recovery::Restart(Process::Control(_))
         ) {
             self.controls_up_since = Instant::now();
@@ -105,10 +105,10 @@
 
     fn daemon(&mut self, process: Process) -> &mut daemon::Daemon {
         match process {
-            Process::Control(place) => &mut self.fleet.controls[place],
-            Process::Entry(place) => &mut self.fleet.entries[place],
-            Process::EngineAgent(place) => &mut self.fleet.engines[place].agent,
-            Process::ServiceAgent(place) => &mut self.fleet.services[place].agent,
+            Process::Control(index) => &mut self.fleet.controls[index],
+            Process::Entry(index) => &mut self.fleet.entries[index],
+            Process::EngineAgent(index) => &mut self.fleet.engines[index].agent,
+            Process::ServiceAgent(index) => &mut self.fleet.services[index].agent,
         }
     }
 
@@ -121,14 +121,16 @@
         }
     }
 
-    fn schedule_recovery(&mut self, least: u64, most: u64, end: Recovery) {
-        let wait = Duration::from_millis(self.random.random_range(least..most));
-        self.pending_recoveries.push((Instant::now() + wait, end));
+    fn schedule_recovery(&mut self, min_ms: u64, max_ms: u64, recovery: Recovery) {
+        let wait = Duration::from_millis(self.random.random_range(min_ms..max_ms));
+        self.pending_recoveries.push((Instant::now() + wait, recovery));
     }
 
     fn is_impaired(&self, process: Process) -> bool {
-        let same = |end: &Recovery| matches!(end, Recovery::Resume(other) | Recovery::Restart(other) if *other == process);
-        self.pending_recoveries.iter().any(|(_, end)| same(end))
+        self.pending_recoveries.iter().any(|(_, recovery)| match recovery {
+            Recovery::Resume(other) | Recovery::Restart(other) => *other == process,
+            Recovery::HealEngine(_) | Recovery::HealService(_) => false,
+        })
     }
 
     fn impair_process(&mut self) {
@@ -152,45 +154,45 @@
         }
     }
 
-    /// One control instance at a time, so that a quorum stays; its disk may be lost with it.
+    /// Impairs one control instance at a time, so that a quorum remains; it may also lose its disk.
     fn impair_control(&mut self) {
-        let places = 0..self.fleet.controls.len();
-        if places.clone().any(|place| self.is_impaired(Process::Control(place))) {
+        let indices = 0..self.fleet.controls.len();
+        if indices.clone().any(|index| self.is_impaired(Process::Control(index))) {
             return;
         }
-        let place = self.random.random_range(places);
-        let calm = self.controls_up_since.elapsed() > MIN_CONTROL_UPTIME_BEFORE_DISK_LOSS;
-        if calm && self.random.random_bool(0.4) {
-            self.fleet.controls[place].kill();
-            let folder = self.fleet.layout.folder.join(format!("control-{}", place + 1));
+        let index = self.random.random_range(indices);
+        let may_lose_disk = self.controls_up_since.elapsed() > MIN_CONTROL_UPTIME_BEFORE_DISK_LOSS;
+        if may_lose_disk && self.random.random_bool(0.4) {
+            self.fleet.controls[index].kill();
+            let folder = self.fleet.layout.folder.join(format!("control-{}", index + 1));
             fs::remove_dir_all(folder).unwrap();
-            self.schedule_recovery(100, 2_000, Recovery::Restart(Process::Control(place)));
+            self.schedule_recovery(100, 2_000, Recovery::Restart(Process::Control(index)));
         } else {
-            self.kill_or_pause(Process::Control(place));
+            self.kill_or_pause(Process::Control(index));
         }
     }
 
     fn impair_engine(&mut self) {
-        let place = self.random.random_range(0..self.fleet.engines.len());
+        let index = self.random.random_range(0..self.fleet.engines.len());
         let order = self.random_impairment();
         match order {
             impairment::Order::Cold => {
-                *self.record.borrow_mut().unannounced_colds.entry(place).or_default() += 1;
+                *self.record.borrow_mut().unannounced_colds.entry(index).or_default() += 1;
             }
             impairment::Order::Die(_) => {
-                *self.record.borrow_mut().unannounced_restarts.entry(place).or_default() += 1;
+                *self.record.borrow_mut().unannounced_restarts.entry(index).or_default() += 1;
             }
             _ => {}
         }
-        self.fleet.engines[place].fake.impair(order);
-        self.schedule_recovery(200, 1_500, Recovery::HealEngine(place));
+        self.fleet.engines[index].fake.impair(order);
+        self.schedule_recovery(200, 1_500, Recovery::HealEngine(index));
     }
 
     fn impair_service(&mut self) {
-        let place = self.random.random_range(0..self.fleet.services.len());
+        let index = self.random.random_range(0..self.fleet.services.len());
         let order = self.random_impairment();
-        self.fleet.services[place].fake.impair(order);
-        self.schedule_recovery(200, 1_500, Recovery::HealService(place));
+        self.fleet.services[index].fake.impair(order);
+        self.schedule_recovery(200, 1_500, Recovery::HealService(index));
     }
 
     fn random_impairment(&mut self) -> impairment::Order {
--- a/crates/hyssopfork-daemon/tests/processes/soak/mod.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/mod.rs
@@ -1,5 +1,5 @@
-//! Long randomised runs with real processes: faults of every kind come and go while callers and
-//! operators go on, and what they were told is compared with what the back ends ran.
+//! Long randomized runs with real processes: faults are injected while clients and operators send
+//! requests, and the reported outcomes are compared with what the upstreams ran.
 
 mod clients;
 mod faults;
@@ -18,13 +18,13 @@
 /// Seed of the run in continuous integration.
 const SEED: u64 = 1;
 
-/// Length of the run in continuous integration.
+/// Duration of the run in continuous integration.
 const DURATION_SECONDS: u64 = 12;
 
-/// Callers of each kind.
+/// Clients for each kind of request.
 const CLIENTS_PER_KIND: u64 = 3;
 
-/// Requests that must all be answered once the faults have ended.
+/// Requests that must all be completed once the faults have ended.
 const FINAL_REQUESTS: u64 = 10;
 
 fn read_setting(name: &str, default: u64) -> u64 {
@@ -37,24 +37,24 @@
     random
 }
 
-// Callers see answers and honest refusals through kills, freezes, lost disks, dying and cold back
-// ends, and zones that leave and return, alone and together; whatever they were told is true of
-// what ran, and once the faults have ended every request is answered again.
+// Processes are killed and paused, disks are lost, upstreams die and become cold, and zones are
+// taken out and brought in, alone and together. Every reported outcome must match what ran, and
+// once the faults have ended every request must be completed again.
 #[actix_rt::test]
 async fn reported_outcomes_match_what_ran_under_random_faults() {
     let seed = read_setting("HYSSOPFORK_SOAK_SEED", SEED);
-    let length = Duration::from_secs(read_setting("HYSSOPFORK_SOAK_SECONDS", DURATION_SECONDS));
+    let duration = Duration::from_secs(read_setting("HYSSOPFORK_SOAK_SECONDS", DURATION_SECONDS));
     let plan = fleet::Plan { engines: 5, services: 3, ..fleet::Plan::default() };
     let mut fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
     let declare = patch::Operation::Declare(Box::new(fleet::declaration()));
     operator.submit("declare", 0, vec![declare]).await;
     operator
-        .wait_for("everybody present", |status| operator::all_hold_current_view(status, 10))
+        .wait_for("all instances present", |status| operator::all_hold_current_view(status, 10))
         .await;
     operator.wait_for("a serving group", |status| operator::is_serving(status, "group-1")).await;
     let record = Rc::new(RefCell::new(record::Record::default()));
-    let end = Instant::now() + length;
+    let end = Instant::now() + duration;
 
     let mut tasks = Vec::new();
     for number in 0..CLIENTS_PER_KIND {
@@ -70,8 +70,8 @@
         tasks.push(actix_rt::spawn(client.clone().lodge(random_stream(seed, 30 + number))));
         tasks.push(actix_rt::spawn(client.request_status(random_stream(seed, 40 + number))));
     }
-    let desk = operators::Operators::new(&fleet, record.clone(), end);
-    tasks.push(actix_rt::spawn(desk.run(random_stream(seed, 50))));
+    let operators = operators::Operators::new(&fleet, record.clone(), end);
+    tasks.push(actix_rt::spawn(operators.run(random_stream(seed, 50))));
     faults::run(&mut fleet, record.clone(), random_stream(seed, 60), end).await;
     for task in tasks {
         task.await.unwrap();
@@ -80,7 +80,9 @@
         .wait_for("a serving group again", |status| operator::is_serving(status, "group-1"))
         .await;
     operator
-        .wait_for("everybody present again", |status| operator::all_hold_current_view(status, 10))
+        .wait_for("all instances present again", |status| {
+            operator::all_hold_current_view(status, 10)
+        })
         .await;
     let last = clients::Client {
         number: 99,
@@ -88,14 +90,14 @@
         record: record.clone(),
         end: Instant::now() + operator::WAIT_TIMEOUT,
     };
-    let unserved = last.find_unanswered(FINAL_REQUESTS).await;
+    let unanswered = last.find_unanswered(FINAL_REQUESTS).await;
 
     let record = record.borrow();
     println!("seed {seed}: {record}");
-    let faults = record.find_violations(&fleet);
-    if !faults.is_empty() || !unserved.is_empty() {
+    let violations = record.find_violations(&fleet);
+    if !violations.is_empty() || !unanswered.is_empty() {
         println!("seed {seed}: logs are kept in {}", fleet.copy_logs(seed).display());
     }
-    assert!(faults.is_empty(), "seed {seed}: {faults:#?}");
-    assert!(unserved.is_empty(), "seed {seed}: not answered after the faults: {unserved:#?}");
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+    assert!(unanswered.is_empty(), "seed {seed}: not answered after the faults: {unanswered:#?}");
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who race each other, and take a zone out and back.
+//! Two operators that submit conflicting changes while zones are taken out and brought in.
 
 use super::record;
 use crate::support::{fleet, operator};
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Added to the bound within which a change is in force, for a busy test machine.
+/// Margin on the bound within which a change is in force, for a busy test machine.
 const IN_FORCE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long a zone that is out is watched for new work.
+/// Time for which a zone that is out is observed for new work.
 const OBSERVATION_TIME: Duration = Duration::from_millis(800);
 
-/// The operators' desk.
+/// The two operators.
 pub struct Operators {
     first: operator::Operator,
     second: operator::Operator,
@@ -29,7 +29,7 @@
 }
 
 impl Operators {
-    /// A desk for `fleet` until `end`.
+    /// Operators for `fleet` until `end`.
     pub fn new(
         fleet: &fleet::Fleet,
         record: Rc<RefCell<record::Record>>,
@@ -45,34 +45,35 @@
         }
     }
 
-    /// Takes zones out and back until the end; each change is raced by another operator.
+    /// Takes zones out and brings them in until the end; both operators submit each change.
     pub async fn run(mut self, mut random: ChaCha8Rng) {
         while Instant::now() < self.end {
-            let place = random.random_range(1..fleet::ZONES.len());
-            self.race_to_set_zone_out(place, true).await;
+            let index = random.random_range(1..fleet::ZONES.len());
+            self.race_to_set_zone_out(index, true).await;
             actix_rt::time::sleep(timing::IN_FORCE_BOUND + IN_FORCE_MARGIN).await;
-            let before = self.run_count(place);
+            let before = self.run_count(index);
             actix_rt::time::sleep(OBSERVATION_TIME).await;
-            let after = self.run_count(place);
+            let after = self.run_count(index);
             if before != after {
-                let fault = format!("{} ran {before}, then {after} while out", fleet::ZONES[place]);
-                self.record.borrow_mut().violations.push(fault);
+                let violation =
+                    format!("{} ran {before}, then {after} while out", fleet::ZONES[index]);
+                self.record.borrow_mut().violations.push(violation);
             }
-            self.race_to_set_zone_out(place, false).await;
+            self.race_to_set_zone_out(index, false).await;
             actix_rt::time::sleep(Duration::from_millis(random.random_range(100..2_000))).await;
         }
     }
 
-    fn run_count(&self, place: usize) -> u64 {
-        self.services[place].ran().values().sum()
+    fn run_count(&self, index: usize) -> u64 {
+        self.services[index].ran().values().sum()
     }
 
-    /// Both operators submit the same change against the same number: exactly one is accepted,
-    /// the other is told what changed.
-    async fn race_to_set_zone_out(&mut self, place: usize, out: bool) {
+    /// Both operators submit the same change based on the same number: exactly one is accepted, the
+    /// other is stale.
+    async fn race_to_set_zone_out(&mut self, index: usize, out: bool) {
         self.race_count += 1;
         let base = self.first.status().await.view.configuration.number.0;
-        let change = || vec![patch::Operation::SetZoneOut(fleet::ZONES[place].into(), out)];
+        let change = || vec![patch::Operation::SetZoneOut(fleet::ZONES[index].into(), out)];
         let names = [format!("race-{}-a", self.race_count), format!("race-{}-b", self.race_count)];
         let (one, two) = future::join(
             self.first.submit(&names[0], base, change()),
--- a/crates/hyssopfork-daemon/tests/processes/soak/record.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/record.rs
@@ -1,44 +1,44 @@
-//! What callers and operators were told, and how it compares with what ran.
+//! Records the outcomes that clients and operators got, and compares them with what ran.
 
 use crate::support::{client, fleet};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How one try of a request ended for its client.
+/// Outcome of one request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The whole answer.
+    /// A complete response.
     Completed,
-    /// A refusal that says that the work did not run.
+    /// A rejection that reports that the work did not run.
     NotRun,
-    /// A refusal that says that the work may have run.
+    /// A rejection that reports that the work may have run.
     MayHaveRun,
-    /// A part of the answer and a mark that the rest is missing.
+    /// A partial response that ends without completing.
     Aborted,
-    /// Nothing: the connection broke.
+    /// No response: the connection broke.
     NoResponse,
 }
 
 /// The record.
 #[derive(Default)]
 pub struct Record {
-    /// Non-repeatable work by reference, and what its caller was told, try by try.
+    /// Outcomes of non-repeatable work, in order of its requests, by reference.
     pub non_repeatable: BTreeMap<String, Vec<Outcome>>,
-    /// How often callers of each kind were told what.
+    /// Number of outcomes by kind of request.
     pub counts: BTreeMap<(&'static str, Outcome), u64>,
     /// Accepted patches.
     pub patches: u64,
-    /// How often each engine was made cold without a word: the first piece of work over what it
-    /// then bears tips it, since nothing could have told its agent.
+    /// How often each engine was made cold without notice. The first piece of work over its cold
+    /// capacity overloads it, since its agent cannot know.
     pub unannounced_colds: BTreeMap<usize, u64>,
-    /// How often each engine was made to start anew: nothing tells its agent before its next probe
-    /// if no work breaks off.
+    /// How often each engine was restarted without notice. Its agent cannot know before the next
+    /// probe unless work is interrupted.
     pub unannounced_restarts: BTreeMap<usize, u64>,
-    /// Faults that were seen while it ran.
+    /// Violations detected during the run.
     pub violations: Vec<String>,
 }
 
-/// What a caller was told.
+/// The outcome of a response.
 pub fn outcome_of(got: &client::Response) -> Outcome {
     if got.is_complete_success() {
         Outcome::Completed
@@ -54,59 +54,59 @@
 }
 
 impl Record {
-    /// Notes one try.
-    pub fn count_outcome(&mut self, kind: &'static str, told: Outcome) {
-        *self.counts.entry((kind, told)).or_default() += 1;
+    /// Counts one outcome.
+    pub fn count_outcome(&mut self, kind: &'static str, outcome: Outcome) {
+        *self.counts.entry((kind, outcome)).or_default() += 1;
     }
 
-    /// Everything that did not hold.
+    /// All violations, of the run and in the final state.
     pub fn find_violations(&self, fleet: &fleet::Fleet) -> Vec<String> {
-        let mut faults = self.violations.clone();
+        let mut violations = self.violations.clone();
         let runs = run_counts(fleet);
         for (reference, tries) in &self.non_repeatable {
             let ran = runs.get(reference).copied().unwrap_or(0);
-            if let Some(fault) = find_contradiction(ran, tries) {
-                faults.push(format!(
-                    "{reference} ran {ran} times; its caller got {tries:?}: {fault}"
+            if let Some(contradiction) = find_contradiction(ran, tries) {
+                violations.push(format!(
+                    "{reference} ran {ran} times; its client got {tries:?}: {contradiction}"
                 ));
             }
         }
-        for (place, upstream) in fleet.engines.iter().enumerate() {
+        for (index, upstream) in fleet.engines.iter().enumerate() {
             let counts = upstream.fake.counts();
-            let silent = self.unannounced_colds.get(&place).copied().unwrap_or(0);
-            // An idle engine that starts anew between two probes gets the one request that finds out,
-            // and runs none of it; whatever else was admitted before must not follow.
+            let silent = self.unannounced_colds.get(&index).copied().unwrap_or(0);
+            // An idle engine that restarts between two probes gets one request, which detects the
+            // restart and doesn't run; no other admitted request may follow it.
             let restarts =
-                self.unannounced_restarts.get(&place).copied().unwrap_or(0) + counts.falls;
+                self.unannounced_restarts.get(&index).copied().unwrap_or(0) + counts.falls;
             if counts.misdirected > restarts || counts.falls > silent {
-                faults.push(format!("{} was misused: {counts:?}", upstream.name));
+                violations.push(format!("{} was misused: {counts:?}", upstream.name));
             }
         }
         for upstream in &fleet.services {
             if upstream.fake.falls() > 0 {
-                faults.push(format!("{} fell over while cold", upstream.name));
+                violations.push(format!("{} was overloaded while cold", upstream.name));
             }
         }
         for log in fleet.read_logs() {
             let broken = log.lines().filter(|line| {
                 line.contains("panicked") || (line.contains(" ERROR ") && line.contains("number="))
             });
-            faults.extend(broken.map(str::to_owned));
+            violations.extend(broken.map(str::to_owned));
         }
-        faults
+        violations
     }
 }
 
-/// Why what callers were told is not true of work that ran `ran` times.
+/// Why the outcomes contradict work that ran `ran` times.
 fn find_contradiction(ran: u64, tries: &[Outcome]) -> Option<&'static str> {
     let answered = tries.contains(&Outcome::Completed);
-    let only_not_run = tries.iter().all(|told| *told == Outcome::NotRun);
+    let only_not_run = tries.iter().all(|outcome| *outcome == Outcome::NotRun);
     if ran > 1 {
         Some("non-repeatable work ran more than once")
     } else if answered && ran == 0 {
-        Some("an answer without work")
+        Some("a response without work")
     } else if only_not_run && ran > 0 {
-        Some("work ran that was said not to have run")
+        Some("work ran that was reported as not run")
     } else {
         None
     }
@@ -123,8 +123,8 @@
 impl fmt::Display for Record {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} patches", self.patches)?;
-        for ((kind, told), count) in &self.counts {
-            write!(formatter, ", {kind} {told:?} {count}")?;
+        for ((kind, outcome), count) in &self.counts {
+            write!(formatter, ", {kind} {outcome:?} {count}")?;
         }
         Ok(())
     }
--- a/crates/hyssopfork-daemon/tests/processes/support/client.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/client.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry.
+//! A client of an entry.
 
 use super::fleet;
 use actix_http::StatusCode;
@@ -7,34 +7,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest time that a caller waits.
+/// Timeout of a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller got.
+/// The response, as far as it was received.
 #[derive(Debug)]
 pub struct Response {
-    /// HTTP status; `None` when no head came.
+    /// HTTP status; `None` when no head was received.
     pub status: Option<StatusCode>,
-    /// The body as far as it came.
+    /// The received part of the body.
     pub body: Bytes,
-    /// Whether the answer's own framing says that it is whole.
-    pub whole: bool,
+    /// Whether the response is complete by its own framing.
+    pub complete: bool,
     /// The Retry-After header.
     pub retry_after: Option<String>,
 }
 
 impl Response {
-    /// Whether the caller has a whole good answer.
+    /// Whether the response is complete and its status a success.
     pub fn is_complete_success(&self) -> bool {
-        self.whole && self.status.is_some_and(|status| status.is_success())
+        self.complete && self.status.is_some_and(|status| status.is_success())
     }
 
-    /// Whether the refusal says that the work did not run.
+    /// Whether the response reports that the work did not run.
     pub fn says_not_run(&self) -> bool {
         self.text().contains("\"ran\":\"not_run\"")
     }
 
-    /// Whether the refusal says that the work may have run.
+    /// Whether the response reports that the work may have run.
     pub fn says_may_have_run(&self) -> bool {
         self.text().contains("\"ran\":\"may_have_run\"")
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Sends a request as the one team, with a key where one is given.
+/// Sends a POST request as the team, with the key if one is given.
 pub async fn post(entry: SocketAddr, path: &str, key: Option<&str>, body: &str) -> Response {
     let mut headers = vec![
         ("authorization".to_owned(), format!("Bearer {}", fleet::TOKEN)),
@@ -55,21 +55,21 @@
     receive(entry, &connection::Request { method: "POST", path, headers: &headers }, body).await
 }
 
-/// Asks with GET as the one team.
+/// Sends a GET request as the team.
 pub async fn get(entry: SocketAddr, path: &str) -> Response {
     let headers = [("authorization".to_owned(), format!("Bearer {}", fleet::TOKEN))];
     receive(entry, &connection::Request { method: "GET", path, headers: &headers }, "").await
 }
 
 async fn receive(entry: SocketAddr, request: &connection::Request<'_>, body: &str) -> Response {
-    let mut got = Response { status: None, body: Bytes::new(), whole: false, retry_after: None };
+    let mut got = Response { status: None, body: Bytes::new(), complete: false, retry_after: None };
     let exchange = exchange(entry, request, body, &mut got);
     let ended = actix_rt::time::timeout(RESPONSE_TIMEOUT, exchange).await;
-    got.whole = matches!(ended, Ok(Ok(())));
+    got.complete = matches!(ended, Ok(Ok(())));
     got
 }
 
-/// Not by awc, which takes a cut answer for a whole one.
+/// Sends the request without awc, which takes a truncated response for a complete one.
 async fn exchange(
     entry: SocketAddr,
     request: &connection::Request<'_>,
@@ -81,15 +81,15 @@
     let head = connection.read_head().await?;
     got.status = StatusCode::from_u16(head.status).ok();
     got.retry_after = head.header("retry-after").map(str::to_owned);
-    let mut whole = BytesMut::new();
+    let mut received = BytesMut::new();
     while let Some(part) = connection.read_part().await? {
-        whole.extend_from_slice(&part);
-        got.body = whole.clone().freeze();
+        received.extend_from_slice(&part);
+        got.body = received.clone().freeze();
     }
     Ok(())
 }
 
-/// A streamed completion's request body.
+/// Request body of a streamed completion.
 pub fn completion_body(tokens: u32) -> String {
     format!(
         r#"{{"model":"model-1","prompt":"emissions of plant 7","max_tokens":{tokens},"stream":true}}"#
--- a/crates/hyssopfork-daemon/tests/processes/support/daemon.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/daemon.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A daemon process; killed when dropped.
+/// A daemon process; killed on drop.
 pub struct Daemon {
     settings: PathBuf,
     log: PathBuf,
@@ -22,7 +22,7 @@
         Daemon { settings, log, child }
     }
 
-    /// Kills it at once.
+    /// Kills it immediately.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -33,12 +33,12 @@
         self.child = spawn(&self.settings, &self.log);
     }
 
-    /// Freezes it.
+    /// Pauses it with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Thaws it.
+    /// Resumes it with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
@@ -48,12 +48,12 @@
         self.signal(Signal::TERM);
     }
 
-    /// Its exit code, when it has ended.
+    /// Its exit code, if it has exited.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().unwrap().map(|status| status.code().unwrap_or(-1))
     }
 
-    /// All that it has logged.
+    /// Its log output.
     pub fn read_log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/crates/hyssopfork-daemon/tests/processes/support/fleet.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/fleet.rs
@@ -10,21 +10,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bearer token of the one team.
+/// Bearer token of the only team.
 pub const TOKEN: &str = "alpha-token";
 
-/// Zones of the fleet; instance `n` of each kind stands in zone `n` modulo their number.
+/// Zones of the fleet; instance `n` of each kind is in zone `n` modulo their number.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// An upstream: its agent's process, and the fake back end in this process.
+/// An upstream: its agent's process, and the fake server in this process.
 pub struct Upstream<Fake> {
     /// Name of the instance.
     pub name: String,
     /// The agent.
     pub agent: daemon::Daemon,
-    /// The back end's state.
+    /// The fake server's state.
     pub fake: Arc<Fake>,
-    /// The back end's server; dropped to end it.
+    /// The fake server; dropped to stop it.
     pub server: Option<http::Server>,
 }
 
@@ -32,11 +32,11 @@
 pub struct Fleet {
     /// Control instances.
     pub controls: Vec<daemon::Daemon>,
-    /// Where they take calls.
+    /// Addresses on which they accept calls.
     pub control_addresses: Vec<SocketAddr>,
     /// Entries.
     pub entries: Vec<daemon::Daemon>,
-    /// Where callers connect.
+    /// Addresses for clients.
     pub entry_addresses: Vec<SocketAddr>,
     /// Engines.
     pub engines: Vec<Upstream<engine::Engine>>,
@@ -48,20 +48,20 @@
     pub layout: layout::Layout,
 }
 
-/// What a fleet has.
+/// Composition of a fleet.
 #[derive(Clone, Copy)]
 pub struct Plan {
     /// Entries.
     pub entries: usize,
     /// Engines, all in one fabric domain of the first zone.
     pub engines: usize,
-    /// Plain services, one zone after the other.
+    /// Plain services, distributed over the zones in turn.
     pub services: usize,
     /// Whether every link runs through a relay of its own.
     pub relayed: bool,
-    /// What the engines are like.
+    /// Behaviour of the engines.
     pub engine: engine::Profile,
-    /// What the services are like.
+    /// Behaviour of the services.
     pub service: service::Profile,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Fleet {
-    /// Starts every process of the plan.
+    /// Starts all processes of the plan.
     pub fn start(plan: Plan) -> Fleet {
         let layout = layout::Layout::new();
         let controls: Vec<(String, SocketAddr)> =
@@ -145,8 +145,8 @@
         let name = format!("engine-{}", number + 1);
         let profile = r#"{ "kind": "engine", "resumes": true, "cancels": true,
                            "accelerators": 4, "concurrency": 8 }"#;
-        let part = AgentSpec { name: &name, zone: ZONES[0], pool: "engines", profile };
-        let agent = self.start_agent(&part, server.address());
+        let spec = AgentSpec { name: &name, zone: ZONES[0], pool: "engines", profile };
+        let agent = self.start_agent(&spec, server.address());
         self.engines.push(Upstream { name, agent, fake, server: Some(server) });
     }
 
@@ -156,17 +156,17 @@
         let name = format!("service-{}", number + 1);
         let zone = ZONES[number % ZONES.len()];
         let profile = r#"{ "kind": "service", "concurrency": 8 }"#;
-        let part = AgentSpec { name: &name, zone, pool: "services", profile };
-        let agent = self.start_agent(&part, server.address());
+        let spec = AgentSpec { name: &name, zone, pool: "services", profile };
+        let agent = self.start_agent(&spec, server.address());
         self.services.push(Upstream { name, agent, fake, server: Some(server) });
     }
 
-    fn start_agent(&mut self, part: &AgentSpec<'_>, upstream: SocketAddr) -> daemon::Daemon {
-        let controls = self.relays.controls(part.name, &self.control_addresses);
+    fn start_agent(&mut self, spec: &AgentSpec<'_>, upstream: SocketAddr) -> daemon::Daemon {
+        let controls = self.relays.controls(spec.name, &self.control_addresses);
         let traffic = self.layout.address();
         let peer = self.layout.address();
-        let traffic_announce = self.relays.route(relays::Link::Traffic, part.name, traffic);
-        let peer_announce = self.relays.route(relays::Link::Peer, part.name, peer);
+        let traffic_announce = self.relays.route(relays::Link::Traffic, spec.name, traffic);
+        let peer_announce = self.relays.route(relays::Link::Peer, spec.name, peer);
         let text = format!(
             r#"{{ "instance": "{}", "zone": "{}", "roles": ["agent"],
                   "control_addresses": {}, "metrics_listen": "{}", "log": {{ "level": "debug" }},
@@ -175,14 +175,14 @@
                               "peer_announce": "{peer_announce}", "pool": "{}",
                               "domain": "domain-1", "upstream": "{upstream}",
                               "profile": {} }} }}"#,
-            part.name,
-            part.zone,
+            spec.name,
+            spec.zone,
             layout::address_list(&controls),
             self.layout.address(),
-            part.pool,
-            part.profile,
+            spec.pool,
+            spec.profile,
         );
-        daemon::Daemon::start(&self.layout.folder, part.name, &text)
+        daemon::Daemon::start(&self.layout.folder, spec.name, &text)
     }
 
     /// Logs of all daemons.
@@ -193,21 +193,21 @@
         daemons.map(daemon::Daemon::read_log).collect()
     }
 
-    /// Copies the logs of all daemons to a folder that outlasts the test.
+    /// Copies the logs of all daemons to a folder that is kept after the test.
     pub fn copy_logs(&self, seed: u64) -> PathBuf {
         let name = format!("hyssopfork-soak-{seed}-{}", std::process::id());
-        let kept = std::env::temp_dir().join(name);
-        fs::create_dir_all(&kept).unwrap();
+        let copies = std::env::temp_dir().join(name);
+        fs::create_dir_all(&copies).unwrap();
         for file in fs::read_dir(&self.layout.folder).unwrap() {
             let path = file.unwrap().path();
             if path.extension().is_some_and(|extension| extension == "log") {
-                fs::copy(&path, kept.join(path.file_name().unwrap())).unwrap();
+                fs::copy(&path, copies.join(path.file_name().unwrap())).unwrap();
             }
         }
-        kept
+        copies
     }
 
-    /// An operator who knows all control instances.
+    /// An operator that calls all control instances.
     pub fn operator(&self) -> operator::Operator {
         operator::Operator::new(self.control_addresses.clone())
     }
--- a/crates/hyssopfork-daemon/tests/processes/support/layout.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/layout.rs
@@ -5,18 +5,18 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::{env, fs, process};
 
-/// Ports of the first fleet of a test process; below the range that the system gives to clients.
+/// First port of a test process's first fleet; below the range of ephemeral ports.
 const FIRST_PORT: u16 = 10_000;
 
-/// Ports of one fleet.
+/// Ports reserved for one fleet.
 const PORTS_PER_FLEET: u16 = 100;
 
 static FLEET_COUNT: AtomicU16 = AtomicU16::new(0);
 
 /// Addresses and folder of one fleet.
 ///
-/// Every test process has a loopback address of its own, made from its process id, so that fleets
-/// of tests that run at once never meet.
+/// Every test process has its own loopback address, derived from its process id, so that fleets of
+/// concurrent tests never collide.
 pub struct Layout {
     next_port: AtomicU16,
     /// Folder of the fleet's files.
@@ -32,7 +32,7 @@
         Layout { next_port: AtomicU16::new(FIRST_PORT + fleet * PORTS_PER_FLEET), folder }
     }
 
-    /// An address that nothing else listens on.
+    /// An unused address.
     pub fn address(&self) -> SocketAddr {
         let port = self.next_port.fetch_add(1, Ordering::Relaxed);
         SocketAddr::new(host(), port)
--- a/crates/hyssopfork-daemon/tests/processes/support/mod.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback for tests of failures: small fleets, their callers and operators.
+//! Real processes on loopback for tests of failures: small fleets, their clients and operators.
 
 pub mod client;
 pub mod daemon;
--- a/crates/hyssopfork-daemon/tests/processes/support/operator.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/operator.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Longest time that a test waits for something that must come.
+/// Time within which an awaited state must be reached.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -18,12 +18,12 @@
 }
 
 impl Operator {
-    /// An operator who knows these control instances.
+    /// An operator that calls these control instances.
     pub fn new(controls: Vec<SocketAddr>) -> Operator {
         Operator { clients: rpc::Clients::default(), controls }
     }
 
-    /// Asks each control instance in turn until one that leads answers.
+    /// Calls the control instances in turn until the leader responds.
     pub async fn call(&self, request: control::Request) -> control::Response {
         let start = Instant::now();
         loop {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Submits operations on the number `base`.
+    /// Submits operations based on configuration number `base`.
     pub async fn submit(
         &self,
         identifier: &str,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What operators see.
+    /// Requests the status.
     pub async fn status(&self) -> control::Status {
         match self.call(control::Request::Status).await {
             control::Response::Status(status) => *status,
@@ -68,25 +68,28 @@
         }
     }
 
-    /// Waits until the status shows what is wanted.
+    /// Waits until the status satisfies `is_reached`.
     pub async fn wait_for(
         &self,
         what: &str,
-        shows: impl Fn(&control::Status) -> bool,
+        is_reached: impl Fn(&control::Status) -> bool,
     ) -> control::Status {
         let start = Instant::now();
         loop {
             let status = self.status().await;
-            if shows(&status) {
+            if is_reached(&status) {
                 return status;
             }
-            assert!(start.elapsed() < WAIT_TIMEOUT, "never seen: {what}; last {status:#?}");
+            assert!(
+                start.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting for {what}; last {status:#?}"
+            );
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Whether so many entries and agents hold leases on the newest view.
+/// Whether exactly `holders` entries and agents hold leases on the newest view.
 pub fn all_hold_current_view(status: &control::Status, holders: usize) -> bool {
     let newest = status.view.version;
     let current = status.holdings.iter().filter(|holding| holding.version == newest);
--- a/crates/hyssopfork-daemon/tests/processes/support/relays.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/relays.rs
@@ -1,4 +1,5 @@
-//! Relays between the processes of a fleet, one for each link, so that a test can make it go silent.
+//! Relays between the processes of a fleet, one for each link, with which a test can silence a
+//! link.
 
 use hyssopfork_test_support::relay;
 use std::net::SocketAddr;
@@ -10,11 +11,11 @@
     Voter,
     /// An entry or agent calls control.
     Control,
-    /// Entries bring attempts to an agent.
+    /// Entries offer attempts to an agent.
     Traffic,
     /// Agents of a group call an agent.
     Peer,
-    /// Callers connect to an entry.
+    /// Clients connect to an entry.
     Client,
 }
 
@@ -24,19 +25,20 @@
     relay: relay::Relay,
 }
 
-/// The relays of a fleet; none when it runs without.
+/// The relays of a fleet; none if they are disabled.
 pub struct Relays {
     enabled: bool,
     relays: Vec<LinkRelay>,
 }
 
 impl Relays {
-    /// No relay yet; `used` says whether routes get any.
-    pub fn new(used: bool) -> Relays {
-        Relays { enabled: used, relays: Vec::new() }
+    /// Without any relay yet; `enabled` says whether routes get one.
+    pub fn new(enabled: bool) -> Relays {
+        Relays { enabled, relays: Vec::new() }
     }
 
-    /// The address that leads to `target`; `name` is the process that the link belongs to.
+    /// The address through which `target` is reached; `name` is the process that the link belongs
+    /// to.
     pub fn route(&mut self, link: Link, name: &str, target: SocketAddr) -> SocketAddr {
         if !self.enabled {
             return target;
@@ -47,14 +49,14 @@
         address
     }
 
-    /// The control addresses as the entry or agent `name` is told them.
+    /// The control addresses in the settings of the entry or agent `name`.
     pub fn controls(&mut self, name: &str, targets: &[SocketAddr]) -> Vec<SocketAddr> {
         targets.iter().map(|target| self.route(Link::Control, name, *target)).collect()
     }
 
-    /// The voters as the control instance `name` is told them.
+    /// The voters in the settings of the control instance `name`.
     ///
-    /// A link belongs to both of its ends, so its name is that of both.
+    /// A link belongs to both of its ends, so its name contains both.
     pub fn voters(
         &mut self,
         name: &str,
@@ -67,13 +69,13 @@
         voters
     }
 
-    /// Makes the open connections of all links of a kind silent for good; new ones work.
+    /// Makes the open connections of all links of a kind permanently silent; new ones work.
     pub fn silence_open_connections(&self, link: Link) {
         let relays = self.relays.iter().filter(|link_relay| link_relay.link == link);
         relays.for_each(|link_relay| link_relay.relay.forget());
     }
 
-    /// Makes all links of a kind that belong to `name` silent, new connections too.
+    /// Makes all links of a kind that belong to `name` silent, including new connections.
     pub fn silence_link(&self, link: Link, name: &str) {
         let relays = self.relays.iter().filter(|link_relay| link_relay.link == link);
         let own = relays.filter(|link_relay| link_relay.name.split(' ').any(|end| end == name));
