--- a/crates/hyssopfork-cli/src/declaration.rs
+++ b/crates/hyssopfork-cli/src/declaration.rs
@@ -1,7 +1,7 @@
 //! Declarations of the fleet in files kept under version control.
 
 use crate::error;
-use hyssopfork_settings::plain;
+use hyssopfork_settings::jsonc;
 use hyssopfork_state::rules;
 use hyssopfork_wire::configuration;
 use serde::de::DeserializeOwned;
@@ -22,9 +22,9 @@
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
     let faulty = |faults: Vec<String>| error::Error::Faulty(path.to_owned(), faults);
-    let plain = plain::json(&text)
+    let json = jsonc::to_json(&text)
         .map_err(|faults| faulty(faults.iter().map(ToString::to_string).collect()))?;
-    serde_json::from_str(&plain).map_err(|cause| faulty(vec![cause.to_string()]))
+    serde_json::from_str(&json).map_err(|cause| faulty(vec![cause.to_string()]))
 }
 
 /// A top-level part in which two configurations differ, by its path.
--- a/crates/hyssopfork-daemon/src/control/role.rs
+++ b/crates/hyssopfork-daemon/src/control/role.rs
@@ -59,9 +59,9 @@
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready());
         let (term, committed) = self.core.progress();
-        self.registry.consensus(term, committed, self.core.can_answer_as_leader());
+        self.registry.set_consensus(term, committed, self.core.can_answer_as_leader());
         let view = self.core.machine().view();
-        self.registry.in_force(view.configuration.number, view.version);
+        self.registry.set_versions(view.configuration.number, view.version);
         let closed: Vec<u64> = self
             .calls
             .iter()
--- a/crates/hyssopfork-daemon/src/edge/control.rs
+++ b/crates/hyssopfork-daemon/src/edge/control.rs
@@ -88,7 +88,7 @@
                 }
             }
             action::Action::Reply(call, reply) => {
-                self.registry.published(reply.document_bytes());
+                self.registry.add_published_bytes(reply.document_bytes());
                 if let Some(caller) = self.calls.remove(&call) {
                     let _caller_gone = caller.send(reply);
                 }
@@ -166,7 +166,7 @@
             return;
         }
         in_flight.set(in_flight.get() + 1);
-        self.registry.replicated(packet.message.bytes());
+        self.registry.add_replicated_bytes(packet.message.bytes());
         let peers = self.peers.clone();
         actix_rt::spawn(async move {
             peers.deliver(to, packet).await;
@@ -181,7 +181,7 @@
     fn tick(&mut self) {
         self.step(event::Event::Tick);
         if let Some((term, committed)) = self.core.progress() {
-            self.registry.consensus(term, committed, self.core.is_active_leader());
+            self.registry.set_consensus(term, committed, self.core.is_active_leader());
         }
         let closed: Vec<u64> = self
             .calls
--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -36,7 +36,7 @@
 
 /// Runs the process until it has stopped on request. `text` is what `path` held.
 pub fn run(settings: &edge::Edge, path: &Path, text: String) -> Result<(), process::Error> {
-    let lines = telemetry::Bounded::start(settings.log.format, settings.log.level)?;
+    let lines = telemetry::Logger::start(settings.log.format, settings.log.level)?;
     System::new().block_on(supervise(settings, path, text, &lines))
 }
 
@@ -44,7 +44,7 @@
     settings: &edge::Edge,
     path: &Path,
     mut text: String,
-    lines: &telemetry::Bounded,
+    lines: &telemetry::Logger,
 ) -> Result<(), process::Error> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
@@ -72,7 +72,7 @@
             _ = hangup.recv() => reload(path, &mut text, &mailbox, true),
             _ = looks.tick() => {
                 reload(path, &mut text, &mailbox, false);
-                let dropped = lines.dropped();
+                let dropped = lines.take_dropped_lines();
                 if dropped > 0 {
                     log::notice(&notice::Notice::LinesDropped(dropped));
                 }
@@ -112,7 +112,7 @@
     phase.send_replace(web::Phase::Leaving);
     mailbox.post(control::Input::Event(Box::new(event::Event::Stop)));
     let asked = time::Instant::now();
-    let most = settings.grace.saturating_sub(STOP_MARGIN);
+    let most = settings.grace_period.saturating_sub(STOP_MARGIN);
     loop {
         time::sleep(STOP_LOOK).await;
         let waited = asked.elapsed();
@@ -151,7 +151,7 @@
             first_start: settings.first_start,
             has_folder: settings.data_folder.is_some(),
             tolerated_losses: settings.tolerated_losses,
-            heartbeat_interval: settings.heartbeat,
+            heartbeat_interval: settings.heartbeat_interval,
         };
         let core = core::Core::new(core_settings, operator::parse_stored_declaration, clock::now());
         let folder = match &settings.data_folder {
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -123,10 +123,10 @@
         let core = self.core.borrow();
         self.status.ready.store(core.is_ready(), Ordering::Relaxed);
         self.status.open.store(core.open_requests(), Ordering::Relaxed);
-        self.registry.occupied(0, core.open_requests());
+        self.registry.set_request_counts(0, core.open_requests());
         if let Some(table) = core.table() {
             let version = table.declaration().version;
-            self.registry.in_force(number::Configuration(version), number::Version(version));
+            self.registry.set_versions(number::Configuration(version), number::Version(version));
         }
     }
 }
--- a/crates/hyssopfork-daemon/src/entry/role.rs
+++ b/crates/hyssopfork-daemon/src/entry/role.rs
@@ -102,7 +102,7 @@
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready(clock::now()));
         let (queued, in_flight) = self.core.occupancy();
-        self.registry.occupied(queued, in_flight);
+        self.registry.set_request_counts(queued, in_flight);
         crate::log::watched(&self.registry, self.core.watcher());
         let requests = &self.requests;
         self.attempts.retain(|_, request| requests.contains_key(request));
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -95,22 +95,22 @@
 pub fn measure(registry: &metrics::Registry, measure: &measurement::Measurement) {
     if let measurement::Outcome::Rejected(reason, ran) = measure.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
-        registry.refused(measure.team.as_ref(), &refusal);
+        registry.count_refusal(measure.team.as_ref(), &refusal);
     }
     let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
-    registry.waited(team, class, measure.wait_time);
+    registry.observe_wait(team, class, measure.wait_time);
     if let Some(first) = measure.time_to_first_byte {
-        registry.first_token(team, class, first);
+        registry.observe_first_token(team, class, first);
     }
     if let Some(between) = measure.mean_event_interval {
-        registry.between_tokens(team, class, between);
+        registry.observe_token_interval(team, class, between);
     }
     for _ in 1..measure.attempts {
-        registry.retried(team, class);
+        registry.count_retry(team, class);
     }
     match measure.outcome {
-        measurement::Outcome::Completed => registry.answered(team, class, measure.total_time),
-        measurement::Outcome::Aborted(_) => registry.cut(team, class),
+        measurement::Outcome::Completed => registry.observe_answer(team, class, measure.total_time),
+        measurement::Outcome::Aborted(_) => registry.count_aborted_answer(team, class),
         measurement::Outcome::Rejected(..) | measurement::Outcome::ClientGone => {}
     }
 }
@@ -119,26 +119,26 @@
 pub fn watched(registry: &metrics::Registry, watcher: &watcher::Watcher) {
     let now = clock::now();
     let left = watcher.lease_expires_at().map_or(Duration::ZERO, |until| now.until(until));
-    registry.lease_left(left);
+    registry.set_lease_remaining(left);
     let view = watcher.view();
-    registry.in_force(view.configuration.number, view.version);
+    registry.set_versions(view.configuration.number, view.version);
 }
 
 /// Adds a finished request of an edge process to the histograms.
 pub fn measure_edge(registry: &metrics::Registry, measure: &gateway_measure::Measurement) {
     if let gateway_measure::Outcome::Rejected(reason) = measure.outcome {
-        registry.refused(measure.team.as_ref(), &refusal_of(reason));
+        registry.count_refusal(measure.team.as_ref(), &refusal_of(reason));
     }
     let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
     for _ in 1..measure.attempts {
-        registry.retried(team, class);
+        registry.count_retry(team, class);
     }
     match measure.outcome {
         gateway_measure::Outcome::Completed(first) => {
-            registry.first_token(team, class, first);
-            registry.answered(team, class, measure.total_time);
+            registry.observe_first_token(team, class, first);
+            registry.observe_answer(team, class, measure.total_time);
         }
-        gateway_measure::Outcome::Aborted => registry.cut(team, class),
+        gateway_measure::Outcome::Aborted => registry.count_aborted_answer(team, class),
         gateway_measure::Outcome::Rejected(_) => {}
     }
 }
--- a/crates/hyssopfork-settings/src/agent.rs
+++ b/crates/hyssopfork-settings/src/agent.rs
@@ -25,20 +25,20 @@
     pub profile: fleet::Profile,
 }
 
-const LIMIT: u64 = 1 << 16;
+const MAX_COUNT: u64 = 1 << 16;
 
 /// Reads the section.
 pub fn read(section: section::Section<'_>) -> Option<Agent> {
-    let traffic_listen = section.reachable("traffic_listen");
-    let traffic_announce = announced(&section, "traffic_announce", traffic_listen);
-    let peer_listen = section.reachable("peer_listen");
-    let peer_announce = announced(&section, "peer_announce", peer_listen);
+    let traffic_listen = section.reachable_address("traffic_listen");
+    let traffic_announce = announced_address(&section, "traffic_announce", traffic_listen);
+    let peer_listen = section.reachable_address("peer_listen");
+    let peer_announce = announced_address(&section, "peer_announce", peer_listen);
     let pool = section.name("pool").map(name::Pool::from);
     let domain = section.name("domain").map(name::Domain::from);
-    let upstream = section.reachable("upstream");
+    let upstream = section.reachable_address("upstream");
     let profile = section.section("profile");
     if profile.is_none() && !section.has("profile") {
-        section.fault("profile", "\"agent.profile\" is missing; add it");
+        section.report_fault("profile", "\"agent.profile\" is missing; add it");
     }
     let profile = profile.and_then(read_profile);
     section.finish();
@@ -55,21 +55,22 @@
 }
 
 /// The address under `key`, or the one that is listened on.
-fn announced(
+fn announced_address(
     section: &section::Section<'_>,
     key: &'static str,
     listen: Option<net::SocketAddr>,
 ) -> Option<net::SocketAddr> {
-    if section.has(key) { section.reachable(key) } else { listen }
+    if section.has(key) { section.reachable_address(key) } else { listen }
 }
 
 fn read_profile(section: section::Section<'_>) -> Option<fleet::Profile> {
-    let kind: Option<configuration::Kind> = section.required_word("kind", &["engine", "service"]);
-    let checks_fence = section.flag("checks_fence");
-    let resumes = section.flag("resumes");
-    let cancels = section.flag("cancels");
-    let accelerators = section.number("accelerators", 0, 0..=LIMIT) as u32;
-    let concurrency = section.required_number("concurrency", 1..=LIMIT) as u32;
+    let kind: Option<configuration::Kind> =
+        section.required_keyword("kind", &["engine", "service"]);
+    let checks_fence = section.boolean("checks_fence");
+    let resumes = section.boolean("resumes");
+    let cancels = section.boolean("cancels");
+    let accelerators = section.number("accelerators", 0, 0..=MAX_COUNT) as u32;
+    let concurrency = section.required_number("concurrency", 1..=MAX_COUNT) as u32;
     section.finish();
     Some(fleet::Profile { kind: kind?, checks_fence, resumes, cancels, accelerators, concurrency })
 }
--- a/crates/hyssopfork-settings/src/control.rs
+++ b/crates/hyssopfork-settings/src/control.rs
@@ -28,7 +28,7 @@
 }
 
 /// Most control instances that may be set aside.
-const VOTER_LIMIT: usize = 13;
+const MAX_VOTERS: usize = 13;
 
 /// Reads the section of the instance called `instance`.
 pub fn read(section: section::Section<'_>, instance: Option<&str>) -> Option<Control> {
@@ -36,7 +36,7 @@
     let data_folder = section.text("data_folder").map(path::PathBuf::from);
     let voters = read_voters(&section);
     if let (Some(voters), Some(instance)) = (&voters, instance) {
-        check(&section, voters, instance);
+        check_voters(&section, voters, instance);
     }
     section.finish();
     Some(Control { listen: listen?, data_folder: data_folder?, voters: voters? })
@@ -50,28 +50,28 @@
 
 fn read_voter(section: section::Section<'_>) -> Option<Voter> {
     let instance = section.name("instance").map(name::Instance::from);
-    let address = section.reachable("address");
+    let address = section.reachable_address("address");
     section.finish();
     Some(Voter { instance: instance?, address: address? })
 }
 
-fn check(section: &section::Section<'_>, voters: &[Voter], instance: &str) {
-    if voters.len().is_multiple_of(2) || voters.len() > VOTER_LIMIT {
+fn check_voters(section: &section::Section<'_>, voters: &[Voter], instance: &str) {
+    if voters.len().is_multiple_of(2) || voters.len() > MAX_VOTERS {
         let message = format!(
-            "\"control.voters\" names {}; name an odd number up to {VOTER_LIMIT}, since an even \
+            "\"control.voters\" names {}; name an odd number up to {MAX_VOTERS}, since an even \
              one bears no more losses than the odd one below it",
             voters.len()
         );
-        section.fault("voters", message);
+        section.report_fault("voters", message);
     }
     let names: BTreeSet<&str> = voters.iter().map(|voter| voter.instance.as_str()).collect();
     let addresses: BTreeSet<net::SocketAddr> = voters.iter().map(|voter| voter.address).collect();
     if names.len() < voters.len() || addresses.len() < voters.len() {
         let message = "\"control.voters\" names an instance or address twice; name each once";
-        section.fault("voters", message);
+        section.report_fault("voters", message);
     }
     if !names.contains(instance) {
         let message = format!("\"control.voters\" lacks this instance, {instance}; add it");
-        section.fault("voters", message);
+        section.report_fault("voters", message);
     }
 }
--- a/crates/hyssopfork-settings/src/edge.rs
+++ b/crates/hyssopfork-settings/src/edge.rs
@@ -31,9 +31,9 @@
     /// Instances with a folder whose loss at the same time is to be borne.
     pub tolerated_losses: u32,
     /// Time between heartbeats of an upstream.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time that a process has from the request to stop until it is ended.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Sends beyond a request's first for each request, over all processes.
     pub retry_ratio: f64,
     /// Sends beyond a request's first in a window besides, over all processes.
@@ -58,19 +58,19 @@
 }
 
 /// Default of `heartbeat_ms`: often enough that a silent upstream shows within seconds.
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
+const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 /// Default of `grace_seconds`: longer than most answers.
-const GRACE: Duration = Duration::from_secs(8);
+const DEFAULT_GRACE_PERIOD: Duration = Duration::from_secs(8);
 /// Default of `retry_ratio`: load grows by a fifth at most.
-const RETRY_RATIO: f64 = 0.2;
+const DEFAULT_RETRY_RATIO: f64 = 0.2;
 /// Default of `retry_extra`: the work of a few upstreams that are lost together.
-const RETRY_EXTRA: f64 = 100.0;
+const DEFAULT_RETRY_EXTRA: f64 = 100.0;
 /// Default of `retry_window_seconds`.
-const RETRY_WINDOW: Duration = Duration::from_secs(10);
+const DEFAULT_RETRY_WINDOW: Duration = Duration::from_secs(10);
 /// Longest time that settings may name, in milliseconds.
-const MOST_MS: u64 = 3_600_000;
+const MAX_DURATION_MS: u64 = 3_600_000;
 /// Longest time that settings may name, in seconds.
-const MOST_SECONDS: f64 = 3_600.0;
+const MAX_DURATION_SECONDS: f64 = 3_600.0;
 
 /// Reads the settings file at `path`; also gives its text.
 pub fn read(path: &path::Path) -> Result<(Edge, String), error::Error> {
@@ -89,18 +89,21 @@
     let zone = section.text("zone").map(name::Zone::from);
     let callers_listen = section.address("callers_listen");
     let readiness_listen = section.address("readiness_listen");
-    let control_listen = section.reachable("control_listen");
+    let control_listen = section.reachable_address("control_listen");
     let peer_port = section.required_number("peer_port", 1..=65_535);
     let metrics_port = section.required_number("metrics_port", 0..=65_535);
     let seeds = section.addresses("seeds");
-    let first_start = section.flag("first_start");
+    let first_start = section.boolean("first_start");
     let data_folder = section.text("data_folder").filter(|folder| !folder.is_empty());
     let tolerated_losses = section.number("tolerated_losses", 1, 0..=6) as u32;
-    let heartbeat = section.millis("heartbeat_ms", HEARTBEAT, 10..=MOST_MS);
-    let grace = section.seconds("grace_seconds", GRACE, 0.1..=MOST_SECONDS);
-    let retry_ratio = section.decimal("retry_ratio", RETRY_RATIO, 0.0..=10.0);
-    let retry_extra = section.decimal("retry_extra", RETRY_EXTRA, 0.0..=1_000_000.0);
-    let retry_window = section.seconds("retry_window_seconds", RETRY_WINDOW, 0.1..=MOST_SECONDS);
+    let heartbeat_interval =
+        section.millis("heartbeat_ms", DEFAULT_HEARTBEAT_INTERVAL, 10..=MAX_DURATION_MS);
+    let grace_period =
+        section.seconds("grace_seconds", DEFAULT_GRACE_PERIOD, 0.1..=MAX_DURATION_SECONDS);
+    let retry_ratio = section.decimal("retry_ratio", DEFAULT_RETRY_RATIO, 0.0..=10.0);
+    let retry_extra = section.decimal("retry_extra", DEFAULT_RETRY_EXTRA, 0.0..=1_000_000.0);
+    let retry_window =
+        section.seconds("retry_window_seconds", DEFAULT_RETRY_WINDOW, 0.1..=MAX_DURATION_SECONDS);
     let log = section.section("log").map(log::read).unwrap_or_default();
     section.finish();
     Some(Edge {
@@ -115,8 +118,8 @@
         first_start,
         data_folder: data_folder.map(path::PathBuf::from),
         tolerated_losses,
-        heartbeat,
-        grace,
+        heartbeat_interval,
+        grace_period,
         retry_ratio,
         retry_extra,
         retry_window,
--- a/crates/hyssopfork-settings/src/entry.rs
+++ b/crates/hyssopfork-settings/src/entry.rs
@@ -22,24 +22,26 @@
 }
 
 /// Default of `body_limit_bytes`.
-pub const BODY_LIMIT_BYTES: u64 = 1 << 20;
+pub const DEFAULT_BODY_LIMIT_BYTES: u64 = 1 << 20;
 /// Default of `head_timeout_ms`.
-pub const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+pub const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Default of `body_timeout_ms`.
-pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+pub const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Default of `keep_alive_ms`.
-pub const KEEP_ALIVE: Duration = Duration::from_secs(30);
+pub const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(30);
 /// Default of `connection_limit`.
-pub const CONNECTION_LIMIT: u64 = 4096;
+pub const DEFAULT_CONNECTION_LIMIT: u64 = 4096;
 
 /// Reads the section.
 pub fn read(section: section::Section<'_>) -> Option<Entry> {
     let listen = section.address("listen");
-    let body_limit_bytes = section.number("body_limit_bytes", BODY_LIMIT_BYTES, 1..=1 << 26);
-    let head_timeout = section.millis("head_timeout_ms", HEAD_TIMEOUT, 1..=60_000);
-    let body_timeout = section.millis("body_timeout_ms", BODY_TIMEOUT, 1..=600_000);
-    let keep_alive = section.millis("keep_alive_ms", KEEP_ALIVE, 1..=3_600_000);
-    let connection_limit = section.number("connection_limit", CONNECTION_LIMIT, 1..=1 << 20);
+    let body_limit_bytes =
+        section.number("body_limit_bytes", DEFAULT_BODY_LIMIT_BYTES, 1..=1 << 26);
+    let head_timeout = section.millis("head_timeout_ms", DEFAULT_HEAD_TIMEOUT, 1..=60_000);
+    let body_timeout = section.millis("body_timeout_ms", DEFAULT_BODY_TIMEOUT, 1..=600_000);
+    let keep_alive = section.millis("keep_alive_ms", DEFAULT_KEEP_ALIVE, 1..=3_600_000);
+    let connection_limit =
+        section.number("connection_limit", DEFAULT_CONNECTION_LIMIT, 1..=1 << 20);
     section.finish();
     Some(Entry {
         listen: listen?,
--- a/crates/hyssopfork-settings/src/error.rs
+++ b/crates/hyssopfork-settings/src/error.rs
@@ -18,13 +18,13 @@
             source(cause)
         }
         /// The text has faults: all of them, in the order of the text.
-        Faulty(faults: Vec<fault::Fault>) {
-            display("{}", summary(faults))
+        Invalid(faults: Vec<fault::Fault>) {
+            display("{}", format_faults(faults))
         }
     }
 }
 
-fn summary(faults: &[fault::Fault]) -> String {
+fn format_faults(faults: &[fault::Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     format!("{} fault(s) in the settings:\n{}", faults.len(), lines.join("\n"))
 }
--- a/crates/hyssopfork-settings/src/fault.rs
+++ b/crates/hyssopfork-settings/src/fault.rs
@@ -22,15 +22,15 @@
 
 /// Gathers the faults of one text.
 #[derive(Debug)]
-pub struct Log<'a> {
+pub struct Collector<'a> {
     text: &'a str,
     faults: RefCell<Vec<Fault>>,
 }
 
-impl<'a> Log<'a> {
+impl<'a> Collector<'a> {
     /// An empty log for `text`.
     pub fn new(text: &'a str) -> Self {
-        Log { text, faults: RefCell::new(Vec::new()) }
+        Collector { text, faults: RefCell::new(Vec::new()) }
     }
 
     /// Adds a fault at a byte offset of the text.
--- a/crates/hyssopfork-settings/src/plain.rs
+++ b/crates/hyssopfork-settings/src/jsonc.rs
@@ -7,7 +7,7 @@
 use jsonc_parser::{CollectOptions, CommentCollectionStrategy, ParseOptions, ast, common};
 
 /// What the files may hold beyond JSON: comments and trailing commas.
-pub(crate) fn options() -> ParseOptions {
+pub(crate) fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -23,24 +23,27 @@
 }
 
 /// `text` as plain JSON of the same length; comments and trailing commas become blanks.
-pub fn json(text: &str) -> Result<String, Vec<fault::Fault>> {
-    let collect = CollectOptions { comments: CommentCollectionStrategy::Separate, tokens: true };
-    let result = match jsonc_parser::parse_to_ast(text, &collect, &options()) {
+pub fn to_json(text: &str) -> Result<String, Vec<fault::Fault>> {
+    let collect_options =
+        CollectOptions { comments: CommentCollectionStrategy::Separate, tokens: true };
+    let result = match jsonc_parser::parse_to_ast(text, &collect_options, &parse_options()) {
         Ok(result) => result,
         Err(error) => return Err(syntax_fault(text, error.range(), error.kind())),
     };
-    let mut plain = text.as_bytes().to_vec();
+    let mut json = text.as_bytes().to_vec();
     for comments in result.comments.iter().flat_map(|comments| comments.values()) {
-        comments.iter().for_each(|comment| blank(&mut plain, comment_range(comment)));
+        comments
+            .iter()
+            .for_each(|comment| overwrite_with_spaces(&mut json, comment_range(comment)));
     }
     let tokens = result.tokens.unwrap_or_default();
     for pair in tokens.windows(2) {
         let closes = matches!(pair[1].token, Token::CloseBrace | Token::CloseBracket);
         if closes && matches!(pair[0].token, Token::Comma) {
-            blank(&mut plain, pair[0].range);
+            overwrite_with_spaces(&mut json, pair[0].range);
         }
     }
-    Ok(String::from_utf8(plain).expect("whole comments were blanked"))
+    Ok(String::from_utf8(json).expect("whole comments were blanked"))
 }
 
 fn syntax_fault(
@@ -48,9 +51,9 @@
     range: common::Range,
     kind: &jsonc_parser::errors::ParseErrorKind,
 ) -> Vec<fault::Fault> {
-    let log = fault::Log::new(text);
-    log.add(range.start, format!("not JSON with comments: {kind}"));
-    log.into_faults()
+    let collector = fault::Collector::new(text);
+    collector.add(range.start, format!("not JSON with comments: {kind}"));
+    collector.into_faults()
 }
 
 fn comment_range(comment: &ast::Comment<'_>) -> common::Range {
@@ -61,7 +64,7 @@
 }
 
 /// Blanks bytes; line ends stay, so that lines keep their numbers.
-fn blank(plain: &mut [u8], range: common::Range) {
-    let bytes = &mut plain[range.start..range.end];
+fn overwrite_with_spaces(json: &mut [u8], range: common::Range) {
+    let bytes = &mut json[range.start..range.end];
     bytes.iter_mut().filter(|byte| **byte != b'\n').for_each(|byte| *byte = b' ');
 }
--- a/crates/hyssopfork-settings/src/lib.rs
+++ b/crates/hyssopfork-settings/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod entry;
 pub mod error;
 pub mod fault;
+pub mod jsonc;
 pub mod log;
-pub mod plain;
 pub mod section;
 pub mod settings;
--- a/crates/hyssopfork-settings/src/log.rs
+++ b/crates/hyssopfork-settings/src/log.rs
@@ -14,9 +14,9 @@
 
 /// Reads the section.
 pub fn read(section: section::Section<'_>) -> Log {
-    let format = section.word("format", log::Format::default(), &["json", "text"]);
+    let format = section.keyword("format", log::Format::default(), &["json", "text"]);
     let levels = ["error", "warn", "info", "debug", "trace"];
-    let level = section.word("level", log::Threshold::default(), &levels);
+    let level = section.keyword("level", log::Threshold::default(), &levels);
     section.finish();
     Log { format, level }
 }
--- a/crates/hyssopfork-settings/src/settings.rs
+++ b/crates/hyssopfork-settings/src/settings.rs
@@ -1,6 +1,6 @@
 //! A whole settings file.
 
-use crate::{agent, control, entry, error, fault, log, plain, section};
+use crate::{agent, control, entry, error, fault, jsonc, log, section};
 use hyssopfork_wire::{name, timing};
 use jsonc_parser::{ast, common};
 use std::collections::BTreeSet;
@@ -58,9 +58,9 @@
 }
 
 /// Most traffic threads.
-const THREAD_LIMIT: u64 = 64;
+const MAX_THREADS: u64 = 64;
 /// Default of `threads`.
-const THREADS: u64 = 1;
+const DEFAULT_THREADS: u64 = 1;
 
 /// A commented file with every key at its default, which parses as it stands.
 pub fn default_text() -> &'static str {
@@ -84,38 +84,38 @@
     text: &str,
     read: impl FnOnce(section::Section<'_>) -> Option<T>,
 ) -> Result<T, error::Error> {
-    let log = fault::Log::new(text);
-    let value = parse_value(text, &log);
+    let collector = fault::Collector::new(text);
+    let value = parse_value(text, &collector);
     let settings = match value.as_ref().map(|value| value.as_object()) {
-        Some(Some(object)) => read(section::Section::new(object, "", &log)),
+        Some(Some(object)) => read(section::Section::new(object, "", &collector)),
         Some(None) => {
-            log.add(0, "the file must hold one object, { ... }");
+            collector.add(0, "the file must hold one object, { ... }");
             None
         }
         None => None,
     };
-    finish(settings, log)
+    into_result(settings, collector)
 }
 
-fn finish<T>(settings: Option<T>, log: fault::Log<'_>) -> Result<T, error::Error> {
-    let faults = log.into_faults();
+fn into_result<T>(settings: Option<T>, collector: fault::Collector<'_>) -> Result<T, error::Error> {
+    let faults = collector.into_faults();
     match settings {
         Some(settings) if faults.is_empty() => Ok(settings),
-        _ => Err(error::Error::Faulty(faults)),
+        _ => Err(error::Error::Invalid(faults)),
     }
 }
 
-fn parse_value<'a>(text: &'a str, log: &fault::Log<'_>) -> Option<ast::Value<'a>> {
-    match jsonc_parser::parse_to_ast(text, &Default::default(), &plain::options()) {
+fn parse_value<'a>(text: &'a str, collector: &fault::Collector<'_>) -> Option<ast::Value<'a>> {
+    match jsonc_parser::parse_to_ast(text, &Default::default(), &jsonc::parse_options()) {
         Ok(result) => {
             if result.value.is_none() {
-                log.add(0, "the file is empty; start from `hyssopforkd settings --default`");
+                collector.add(0, "the file is empty; start from `hyssopforkd settings --default`");
             }
             result.value
         }
         Err(error) => {
             let common::Range { start, .. } = error.range();
-            log.add(start, format!("not JSON with comments: {}", error.kind()));
+            collector.add(start, format!("not JSON with comments: {}", error.kind()));
             None
         }
     }
@@ -124,15 +124,17 @@
 fn read_root(section: section::Section<'_>) -> Option<Settings> {
     let instance = section.name("instance");
     let zone = section.name("zone").map(name::Zone::from);
-    let roles = section.words("roles", &["entry", "control", "agent"]);
-    let held = |role| roles.as_ref().is_some_and(|roles: &BTreeSet<Role>| roles.contains(&role));
-    let control_addresses = read_addresses(&section, held(Role::Entry) || held(Role::Agent));
-    let control = part(&section, "control", held(Role::Control))
+    let roles = section.keywords("roles", &["entry", "control", "agent"]);
+    let has_role =
+        |role| roles.as_ref().is_some_and(|roles: &BTreeSet<Role>| roles.contains(&role));
+    let control_addresses =
+        read_addresses(&section, has_role(Role::Entry) || has_role(Role::Agent));
+    let control = role_section(&section, "control", has_role(Role::Control))
         .and_then(|part| control::read(part, instance));
-    let entry = part(&section, "entry", held(Role::Entry)).and_then(entry::read);
-    let agent = part(&section, "agent", held(Role::Agent)).and_then(agent::read);
+    let entry = role_section(&section, "entry", has_role(Role::Entry)).and_then(entry::read);
+    let agent = role_section(&section, "agent", has_role(Role::Agent)).and_then(agent::read);
     let metrics_listen = section.address("metrics_listen");
-    let threads = section.number("threads", THREADS, 1..=THREAD_LIMIT) as u32;
+    let threads = section.number("threads", DEFAULT_THREADS, 1..=MAX_THREADS) as u32;
     let log = section.section("log").map(log::read).unwrap_or_default();
     let stop_limit = section.millis("stop_limit_ms", timing::STOP_TIMEOUT, 1..=3_600_000);
     section.finish();
@@ -160,7 +162,7 @@
 
 /// A role's section. One that is missing is a fault when the role is held; one for a role that is
 /// not held is checked by nobody, so it is a fault too: it would look as if it were in force.
-fn part<'a>(
+fn role_section<'a>(
     section: &section::Section<'a>,
     key: &'static str,
     held: bool,
@@ -169,13 +171,13 @@
         (true, true) => section.section(key),
         (false, false) => None,
         (false, true) => {
-            section.fault(key, format!("\"{key}\" is missing; the role {key} needs it"));
+            section.report_fault(key, format!("\"{key}\" is missing; the role {key} needs it"));
             None
         }
         (true, false) => {
             let message =
                 format!("\"{key}\" stands here without the role; add the role or remove it");
-            section.fault(key, message);
+            section.report_fault(key, message);
             None
         }
     }
--- a/crates/hyssopfork-settings/tests/documented.rs
+++ b/crates/hyssopfork-settings/tests/documented.rs
@@ -7,8 +7,8 @@
 /// Keys of the default file that hold a value, without the names of sections.
 fn keys() -> BTreeSet<String> {
     let text = hyssopfork_settings::settings::default_text();
-    let plain = hyssopfork_settings::plain::json(text).expect("well formed");
-    let value: serde_json::Value = serde_json::from_str(&plain).expect("plain JSON");
+    let json = hyssopfork_settings::jsonc::to_json(text).expect("well formed");
+    let value: serde_json::Value = serde_json::from_str(&json).expect("plain JSON");
     let mut found = BTreeSet::new();
     collect(&value, &mut found);
     found
--- a/crates/hyssopfork-settings/tests/settings.rs
+++ b/crates/hyssopfork-settings/tests/settings.rs
@@ -22,7 +22,7 @@
 
 fn faults(text: &str) -> Vec<fault::Fault> {
     match settings::parse(text) {
-        Err(error::Error::Faulty(faults)) => faults,
+        Err(error::Error::Invalid(faults)) => faults,
         other => panic!("expected faults, got {other:?}"),
     }
 }
@@ -38,11 +38,11 @@
     let parsed = settings::parse(text).expect("the default file is whole");
 
     let entry = parsed.entry.expect("the default file holds every role");
-    assert_eq!(entry.body_limit_bytes, hyssopfork_settings::entry::BODY_LIMIT_BYTES);
-    assert_eq!(entry.head_timeout, hyssopfork_settings::entry::HEAD_TIMEOUT);
-    assert_eq!(entry.body_timeout, hyssopfork_settings::entry::BODY_TIMEOUT);
-    assert_eq!(entry.keep_alive, hyssopfork_settings::entry::KEEP_ALIVE);
-    assert_eq!(entry.connection_limit, hyssopfork_settings::entry::CONNECTION_LIMIT);
+    assert_eq!(entry.body_limit_bytes, hyssopfork_settings::entry::DEFAULT_BODY_LIMIT_BYTES);
+    assert_eq!(entry.head_timeout, hyssopfork_settings::entry::DEFAULT_HEAD_TIMEOUT);
+    assert_eq!(entry.body_timeout, hyssopfork_settings::entry::DEFAULT_BODY_TIMEOUT);
+    assert_eq!(entry.keep_alive, hyssopfork_settings::entry::DEFAULT_KEEP_ALIVE);
+    assert_eq!(entry.connection_limit, hyssopfork_settings::entry::DEFAULT_CONNECTION_LIMIT);
     assert_eq!(parsed.stop_limit, hyssopfork_wire::timing::STOP_TIMEOUT);
     assert_eq!(parsed.log, log::Log::default());
     assert_eq!(parsed.threads, 1);
--- a/crates/hyssopfork-telemetry/src/label.rs
+++ b/crates/hyssopfork-telemetry/src/label.rs
@@ -7,14 +7,14 @@
 
 /// A team's requests of one class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Share {
+pub struct Request {
     /// The team.
     pub team: name::Team,
     /// The class.
     pub class: configuration::Class,
 }
 
-impl EncodeLabelSet for Share {
+impl EncodeLabelSet for Request {
     fn encode(&self, encoder: &mut LabelSetEncoder) -> Result<(), fmt::Error> {
         let class: &'static str = self.class.into();
         let pairs = [("team", self.team.as_str()), ("class", class)];
--- a/crates/hyssopfork-telemetry/src/log.rs
+++ b/crates/hyssopfork-telemetry/src/log.rs
@@ -43,7 +43,7 @@
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
         /// The process already logs.
-        Started {
+        AlreadyStarted {
             display("the log was started before; start it once in a process")
         }
     }
@@ -51,50 +51,52 @@
 
 /// Starts the log of this process; what is below `threshold` is left out.
 pub fn start(format: Format, threshold: Threshold) -> Result<(), Error> {
-    let builder = tracing_subscriber::fmt().with_max_level(filter(threshold)).with_target(false);
+    let builder =
+        tracing_subscriber::fmt().with_max_level(level_filter(threshold)).with_target(false);
     let started = match format {
         Format::Json => builder.json().flatten_event(true).finish().try_init(),
         Format::Text => builder.with_ansi(false).finish().try_init(),
     };
-    started.map_err(|_| Error::Started)
+    started.map_err(|_| Error::AlreadyStarted)
 }
 
 /// Lines that wait for a slow reader; more are dropped and counted.
-const WAITING_LINES: usize = 8_192;
+const MAX_BUFFERED_LINES: usize = 8_192;
 
 /// A log that never holds its process up.
 ///
 /// Lines go to a thread that writes them. When the reader is slow and [`WAITING_LINES`] wait, more
 /// are dropped: a process that waited for its log would stop serving with it.
-pub struct Bounded {
-    dropped: ErrorCounter,
-    reported: Cell<usize>,
+pub struct Logger {
+    dropped_lines: ErrorCounter,
+    reported_drops: Cell<usize>,
     /// Writes what still waits when it goes.
-    _guard: WorkerGuard,
+    _flush_guard: WorkerGuard,
 }
 
-impl Bounded {
+impl Logger {
     /// Starts the log of this process; what is below `threshold` is left out.
-    pub fn start(format: Format, threshold: Threshold) -> Result<Bounded, Error> {
+    pub fn start(format: Format, threshold: Threshold) -> Result<Logger, Error> {
         let builder = NonBlockingBuilder::default().lossy(true);
-        let (writer, guard) = builder.buffered_lines_limit(WAITING_LINES).finish(std::io::stdout());
-        let dropped = writer.error_counter();
+        let (writer, guard) =
+            builder.buffered_lines_limit(MAX_BUFFERED_LINES).finish(std::io::stdout());
+        let dropped_lines = writer.error_counter();
         let builder = tracing_subscriber::fmt()
-            .with_max_level(filter(threshold))
+            .with_max_level(level_filter(threshold))
             .with_target(false)
             .with_writer(writer);
         let started = match format {
             Format::Json => builder.json().flatten_event(true).finish().try_init(),
             Format::Text => builder.with_ansi(false).finish().try_init(),
         };
-        started.map_err(|_| Error::Started)?;
-        Ok(Bounded { dropped, reported: Cell::new(0), _guard: guard })
+        started.map_err(|_| Error::AlreadyStarted)?;
+        Ok(Logger { dropped_lines, reported_drops: Cell::new(0), _flush_guard: guard })
     }
 
     /// Lines dropped since this was last asked.
-    pub fn dropped(&self) -> usize {
-        let dropped = self.dropped.dropped_lines();
-        dropped - self.reported.replace(dropped)
+    pub fn take_dropped_lines(&self) -> usize {
+        let dropped = self.dropped_lines.dropped_lines();
+        dropped - self.reported_drops.replace(dropped)
     }
 }
 
@@ -107,7 +109,7 @@
     message: &str,
     fields: &[(&str, String)],
 ) {
-    let fields = join(fields);
+    let fields = join_fields(fields);
     match level {
         level::Level::Error => tracing::error!(number, name, %fields, "{message}"),
         level::Level::Warn => tracing::warn!(number, name, %fields, "{message}"),
@@ -116,12 +118,12 @@
     }
 }
 
-fn join(fields: &[(&str, String)]) -> String {
+fn join_fields(fields: &[(&str, String)]) -> String {
     let pairs: Vec<String> = fields.iter().map(|(key, value)| format!("{key}={value}")).collect();
     pairs.join(" ")
 }
 
-fn filter(threshold: Threshold) -> LevelFilter {
+fn level_filter(threshold: Threshold) -> LevelFilter {
     match threshold {
         Threshold::Error => LevelFilter::ERROR,
         Threshold::Warn => LevelFilter::WARN,
--- a/crates/hyssopfork-telemetry/tests/log.rs
+++ b/crates/hyssopfork-telemetry/tests/log.rs
@@ -15,5 +15,5 @@
     }
 
     assert_eq!(first, Ok(()));
-    assert_eq!(second, Err(log::Error::Started));
+    assert_eq!(second, Err(log::Error::AlreadyStarted));
 }
--- a/crates/hyssopfork-telemetry/tests/metrics.rs
+++ b/crates/hyssopfork-telemetry/tests/metrics.rs
@@ -16,8 +16,8 @@
 fn times_are_kept_for_each_team_and_class() {
     let registry = metrics::Registry::new();
 
-    registry.answered(&team(), CLASS, Duration::from_millis(20));
-    registry.answered(&name::Team::from("other"), CLASS, Duration::from_millis(20));
+    registry.observe_answer(&team(), CLASS, Duration::from_millis(20));
+    registry.observe_answer(&name::Team::from("other"), CLASS, Duration::from_millis(20));
 
     let text = registry.encode();
     let wanted = "hyssopfork_whole_seconds_count{team=\"lagos-steel\",class=\"interactive\"} 1";
@@ -29,7 +29,7 @@
     let registry = metrics::Registry::new();
     let refusal = refusal::Refusal::not_run(refusal::Reason::Overloaded, None);
 
-    registry.refused(Some(&team()), &refusal);
+    registry.count_refusal(Some(&team()), &refusal);
 
     let text = registry.encode();
     let wanted = "hyssopfork_refusals_total{team=\"lagos-steel\",reason=\"overloaded\",\
@@ -41,9 +41,9 @@
 fn gauges_show_what_is_in_force() {
     let registry = metrics::Registry::new();
 
-    registry.in_force(number::Configuration(7), number::Version(41));
-    registry.lease_left(Duration::from_millis(1_500));
-    registry.consensus(number::Term(3), number::Index(99), true);
+    registry.set_versions(number::Configuration(7), number::Version(41));
+    registry.set_lease_remaining(Duration::from_millis(1_500));
+    registry.set_consensus(number::Term(3), number::Index(99), true);
 
     let text = registry.encode();
     assert!(text.contains("hyssopfork_configuration_number 7\n"), "{text}");
@@ -55,9 +55,9 @@
 fn bytes_sent_for_control_are_counted_by_purpose() {
     let registry = metrics::Registry::new();
 
-    registry.replicated(3_000);
-    registry.published(500);
-    registry.published(200);
+    registry.add_replicated_bytes(3_000);
+    registry.add_published_bytes(500);
+    registry.add_published_bytes(200);
 
     let text = registry.encode();
     assert!(text.contains("hyssopfork_consensus_sent_bytes_total 3000\n"), "{text}");
@@ -77,5 +77,5 @@
 }
 
 fn spawn_counting(registry: Arc<metrics::Registry>) -> thread::JoinHandle<()> {
-    thread::spawn(move || (0..1_000).for_each(|_| registry.retried(&team(), CLASS)))
+    thread::spawn(move || (0..1_000).for_each(|_| registry.count_retry(&team(), CLASS)))
 }
--- a/crates/hyssopfork-test-support/src/layout.rs
+++ b/crates/hyssopfork-test-support/src/layout.rs
@@ -1,7 +1,7 @@
 //! Settings of every process of a trial on one machine, from an example's layout.
 
 use crate::ports;
-use hyssopfork_settings::plain;
+use hyssopfork_settings::jsonc;
 use hyssopfork_wire::fleet;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -93,8 +93,8 @@
 pub fn read(path: &path::Path) -> io::Result<Layout> {
     let text = fs::read_to_string(path)?;
     let wrong = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
-    let plain = plain::json(&text).map_err(|faults| wrong(faults[0].to_string()))?;
-    serde_json::from_str(&plain).map_err(|cause| wrong(cause.to_string()))
+    let json = jsonc::to_json(&text).map_err(|faults| wrong(faults[0].to_string()))?;
+    serde_json::from_str(&json).map_err(|cause| wrong(cause.to_string()))
 }
 
 /// Every process of the layout, on free ports, with data folders under `folder`.
--- a/crates/hyssopfork-test-support/tests/layout.rs
+++ b/crates/hyssopfork-test-support/tests/layout.rs
@@ -1,6 +1,6 @@
 //! The shipped examples lay out to settings that read whole and fit their declarations.
 
-use hyssopfork_settings::{plain, settings};
+use hyssopfork_settings::{jsonc, settings};
 use hyssopfork_test_support::layout;
 use hyssopfork_wire::{configuration, name};
 use std::collections::BTreeSet;
@@ -20,8 +20,8 @@
 
 fn declaration(example: &str) -> configuration::Configuration {
     let text = std::fs::read_to_string(folder(example).join("fleet.json")).expect("a declaration");
-    let plain = plain::json(&text).expect("JSON with comments");
-    serde_json::from_str(&plain).expect("a configuration")
+    let json = jsonc::to_json(&text).expect("JSON with comments");
+    serde_json::from_str(&json).expect("a configuration")
 }
 
 #[test]
