--- a/crates/hyssopfork-cli/tests/all/client.rs
+++ b/crates/hyssopfork-cli/tests/all/client.rs
@@ -59,7 +59,7 @@
     let calls = AtomicU32::new(0);
     let (leader, control) = Control::start(move |request| {
         if calls.fetch_add(1, Ordering::SeqCst) == 0 {
-            cut.lock().expect("no panic").as_ref().expect("started").cut();
+            cut.lock().expect("no panic").as_ref().expect("started").close_connections();
         }
         answer(request)
     })
--- a/crates/hyssopfork-cli/tests/all/load.rs
+++ b/crates/hyssopfork-cli/tests/all/load.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyssopfork_cli::history;
 use hyssopfork_cli::load::{answer, caller, plan, run, schedule, summary};
-use hyssopfork_test_support::{http, impairment, service};
+use hyssopfork_test_support::{fault_injection, http, service};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -162,7 +162,7 @@
     let lines = run::run(order(server.address())).await;
 
     assert_eq!(lines.len(), 49);
-    let counts = history::Counts { ran: service.ran(), falls: service.falls() };
+    let counts = history::Counts { ran: service.runs_by_reference(), falls: service.crash_count() };
     let verdict = history::check(&lines, &[counts]);
     assert!(verdict.held(), "{:?}", verdict.violations);
 }
@@ -178,7 +178,7 @@
 
     // The service alone runs whatever comes; keeping it to once is the system's work.
     assert_eq!(lines.len(), 98);
-    let counts = history::Counts { ran: service.ran(), falls: service.falls() };
+    let counts = history::Counts { ran: service.runs_by_reference(), falls: service.crash_count() };
     let verdict = history::check(&lines, &[counts]);
     assert_eq!(verdict.violations.len(), 49, "{:?}", verdict.violations);
 }
@@ -188,13 +188,13 @@
 #[actix_rt::test]
 async fn stall_counts_for_every_request_that_was_due_in_it() {
     let listener = http::free_listener().expect("a free port");
-    let profile = service::Profile { cold_bearing: 1_000, ..service::Profile::default() };
+    let profile = service::Profile { cold_capacity: 1_000, ..service::Profile::default() };
     let (server, service) = service::start(listener, profile).expect("it starts");
-    service.impair(impairment::Order::Stall);
+    service.inject(fault_injection::Command::Stall);
     let running = actix_rt::spawn(run::run(order(server.address())));
 
     actix_rt::time::sleep(Duration::from_millis(300)).await;
-    service.impair(impairment::Order::Heal);
+    service.inject(fault_injection::Command::Heal);
     let lines = running.await.expect("the run ends");
 
     let slow = lines.iter().filter(|line| line.answered_us - line.intended_us > 50_000).count();
@@ -208,7 +208,7 @@
     let listener = http::free_listener().expect("a free port");
     let (server, service) =
         service::start(listener, service::Profile::default()).expect("it starts");
-    service.impair(impairment::Order::Stall);
+    service.inject(fault_injection::Command::Stall);
     let limit = Duration::from_millis(700);
     let order = run::Order { outstanding: 5, limit, ..order(server.address()) };
 
--- a/crates/hyssopfork-daemon/tests/processes/at_most_once.rs
+++ b/crates/hyssopfork-daemon/tests/processes/at_most_once.rs
@@ -2,13 +2,13 @@
 
 use crate::support::{caller, fleet, operator};
 use futures::future;
-use hyssopfork_test_support::{impairment, service};
+use hyssopfork_test_support::{fault_injection, service};
 use hyssopfork_wire::patch;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 async fn served() -> (fleet::Fleet, operator::Operator) {
-    let slow = service::Profile { time: Duration::from_millis(100), ..Default::default() };
+    let slow = service::Profile { response_time: Duration::from_millis(100), ..Default::default() };
     let plan = fleet::Plan { engines: 0, service: slow, ..fleet::Plan::default() };
     let fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
@@ -20,7 +20,9 @@
 
 fn runs(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
-    for (work, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
+    for (work, count) in
+        fleet.services.iter().flat_map(|upstream| upstream.fake.runs_by_reference())
+    {
         *runs.entry(work).or_default() += count;
     }
     runs
@@ -87,7 +89,7 @@
     let sent = actix_rt::spawn(send());
 
     actix_rt::time::sleep(Duration::from_millis(60)).await;
-    let place = usize::from(fleet.services[0].fake.ran().is_empty());
+    let place = usize::from(fleet.services[0].fake.runs_by_reference().is_empty());
     fleet.services[place].agent.kill();
     let first = sent.await.unwrap();
     operator.status().await;
@@ -104,8 +106,8 @@
 #[actix_rt::test]
 async fn a_connection_closed_without_an_answer_may_have_run() {
     let (fleet, _) = served().await;
-    let cut = impairment::Order::Cut(0);
-    fleet.services.iter().for_each(|upstream| upstream.fake.impair(cut));
+    let cut = fault_injection::Command::Cut(0);
+    fleet.services.iter().for_each(|upstream| upstream.fake.inject(cut));
 
     let body = "{\"reference\":\"closed\"}";
     let got = caller::post(fleet.entry_addresses[0], "/lodge", None, body).await;
@@ -119,8 +121,8 @@
 #[actix_rt::test]
 async fn an_answer_that_breaks_off_is_not_passed_on_as_whole() {
     let (fleet, _) = served().await;
-    let cut = impairment::Order::Cut(5);
-    fleet.services.iter().for_each(|upstream| upstream.fake.impair(cut));
+    let cut = fault_injection::Command::Cut(5);
+    fleet.services.iter().for_each(|upstream| upstream.fake.inject(cut));
 
     let body = "{\"reference\":\"part\"}";
     let got = caller::post(fleet.entry_addresses[0], "/lodge", Some("part"), body).await;
--- a/crates/hyssopfork-daemon/tests/processes/cut_answers.rs
+++ b/crates/hyssopfork-daemon/tests/processes/cut_answers.rs
@@ -1,7 +1,7 @@
 //! Back ends that break off: before their answer's head, and within its body.
 
 use crate::support::{caller, fleet, operator};
-use hyssopfork_test_support::impairment;
+use hyssopfork_test_support::fault_injection;
 use hyssopfork_wire::patch;
 use std::time::Duration;
 
@@ -29,11 +29,11 @@
 async fn a_connection_closed_before_the_head_is_work_that_may_have_run() {
     for key in [Some("k"), None] {
         let fleet = served(0).await;
-        fleet.services[0].fake.impair(impairment::Order::Cut(0));
+        fleet.services[0].fake.inject(fault_injection::Command::Cut(0));
 
         let got = lodge(&fleet, key).await;
 
-        assert_eq!(fleet.services[0].fake.ran()["r"], 1, "{got:?}");
+        assert_eq!(fleet.services[0].fake.runs_by_reference()["r"], 1, "{got:?}");
         assert!(got.says_may_have_run(), "{got:?}");
     }
 }
@@ -45,11 +45,11 @@
 async fn an_answer_cut_before_its_length_is_not_given_as_whole() {
     for key in [Some("k"), None] {
         let fleet = served(0).await;
-        fleet.services[0].fake.impair(impairment::Order::Cut(5));
+        fleet.services[0].fake.inject(fault_injection::Command::Cut(5));
 
         let got = lodge(&fleet, key).await;
 
-        assert_eq!(fleet.services[0].fake.ran()["r"], 1, "{got:?}");
+        assert_eq!(fleet.services[0].fake.runs_by_reference()["r"], 1, "{got:?}");
         assert!(!got.is_answer(), "{got:?}");
     }
 }
@@ -60,7 +60,7 @@
 async fn a_stream_cut_within_is_whole_in_the_end_or_marked() {
     let fleet = served(2).await;
     for engine in &fleet.engines {
-        engine.fake.impair(impairment::Order::Cut(3));
+        engine.fake.inject(fault_injection::Command::Cut(3));
     }
 
     let got =
@@ -86,7 +86,7 @@
 
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     for engine in &fleet.engines {
-        engine.fake.impair(impairment::Order::Die(Duration::from_secs(60)));
+        engine.fake.inject(fault_injection::Command::Die(Duration::from_secs(60)));
     }
     let got = streamed.await.unwrap();
 
@@ -103,7 +103,7 @@
 async fn an_engine_that_lost_its_model_is_found_out_by_the_first_request() {
     let fleet = served(2).await;
     for engine in &fleet.engines {
-        engine.fake.impair(impairment::Order::Die(Duration::from_millis(1)));
+        engine.fake.inject(fault_injection::Command::Die(Duration::from_millis(1)));
     }
     actix_rt::time::sleep(Duration::from_millis(5)).await;
 
--- a/crates/hyssopfork-daemon/tests/processes/lost_control.rs
+++ b/crates/hyssopfork-daemon/tests/processes/lost_control.rs
@@ -73,7 +73,7 @@
     fleet.wires.silence(wires::Link::Voter, &format!("control-{}", cut + 1));
     let outcome = other_side.submit("out", 1, zone_out(true)).await;
     actix_rt::time::sleep(A_FEW_SECONDS).await;
-    let before: u64 = fleet.services[1].fake.ran().values().sum();
+    let before: u64 = fleet.services[1].fake.runs_by_reference().values().sum();
     let mut answered = 0;
     for number in 0..20 {
         let body = format!("{{\"reference\":\"work-{number}\"}}");
@@ -83,7 +83,7 @@
 
     assert!(timing::IN_FORCE_BOUND < A_FEW_SECONDS);
     assert_eq!(outcome, accepted(2));
-    assert_eq!(fleet.services[1].fake.ran().values().sum::<u64>(), before);
+    assert_eq!(fleet.services[1].fake.runs_by_reference().values().sum::<u64>(), before);
     assert_eq!(answered, 20);
 }
 
--- a/crates/hyssopfork-daemon/tests/processes/paused.rs
+++ b/crates/hyssopfork-daemon/tests/processes/paused.rs
@@ -34,7 +34,7 @@
 }
 
 fn ran(fleet: &fleet::Fleet, place: usize) -> u64 {
-    fleet.services[place].fake.ran().values().sum()
+    fleet.services[place].fake.runs_by_reference().values().sum()
 }
 
 async fn lodge(entry: SocketAddr, name: &str, count: usize) -> Vec<caller::Got> {
@@ -60,7 +60,7 @@
 
 fn assert_once(fleet: &fleet::Fleet) {
     for upstream in &fleet.services {
-        let ran = upstream.fake.ran();
+        let ran = upstream.fake.runs_by_reference();
         assert!(ran.values().all(|count| *count == 1), "{ran:?}");
     }
 }
@@ -132,8 +132,11 @@
 // one sent, as much as it bears while cold: a burst that comes at once must wait for it.
 #[actix_rt::test]
 async fn an_agent_that_starts_anew_counts_the_work_that_its_upstream_has() {
-    let service =
-        service::Profile { time: Duration::from_millis(1_500), cold_bearing: 2, warm_after: 1_000 };
+    let service = service::Profile {
+        response_time: Duration::from_millis(1_500),
+        cold_capacity: 2,
+        warmup_requests: 1_000,
+    };
     let plan = fleet::Plan { services: 1, entries: 1, service, ..services() };
     let (mut fleet, _) = served(plan).await;
     let entry = fleet.entry_addresses[0];
@@ -145,7 +148,7 @@
     let burst = lodge(entry, "burst", 4).await;
     let lost = lost.await.unwrap();
 
-    assert_eq!(fleet.services[0].fake.falls(), 0);
+    assert_eq!(fleet.services[0].fake.crash_count(), 0);
     assert!(lost.iter().chain(&burst).all(is_honest), "{lost:?} {burst:?}");
     assert_once(&fleet);
 }
--- a/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
+++ b/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
@@ -14,7 +14,7 @@
 const EVENTS: u32 = 300;
 
 async fn served(engines: usize) -> (fleet::Fleet, operator::Operator) {
-    let slow = service::Profile { time: Duration::from_millis(60), ..Default::default() };
+    let slow = service::Profile { response_time: Duration::from_millis(60), ..Default::default() };
     let plan = fleet::Plan { engines, service: slow, relayed: true, ..fleet::Plan::default() };
     let fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
@@ -29,7 +29,9 @@
 
 fn runs(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
-    for (work, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
+    for (work, count) in
+        fleet.services.iter().flat_map(|upstream| upstream.fake.runs_by_reference())
+    {
         *runs.entry(work).or_default() += count;
     }
     runs
--- a/crates/hyssopfork-daemon/tests/processes/soak/callers.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/callers.rs
@@ -134,8 +134,9 @@
 }
 
 fn expected(mark: &str, tokens: u32) -> String {
-    let events = (0..tokens).map(|place| token::event(token::Shape::Text, mark, place.into()));
+    let events = (0..tokens)
+        .map(|place| token::token_event(token::Endpoint::Completions, mark, place.into()));
     let mut text: String = events.collect();
-    text.push_str(token::DONE);
+    text.push_str(token::DONE_EVENT);
     text
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/chaos.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/chaos.rs
@@ -2,7 +2,7 @@
 
 use super::record;
 use crate::support::{daemon, fleet};
-use hyssopfork_test_support::impairment;
+use hyssopfork_test_support::fault_injection;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
@@ -78,10 +78,10 @@
             End::Resume(process) => self.daemon(process).resume(),
             End::Restart(process) => self.daemon(process).restart(),
             End::HealEngine(place) => {
-                self.fleet.engines[place].fake.impair(impairment::Order::Heal)
+                self.fleet.engines[place].fake.inject(fault_injection::Command::Heal)
             }
             End::HealService(place) => {
-                self.fleet.services[place].fake.impair(impairment::Order::Heal)
+                self.fleet.services[place].fake.inject(fault_injection::Command::Heal)
             }
         }
         if matches!(end, End::Resume(Process::Control(_)) | End::Restart(Process::Control(_))) {
@@ -160,32 +160,36 @@
         let place = self.random.random_range(0..self.fleet.engines.len());
         let order = self.order();
         match order {
-            impairment::Order::Cold => {
+            fault_injection::Command::Cold => {
                 *self.record.borrow_mut().silent_colds.entry(place).or_default() += 1;
             }
-            impairment::Order::Die(_) => {
+            fault_injection::Command::Die(_) => {
                 *self.record.borrow_mut().silent_restarts.entry(place).or_default() += 1;
             }
             _ => {}
         }
-        self.fleet.engines[place].fake.impair(order);
+        self.fleet.engines[place].fake.inject(order);
         self.later(200, 1_500, End::HealEngine(place));
     }
 
     fn impair_service(&mut self) {
         let place = self.random.random_range(0..self.fleet.services.len());
         let order = self.order();
-        self.fleet.services[place].fake.impair(order);
+        self.fleet.services[place].fake.inject(order);
         self.later(200, 1_500, End::HealService(place));
     }
 
-    fn order(&mut self) -> impairment::Order {
+    fn order(&mut self) -> fault_injection::Command {
         match self.random.random_range(0..5) {
-            0 => impairment::Order::Stall,
-            1 => impairment::Order::Cold,
-            2 => impairment::Order::Die(Duration::from_millis(self.random.random_range(50..1_500))),
-            3 => impairment::Order::Cut(self.random.random_range(0..40)),
-            _ => impairment::Order::Delay(Duration::from_millis(self.random.random_range(10..400))),
+            0 => fault_injection::Command::Stall,
+            1 => fault_injection::Command::Cold,
+            2 => fault_injection::Command::Die(Duration::from_millis(
+                self.random.random_range(50..1_500),
+            )),
+            3 => fault_injection::Command::Cut(self.random.random_range(0..40)),
+            _ => fault_injection::Command::Delay(Duration::from_millis(
+                self.random.random_range(10..400),
+            )),
         }
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
@@ -60,7 +60,7 @@
     }
 
     fn ran(&self, place: usize) -> u64 {
-        self.services[place].ran().values().sum()
+        self.services[place].runs_by_reference().values().sum()
     }
 
     /// Both operators submit the same change against the same number: exactly one is accepted,
--- a/crates/hyssopfork-daemon/tests/processes/soak/record.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/record.rs
@@ -76,13 +76,13 @@
             let silent = self.silent_colds.get(&place).copied().unwrap_or(0);
             // An idle engine that starts anew between two probes gets the one request that finds out,
             // and runs none of it; whatever else was admitted before must not follow.
-            let restarts = self.silent_restarts.get(&place).copied().unwrap_or(0) + counts.falls;
-            if counts.misdirected > restarts || counts.falls > silent {
+            let restarts = self.silent_restarts.get(&place).copied().unwrap_or(0) + counts.crashes;
+            if counts.misdirected > restarts || counts.crashes > silent {
                 faults.push(format!("{} was misused: {counts:?}", upstream.name));
             }
         }
         for upstream in &fleet.services {
-            if upstream.fake.falls() > 0 {
+            if upstream.fake.crash_count() > 0 {
                 faults.push(format!("{} fell over while cold", upstream.name));
             }
         }
@@ -113,7 +113,9 @@
 
 fn runs(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
-    for (reference, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
+    for (reference, count) in
+        fleet.services.iter().flat_map(|upstream| upstream.fake.runs_by_reference())
+    {
         *runs.entry(reference).or_default() += count;
     }
     runs
--- a/crates/hyssopfork-daemon/tests/processes/support/wires.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/wires.rs
@@ -70,13 +70,13 @@
     /// Makes the open connections of all links of a kind silent for good; new ones work.
     pub fn forget(&self, link: Link) {
         let wires = self.wires.iter().filter(|wire| wire.link == link);
-        wires.for_each(|wire| wire.relay.forget());
+        wires.for_each(|wire| wire.relay.blackhole_connections());
     }
 
     /// Makes all links of a kind that belong to `name` silent, new connections too.
     pub fn silence(&self, link: Link, name: &str) {
         let wires = self.wires.iter().filter(|wire| wire.link == link);
         let own = wires.filter(|wire| wire.name.split(' ').any(|end| end == name));
-        own.for_each(|wire| wire.relay.silence());
+        own.for_each(|wire| wire.relay.pause());
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/whole_path.rs
+++ b/crates/hyssopfork-daemon/tests/processes/whole_path.rs
@@ -30,7 +30,7 @@
     let ran: u64 = fleet
         .services
         .iter()
-        .flat_map(|upstream| upstream.fake.ran())
+        .flat_map(|upstream| upstream.fake.runs_by_reference())
         .map(|(_, count)| count)
         .sum();
     assert_eq!(ran, 1);
--- a/crates/hyssopfork-daemon/tests/processes/zones.rs
+++ b/crates/hyssopfork-daemon/tests/processes/zones.rs
@@ -18,7 +18,7 @@
 }
 
 fn ran(fleet: &fleet::Fleet, place: usize) -> u64 {
-    fleet.services[place].fake.ran().values().sum()
+    fleet.services[place].fake.runs_by_reference().values().sum()
 }
 
 async fn ask(fleet: &fleet::Fleet, entry: usize, number: usize) -> caller::Got {
--- a/crates/hyssopfork-test-support/examples/fake_upstream.rs
+++ b/crates/hyssopfork-test-support/examples/fake_upstream.rs
@@ -50,14 +50,14 @@
     let kind = matches.get_one::<String>("kind").expect("has a default");
     let server = match kind.as_str() {
         "service" => {
-            let time = Duration::from_millis(number("call-ms"));
-            start_service(listener, service::Profile { time, ..Default::default() })?
+            let response_time = Duration::from_millis(number("call-ms"));
+            start_service(listener, service::Profile { response_time, ..Default::default() })?
         }
         _ => {
             let profile = engine::Profile {
                 load_time: Duration::from_millis(number("load-ms")),
                 token_time: Duration::from_millis(number("token-ms")),
-                cold_bearing: number("cold-bearing") as u32,
+                cold_capacity: number("cold-bearing") as u32,
                 checks_fence: !matches.get_flag("ignores-fence"),
                 ..Default::default()
             };
--- a/crates/hyssopfork-test-support/examples/lay_out.rs
+++ b/crates/hyssopfork-test-support/examples/lay_out.rs
@@ -20,6 +20,6 @@
     let layout = layout::read(path("layout"))?;
     fs::create_dir_all(path("folder"))?;
     let folder = path("folder").canonicalize()?;
-    let processes = layout::draw(&layout, &folder)?;
+    let processes = layout::plan_processes(&layout, &folder)?;
     layout::write(&processes, &folder)
 }
--- a/crates/hyssopfork-test-support/src/engine.rs
+++ b/crates/hyssopfork-test-support/src/engine.rs
@@ -1,6 +1,6 @@
 //! A model engine that batches, streams, goes cold and stalls.
 
-use crate::{http, impairment, prefix, token};
+use crate::{fault_injection, http, prefix_cache, token};
 use actix_http::body::BoxBody;
 use actix_http::{Request, Response, StatusCode};
 use bytes::Bytes;
@@ -19,17 +19,17 @@
     /// Time between two tokens of one request when alone.
     pub token_time: Duration,
     /// Time to read a prompt whose prefix is not held; a tenth of it when it is.
-    pub prompt_time: Duration,
+    pub prefill_time: Duration,
     /// Time to load a model's weights; none when it holds them already.
     pub load_time: Duration,
     /// Requests at once that it bears while cold; more make it fall over.
-    pub cold_bearing: u32,
+    pub cold_capacity: u32,
     /// Completed requests after which it is warm.
-    pub warm_after: u32,
+    pub warmup_requests: u32,
     /// Time that it is away after falling over.
-    pub away: Duration,
+    pub downtime: Duration,
     /// Prefixes that it holds.
-    pub prefixes: usize,
+    pub cached_prefixes: usize,
     /// Refuses an order with an old fencing number.
     pub checks_fence: bool,
     /// Skips the events that a resuming caller has.
@@ -41,12 +41,12 @@
         Profile {
             slots: 8,
             token_time: Duration::from_millis(4),
-            prompt_time: Duration::from_millis(10),
+            prefill_time: Duration::from_millis(10),
             load_time: Duration::from_millis(300),
-            cold_bearing: 2,
-            warm_after: 4,
-            away: Duration::from_millis(500),
-            prefixes: 64,
+            cold_capacity: 2,
+            warmup_requests: 4,
+            downtime: Duration::from_millis(500),
+            cached_prefixes: 64,
             checks_fence: true,
             resumes: true,
         }
@@ -71,11 +71,11 @@
     /// Requests whose caller went away before the end.
     pub cancelled: u64,
     /// Times that it fell over because it was loaded while cold.
-    pub falls: u64,
+    pub crashes: u64,
     /// Requests that came while it held no model, or to another member than the first.
     pub misdirected: u64,
     /// Orders refused for their old fencing number.
-    pub old_orders: u64,
+    pub stale_orders: u64,
     /// Times that it loaded weights.
     pub loads: u64,
 }
@@ -83,12 +83,12 @@
 struct State {
     incarnation: u64,
     running: u32,
-    since_start: u32,
+    completed_since_start: u32,
     loaded: Option<Loaded>,
-    newest_fence: u64,
-    prefixes: prefix::Memory,
+    highest_fence: u64,
+    prefix_cache: prefix_cache::Cache,
     counts: Counts,
-    impairment: impairment::Impairment,
+    faults: fault_injection::Faults,
 }
 
 /// The engine.
@@ -102,12 +102,12 @@
         let state = State {
             incarnation: 1,
             running: 0,
-            since_start: 0,
+            completed_since_start: 0,
             loaded: None,
-            newest_fence: 0,
-            prefixes: prefix::Memory::new(profile.prefixes),
+            highest_fence: 0,
+            prefix_cache: prefix_cache::Cache::new(profile.cached_prefixes),
             counts: Counts::default(),
-            impairment: impairment::Impairment::default(),
+            faults: fault_injection::Faults::default(),
         };
         Engine { profile, state: Mutex::new(state) }
     }
@@ -127,12 +127,12 @@
     }
 
     /// Does what a test asks.
-    pub fn impair(&self, order: impairment::Order) {
+    pub fn inject(&self, command: fault_injection::Command) {
         let mut state = self.state();
-        state.impairment.apply(order);
-        match order {
-            impairment::Order::Cold => state.since_start = 0,
-            impairment::Order::Die(_) => restart(&mut state),
+        state.faults.apply(command);
+        match command {
+            fault_injection::Command::Cold => state.completed_since_start = 0,
+            fault_injection::Command::Die(_) => restart(&mut state),
             _ => {}
         }
     }
@@ -142,10 +142,10 @@
 fn restart(state: &mut State) {
     state.incarnation += 1;
     state.running = 0;
-    state.since_start = 0;
+    state.completed_since_start = 0;
     state.loaded = None;
-    state.newest_fence = 0;
-    state.prefixes.clear();
+    state.highest_fence = 0;
+    state.prefix_cache.clear();
 }
 
 /// Starts an engine on `listener`.
@@ -155,33 +155,35 @@
 ) -> io::Result<(http::Server, Arc<Engine>)> {
     let engine = Arc::new(Engine::new(profile));
     let shared = engine.clone();
-    let server = http::Server::start(listener, move |request| answer(shared.clone(), request))?;
+    let server = http::Server::start(listener, move |request| respond(shared.clone(), request))?;
     Ok((server, engine))
 }
 
-async fn answer(engine: Arc<Engine>, mut request: Request) -> Response<BoxBody> {
-    if let Some(order) = impairment::parse(&request) {
-        engine.impair(order);
+async fn respond(engine: Arc<Engine>, mut request: Request) -> Response<BoxBody> {
+    if let Some(command) = fault_injection::parse(&request) {
+        engine.inject(command);
         return http::json(StatusCode::OK, &json!({ "done": true }));
     }
-    impairment::wait_while_stalled(|| engine.state().impairment.stalled).await;
-    if engine.state().impairment.is_away() {
-        return http::broken(&request);
+    fault_injection::wait_while_stalled(|| engine.state().faults.is_stalled).await;
+    if engine.state().faults.is_down() {
+        return http::drop_connection(&request);
     }
-    let body = http::read(&mut request).await;
+    let body = http::read_body(&mut request).await;
     match request.path() {
         "/health" => health(&engine),
         "/counts" => counts(&engine),
         "/orders/load" => load(&engine, &body).await,
-        "/v1/completions" => generation::run(engine, token::Shape::Text, &request, &body).await,
+        "/v1/completions" => {
+            generation::run(engine, token::Endpoint::Completions, &request, &body).await
+        }
         "/v1/chat/completions" => {
-            generation::run(engine, token::Shape::Chat, &request, &body).await
+            generation::run(engine, token::Endpoint::ChatCompletions, &request, &body).await
         }
-        _ => problem(StatusCode::NOT_FOUND, "no such path"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-fn problem(status: StatusCode, text: &str) -> Response<BoxBody> {
+fn error_response(status: StatusCode, text: &str) -> Response<BoxBody> {
     http::json(status, &json!({ "error": { "message": text } }))
 }
 
@@ -196,8 +198,8 @@
 fn counts(engine: &Engine) -> Response<BoxBody> {
     let counts = engine.counts();
     let value = json!({
-        "started": counts.started, "completed": counts.completed, "cancelled": counts.cancelled, "falls": counts.falls,
-        "misdirected": counts.misdirected, "old_orders": counts.old_orders,
+        "started": counts.started, "completed": counts.completed, "cancelled": counts.cancelled, "falls": counts.crashes,
+        "misdirected": counts.misdirected, "old_orders": counts.stale_orders,
         "loads": counts.loads, "ran": {},
     });
     http::json(StatusCode::OK, &value)
@@ -206,12 +208,12 @@
 async fn load(engine: &Engine, body: &Bytes) -> Response<BoxBody> {
     let order: Value = serde_json::from_slice(body).unwrap_or_default();
     let (Some(fence), Some(model)) = (order["fence"].as_u64(), order["model"].as_str()) else {
-        return problem(StatusCode::BAD_REQUEST, "an order needs fence and model");
+        return error_response(StatusCode::BAD_REQUEST, "an order needs fence and model");
     };
-    let Some((incarnation, holds)) = take_order(engine, fence, model) else {
-        return problem(StatusCode::CONFLICT, "a newer fencing number was ordered");
+    let Some((incarnation, is_loaded)) = accept_order(engine, fence, model) else {
+        return error_response(StatusCode::CONFLICT, "a newer fencing number was ordered");
     };
-    if !holds {
+    if !is_loaded {
         actix_rt::time::sleep(engine.profile.load_time).await;
     }
     let rank = order["rank"].as_u64().unwrap_or(0);
@@ -220,26 +222,26 @@
 }
 
 /// Takes an order on: the incarnation that took it, and whether the weights are there already.
-fn take_order(engine: &Engine, fence: u64, model: &str) -> Option<(u64, bool)> {
+fn accept_order(engine: &Engine, fence: u64, model: &str) -> Option<(u64, bool)> {
     let mut state = engine.state();
-    if engine.profile.checks_fence && fence < state.newest_fence {
-        state.counts.old_orders += 1;
+    if engine.profile.checks_fence && fence < state.highest_fence {
+        state.counts.stale_orders += 1;
         return None;
     }
-    state.newest_fence = state.newest_fence.max(fence);
-    let holds = state.loaded.as_ref().is_some_and(|loaded| loaded.model == model);
-    if !holds {
+    state.highest_fence = state.highest_fence.max(fence);
+    let is_loaded = state.loaded.as_ref().is_some_and(|loaded| loaded.model == model);
+    if !is_loaded {
         state.loaded = None;
         state.counts.loads += 1;
     }
-    Some((state.incarnation, holds))
+    Some((state.incarnation, is_loaded))
 }
 
 fn complete_order(engine: &Engine, incarnation: u64, loaded: Loaded) -> Response<BoxBody> {
     let mut state = engine.state();
-    let overtaken = engine.profile.checks_fence && loaded.fence < state.newest_fence;
-    if state.incarnation != incarnation || overtaken {
-        return problem(StatusCode::CONFLICT, "overtaken while loading");
+    let superseded = engine.profile.checks_fence && loaded.fence < state.highest_fence;
+    if state.incarnation != incarnation || superseded {
+        return error_response(StatusCode::CONFLICT, "overtaken while loading");
     }
     state.loaded = Some(loaded);
     http::json(StatusCode::OK, &json!({ "loaded": true }))
--- a/crates/hyssopfork-test-support/src/engine/generation.rs
+++ b/crates/hyssopfork-test-support/src/engine/generation.rs
@@ -1,7 +1,7 @@
 //! One completion: prompt, tokens, end.
 
 use super::Engine;
-use crate::{http, impairment, token};
+use crate::{fault_injection, http, token};
 use actix_http::body::BoxBody;
 use actix_http::{Request, Response, StatusCode};
 use bytes::Bytes;
@@ -12,99 +12,116 @@
 use std::time::Duration;
 
 /// Tokens of an answer when the request names no number.
-const TOKENS: u64 = 16;
+const DEFAULT_TOKENS: u64 = 16;
 /// Header with the number of events that the caller has.
 const RESUME_HEADER: &str = "hyssopfork-resume-from";
 /// How much faster a prompt is read whose prefix is held.
-const HELD_SPEEDUP: u32 = 10;
+const CACHED_PREFILL_SPEEDUP: u32 = 10;
 
 /// A running completion; counts itself as cancelled when dropped before its end.
-struct Run {
+struct Completion {
     engine: Arc<Engine>,
     incarnation: u64,
-    shape: token::Shape,
+    endpoint: token::Endpoint,
     stem: String,
-    next: u64,
-    count: u64,
-    sent: usize,
-    cut: Option<usize>,
-    ended: bool,
+    next_token: u64,
+    token_count: u64,
+    sent_events: usize,
+    cut_after: Option<usize>,
+    is_finished: bool,
 }
 
 /// Runs a completion and answers it whole or as events.
 pub(super) async fn run(
     engine: Arc<Engine>,
-    shape: token::Shape,
+    endpoint: token::Endpoint,
     request: &Request,
     body: &Bytes,
 ) -> Response<BoxBody> {
     let Ok(parsed) = serde_json::from_slice::<Value>(body) else {
-        return super::problem(StatusCode::BAD_REQUEST, "the body is not JSON");
+        return super::error_response(StatusCode::BAD_REQUEST, "the body is not JSON");
     };
-    let prompt = prompt(shape, &parsed);
-    let mut run = match begin(engine, shape, &prompt, &parsed, request) {
-        Ok(run) => run,
+    let prompt = prompt(endpoint, &parsed);
+    let mut completion = match start_completion(engine, endpoint, &prompt, &parsed, request) {
+        Ok(completion) => completion,
         Err(response) => return response,
     };
-    let time = run.prompt_time(&prompt);
-    actix_rt::time::sleep(time).await;
+    let prefill_time = completion.prefill_time(&prompt);
+    actix_rt::time::sleep(prefill_time).await;
     if parsed["stream"].as_bool().unwrap_or(false) {
-        run.next = resume_from(&run, request).min(run.count);
-        return http::events(events(run));
+        completion.next_token = resume_from(&completion, request).min(completion.token_count);
+        return http::events(events(completion));
     }
-    whole(run, request).await
+    respond_unstreamed(completion, request).await
 }
 
-fn prompt(shape: token::Shape, parsed: &Value) -> String {
-    match shape {
-        token::Shape::Text => parsed["prompt"].as_str().unwrap_or_default().to_owned(),
-        token::Shape::Chat => parsed["messages"].to_string(),
+fn prompt(endpoint: token::Endpoint, parsed: &Value) -> String {
+    match endpoint {
+        token::Endpoint::Completions => parsed["prompt"].as_str().unwrap_or_default().to_owned(),
+        token::Endpoint::ChatCompletions => parsed["messages"].to_string(),
     }
 }
 
-fn begin(
+fn start_completion(
     engine: Arc<Engine>,
-    shape: token::Shape,
+    endpoint: token::Endpoint,
     prompt: &str,
     parsed: &Value,
     request: &Request,
-) -> Result<Run, Response<BoxBody>> {
+) -> Result<Completion, Response<BoxBody>> {
     let mut state = engine.state();
     if state.loaded.as_ref().is_none_or(|loaded| loaded.rank != 0) {
         state.counts.misdirected += 1;
-        return Err(super::problem(StatusCode::SERVICE_UNAVAILABLE, "holds no model to serve"));
+        return Err(super::error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "holds no model to serve",
+        ));
     }
-    let cold = state.since_start < engine.profile.warm_after;
-    if cold && state.running >= engine.profile.cold_bearing {
-        state.counts.falls += 1;
+    let cold = state.completed_since_start < engine.profile.warmup_requests;
+    if cold && state.running >= engine.profile.cold_capacity {
+        state.counts.crashes += 1;
         super::restart(&mut state);
-        state.impairment.apply(impairment::Order::Die(engine.profile.away));
-        return Err(http::broken(request));
+        state.faults.apply(fault_injection::Command::Die(engine.profile.downtime));
+        return Err(http::drop_connection(request));
     }
     state.running += 1;
     state.counts.started += 1;
     let incarnation = state.incarnation;
-    let cut = state.impairment.cut.take();
+    let cut_after = state.faults.cut_after.take();
     drop(state);
-    let count = parsed["max_tokens"].as_u64().unwrap_or(TOKENS);
+    let token_count = parsed["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
     let stem = token::stem(prompt);
-    Ok(Run { engine, incarnation, shape, stem, next: 0, count, sent: 0, cut, ended: false })
+    Ok(Completion {
+        engine,
+        incarnation,
+        endpoint,
+        stem,
+        next_token: 0,
+        token_count,
+        sent_events: 0,
+        cut_after,
+        is_finished: false,
+    })
 }
 
-fn resume_from(run: &Run, request: &Request) -> u64 {
-    if !run.engine.profile.resumes {
+fn resume_from(completion: &Completion, request: &Request) -> u64 {
+    if !completion.engine.profile.resumes {
         return 0;
     }
     let text = http::header_text(request, RESUME_HEADER);
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-impl Run {
-    fn prompt_time(&self, prompt: &str) -> Duration {
+impl Completion {
+    fn prefill_time(&self, prompt: &str) -> Duration {
         let mut state = self.engine.state();
-        let time = self.engine.profile.prompt_time;
-        let delay = state.impairment.delay;
-        if state.prefixes.touch(prompt) { delay + time / HELD_SPEEDUP } else { delay + time }
+        let time = self.engine.profile.prefill_time;
+        let delay = state.faults.delay;
+        if state.prefix_cache.insert(prompt) {
+            delay + time / CACHED_PREFILL_SPEEDUP
+        } else {
+            delay + time
+        }
     }
 
     /// Time to the next token: longer for all when more run than there are slots.
@@ -115,9 +132,9 @@
     }
 
     /// Waits for the next token; an error when the engine has fallen over since.
-    async fn step(&self) -> Result<(), io::Error> {
+    async fn wait_for_token(&self) -> Result<(), io::Error> {
         actix_rt::time::sleep(self.token_time()).await;
-        impairment::wait_while_stalled(|| self.engine.state().impairment.stalled).await;
+        fault_injection::wait_while_stalled(|| self.engine.state().faults.is_stalled).await;
         if self.engine.state().incarnation == self.incarnation {
             Ok(())
         } else {
@@ -126,35 +143,35 @@
     }
 
     fn finish(&mut self) {
-        self.ended = true;
+        self.is_finished = true;
         let mut state = self.engine.state();
         if state.incarnation == self.incarnation {
             state.running = state.running.saturating_sub(1);
-            state.since_start = state.since_start.saturating_add(1);
+            state.completed_since_start = state.completed_since_start.saturating_add(1);
             state.counts.completed += 1;
         }
     }
 
     /// The next event; the caller stops after an error or the end mark.
-    async fn event(&mut self) -> Result<Bytes, io::Error> {
-        if self.cut.is_some_and(|cut| self.sent >= cut) {
+    async fn next_event(&mut self) -> Result<Bytes, io::Error> {
+        if self.cut_after.is_some_and(|limit| self.sent_events >= limit) {
             return Err(io::Error::other("cut by a test"));
         }
-        self.sent += 1;
-        if self.next >= self.count {
+        self.sent_events += 1;
+        if self.next_token >= self.token_count {
             self.finish();
-            return Ok(Bytes::from_static(token::DONE.as_bytes()));
+            return Ok(Bytes::from_static(token::DONE_EVENT.as_bytes()));
         }
-        self.step().await?;
-        let event = token::event(self.shape, &self.stem, self.next);
-        self.next += 1;
+        self.wait_for_token().await?;
+        let event = token::token_event(self.endpoint, &self.stem, self.next_token);
+        self.next_token += 1;
         Ok(Bytes::from(event))
     }
 }
 
-impl Drop for Run {
+impl Drop for Completion {
     fn drop(&mut self) {
-        if self.ended {
+        if self.is_finished {
             return;
         }
         let mut state = self.engine.state();
@@ -165,26 +182,26 @@
     }
 }
 
-fn events(run: Run) -> impl Stream<Item = Result<Bytes, io::Error>> {
-    stream::unfold(Some(run), |run| async move {
-        let mut run = run?;
-        if run.ended {
+fn events(completion: Completion) -> impl Stream<Item = Result<Bytes, io::Error>> {
+    stream::unfold(Some(completion), |completion| async move {
+        let mut completion = completion?;
+        if completion.is_finished {
             return None;
         }
-        match run.event().await {
-            Ok(bytes) => Some((Ok(bytes), Some(run))),
+        match completion.next_event().await {
+            Ok(bytes) => Some((Ok(bytes), Some(completion))),
             Err(error) => Some((Err(error), None)),
         }
     })
 }
 
-async fn whole(mut run: Run, request: &Request) -> Response<BoxBody> {
-    for _ in 0..run.count {
-        if run.step().await.is_err() {
-            return http::broken(request);
+async fn respond_unstreamed(mut completion: Completion, request: &Request) -> Response<BoxBody> {
+    for _ in 0..completion.token_count {
+        if completion.wait_for_token().await.is_err() {
+            return http::drop_connection(request);
         }
     }
-    run.finish();
-    let body = token::whole(run.shape, &run.stem, run.count);
-    http::sized(StatusCode::OK, Bytes::from(body.to_string()), run.cut)
+    completion.finish();
+    let body = token::completion(completion.endpoint, &completion.stem, completion.token_count);
+    http::truncated_json(StatusCode::OK, Bytes::from(body.to_string()), completion.cut_after)
 }
--- a/crates/hyssopfork-test-support/src/fixture.rs
+++ b/crates/hyssopfork-test-support/src/fixture.rs
@@ -8,9 +8,9 @@
 /// Zones of [`configuration`].
 pub const ZONES: [&str; 3] = ["ikeja", "lekki", "apapa"];
 /// Pool of engines of [`configuration`].
-pub const ENGINES: &str = "hyssop-pool";
+pub const ENGINE_POOL: &str = "hyssop-pool";
 /// Pool of plain services of [`configuration`].
-pub const SERVICES: &str = "levy-desk";
+pub const SERVICE_POOL: &str = "levy-desk";
 /// Bearer token of the one team of [`configuration`].
 pub const TOKEN: &str = "demo-token";
 /// SHA-256 of [`TOKEN`].
@@ -22,13 +22,13 @@
         number: number::Configuration(1),
         zones: ZONES.iter().map(|&zone| (zone.into(), configuration::Zone::default())).collect(),
         pools: BTreeMap::from([
-            (ENGINES.into(), pool(configuration::Kind::Engine)),
-            (SERVICES.into(), pool(configuration::Kind::Service)),
+            (ENGINE_POOL.into(), pool(configuration::Kind::Engine)),
+            (SERVICE_POOL.into(), pool(configuration::Kind::Service)),
         ]),
         groups: BTreeMap::from([(name::Group::from("summaries-1"), group())]),
         routes: BTreeMap::from([
-            ("completions".into(), route("/v1/completions", ENGINES, true)),
-            ("lodgements".into(), route("/lodgements", SERVICES, false)),
+            ("completions".into(), route("/v1/completions", ENGINE_POOL, true)),
+            ("lodgements".into(), route("/lodgements", SERVICE_POOL, false)),
         ]),
         teams: BTreeMap::from([(name::Team::from("tariff-desk"), team())]),
         drained: BTreeSet::new(),
@@ -43,7 +43,7 @@
 /// A group of two engines.
 pub fn group() -> configuration::Group {
     let model = name::Model::from("summary-70b");
-    configuration::Group { pool: ENGINES.into(), model, size: 2, priority: 0 }
+    configuration::Group { pool: ENGINE_POOL.into(), model, size: 2, priority: 0 }
 }
 
 /// A route of interactive work with a deadline of 2 s.
@@ -88,16 +88,16 @@
 }
 
 /// An engine's announcement; `place` gives its name, ports and boot.
-pub fn announcement(zone: &str, domain: &str, place: u16) -> fleet::Announcement {
+pub fn announcement(zone: &str, domain: &str, index: u16) -> fleet::Announcement {
     fleet::Announcement {
-        instance: name::Instance::new(format!("runner-{place}")),
+        instance: name::Instance::new(format!("runner-{index}")),
         zone: zone.into(),
         domain: domain.into(),
-        pool: ENGINES.into(),
-        traffic: loopback(20_000 + place),
-        peer: loopback(30_000 + place),
+        pool: ENGINE_POOL.into(),
+        traffic: loopback(20_000 + index),
+        peer: loopback(30_000 + index),
         profile: engine_profile(),
-        boot: u64::from(place) + 1,
+        boot: u64::from(index) + 1,
     }
 }
 
@@ -109,11 +109,12 @@
 
 /// A view of [`configuration`] with `members` and no placement.
 pub fn view(members: impl IntoIterator<Item = fleet::Member>) -> change::View {
-    let keyed = members.into_iter().map(|member| (member.announcement.instance.clone(), member));
+    let members_by_name =
+        members.into_iter().map(|member| (member.announcement.instance.clone(), member));
     change::View {
         version: number::Version(1),
         configuration: configuration(),
-        members: keyed.collect(),
+        members: members_by_name.collect(),
         placements: BTreeMap::new(),
     }
 }
--- a/crates/hyssopfork-test-support/src/http.rs
+++ b/crates/hyssopfork-test-support/src/http.rs
@@ -16,10 +16,10 @@
 /// Media type of JSON.
 pub const JSON: &str = "application/json";
 /// Media type of server-sent events.
-pub const EVENTS: &str = "text/event-stream";
+pub const EVENT_STREAM: &str = "text/event-stream";
 
 /// Time in which what was written goes out before a connection is broken.
-const FLUSH: Duration = Duration::from_millis(20);
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
 /// The connection that a request came on.
 struct Connection(net::TcpStream);
@@ -82,8 +82,8 @@
                 }
             })
             .finish(move |request: Request| {
-                let answer = handler(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             })
             .tcp()
     };
@@ -102,7 +102,7 @@
 }
 
 /// The whole body of a request; a body that breaks off counts as what came of it.
-pub async fn read(request: &mut Request) -> Bytes {
+pub async fn read_body(request: &mut Request) -> Bytes {
     let mut whole = BytesMut::new();
     while let Some(Ok(part)) = request.payload().next().await {
         whole.extend_from_slice(&part);
@@ -116,7 +116,7 @@
 }
 
 /// A value of the query, as `key=value`.
-pub fn query<'a>(request: &'a Request, key: &str) -> Option<&'a str> {
+pub fn query_value<'a>(request: &'a Request, key: &str) -> Option<&'a str> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(name, _)| *name == key).map(|(_, value)| value)
@@ -130,11 +130,11 @@
 }
 
 /// An answer of known length that may break off after `keep` bytes.
-pub fn sized(status: StatusCode, whole: Bytes, keep: Option<usize>) -> Response<BoxBody> {
+pub fn truncated_json(status: StatusCode, whole: Bytes, limit: Option<usize>) -> Response<BoxBody> {
     let mut response = Response::build(status);
     response.insert_header((header::CONTENT_TYPE, JSON));
     let length = whole.len() as u64;
-    let body = SizedStream::new(length, Box::pin(parts(whole, keep)));
+    let body = SizedStream::new(length, Box::pin(body_parts(whole, limit)));
     response.message_body(body).expect("the head is well formed").map_into_boxed_body()
 }
 
@@ -144,34 +144,34 @@
     S: stream::Stream<Item = Result<Bytes, io::Error>> + 'static,
 {
     let mut response = Response::build(StatusCode::OK);
-    response.insert_header((header::CONTENT_TYPE, EVENTS));
+    response.insert_header((header::CONTENT_TYPE, EVENT_STREAM));
     let body = BodyStream::new(Box::pin(events));
     response.message_body(body).expect("the head is well formed").map_into_boxed_body()
 }
 
 /// Closes the request's connection without an answer, as a back end does that falls over.
-pub fn broken(request: &Request) -> Response<BoxBody> {
+pub fn drop_connection(request: &Request) -> Response<BoxBody> {
     if let Some(Connection(stream)) = request.conn_data() {
         stream.shutdown(net::Shutdown::Both).ok();
     }
     Response::new(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-fn parts(
+fn body_parts(
     whole: Bytes,
-    keep: Option<usize>,
+    limit: Option<usize>,
 ) -> impl stream::Stream<Item = Result<Bytes, io::Error>> + 'static {
-    let kept = keep.map_or(whole.len(), |keep| keep.min(whole.len()));
-    let first = whole.slice(..kept);
-    let cut = kept < whole.len();
-    let head = stream::iter((kept > 0).then_some(Ok(first)));
-    head.chain(stream::iter(cut.then_some(())).then(move |()| break_off(kept)))
+    let sent_bytes = limit.map_or(whole.len(), |limit| limit.min(whole.len()));
+    let first = whole.slice(..sent_bytes);
+    let is_truncated = sent_bytes < whole.len();
+    let head = stream::iter((sent_bytes > 0).then_some(Ok(first)));
+    head.chain(stream::iter(is_truncated.then_some(())).then(move |()| abort_body(sent_bytes)))
 }
 
 /// Breaks off; after a part, only when that part has surely gone out.
-async fn break_off(kept: usize) -> Result<Bytes, io::Error> {
-    if kept > 0 {
-        actix_rt::time::sleep(FLUSH).await;
+async fn abort_body(sent_bytes: usize) -> Result<Bytes, io::Error> {
+    if sent_bytes > 0 {
+        actix_rt::time::sleep(FLUSH_DELAY).await;
     }
     Err(io::Error::other("cut by a test"))
 }
--- a/crates/hyssopfork-test-support/src/layout.rs
+++ b/crates/hyssopfork-test-support/src/layout.rs
@@ -59,7 +59,7 @@
     /// Where others reach it: control's, entry's or upstream's address.
     pub address: net::SocketAddr,
     /// Where it tells its health and metrics.
-    pub metrics: net::SocketAddr,
+    pub metrics_address: net::SocketAddr,
     /// Its settings.
     pub settings: Value,
 }
@@ -79,7 +79,7 @@
 
 impl Role {
     /// The role's word in the manifest.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Role::Control => "control",
             Role::Entry => "entry",
@@ -92,19 +92,19 @@
 /// Reads a layout.
 pub fn read(path: &path::Path) -> io::Result<Layout> {
     let text = fs::read_to_string(path)?;
-    let wrong = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
-    let json = jsonc::to_json(&text).map_err(|faults| wrong(faults[0].to_string()))?;
-    serde_json::from_str(&json).map_err(|cause| wrong(cause.to_string()))
+    let invalid_data = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
+    let json = jsonc::to_json(&text).map_err(|faults| invalid_data(faults[0].to_string()))?;
+    serde_json::from_str(&json).map_err(|cause| invalid_data(cause.to_string()))
 }
 
 /// Every process of the layout, on free ports, with data folders under `folder`.
-pub fn draw(layout: &Layout, folder: &path::Path) -> io::Result<Vec<Process>> {
-    let mut ports = ports::Ports::new();
+pub fn plan_processes(layout: &Layout, folder: &path::Path) -> io::Result<Vec<Process>> {
+    let mut ports = ports::Allocator::new();
     let control = control(layout, folder, &mut ports)?;
     let addresses: Vec<net::SocketAddr> = control.iter().map(|process| process.address).collect();
     let mut processes = control;
-    for (place, zone) in layout.entry_zones.iter().enumerate() {
-        processes.push(entry(place, zone, &addresses, &mut ports)?);
+    for (index, zone) in layout.entry_zones.iter().enumerate() {
+        processes.push(entry(index, zone, &addresses, &mut ports)?);
     }
     for (role, pool) in [(Role::Engine, &layout.engines), (Role::Service, &layout.services)] {
         processes.extend(agents(role, pool, &addresses, &mut ports)?);
@@ -120,11 +120,11 @@
         let file = folder.join(format!("{}.json", process.instance));
         fs::write(&file, format!("{:#}\n", process.settings))?;
         let fields = [
-            process.role.word().to_owned(),
+            process.role.as_str().to_owned(),
             process.instance.clone(),
             process.zone.clone(),
             process.address.to_string(),
-            process.metrics.to_string(),
+            process.metrics_address.to_string(),
             file.display().to_string(),
         ];
         manifest.push_str(&fields.join("\t"));
@@ -136,58 +136,65 @@
 fn control(
     layout: &Layout,
     folder: &path::Path,
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Vec<Process>> {
-    let named = layout.control_zones.iter().enumerate();
-    let placed: Vec<(String, &String, net::SocketAddr)> = named
-        .map(|(place, zone)| Ok((format!("control-{}", place + 1), zone, ports.take()?)))
+    let zones = layout.control_zones.iter().enumerate();
+    let instances: Vec<(String, &String, net::SocketAddr)> = zones
+        .map(|(index, zone)| Ok((format!("control-{}", index + 1), zone, ports.allocate()?)))
         .collect::<io::Result<_>>()?;
-    let voters: Vec<Value> = placed
+    let voters: Vec<Value> = instances
         .iter()
         .map(|(instance, _, address)| json!({ "instance": instance, "address": address }))
         .collect();
     let process = |(instance, zone, address): &(String, &String, net::SocketAddr)| {
-        let metrics = ports.take()?;
+        let metrics_address = ports.allocate()?;
         let settings = json!({
             "instance": instance, "zone": zone, "roles": ["control"],
             "control": {
                 "listen": address, "data_folder": folder.join(format!("{instance}.data")),
                 "voters": voters,
             },
-            "metrics_listen": metrics,
+            "metrics_listen": metrics_address,
         });
         Ok(Process {
             role: Role::Control,
             instance: instance.clone(),
             zone: (*zone).clone(),
             address: *address,
-            metrics,
+            metrics_address,
             settings,
         })
     };
-    placed.iter().map(process).collect()
+    instances.iter().map(process).collect()
 }
 
 fn entry(
-    place: usize,
+    index: usize,
     zone: &str,
     control: &[net::SocketAddr],
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Process> {
-    let instance = format!("entry-{}", place + 1);
-    let (address, metrics) = (ports.take()?, ports.take()?);
+    let instance = format!("entry-{}", index + 1);
+    let (address, metrics_address) = (ports.allocate()?, ports.allocate()?);
     let settings = json!({
         "instance": instance, "zone": zone, "roles": ["entry"], "control_addresses": control,
-        "entry": { "listen": address }, "metrics_listen": metrics,
+        "entry": { "listen": address }, "metrics_listen": metrics_address,
     });
-    Ok(Process { role: Role::Entry, instance, zone: zone.into(), address, metrics, settings })
+    Ok(Process {
+        role: Role::Entry,
+        instance,
+        zone: zone.into(),
+        address,
+        metrics_address,
+        settings,
+    })
 }
 
 fn agents(
     role: Role,
     pool: &Pool,
     control: &[net::SocketAddr],
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Vec<Process>> {
     let mut processes = Vec::new();
     for domain in &pool.domains {
@@ -205,17 +212,17 @@
     domain: &Domain,
     instance: String,
     control: &[net::SocketAddr],
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Process> {
-    let (address, metrics) = (ports.take()?, ports.take()?);
+    let (address, metrics_address) = (ports.allocate()?, ports.allocate()?);
     let settings = json!({
         "instance": instance, "zone": domain.zone, "roles": ["agent"],
         "control_addresses": control,
         "agent": {
-            "traffic_listen": ports.take()?, "peer_listen": ports.take()?, "pool": pool.pool,
+            "traffic_listen": ports.allocate()?, "peer_listen": ports.allocate()?, "pool": pool.pool,
             "domain": domain.domain, "upstream": address, "profile": pool.profile,
         },
-        "metrics_listen": metrics,
+        "metrics_listen": metrics_address,
     });
-    Ok(Process { role, instance, zone: domain.zone.clone(), address, metrics, settings })
+    Ok(Process { role, instance, zone: domain.zone.clone(), address, metrics_address, settings })
 }
--- a/crates/hyssopfork-test-support/src/lib.rs
+++ b/crates/hyssopfork-test-support/src/lib.rs
@@ -4,12 +4,12 @@
 //! of tests under `/fake/`. They are no simulator of a cluster: each is one process's peer.
 
 pub mod engine;
+pub mod fault_injection;
 pub mod fixture;
 pub mod http;
-pub mod impairment;
 pub mod layout;
 pub mod ports;
-pub mod prefix;
+pub mod prefix_cache;
 pub mod relay;
 pub mod service;
 pub mod token;
--- a/crates/hyssopfork-test-support/src/ports.rs
+++ b/crates/hyssopfork-test-support/src/ports.rs
@@ -5,27 +5,28 @@
 
 /// Below the range from which systems commonly take the ports of outgoing connections: a port that
 /// was free when it was drawn is otherwise soon taken by a connection of the trial itself.
-const RANGE: std::ops::Range<u16> = 12_000..32_000;
+const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 
 /// Draws ports, each once.
 #[derive(Debug)]
-pub struct Ports {
+pub struct Allocator {
     next: u16,
-    tried: usize,
+    attempted: usize,
 }
 
-impl Ports {
+impl Allocator {
     /// Starts at a random port, so that trials at the same time seldom meet.
     pub fn new() -> Self {
-        Ports { next: rand::rng().random_range(RANGE), tried: 0 }
+        Allocator { next: rand::rng().random_range(PORT_RANGE), attempted: 0 }
     }
 
     /// The next port that nobody listens on.
-    pub fn take(&mut self) -> io::Result<net::SocketAddr> {
-        while self.tried < RANGE.len() {
+    pub fn allocate(&mut self) -> io::Result<net::SocketAddr> {
+        while self.attempted < PORT_RANGE.len() {
             let address = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, self.next));
-            self.next = if self.next + 1 < RANGE.end { self.next + 1 } else { RANGE.start };
-            self.tried += 1;
+            self.next =
+                if self.next + 1 < PORT_RANGE.end { self.next + 1 } else { PORT_RANGE.start };
+            self.attempted += 1;
             if net::TcpListener::bind(address).is_ok() {
                 return Ok(address);
             }
@@ -34,8 +35,8 @@
     }
 }
 
-impl Default for Ports {
+impl Default for Allocator {
     fn default() -> Self {
-        Ports::new()
+        Allocator::new()
     }
 }
--- a/crates/hyssopfork-test-support/src/relay.rs
+++ b/crates/hyssopfork-test-support/src/relay.rs
@@ -8,27 +8,27 @@
 use tokio::sync::{oneshot, watch};
 
 /// Bytes passed on at once.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// What the relay does now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Mode {
     /// Connections numbered below this are closed.
-    cut_below: u64,
+    closed_below: u64,
     /// Connections numbered below this pass nothing on for good, and stay open.
-    forgotten_below: u64,
+    blackholed_below: u64,
     /// Whether bytes are held back, on all connections; they go on when healed.
-    silent: bool,
+    is_paused: bool,
     /// Time by which each chunk is late.
     delay: Duration,
     /// Connections accepted so far.
-    accepted: u64,
+    accepted_count: u64,
 }
 
 impl Mode {
     /// Whether a connection has been forgotten or cut.
-    fn is_lost(&self, number: u64) -> bool {
-        number < self.forgotten_below || number < self.cut_below
+    fn is_disconnected(&self, number: u64) -> bool {
+        number < self.blackholed_below || number < self.closed_below
     }
 }
 
@@ -66,19 +66,19 @@
     }
 
     /// Closes every open connection; new ones work.
-    pub fn cut(&self) {
-        self.mode.send_modify(|mode| mode.cut_below = mode.accepted);
+    pub fn close_connections(&self) {
+        self.mode.send_modify(|mode| mode.closed_below = mode.accepted_count);
     }
 
     /// Passes nothing more on over the connections that are open now, for good and without closing
     /// them, as when something between the two ends has lost track of them; new ones work.
-    pub fn forget(&self) {
-        self.mode.send_modify(|mode| mode.forgotten_below = mode.accepted);
+    pub fn blackhole_connections(&self) {
+        self.mode.send_modify(|mode| mode.blackholed_below = mode.accepted_count);
     }
 
     /// Holds all bytes back, on new connections too, until [`Relay::heal`].
-    pub fn silence(&self) {
-        self.mode.send_modify(|mode| mode.silent = true);
+    pub fn pause(&self) {
+        self.mode.send_modify(|mode| mode.is_paused = true);
     }
 
     /// Makes each chunk late by `time`.
@@ -89,7 +89,7 @@
     /// Ends silence and delay. What was cut or forgotten stays so.
     pub fn heal(&self) {
         self.mode.send_modify(|mode| {
-            mode.silent = false;
+            mode.is_paused = false;
             mode.delay = Duration::ZERO;
         });
     }
@@ -112,58 +112,58 @@
     mode: Arc<watch::Sender<Mode>>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         let mut number = 0;
         mode.send_modify(|mode| {
-            number = mode.accepted;
-            mode.accepted += 1;
+            number = mode.accepted_count;
+            mode.accepted_count += 1;
         });
-        actix_rt::spawn(connect(near, target, number, mode.subscribe()));
+        actix_rt::spawn(relay_connection(client, target, number, mode.subscribe()));
     }
 }
 
-async fn connect(
-    near: TcpStream,
+async fn relay_connection(
+    client: TcpStream,
     target: net::SocketAddr,
     number: u64,
     mut mode: watch::Receiver<Mode>,
 ) {
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let forth = pass(near_read, far_write, number, mode.clone());
-    let back = pass(far_read, near_write, number, mode.clone());
+    let Ok(server) = TcpStream::connect(target).await else { return };
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let to_server = forward(client_read, server_write, number, mode.clone());
+    let to_client = forward(server_read, client_write, number, mode.clone());
     tokio::select! {
-        _ = async { tokio::join!(forth, back) } => {}
-        _ = mode.wait_for(|mode| number < mode.cut_below) => {}
+        _ = async { tokio::join!(to_server, to_client) } => {}
+        _ = mode.wait_for(|mode| number < mode.closed_below) => {}
     }
 }
 
-async fn pass<R, W>(mut from: R, mut to: W, number: u64, mut mode: watch::Receiver<Mode>)
+async fn forward<R, W>(mut from: R, mut to: W, number: u64, mut mode: watch::Receiver<Mode>)
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin,
 {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let read = from.read(&mut buffer).await.unwrap_or(0);
+        let length = from.read(&mut buffer).await.unwrap_or(0);
         let delay = mode.borrow().delay;
         if !delay.is_zero() {
             actix_rt::time::sleep(delay).await;
         }
-        if mode.wait_for(|mode| !mode.silent).await.is_err() {
+        if mode.wait_for(|mode| !mode.is_paused).await.is_err() {
             return;
         }
-        if mode.borrow().is_lost(number) {
+        if mode.borrow().is_disconnected(number) {
             // Neither bytes nor the end of the connection are passed on any more. A cut shows here
             // as well, since the closing runs beside this loop and a chunk could slip through.
             std::future::pending::<()>().await;
         }
-        if read == 0 {
+        if length == 0 {
             to.shutdown().await.ok();
             return;
         }
-        if to.write_all(&buffer[..read]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/hyssopfork-test-support/src/service.rs
+++ b/crates/hyssopfork-test-support/src/service.rs
@@ -1,6 +1,6 @@
 //! A plain service that counts what it ran, for each reference.
 
-use crate::{http, impairment, token};
+use crate::{fault_injection, http, token};
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -14,27 +14,27 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
     /// Time that one call takes.
-    pub time: Duration,
+    pub response_time: Duration,
     /// Calls at once that it bears while cold; more make it fall over.
-    pub cold_bearing: u32,
+    pub cold_capacity: u32,
     /// Completed calls after which it is warm.
-    pub warm_after: u32,
+    pub warmup_requests: u32,
 }
 
 impl Default for Profile {
     fn default() -> Self {
-        Profile { time: Duration::from_millis(3), cold_bearing: 8, warm_after: 20 }
+        Profile { response_time: Duration::from_millis(3), cold_capacity: 8, warmup_requests: 20 }
     }
 }
 
 struct State {
     incarnation: u64,
     running: u32,
-    completed: u32,
+    completed_since_start: u32,
     started: u64,
-    falls: u64,
-    ran: BTreeMap<String, u64>,
-    impairment: impairment::Impairment,
+    crash_count: u64,
+    runs_by_reference: BTreeMap<String, u64>,
+    faults: fault_injection::Faults,
 }
 
 /// The service.
@@ -48,11 +48,11 @@
         let state = State {
             incarnation: 1,
             running: 0,
-            completed: 0,
+            completed_since_start: 0,
             started: 0,
-            falls: 0,
-            ran: BTreeMap::new(),
-            impairment: impairment::Impairment::default(),
+            crash_count: 0,
+            runs_by_reference: BTreeMap::new(),
+            faults: fault_injection::Faults::default(),
         };
         Service { profile, state: Mutex::new(state) }
     }
@@ -62,22 +62,22 @@
     }
 
     /// How often the work of each reference ran.
-    pub fn ran(&self) -> BTreeMap<String, u64> {
-        self.state().ran.clone()
+    pub fn runs_by_reference(&self) -> BTreeMap<String, u64> {
+        self.state().runs_by_reference.clone()
     }
 
     /// How often it fell over because it was loaded while cold.
-    pub fn falls(&self) -> u64 {
-        self.state().falls
+    pub fn crash_count(&self) -> u64 {
+        self.state().crash_count
     }
 
     /// Does what a test asks.
-    pub fn impair(&self, order: impairment::Order) {
+    pub fn inject(&self, command: fault_injection::Command) {
         let mut state = self.state();
-        state.impairment.apply(order);
-        match order {
-            impairment::Order::Cold => state.completed = 0,
-            impairment::Order::Die(_) => restart(&mut state),
+        state.faults.apply(command);
+        match command {
+            fault_injection::Command::Cold => state.completed_since_start = 0,
+            fault_injection::Command::Die(_) => restart(&mut state),
             _ => {}
         }
     }
@@ -85,7 +85,7 @@
 
 fn restart(state: &mut State) {
     state.incarnation += 1;
-    state.completed = 0;
+    state.completed_since_start = 0;
     state.running = 0;
 }
 
@@ -96,24 +96,24 @@
 ) -> io::Result<(http::Server, Arc<Service>)> {
     let service = Arc::new(Service::new(profile));
     let shared = service.clone();
-    let server = http::Server::start(listener, move |request| answer(shared.clone(), request))?;
+    let server = http::Server::start(listener, move |request| respond(shared.clone(), request))?;
     Ok((server, service))
 }
 
-async fn answer(service: Arc<Service>, mut request: Request) -> Response<BoxBody> {
-    if let Some(order) = impairment::parse(&request) {
-        service.impair(order);
+async fn respond(service: Arc<Service>, mut request: Request) -> Response<BoxBody> {
+    if let Some(command) = fault_injection::parse(&request) {
+        service.inject(command);
         return http::json(StatusCode::OK, &json!({ "done": true }));
     }
-    impairment::wait_while_stalled(|| service.state().impairment.stalled).await;
-    if service.state().impairment.is_away() {
-        return http::broken(&request);
+    fault_injection::wait_while_stalled(|| service.state().faults.is_stalled).await;
+    if service.state().faults.is_down() {
+        return http::drop_connection(&request);
     }
     match request.path() {
         "/health" => health(&service),
         "/counts" => counts(&service),
         _ => {
-            let body = http::read(&mut request).await;
+            let body = http::read_body(&mut request).await;
             run(&service, &request, &body).await
         }
     }
@@ -129,39 +129,39 @@
     let state = service.state();
     http::json(
         StatusCode::OK,
-        &json!({ "started": state.started, "falls": state.falls, "ran": state.ran }),
+        &json!({ "started": state.started, "falls": state.crash_count, "ran": state.runs_by_reference }),
     )
 }
 
 async fn run(service: &Service, request: &Request, body: &Bytes) -> Response<BoxBody> {
     let reference = reference(request, body);
-    let Some(incarnation) = begin(service, request, &reference) else {
-        return http::broken(request);
+    let Some(incarnation) = start_request(service, request, &reference) else {
+        return http::drop_connection(request);
     };
-    let delay = service.state().impairment.delay;
-    actix_rt::time::sleep(service.profile.time + delay).await;
-    impairment::wait_while_stalled(|| service.state().impairment.stalled).await;
-    end(service, request, &reference, incarnation)
+    let delay = service.state().faults.delay;
+    actix_rt::time::sleep(service.profile.response_time + delay).await;
+    fault_injection::wait_while_stalled(|| service.state().faults.is_stalled).await;
+    finish_request(service, request, &reference, incarnation)
 }
 
 /// Counts the work as run before anything can cut its answer; `None` when it fell over instead.
-fn begin(service: &Service, request: &Request, reference: &str) -> Option<u64> {
+fn start_request(service: &Service, request: &Request, reference: &str) -> Option<u64> {
     let mut state = service.state();
-    let cold = state.completed < service.profile.warm_after;
-    if cold && state.running >= service.profile.cold_bearing {
-        state.falls += 1;
+    let cold = state.completed_since_start < service.profile.warmup_requests;
+    if cold && state.running >= service.profile.cold_capacity {
+        state.crash_count += 1;
         restart(&mut state);
         return None;
     }
     state.running += 1;
     state.started += 1;
     if request.method() != Method::GET {
-        *state.ran.entry(reference.to_owned()).or_insert(0) += 1;
+        *state.runs_by_reference.entry(reference.to_owned()).or_insert(0) += 1;
     }
     Some(state.incarnation)
 }
 
-fn end(
+fn finish_request(
     service: &Service,
     request: &Request,
     reference: &str,
@@ -169,13 +169,13 @@
 ) -> Response<BoxBody> {
     let mut state = service.state();
     if state.incarnation != incarnation {
-        return http::broken(request);
+        return http::drop_connection(request);
     }
     state.running = state.running.saturating_sub(1);
-    state.completed = state.completed.saturating_add(1);
-    let cut = state.impairment.cut.take();
+    state.completed_since_start = state.completed_since_start.saturating_add(1);
+    let cut_after = state.faults.cut_after.take();
     let status = if request.method() == Method::GET { StatusCode::OK } else { StatusCode::CREATED };
-    http::sized(status, Bytes::from(receipt(request, reference).to_string()), cut)
+    http::truncated_json(status, Bytes::from(receipt(request, reference).to_string()), cut_after)
 }
 
 fn receipt(request: &Request, reference: &str) -> Value {
@@ -188,7 +188,7 @@
 fn reference(request: &Request, body: &Bytes) -> String {
     let parsed: Option<Value> = serde_json::from_slice(body).ok();
     let named = parsed.as_ref().and_then(|value| value["reference"].as_str());
-    let asked = named.or_else(|| http::query(request, "reference"));
+    let asked = named.or_else(|| http::query_value(request, "reference"));
     let keyed = asked.or_else(|| http::header_text(request, "idempotency-key"));
     keyed.map_or_else(|| format!("{:016x}", token::hash(body)), str::to_owned)
 }
--- a/crates/hyssopfork-test-support/src/token.rs
+++ b/crates/hyssopfork-test-support/src/token.rs
@@ -10,11 +10,11 @@
 
 /// Which of the two completion calls is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum Endpoint {
     /// `/v1/completions`.
-    Text,
+    Completions,
     /// `/v1/chat/completions`.
-    Chat,
+    ChatCompletions,
 }
 
 /// What a prompt's tokens are named after: its mark, or a hash of the whole.
@@ -25,19 +25,19 @@
 }
 
 /// Token number `place` of a prompt's answer.
-pub fn text(stem: &str, place: u64) -> String {
-    format!(" {stem}.{place}")
+pub fn token_text(stem: &str, index: u64) -> String {
+    format!(" {stem}.{index}")
 }
 
 /// One event of a stream, without its end mark.
-pub fn event(shape: Shape, stem: &str, place: u64) -> String {
-    let token = text(stem, place);
-    let body = match shape {
-        Shape::Text => json!({
+pub fn token_event(endpoint: Endpoint, stem: &str, index: u64) -> String {
+    let token = token_text(stem, index);
+    let body = match endpoint {
+        Endpoint::Completions => json!({
             "id": stem, "object": "text_completion",
             "choices": [{ "index": 0, "text": token }],
         }),
-        Shape::Chat => json!({
+        Endpoint::ChatCompletions => json!({
             "id": stem, "object": "chat.completion.chunk",
             "choices": [{ "index": 0, "delta": { "content": token } }],
         }),
@@ -46,18 +46,18 @@
 }
 
 /// End mark of a stream.
-pub const DONE: &str = "data: [DONE]\n\n";
+pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
 /// A whole answer that is not streamed.
-pub fn whole(shape: Shape, stem: &str, count: u64) -> Value {
-    let tokens: String = (0..count).map(|place| text(stem, place)).collect();
+pub fn completion(endpoint: Endpoint, stem: &str, count: u64) -> Value {
+    let tokens: String = (0..count).map(|index| token_text(stem, index)).collect();
     let usage = json!({ "completion_tokens": count });
-    match shape {
-        Shape::Text => json!({
+    match endpoint {
+        Endpoint::Completions => json!({
             "id": stem, "object": "text_completion", "usage": usage,
             "choices": [{ "index": 0, "text": tokens, "finish_reason": "length" }],
         }),
-        Shape::Chat => {
+        Endpoint::ChatCompletions => {
             let message = json!({ "role": "assistant", "content": tokens });
             json!({
                 "id": stem, "object": "chat.completion", "usage": usage,
--- a/crates/hyssopfork-test-support/tests/engine.rs
+++ b/crates/hyssopfork-test-support/tests/engine.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use hyssopfork_test_support::{engine, http, impairment};
+use hyssopfork_test_support::{engine, fault_injection, http};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
     engine::Profile {
         token_time: Duration::from_millis(1),
         load_time: Duration::from_millis(20),
-        away: Duration::from_millis(100),
+        downtime: Duration::from_millis(100),
         ..Default::default()
     }
 }
@@ -85,7 +85,7 @@
     let answer = load(server.address(), 4).await;
 
     assert_eq!(answer.expect("answered").status, 409);
-    assert_eq!(engine.counts().old_orders, 1);
+    assert_eq!(engine.counts().stale_orders, 1);
 }
 
 #[actix_rt::test]
@@ -112,7 +112,7 @@
 
 #[actix_rt::test]
 async fn cold_engine_falls_over_above_its_bearing_and_comes_back_empty() {
-    let (server, engine) = start(engine::Profile { cold_bearing: 1, ..quick() });
+    let (server, engine) = start(engine::Profile { cold_capacity: 1, ..quick() });
     load(server.address(), 1).await;
     let health = call("GET", server.address(), "/health", "").await.expect("answered").json();
     let bodies = [completion("a", 200), completion("b", 200)];
@@ -123,7 +123,7 @@
     );
 
     assert!(first.is_none() && second.is_none());
-    assert_eq!(engine.counts().falls, 1);
+    assert_eq!(engine.counts().crashes, 1);
     actix_rt::time::sleep(Duration::from_millis(150)).await;
     let after = call("GET", server.address(), "/health", "").await.expect("back").json();
     assert_ne!(after["incarnation"], health["incarnation"]);
@@ -132,7 +132,8 @@
 
 #[actix_rt::test]
 async fn warm_engine_bears_more() {
-    let (server, engine) = start(engine::Profile { cold_bearing: 1, warm_after: 1, ..quick() });
+    let (server, engine) =
+        start(engine::Profile { cold_capacity: 1, warmup_requests: 1, ..quick() });
     load(server.address(), 1).await;
     call("POST", server.address(), PATH, &completion("a", 1)).await;
     let body = completion("b", 5);
@@ -143,7 +144,7 @@
     );
 
     assert!(first.is_some() && second.is_some());
-    assert_eq!(engine.counts().falls, 0);
+    assert_eq!(engine.counts().crashes, 0);
 }
 
 #[actix_rt::test]
@@ -163,7 +164,7 @@
 #[actix_rt::test]
 async fn stalled_engine_answers_nothing_until_healed() {
     let (server, engine) = start(quick());
-    engine.impair(impairment::Order::Stall);
+    engine.inject(fault_injection::Command::Stall);
 
     let stalled = actix_rt::time::timeout(
         Duration::from_millis(60),
@@ -171,7 +172,7 @@
     );
 
     assert!(stalled.await.is_err());
-    engine.impair(impairment::Order::Heal);
+    engine.inject(fault_injection::Command::Heal);
     assert!(call("GET", server.address(), "/health", "").await.is_some());
 }
 
--- a/crates/hyssopfork-test-support/tests/layout.rs
+++ b/crates/hyssopfork-test-support/tests/layout.rs
@@ -15,7 +15,7 @@
 
 fn processes(example: &str) -> Vec<layout::Process> {
     let layout = layout::read(&folder(example).join("layout.json")).expect("a layout");
-    layout::draw(&layout, Path::new("/tmp/trial")).expect("free ports")
+    layout::plan_processes(&layout, Path::new("/tmp/trial")).expect("free ports")
 }
 
 fn declaration(example: &str) -> configuration::Configuration {
@@ -39,7 +39,7 @@
 fn no_address_is_given_twice() {
     let processes = processes("levy-reporting");
 
-    let addresses = processes.iter().flat_map(|process| [process.address, process.metrics]);
+    let addresses = processes.iter().flat_map(|process| [process.address, process.metrics_address]);
     let unique: BTreeSet<SocketAddr> = addresses.collect();
 
     assert_eq!(unique.len(), processes.len() * 2);
--- a/crates/hyssopfork-test-support/tests/relay.rs
+++ b/crates/hyssopfork-test-support/tests/relay.rs
@@ -53,7 +53,7 @@
     let mut stream = connect(&relay);
     echo(&mut stream).expect("echoed");
 
-    relay.cut();
+    relay.close_connections();
 
     stream.set_read_timeout(None).expect("a timeout may be taken away");
     let ended = matches!(stream.read(&mut [0]), Ok(0) | Err(_));
@@ -67,7 +67,7 @@
     let mut stream = connect(&relay);
     echo(&mut stream).expect("echoed");
 
-    relay.forget();
+    relay.blackhole_connections();
     relay.heal();
 
     let error = echo(&mut stream).expect_err("nothing comes back");
@@ -80,7 +80,7 @@
     let relay = relay::Relay::start(echo_target()).expect("the relay starts");
     let mut stream = connect(&relay);
     echo(&mut stream).expect("echoed");
-    relay.silence();
+    relay.pause();
     echo(&mut stream).expect_err("nothing comes back");
 
     relay.heal();
--- a/crates/hyssopfork-test-support/tests/service.rs
+++ b/crates/hyssopfork-test-support/tests/service.rs
@@ -21,7 +21,7 @@
 
     assert_eq!(answer.status, 201);
     assert_eq!(answer.json()["reference"], "lodgement-1");
-    assert_eq!(service.ran()["lodgement-1"], 2);
+    assert_eq!(service.runs_by_reference()["lodgement-1"], 2);
 }
 
 #[actix_rt::test]
@@ -32,7 +32,7 @@
     let answer = call("POST", server.address(), "/lodgements", r#"{"reference":"a"}"#).await;
 
     assert!(answer.is_none());
-    assert_eq!(service.ran()["a"], 1);
+    assert_eq!(service.runs_by_reference()["a"], 1);
 }
 
 #[actix_rt::test]
@@ -42,7 +42,7 @@
     let answer = call("GET", server.address(), "/status?reference=x", "").await;
 
     assert_eq!(answer.expect("answered").json()["reference"], "x");
-    assert!(service.ran().is_empty());
+    assert!(service.runs_by_reference().is_empty());
 }
 
 #[actix_rt::test]
