--- a/crates/hyssopfork-settings/src/agent.rs
+++ b/crates/hyssopfork-settings/src/agent.rs
@@ -1,33 +1,36 @@
-//! The `agent` section.
+//! Settings of the agent role: the `agent` section.
 
 use crate::section;
 use hyssopfork_wire::{configuration, fleet, name};
 use std::net;
 
-/// The section.
+/// The `agent` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Agent {
-    /// Where entries bring attempts (HTTP).
+    /// Listen address for attempts from entries (HTTP).
     pub traffic_listen: net::SocketAddr,
-    /// Where entries are told to bring attempts; `traffic_listen` unless something stands between.
+    /// Address for attempts that is announced to entries; defaults to `traffic_listen` and differs
+    /// from it when entries connect through an intermediary.
     pub traffic_announce: net::SocketAddr,
-    /// Where the agents of the same group call (tarpc).
+    /// Listen address for agents of the same group (tarpc).
     pub peer_listen: net::SocketAddr,
-    /// Where agents are told to call; `peer_listen` unless something stands between.
+    /// Address that is announced to agents of the same group; defaults to `peer_listen` and differs
+    /// from it when agents connect through an intermediary.
     pub peer_announce: net::SocketAddr,
-    /// Pool that the upstream offers itself to.
+    /// Pool that the upstream joins.
     pub pool: name::Pool,
     /// Fabric domain of the instance.
     pub domain: name::Domain,
-    /// Where the upstream listens (HTTP).
+    /// Listen address of the upstream (HTTP).
     pub upstream: net::SocketAddr,
-    /// What the upstream can do.
+    /// Capabilities of the upstream.
     pub profile: fleet::Profile,
 }
 
+/// Maximum of `accelerators` and of `concurrency`.
 const MAX_COUNT: u64 = 1 << 16;
 
-/// Reads the section.
+/// Reads the `agent` section; faults are added to the section's collector.
 pub fn read(section: section::Section<'_>) -> Option<Agent> {
     let traffic_listen = section.reachable_address("traffic_listen");
     let traffic_announce = announced_address(&section, "traffic_announce", traffic_listen);
@@ -54,7 +57,7 @@
     })
 }
 
-/// The address under `key`, or the one that is listened on.
+/// Reads the announced address under `key`, which defaults to the listen address.
 fn announced_address(
     section: &section::Section<'_>,
     key: &'static str,
--- a/crates/hyssopfork-settings/src/control.rs
+++ b/crates/hyssopfork-settings/src/control.rs
@@ -1,36 +1,36 @@
-//! The `control` section.
+//! Settings of the control role: the `control` section.
 
 use crate::section;
 use hyssopfork_wire::name;
 use std::collections::BTreeSet;
 use std::{net, path};
 
-/// A control instance that votes when the system is first started.
+/// A voter of the replicated log's first membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Voter {
-    /// Instance's name.
+    /// Name of the instance.
     pub instance: name::Instance,
-    /// Where its control role listens.
+    /// Listen address of its control role.
     pub address: net::SocketAddr,
 }
 
-/// The section.
+/// The `control` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Control {
-    /// Where other processes and operators call (tarpc).
+    /// Listen address for other processes and operators (tarpc).
     pub listen: net::SocketAddr,
-    /// Folder of the journal and snapshots; one process at a time.
+    /// Folder of the journal and snapshots; only one process may use it at a time.
     pub data_folder: path::PathBuf,
-    /// The control instances, this one among them.
+    /// All control instances, including this one.
     ///
-    /// Invariant: no instance and no address stands twice; an odd number of them.
+    /// Invariant: instances and addresses are unique, and the number of voters is odd.
     pub voters: Vec<Voter>,
 }
 
-/// Most control instances that may be set aside.
+/// Maximum number of voters.
 const MAX_VOTERS: usize = 13;
 
-/// Reads the section of the instance called `instance`.
+/// Reads the `control` section of the instance named `instance`.
 pub fn read(section: section::Section<'_>, instance: Option<&str>) -> Option<Control> {
     let listen = section.address("listen");
     let data_folder = section.text("data_folder").map(path::PathBuf::from);
@@ -58,8 +58,8 @@
 fn check_voters(section: &section::Section<'_>, voters: &[Voter], instance: &str) {
     if voters.len().is_multiple_of(2) || voters.len() > MAX_VOTERS {
         let message = format!(
-            "\"control.voters\" names {}; name an odd number up to {MAX_VOTERS}, since an even \
-             one bears no more losses than the odd one below it",
+            "\"control.voters\" has {} entries; use an odd number up to {MAX_VOTERS}, since an \
+             even number tolerates no more failures than the next lower odd number",
             voters.len()
         );
         section.report_fault("voters", message);
@@ -67,11 +67,11 @@
     let names: BTreeSet<&str> = voters.iter().map(|voter| voter.instance.as_str()).collect();
     let addresses: BTreeSet<net::SocketAddr> = voters.iter().map(|voter| voter.address).collect();
     if names.len() < voters.len() || addresses.len() < voters.len() {
-        let message = "\"control.voters\" names an instance or address twice; name each once";
+        let message = "\"control.voters\" has a duplicate instance or address; list each once";
         section.report_fault("voters", message);
     }
     if !names.contains(instance) {
-        let message = format!("\"control.voters\" lacks this instance, {instance}; add it");
+        let message = format!("\"control.voters\" doesn't list this instance, {instance}; add it");
         section.report_fault("voters", message);
     }
 }
--- a/crates/hyssopfork-settings/src/edge.rs
+++ b/crates/hyssopfork-settings/src/edge.rs
@@ -1,85 +1,87 @@
-//! Settings of an edge process: entry and control of a fleet whose upstreams register themselves.
+//! Settings of an edge process, which runs the gateway and the control role of a fleet whose
+//! upstreams register themselves.
 
 use crate::{error, log, section, settings};
 use hyssopfork_wire::name;
 use std::time::Duration;
 use std::{fs, net, path};
 
-/// The settings.
+/// Settings of one edge process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edge {
-    /// Instance that the process stands on.
+    /// Instance that the process runs on.
     pub instance: name::Instance,
     /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Where callers connect (HTTP).
+    /// Listen address for clients (HTTP).
     pub callers_listen: net::SocketAddr,
-    /// Where the balancer asks whether the process takes new connections (HTTP).
+    /// Listen address for the readiness checks of the load balancer (HTTP).
     pub readiness_listen: net::SocketAddr,
-    /// Where operators and upstreams call (HTTP). The port is the same on every instance.
+    /// Listen address for operators and upstreams (HTTP). The port is the same on every instance.
     pub control_listen: net::SocketAddr,
-    /// First of the ports for calls between processes: it takes them (tarpc).
+    /// Listen port for peers (tarpc); the first of the ports that are reserved for peer traffic.
     pub peer_port: u16,
-    /// Port of the metrics (HTTP).
+    /// Listen port for the metrics (HTTP).
     pub metrics_port: u16,
-    /// Control addresses of the first peers; the first of them names the folder that forms the log.
+    /// Control addresses of the peers to contact first; the data folder of the first one bootstraps
+    /// the replicated log.
     pub seeds: Vec<net::SocketAddr>,
-    /// Whether the system starts for the first time, with blank folders everywhere.
+    /// Whether this is the first start of the system, with empty data folders on all instances.
     pub first_start: bool,
-    /// Folder of the journal; `None` where the instance has no disk.
+    /// Folder of the journal; `None` if the instance has no disk.
     pub data_folder: Option<path::PathBuf>,
-    /// Instances with a folder whose loss at the same time is to be borne.
+    /// Number of instances with a data folder that may be lost at the same time.
     pub tolerated_losses: u32,
-    /// Time between heartbeats of an upstream.
+    /// Interval between heartbeats of an upstream.
     pub heartbeat_interval: Duration,
-    /// Time that a process has from the request to stop until it is ended.
+    /// Time from the request to stop until the process is killed.
     pub grace_period: Duration,
-    /// Sends beyond a request's first for each request, over all processes.
+    /// Retry budget: retries allowed per request, over all processes.
     pub retry_ratio: f64,
-    /// Sends beyond a request's first in a window besides, over all processes.
+    /// Retry budget: retries allowed per `retry_window` in addition, over all processes.
     pub retry_extra: f64,
-    /// The window.
+    /// Window of the retry budget.
     pub retry_window: Duration,
-    /// How the process logs.
+    /// Logging.
     pub log: log::Log,
 }
 
 impl Edge {
-    /// Where this process takes peers' calls.
+    /// Returns the listen address for peers.
     pub fn peer_address(&self) -> net::SocketAddr {
         net::SocketAddr::new(self.control_listen.ip(), self.peer_port)
     }
 
-    /// Where the seeds take peers' calls: the ports are the same on every instance.
+    /// Returns the peer addresses of the seeds; the peer port is the same on every instance.
     pub fn peer_seeds(&self) -> Vec<net::SocketAddr> {
         let peer = |seed: &net::SocketAddr| net::SocketAddr::new(seed.ip(), self.peer_port);
         self.seeds.iter().map(peer).collect()
     }
 }
 
-/// Default of `heartbeat_ms`: often enough that a silent upstream shows within seconds.
+/// Default of `heartbeat_ms`; short enough that a silent upstream is noticed within seconds.
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
-/// Default of `grace_seconds`: longer than most answers.
+/// Default of `grace_seconds`; longer than most responses take.
 const DEFAULT_GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// Default of `retry_ratio`: load grows by a fifth at most.
+/// Default of `retry_ratio`; retries add at most a fifth to the load.
 const DEFAULT_RETRY_RATIO: f64 = 0.2;
-/// Default of `retry_extra`: the work of a few upstreams that are lost together.
+/// Default of `retry_extra`; covers the requests of a few upstreams that are lost together.
 const DEFAULT_RETRY_EXTRA: f64 = 100.0;
 /// Default of `retry_window_seconds`.
 const DEFAULT_RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Longest time that settings may name, in milliseconds.
+/// Maximum of durations in milliseconds.
 const MAX_DURATION_MS: u64 = 3_600_000;
-/// Longest time that settings may name, in seconds.
+/// Maximum of durations in seconds.
 const MAX_DURATION_SECONDS: f64 = 3_600.0;
 
-/// Reads the settings file at `path`; also gives its text.
+/// Reads the settings file at `path`; also returns its text.
 pub fn read(path: &path::Path) -> Result<(Edge, String), error::Error> {
     let text = fs::read_to_string(path)
         .map_err(|cause| error::Error::Unreadable(path.to_owned(), cause))?;
     Ok((parse(&text)?, text))
 }
 
-/// Reads settings from a text; every fault is in the error.
+/// Parses the text of a settings file; the error contains every fault.
 pub fn parse(text: &str) -> Result<Edge, error::Error> {
     settings::parse_with(text, read_root)
 }
--- a/crates/hyssopfork-settings/src/entry.rs
+++ b/crates/hyssopfork-settings/src/entry.rs
@@ -1,23 +1,23 @@
-//! The `entry` section.
+//! Settings of the entry role: the `entry` section.
 
 use crate::section;
 use std::net;
 use std::time::Duration;
 
-/// The section.
+/// The `entry` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Where callers connect (HTTP).
+    /// Listen address for clients (HTTP).
     pub listen: net::SocketAddr,
-    /// Longest request body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub body_limit_bytes: u64,
-    /// Time that a caller has to send a request's head.
+    /// Timeout for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time that a caller has to send a request's body.
+    /// Timeout for receiving the body of a request.
     pub body_timeout: Duration,
-    /// Time that an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     pub keep_alive: Duration,
-    /// Most connections of callers at once.
+    /// Maximum number of concurrent client connections.
     pub connection_limit: u64,
 }
 
@@ -32,7 +32,7 @@
 /// Default of `connection_limit`.
 pub const DEFAULT_CONNECTION_LIMIT: u64 = 4096;
 
-/// Reads the section.
+/// Reads the `entry` section; faults are added to the section's collector.
 pub fn read(section: section::Section<'_>) -> Option<Entry> {
     let listen = section.address("listen");
     let body_limit_bytes =
--- a/crates/hyssopfork-settings/src/error.rs
+++ b/crates/hyssopfork-settings/src/error.rs
@@ -1,11 +1,11 @@
-//! Why settings could not be read.
+//! Errors of reading settings.
 
 use crate::fault;
 use quick_error::quick_error;
 use std::{io, path};
 
 quick_error! {
-    /// Why settings could not be read.
+    /// Error of reading settings.
     #[derive(Debug)]
     pub enum Error {
         /// The file cannot be read.
@@ -17,7 +17,7 @@
             )
             source(cause)
         }
-        /// The text has faults: all of them, in the order of the text.
+        /// The text has faults; contains all of them, in the order of the text.
         Invalid(faults: Vec<fault::Fault>) {
             display("{}", format_faults(faults))
         }
--- a/crates/hyssopfork-settings/src/fault.rs
+++ b/crates/hyssopfork-settings/src/fault.rs
@@ -1,16 +1,16 @@
-//! Faults of a settings file, and the place where they are gathered.
+//! Faults of a settings file, and the collector that gathers them with their positions.
 
 use std::cell::RefCell;
 use std::fmt;
 
-/// One fault of a file.
+/// A fault at a position of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// What is wrong and how to mend it.
+    /// Description of the fault and how to fix it.
     pub message: String,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Gathers the faults of one text.
+/// Collects the faults of one text.
 #[derive(Debug)]
 pub struct Collector<'a> {
     text: &'a str,
@@ -28,7 +28,7 @@
 }
 
 impl<'a> Collector<'a> {
-    /// An empty log for `text`.
+    /// Creates an empty collector for `text`.
     pub fn new(text: &'a str) -> Self {
         Collector { text, faults: RefCell::new(Vec::new()) }
     }
@@ -42,7 +42,7 @@
         self.faults.borrow_mut().push(Fault { line, column, message: message.into() });
     }
 
-    /// All faults in the order of the text.
+    /// Returns all faults in the order of the text.
     pub fn into_faults(self) -> Vec<Fault> {
         let mut faults = self.faults.into_inner();
         faults.sort();
--- a/crates/hyssopfork-settings/src/jsonc.rs
+++ b/crates/hyssopfork-settings/src/jsonc.rs
@@ -1,12 +1,14 @@
-//! JSON with comments made plain, with every byte in its place, so that a parser of plain JSON
-//! reports lines and columns of the file as it was written.
+//! Conversion of JSON with comments (JSONC) to JSON.
+//!
+//! Byte offsets and line breaks are preserved, so that the lines and columns that a JSON parser
+//! reports are those of the original file.
 
 use crate::fault;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::tokens::Token;
 use jsonc_parser::{CollectOptions, CommentCollectionStrategy, ParseOptions, ast, common};
 
-/// What the files may hold beyond JSON: comments and trailing commas.
+/// Extensions to JSON that are accepted: comments and trailing commas.
 pub(crate) fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
@@ -22,7 +24,7 @@
     }
 }
 
-/// `text` as plain JSON of the same length; comments and trailing commas become blanks.
+/// Converts `text` to JSON of the same length by replacing comments and trailing commas with spaces.
 pub fn to_json(text: &str) -> Result<String, Vec<fault::Fault>> {
     let collect_options =
         CollectOptions { comments: CommentCollectionStrategy::Separate, tokens: true };
@@ -43,7 +45,8 @@
             overwrite_with_spaces(&mut json, pair[0].range);
         }
     }
-    Ok(String::from_utf8(json).expect("whole comments were blanked"))
+    Ok(String::from_utf8(json)
+        .expect("comments are overwritten whole, so no UTF-8 sequence is split"))
 }
 
 fn syntax_fault(
@@ -63,7 +66,7 @@
     }
 }
 
-/// Blanks bytes; line ends stay, so that lines keep their numbers.
+/// Overwrites a range with spaces; line breaks are kept to preserve the line numbers.
 fn overwrite_with_spaces(json: &mut [u8], range: common::Range) {
     let bytes = &mut json[range.start..range.end];
     bytes.iter_mut().filter(|byte| **byte != b'\n').for_each(|byte| *byte = b' ');
--- a/crates/hyssopfork-settings/src/lib.rs
+++ b/crates/hyssopfork-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of one process: JSON with comments, checked whole.
+//! Settings of one process, in JSON with comments (JSONC).
 //!
-//! Every fault of a file is reported at once, each with its line and column, so that a file is
-//! mended in one go. A module per section of the file.
+//! All faults of a file are reported at once, each with its line and column, so that they can be
+//! fixed in one pass. Each section of the file has its own module.
 
 pub mod agent;
 pub mod control;
--- a/crates/hyssopfork-settings/src/log.rs
+++ b/crates/hyssopfork-settings/src/log.rs
@@ -1,18 +1,18 @@
-//! The `log` section.
+//! Settings of logging: the `log` section.
 
 use crate::section;
 use hyssopfork_telemetry::log;
 
-/// The section.
+/// The `log` section.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Log {
-    /// How lines are written.
+    /// Format of log lines.
     pub format: log::Format,
-    /// Least severity that is written.
+    /// Minimum severity that is written.
     pub level: log::Threshold,
 }
 
-/// Reads the section.
+/// Reads the `log` section; invalid values are reported as faults and replaced by the defaults.
 pub fn read(section: section::Section<'_>) -> Log {
     let format = section.keyword("format", log::Format::default(), &["json", "text"]);
     let levels = ["error", "warn", "info", "debug", "trace"];
--- a/crates/hyssopfork-settings/src/section.rs
+++ b/crates/hyssopfork-settings/src/section.rs
@@ -1,5 +1,6 @@
-//! Typed access to one object of a settings file, noting every fault in place of stopping at the
-//! first.
+//! Typed access to one object of a settings file.
+//!
+//! Faults are collected instead of returned, so that reading continues after the first one.
 
 use crate::fault;
 use hyssopfork_wire::name;
@@ -10,12 +11,13 @@
 use std::time::Duration;
 use std::{net, ops, str};
 
-/// Farthest edit distance at which a known key is offered in place of an unknown one.
+/// Maximum edit distance at which a known key is suggested instead of an unknown one.
 const MAX_SUGGESTION_DISTANCE: usize = 4;
 
-/// One object of the file.
+/// An object of a settings file.
 ///
-/// Invariant: a key is known once it was asked for; [`Section::finish`] refuses the others.
+/// Invariant: each key that has been requested is a known key; [`Section::finish`] reports all
+/// others as unknown.
 #[derive(Debug)]
 pub struct Section<'a> {
     object: &'a ast::Object<'a>,
@@ -25,7 +27,7 @@
 }
 
 impl<'a> Section<'a> {
-    /// Opens `object`, which messages call `title`.
+    /// Creates a section for `object`; messages show `path` as its position in the file.
     pub fn new(
         object: &'a ast::Object<'a>,
         path: &str,
@@ -34,7 +36,7 @@
         Section { object, path: path.into(), requested_keys: RefCell::new(Vec::new()), collector }
     }
 
-    /// Notes a fault at a key, or at the object when the key is absent.
+    /// Reports a fault at the value of a key, or at the object when the key is absent.
     pub fn report_fault(&self, key: &str, message: impl Into<String>) {
         let property = self.object.get(key);
         let start = self.object.range.start;
@@ -42,12 +44,12 @@
         self.collector.add(offset, message);
     }
 
-    /// Whether the key stands in the file.
+    /// Returns whether the key is present, and marks it as known.
     pub fn has(&self, key: &'static str) -> bool {
         self.value(key).is_some()
     }
 
-    /// A nested object, if it is there.
+    /// Reads an optional nested object.
     pub fn section(&self, key: &'static str) -> Option<Section<'a>> {
         let value = self.value(key)?;
         match value.as_object() {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// A string that must be there.
+    /// Reads a required string.
     pub fn text(&self, key: &'static str) -> Option<&'a str> {
         let value = self.required(key)?;
         match value.as_string_lit() {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// A name that must be there, in the form that names have.
+    /// Reads a required string that must be a valid name.
     pub fn name(&self, key: &'static str) -> Option<&'a str> {
         let text = self.text(key)?;
         if name::is_valid(text) {
@@ -80,13 +82,14 @@
         )
     }
 
-    /// An address that must be there, as IP number and port.
+    /// Reads a required address of the form `IP:PORT`.
     pub fn address(&self, key: &'static str) -> Option<net::SocketAddr> {
         let text = self.text(key)?;
         text.parse().ok().or_else(|| self.report_invalid_value(key, ADDRESS_FORMAT))
     }
 
-    /// An address that others reach this process at: a port of its own and no wildcard.
+    /// Reads a required address that other processes can connect to: neither the wildcard address
+    /// nor port 0.
     pub fn reachable_address(&self, key: &'static str) -> Option<net::SocketAddr> {
         let address = self.address(key)?;
         if address.ip().is_unspecified() || address.port() == 0 {
@@ -98,7 +101,7 @@
         Some(address)
     }
 
-    /// A list of addresses that must be there and not be empty.
+    /// Reads a required, non-empty list of addresses.
     pub fn addresses(&self, key: &'static str) -> Option<Vec<net::SocketAddr>> {
         let elements = self.array(key)?;
         let parsed: Vec<_> =
@@ -109,7 +112,7 @@
         parsed.into_iter().collect()
     }
 
-    /// A number in a range; `default` when absent.
+    /// Reads an integer in a range; `default` when absent.
     pub fn number(&self, key: &'static str, default: u64, range: ops::RangeInclusive<u64>) -> u64 {
         let Some(value) = self.value(key) else { return default };
         let number = value.as_number_lit().and_then(|literal| literal.value.parse::<u64>().ok());
@@ -123,7 +126,7 @@
         }
     }
 
-    /// A decimal number in a range; `default` when absent.
+    /// Reads a decimal number in a range; `default` when absent.
     pub fn decimal(&self, key: &'static str, default: f64, range: ops::RangeInclusive<f64>) -> f64 {
         let Some(value) = self.value(key) else { return default };
         let number = value.as_number_lit().and_then(|literal| literal.value.parse::<f64>().ok());
@@ -137,7 +140,7 @@
         }
     }
 
-    /// A time in seconds, whose key ends in `_seconds`.
+    /// Reads a duration in seconds; such keys end in `_seconds`.
     pub fn seconds(
         &self,
         key: &'static str,
@@ -147,13 +150,13 @@
         Duration::from_secs_f64(self.decimal(key, default.as_secs_f64(), range))
     }
 
-    /// A number that must be there.
+    /// Reads a required integer in a range.
     pub fn required_number(&self, key: &'static str, range: ops::RangeInclusive<u64>) -> u64 {
         let default = *range.start();
         self.required(key).map_or(default, |_| self.number(key, default, range))
     }
 
-    /// A time in milliseconds, whose key ends in `_ms`.
+    /// Reads a duration in milliseconds; such keys end in `_ms`.
     pub fn millis(
         &self,
         key: &'static str,
@@ -163,14 +166,14 @@
         Duration::from_millis(self.number(key, default.as_millis() as u64, range))
     }
 
-    /// True or false; `false` when absent.
+    /// Reads a Boolean; `false` when absent.
     pub fn boolean(&self, key: &'static str) -> bool {
         let Some(value) = self.value(key) else { return false };
         let literal = value.as_boolean_lit().map(|literal| literal.value);
         literal.or_else(|| self.report_invalid_value(key, "true or false")).unwrap_or(false)
     }
 
-    /// One of a closed set of words; `default` when absent.
+    /// Reads one of a fixed set of keywords; `default` when absent.
     pub fn keyword<T: str::FromStr>(&self, key: &'static str, default: T, allowed: &[&str]) -> T {
         if !self.has(key) {
             return default;
@@ -182,7 +185,7 @@
             .unwrap_or(default)
     }
 
-    /// One of a closed set of words that must be there.
+    /// Reads a required keyword of a fixed set.
     pub fn required_keyword<T: str::FromStr>(
         &self,
         key: &'static str,
@@ -192,7 +195,7 @@
         text.parse().ok().or_else(|| self.report_invalid_value(key, &one_of(allowed)))
     }
 
-    /// A set of words that must be there and not be empty.
+    /// Reads a required, non-empty list of keywords of a fixed set.
     pub fn keywords<T: str::FromStr + Ord>(
         &self,
         key: &'static str,
@@ -212,7 +215,7 @@
         Some(found)
     }
 
-    /// A list of objects that must be there.
+    /// Reads a required list of objects.
     pub fn sections(&self, key: &'static str) -> Option<Vec<Section<'a>>> {
         let mut found = Vec::new();
         for (index, element) in self.array(key)?.iter().enumerate() {
@@ -227,7 +230,7 @@
         Some(found)
     }
 
-    /// Refuses every key that was not asked for, and every key that stands twice.
+    /// Reports every unknown key and every duplicate key.
     pub fn finish(self) {
         let known_keys = self.requested_keys.borrow();
         let mut seen = BTreeSet::new();
@@ -288,7 +291,7 @@
     }
 
     fn report_invalid_element(&self, offset: usize, key: &str, expected: &str) {
-        self.collector.add(offset, format!("\"{}\" must hold {expected}", self.key_path(key)));
+        self.collector.add(offset, format!("\"{}\" must contain {expected}", self.key_path(key)));
     }
 
     fn key_path(&self, key: &str) -> String {
@@ -304,7 +307,10 @@
                 format!("\"{path}\" is unknown; did you mean \"{nearest}\"?")
             }
             _ => {
-                format!("\"{path}\" is unknown; known here: {}", sort_unique(known_keys).join(", "))
+                format!(
+                    "\"{path}\" is unknown; known keys here: {}",
+                    sort_unique(known_keys).join(", ")
+                )
             }
         }
     }
--- a/crates/hyssopfork-settings/src/settings.rs
+++ b/crates/hyssopfork-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! A whole settings file.
+//! Settings of a process with the roles entry, control and agent.
 
 use crate::{agent, control, entry, error, fault, jsonc, log, section};
 use hyssopfork_wire::{name, timing};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::{fs, net, path};
 
-/// A role that a process holds.
+/// A role of a process.
 #[derive(
     Clone,
     Copy,
@@ -22,47 +22,48 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests from clients.
     Entry,
-    /// Keeps the replicated state.
+    /// Maintains the replicated state.
     Control,
-    /// Stands beside one upstream.
+    /// Runs beside one upstream on the same instance.
     Agent,
 }
 
 /// Settings of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Instance that the process stands on.
+    /// Instance that the process runs on.
     pub instance: name::Instance,
     /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Roles that the process holds; at least one.
+    /// Roles of the process; at least one.
     pub roles: BTreeSet<Role>,
-    /// All control instances; not empty where the roles need them.
+    /// Addresses of all control instances; not empty if the process is an entry or an agent.
     pub control_addresses: Vec<net::SocketAddr>,
-    /// Section of the control role; present if and only if the role is held.
+    /// Section of the control role; present if and only if the process has the role.
     pub control: Option<control::Control>,
-    /// Section of the entry role; present if and only if the role is held.
+    /// Section of the entry role; present if and only if the process has the role.
     pub entry: Option<entry::Entry>,
-    /// Section of the agent role; present if and only if the role is held.
+    /// Section of the agent role; present if and only if the process has the role.
     pub agent: Option<agent::Agent>,
-    /// Where `/healthz`, `/readyz` and `/metrics` are served.
+    /// Listen address for `/healthz`, `/readyz` and `/metrics`.
     pub metrics_listen: net::SocketAddr,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub threads: u32,
-    /// How the process logs.
+    /// Logging.
     pub log: log::Log,
-    /// Time that a graceful stop gives what is in flight.
+    /// Time that a graceful stop waits for requests in flight.
     pub stop_limit: Duration,
 }
 
-/// Most traffic threads.
+/// Maximum number of traffic threads.
 const MAX_THREADS: u64 = 64;
 /// Default of `threads`.
 const DEFAULT_THREADS: u64 = 1;
 
-/// A commented file with every key at its default, which parses as it stands.
+/// Returns a commented settings file that sets every key to its default or an example value; it
+/// parses without faults.
 pub fn default_text() -> &'static str {
     include_str!("default.jsonc")
 }
@@ -74,12 +75,13 @@
     parse(&text)
 }
 
-/// Reads settings from a text; every fault is in the error.
+/// Parses the text of a settings file; the error contains every fault.
 pub fn parse(text: &str) -> Result<Settings, error::Error> {
     parse_with(text, read_root)
 }
 
-/// Reads a text's one object with `read`; every fault is in the error.
+/// Parses a text that consists of one object and reads it with `read`; the error contains every
+/// fault.
 pub(crate) fn parse_with<T>(
     text: &str,
     read: impl FnOnce(section::Section<'_>) -> Option<T>,
@@ -89,7 +91,7 @@
     let settings = match value.as_ref().map(|value| value.as_object()) {
         Some(Some(object)) => read(section::Section::new(object, "", &collector)),
         Some(None) => {
-            collector.add(0, "the file must hold one object, { ... }");
+            collector.add(0, "the file must contain one object, { ... }");
             None
         }
         None => None,
@@ -160,8 +162,8 @@
     section.addresses("control_addresses").unwrap_or_default()
 }
 
-/// A role's section. One that is missing is a fault when the role is held; one for a role that is
-/// not held is checked by nobody, so it is a fault too: it would look as if it were in force.
+/// Returns the section of a role. It must be present if the process has the role. Otherwise it must
+/// be absent: its contents would be neither checked nor applied, although they look effective.
 fn role_section<'a>(
     section: &section::Section<'a>,
     key: &'static str,
--- a/crates/hyssopfork-settings/tests/settings.rs
+++ b/crates/hyssopfork-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading settings: defaults, every fault at once, what each role needs.
+//! Reading settings: defaults, collection of all faults, requirements of each role.
 
 use hyssopfork_settings::{error, fault, log, settings};
 use std::net;
@@ -35,9 +35,9 @@
 fn default_text_parses_with_the_documented_defaults() {
     let text = settings::default_text();
 
-    let parsed = settings::parse(text).expect("the default file is whole");
+    let parsed = settings::parse(text).expect("the default file is valid");
 
-    let entry = parsed.entry.expect("the default file holds every role");
+    let entry = parsed.entry.expect("the default file has every role");
     assert_eq!(entry.body_limit_bytes, hyssopfork_settings::entry::DEFAULT_BODY_LIMIT_BYTES);
     assert_eq!(entry.head_timeout, hyssopfork_settings::entry::DEFAULT_HEAD_TIMEOUT);
     assert_eq!(entry.body_timeout, hyssopfork_settings::entry::DEFAULT_BODY_TIMEOUT);
@@ -49,19 +49,19 @@
 }
 
 #[test]
-fn absent_keys_take_the_values_of_the_default_text() {
+fn absent_keys_default_to_the_values_of_the_default_text() {
     let text = agent_text(AGENT);
 
-    let parsed = settings::parse(&text).expect("optional keys may be left out");
+    let parsed = settings::parse(&text).expect("optional keys may be absent");
 
-    let defaults = settings::parse(settings::default_text()).expect("the default file is whole");
+    let defaults = settings::parse(settings::default_text()).expect("the default file is valid");
     assert_eq!(parsed.log, defaults.log);
     assert_eq!(parsed.threads, defaults.threads);
     assert_eq!(parsed.stop_limit, defaults.stop_limit);
     assert_eq!(parsed.control, None);
     assert_eq!(parsed.entry, None);
     let address: net::SocketAddr = "127.0.0.1:9000".parse().expect("a literal");
-    assert_eq!(parsed.agent.expect("the role is held").upstream, address);
+    assert_eq!(parsed.agent.expect("the process is an agent").upstream, address);
 }
 
 #[test]
@@ -92,17 +92,17 @@
 }
 
 #[test]
-fn unknown_key_names_the_nearest_known_one() {
+fn unknown_key_suggests_the_nearest_known_key() {
     let text = agent_text(&AGENT.replace("upstream", "upstraem"));
 
     let found = messages(&text);
 
-    let wanted = "\"agent.upstraem\" is unknown; did you mean \"upstream\"?";
-    assert!(found.iter().any(|message| message == wanted), "{found:?}");
+    let expected = "\"agent.upstraem\" is unknown; did you mean \"upstream\"?";
+    assert!(found.iter().any(|message| message == expected), "{found:?}");
 }
 
 #[test]
-fn unknown_key_far_from_all_lists_the_known_ones() {
+fn unknown_key_far_from_all_known_keys_lists_them() {
     let text = agent_text(&AGENT.replace("\"concurrency\": 8", "\"concurrency\": 8, \"zz\": 1"));
 
     let found = messages(&text);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn key_that_stands_twice_is_refused() {
+fn duplicate_key_is_rejected() {
     let text = agent_text(&AGENT.replace("\"pool\"", "\"domain\": \"x\", \"pool\""));
 
     let found = messages(&text);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn role_without_its_section_is_refused() {
+fn role_without_its_section_is_rejected() {
     let text = r#"{
   "instance": "a", "zone": "z", "roles": ["control", "entry"],
   "control_addresses": ["127.0.0.1:1"], "metrics_listen": "127.0.0.1:0"
@@ -135,21 +135,21 @@
 }
 
 #[test]
-fn section_without_its_role_is_refused() {
+fn section_without_its_role_is_rejected() {
     let text = agent_text(AGENT).replace("[\"agent\"]", "[\"entry\"]");
 
     let found = messages(&text);
 
-    let wanted = "\"agent\" stands here without the role; add the role or remove it";
-    assert!(found.iter().any(|message| message == wanted), "{found:?}");
+    let expected = "\"agent\" stands here without the role; add the role or remove it";
+    assert!(found.iter().any(|message| message == expected), "{found:?}");
 }
 
 #[test]
-fn announced_addresses_are_those_listened_on_unless_others_are_given() {
+fn announced_addresses_default_to_the_listen_addresses() {
     let changed = r#""peer_announce": "127.0.0.2:7301", "peer_listen":"#;
     let text = agent_text(&AGENT.replace(r#""peer_listen":"#, changed));
 
-    let agent = settings::parse(&text).expect("well formed").agent.expect("the role is held");
+    let agent = settings::parse(&text).expect("valid").agent.expect("the process is an agent");
 
     assert_eq!(agent.traffic_announce, agent.traffic_listen);
     assert_eq!(agent.peer_announce.port(), 7301);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn announced_wildcard_address_is_refused() {
+fn announced_wildcard_address_is_rejected() {
     let text = agent_text(&AGENT.replace("127.0.0.1:7201", "0.0.0.0:7201"));
 
     let found = messages(&text);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn even_number_of_voters_and_a_list_without_this_instance_are_refused() {
+fn even_number_of_voters_and_a_list_without_this_instance_are_rejected() {
     let text = r#"{
   "instance": "c", "zone": "z", "roles": ["control"], "metrics_listen": "127.0.0.1:0",
   "control": { "listen": "127.0.0.1:1", "data_folder": "/tmp/x", "voters": [
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn broken_json_is_reported_with_its_place() {
+fn syntax_error_is_reported_with_its_line() {
     let text = "{\n  \"instance\": \"a\"\n  \"zone\": \"z\"\n}";
 
     let found = faults(text);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn unreadable_file_names_its_path() {
+fn error_for_an_unreadable_file_contains_its_path() {
     let path = std::path::Path::new("/nonexistent/hyssopfork.jsonc");
 
     let error = settings::read(path).expect_err("there is no such file");
--- a/crates/hyssopfork-telemetry/src/label.rs
+++ b/crates/hyssopfork-telemetry/src/label.rs
@@ -1,11 +1,13 @@
-//! Labels of the metrics. Every label's values come from the configuration or a closed set, so
-//! that callers cannot make the number of series grow.
+//! Labels of the metrics.
+//!
+//! Label values come only from the configuration or from a fixed set, so that clients can't
+//! increase the number of time series.
 
 use hyssopfork_wire::{configuration, name, refusal};
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
 use std::fmt;
 
-/// A team's requests of one class.
+/// Labels of metrics on requests: team and class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
     /// The team.
@@ -22,14 +24,14 @@
     }
 }
 
-/// Refusals of one reason.
+/// Labels of the metric of rejected requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Refusal {
-    /// The team; `None` when the token named none.
+    /// The team; `None` if the token belongs to no team.
     pub team: Option<name::Team>,
-    /// Why.
+    /// Reason of the rejection.
     pub reason: refusal::Reason,
-    /// Whether work ran.
+    /// Whether the request may have run.
     pub ran: refusal::Ran,
 }
 
--- a/crates/hyssopfork-telemetry/src/lib.rs
+++ b/crates/hyssopfork-telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators see of a process: numbered log events and metrics.
+//! Telemetry of a process: numbered log events and metrics.
 
 pub mod label;
 pub mod log;
--- a/crates/hyssopfork-telemetry/src/log.rs
+++ b/crates/hyssopfork-telemetry/src/log.rs
@@ -1,7 +1,7 @@
-//! Log lines, and the numbered events of the roles' cores.
+//! Logging to standard output, and the numbered events of the roles' cores.
 //!
-//! A line goes to standard output. The cores only return notices; this module writes them, so that
-//! a notice has the same shape whatever role it comes from.
+//! The cores only return notices; this module writes them, so that notices of all roles have the
+//! same format.
 
 use hyssopfork_wire::level;
 use quick_error::quick_error;
@@ -10,46 +10,46 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
 }
 
-/// Least severity that is written.
+/// Minimum severity that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Threshold {
     /// Errors only.
     Error,
-    /// Also what puts service at risk.
+    /// Also conditions that put the service at risk.
     Warn,
-    /// Also ordinary changes of state.
+    /// Also normal changes of state.
     #[default]
     Info,
-    /// Also what follows one request or call.
+    /// Also the steps of single requests or calls.
     Debug,
-    /// Also what libraries trace.
+    /// Also traces of libraries.
     Trace,
 }
 
 quick_error! {
-    /// Why the log could not be started.
+    /// Error of starting the log.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The process already logs.
+        /// The log of this process has been started already.
         AlreadyStarted {
-            display("the log was started before; start it once in a process")
+            display("the log has been started already; start it only once per process")
         }
     }
 }
 
-/// Starts the log of this process; what is below `threshold` is left out.
+/// Starts the log of this process with blocking writes; events below `threshold` are discarded.
 pub fn start(format: Format, threshold: Threshold) -> Result<(), Error> {
     let builder =
         tracing_subscriber::fmt().with_max_level(level_filter(threshold)).with_target(false);
@@ -60,22 +60,23 @@
     started.map_err(|_| Error::AlreadyStarted)
 }
 
-/// Lines that wait for a slow reader; more are dropped and counted.
+/// Maximum number of lines that are buffered for a slow reader; further lines are dropped and
+/// counted.
 const MAX_BUFFERED_LINES: usize = 8_192;
 
-/// A log that never holds its process up.
+/// A non-blocking log.
 ///
-/// Lines go to a thread that writes them. When the reader is slow and [`WAITING_LINES`] wait, more
-/// are dropped: a process that waited for its log would stop serving with it.
+/// A thread of its own writes the lines. When the reader is slow and [`MAX_BUFFERED_LINES`] are
+/// buffered, further lines are dropped: a process that blocked on its log would stop serving.
 pub struct Logger {
     dropped_lines: ErrorCounter,
     reported_drops: Cell<usize>,
-    /// Writes what still waits when it goes.
+    /// Writes the buffered lines when dropped.
     _flush_guard: WorkerGuard,
 }
 
 impl Logger {
-    /// Starts the log of this process; what is below `threshold` is left out.
+    /// Starts the log of this process; events below `threshold` are discarded.
     pub fn start(format: Format, threshold: Threshold) -> Result<Logger, Error> {
         let builder = NonBlockingBuilder::default().lossy(true);
         let (writer, guard) =
@@ -93,15 +94,15 @@
         Ok(Logger { dropped_lines, reported_drops: Cell::new(0), _flush_guard: guard })
     }
 
-    /// Lines dropped since this was last asked.
+    /// Returns the number of lines dropped since the previous call.
     pub fn take_dropped_lines(&self) -> usize {
         let dropped = self.dropped_lines.dropped_lines();
         dropped - self.reported_drops.replace(dropped)
     }
 }
 
-/// Writes a numbered event. `name` is its entry in the catalogue, `message` tells it to people,
-/// `fields` carries what scripts look for, as `key=value` with blanks between.
+/// Writes a numbered event. `name` is its name in the event catalogue, `message` is for human
+/// readers and `fields` is for scripts, written as `key=value` pairs with spaces between them.
 pub fn emit(
     number: u16,
     level: level::Level,
--- a/crates/hyssopfork-telemetry/src/metrics.rs
+++ b/crates/hyssopfork-telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process, in the text format that Prometheus reads.
+//! Metrics of one process, in the Prometheus text format.
 
 use crate::label;
 use hyssopfork_wire::{configuration, name, number, refusal};
@@ -13,17 +13,17 @@
 type Counters<L> = family::Family<L, counter::Counter>;
 type SecondsGauge = gauge::Gauge<f64, AtomicU64>;
 
-/// Shortest bound of the histograms, in seconds.
+/// Upper bound of the first histogram bucket, in seconds.
 const MIN_BUCKET_SECONDS: f64 = 0.000_5;
-/// Factor between a bound and the next: the error of a quantile read from them.
+/// Ratio of successive bucket bounds; limits the error of a quantile computed from the histogram.
 const BUCKET_FACTOR: f64 = 1.6;
-/// Number of bounds; the last is about 96 s, longer than any deadline in use.
+/// Number of buckets; the last bound is about 96 s, longer than any deadline in use.
 const BUCKET_COUNT: u16 = 27;
 
 /// All metrics of a process.
 ///
-/// Its methods may be called from any thread: a series is made on its first use under a lock, and
-/// from then on counted with atomic operations under a shared one.
+/// The methods may be called from any thread: a time series is created on first use under an
+/// exclusive lock, and updated with atomic operations under a shared lock afterwards.
 pub struct Registry {
     registry: registry::Registry,
     wait_time: Histograms,
@@ -53,7 +53,7 @@
 }
 
 impl Registry {
-    /// Makes and registers every metric.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = registry::Registry::with_prefix("hyssopfork");
         let registry_mut = &mut registry;
@@ -136,12 +136,12 @@
         }
     }
 
-    /// A request waited this long before its work was sent.
+    /// Records the time from arrival of a request until it was sent to an upstream.
     pub fn observe_wait(&self, team: &name::Team, class: configuration::Class, time: Duration) {
         observe(&self.wait_time, team, class, time);
     }
 
-    /// The first part of an answer came this long after the request.
+    /// Records the time from arrival of a request to the first part of its response.
     pub fn observe_first_token(
         &self,
         team: &name::Team,
@@ -151,7 +151,7 @@
         observe(&self.time_to_first_token, team, class, time);
     }
 
-    /// Two parts of an answer were this far apart.
+    /// Records the time between two parts of a response.
     pub fn observe_token_interval(
         &self,
         team: &name::Team,
@@ -161,64 +161,64 @@
         observe(&self.inter_token_latency, team, class, time);
     }
 
-    /// A request was answered whole after this time.
+    /// Counts a completed request and records the time from arrival to the end of its response.
     pub fn observe_answer(&self, team: &name::Team, class: configuration::Class, time: Duration) {
         observe(&self.total_time, team, class, time);
         self.answers.get_or_create(&request_labels(team, class)).inc();
     }
 
-    /// A request was refused.
+    /// Counts a rejected request.
     pub fn count_refusal(&self, team: Option<&name::Team>, refusal: &refusal::Refusal) {
         let labels =
             label::Refusal { team: team.cloned(), reason: refusal.reason, ran: refusal.ran };
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// A request was tried once more.
+    /// Counts a retry.
     pub fn count_retry(&self, team: &name::Team, class: configuration::Class) {
         self.retries.get_or_create(&request_labels(team, class)).inc();
     }
 
-    /// An answer was cut after its caller had part of it.
+    /// Counts a response that was aborted after the client had received a part of it.
     pub fn count_aborted_answer(&self, team: &name::Team, class: configuration::Class) {
         self.aborted_answers.get_or_create(&request_labels(team, class)).inc();
     }
 
-    /// Requests that wait and that are being answered now.
+    /// Sets the number of queued requests and of requests in flight.
     pub fn set_request_counts(&self, queued: usize, in_flight: usize) {
         self.queued.set(queued as i64);
         self.in_flight.set(in_flight as i64);
     }
 
-    /// Time until the lease on the view lapses.
+    /// Sets the time until the lease on the view expires.
     pub fn set_lease_remaining(&self, remaining: Duration) {
         self.lease_remaining.set(remaining.as_secs_f64());
     }
 
-    /// Configuration number and view version in force.
+    /// Sets the configuration number and view version in force.
     pub fn set_versions(&self, configuration: number::Configuration, version: number::Version) {
         self.configuration_number.set(configuration.0 as i64);
         self.view_version.set(version.0 as i64);
     }
 
-    /// State of the replicated log.
+    /// Sets the state of the replicated log.
     pub fn set_consensus(&self, term: number::Term, commit_index: number::Index, is_leader: bool) {
         self.consensus_term.set(term.0 as i64);
         self.commit_index.set(commit_index.0 as i64);
         self.is_leader.set(i64::from(is_leader));
     }
 
-    /// Entries or a part of a snapshot were sent to another voter.
+    /// Adds bytes of log entries or of a snapshot that were sent to another voter.
     pub fn add_replicated_bytes(&self, bytes: usize) {
         self.replicated_bytes.inc_by(bytes as u64);
     }
 
-    /// A declaration, or a part of it, was sent to a follower.
+    /// Adds bytes of a declaration, or of a part of it, that were sent to a follower.
     pub fn add_published_bytes(&self, bytes: usize) {
         self.published_bytes.inc_by(bytes as u64);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut encoded = String::new();
         text::encode(&mut encoded, &self.registry).expect("writing to a string cannot fail");
--- a/crates/hyssopfork-telemetry/tests/log.rs
+++ b/crates/hyssopfork-telemetry/tests/log.rs
@@ -1,10 +1,10 @@
-//! Starting the log.
+//! Starting the log and writing events.
 
 use hyssopfork_telemetry::log;
 use hyssopfork_wire::level;
 
 #[test]
-fn second_start_is_refused_and_events_are_written_at_every_level() {
+fn second_start_fails_and_events_of_every_level_can_be_written() {
     let fields = [("group", "writers-1".to_owned())];
 
     let first = log::start(log::Format::Json, log::Threshold::Trace);
--- a/crates/hyssopfork-telemetry/tests/metrics.rs
+++ b/crates/hyssopfork-telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a process's metrics say.
+//! Metrics of a process: labels, gauges and counters in the text format.
 
 use hyssopfork_telemetry::metrics;
 use hyssopfork_wire::{configuration, name, number, refusal};
@@ -13,32 +13,32 @@
 }
 
 #[test]
-fn times_are_kept_for_each_team_and_class() {
+fn response_times_are_recorded_per_team_and_class() {
     let registry = metrics::Registry::new();
 
     registry.observe_answer(&team(), CLASS, Duration::from_millis(20));
     registry.observe_answer(&name::Team::from("other"), CLASS, Duration::from_millis(20));
 
     let text = registry.encode();
-    let wanted = "hyssopfork_whole_seconds_count{team=\"lagos-steel\",class=\"interactive\"} 1";
-    assert!(text.contains(wanted), "{text}");
+    let expected = "hyssopfork_whole_seconds_count{team=\"lagos-steel\",class=\"interactive\"} 1";
+    assert!(text.contains(expected), "{text}");
 }
 
 #[test]
-fn refusals_tell_reason_and_whether_work_ran() {
+fn rejections_are_labelled_with_the_reason_and_whether_the_request_ran() {
     let registry = metrics::Registry::new();
     let refusal = refusal::Refusal::not_run(refusal::Reason::Overloaded, None);
 
     registry.count_refusal(Some(&team()), &refusal);
 
     let text = registry.encode();
-    let wanted = "hyssopfork_refusals_total{team=\"lagos-steel\",reason=\"overloaded\",\
+    let expected = "hyssopfork_refusals_total{team=\"lagos-steel\",reason=\"overloaded\",\
                   ran=\"not_run\"} 1";
-    assert!(text.contains(wanted), "{text}");
+    assert!(text.contains(expected), "{text}");
 }
 
 #[test]
-fn gauges_show_what_is_in_force() {
+fn gauges_show_the_current_configuration_lease_and_leadership() {
     let registry = metrics::Registry::new();
 
     registry.set_versions(number::Configuration(7), number::Version(41));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn bytes_sent_for_control_are_counted_by_purpose() {
+fn replicated_and_published_bytes_are_counted_separately() {
     let registry = metrics::Registry::new();
 
     registry.add_replicated_bytes(3_000);
@@ -65,15 +65,15 @@
 }
 
 #[test]
-fn counts_from_several_threads_are_all_kept() {
+fn concurrent_counts_from_several_threads_are_all_recorded() {
     let registry = Arc::new(metrics::Registry::new());
 
     let threads: Vec<_> = (0..4).map(|_| spawn_counting(registry.clone())).collect();
     threads.into_iter().for_each(|thread| thread.join().expect("no thread panics"));
 
     let text = registry.encode();
-    let wanted = "hyssopfork_retries_total{team=\"lagos-steel\",class=\"interactive\"} 4000";
-    assert!(text.contains(wanted), "{text}");
+    let expected = "hyssopfork_retries_total{team=\"lagos-steel\",class=\"interactive\"} 4000";
+    assert!(text.contains(expected), "{text}");
 }
 
 fn spawn_counting(registry: Arc<metrics::Registry>) -> thread::JoinHandle<()> {
