--- a/crates/hyssopfork-test-support/examples/fake_upstream.rs
+++ b/crates/hyssopfork-test-support/examples/fake_upstream.rs
@@ -1,6 +1,7 @@
-//! A fake back end as a process: `fake_upstream --listen 127.0.0.1:0 --kind engine`.
+//! Fake upstream as a process: `fake_upstream --listen 127.0.0.1:0 --kind engine`.
 //!
-//! Prints `listening on IP:PORT` and serves until it is ended. See the package for what it speaks.
+//! Prints `listening on IP:PORT` and serves until it is killed. The modules `engine` and `service`
+//! of the package define its interface.
 
 use clap::{Arg, ArgAction, Command};
 use hyssopfork_test_support::{engine, http, service};
@@ -14,30 +15,42 @@
         Arg::new(name).long(name).default_value(default).value_parser(parser).help(help)
     };
     Command::new("fake_upstream")
-        .about("A fake engine or plain service for trying and testing")
+        .about("Run a fake engine or plain service for trials and tests")
         .arg(
             Arg::new("listen")
                 .long("listen")
                 .default_value("127.0.0.1:0")
                 .value_parser(clap::value_parser!(net::SocketAddr))
-                .help("IP:PORT to listen on; port 0 takes a free one"),
+                .help("IP:PORT to listen on; port 0 selects a free port"),
         )
         .arg(
             Arg::new("kind")
                 .long("kind")
                 .default_value("engine")
                 .value_parser(["engine", "service"])
-                .help("What it is"),
+                .help("Kind of upstream"),
         )
-        .arg(millis("load-ms", "300", "Time to load weights"))
-        .arg(millis("token-ms", "4", "Time between tokens of a request that runs alone"))
-        .arg(millis("call-ms", "3", "Time of a plain service's call"))
-        .arg(millis("cold-bearing", "2", "Requests at once that it bears while cold"))
+        .arg(millis("load-ms", "300", "Time to load the weights of a model, in milliseconds"))
+        .arg(millis(
+            "token-ms",
+            "4",
+            "Time between the tokens of a request that runs alone, in milliseconds",
+        ))
+        .arg(millis(
+            "call-ms",
+            "3",
+            "Time that a plain service takes for a request, in milliseconds",
+        ))
+        .arg(millis(
+            "cold-bearing",
+            "2",
+            "Number of concurrent requests that the engine handles while cold",
+        ))
         .arg(
             Arg::new("ignores-fence")
                 .long("ignores-fence")
                 .action(ArgAction::SetTrue)
-                .help("Take orders whatever their fencing number"),
+                .help("Accept load orders with any fencing number"),
         )
 }
 
--- a/crates/hyssopfork-test-support/examples/lay_out.rs
+++ b/crates/hyssopfork-test-support/examples/lay_out.rs
@@ -1,7 +1,7 @@
 //! Writes the settings of every process of a trial: `lay_out LAYOUT FOLDER`.
 //!
-//! FOLDER gets one settings file a process, on free loopback ports, and the file `manifest` with
-//! one line a process.
+//! FOLDER receives one settings file per process, with free loopback ports, and the file `manifest`
+//! with one line per process.
 
 use clap::{Arg, Command};
 use hyssopfork_test_support::layout;
@@ -14,7 +14,7 @@
     let matches = Command::new("lay_out")
         .about("Write the settings of every process of a trial")
         .arg(argument("layout").help("Layout file of an example"))
-        .arg(argument("folder").help("Folder for the settings, made if it is not there"))
+        .arg(argument("folder").help("Folder for the settings; created if it doesn't exist"))
         .get_matches();
     let path = |id| matches.get_one::<path::PathBuf>(id).expect("required by the parser");
     let layout = layout::read(path("layout"))?;
--- a/crates/hyssopfork-test-support/examples/started.rs
+++ b/crates/hyssopfork-test-support/examples/started.rs
@@ -1,4 +1,5 @@
-//! Prints how many requests fake back ends have started: `started IP:PORT...`, one line each.
+//! Prints how many requests each fake upstream has started: `started IP:PORT...`, one line per
+//! upstream.
 
 use bytes::Bytes;
 use clap::{Arg, Command};
@@ -12,8 +13,10 @@
         .required(true)
         .num_args(1..)
         .value_parser(clap::value_parser!(net::SocketAddr));
-    let matches =
-        Command::new("started").about("Print requests started").arg(addresses).get_matches();
+    let matches = Command::new("started")
+        .about("Print the number of requests that each fake upstream has started")
+        .arg(addresses)
+        .get_matches();
     actix_rt::System::new().block_on(async {
         for &address in matches.get_many::<net::SocketAddr>("addresses").expect("required") {
             let counts: serde_json::Value = serde_json::from_slice(&fetch(address).await?)?;
--- a/crates/hyssopfork-test-support/src/engine.rs
+++ b/crates/hyssopfork-test-support/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that batches, streams, goes cold and stalls.
+//! Fake model engine with batching, streaming, cold starts and injected faults.
 
 use crate::{fault_injection, http, prefix_cache, token};
 use actix_http::body::BoxBody;
@@ -11,28 +11,28 @@
 
 mod generation;
 
-/// What the engine is like.
+/// Behavior of the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// Requests at once after which each further one slows all.
+    /// Number of concurrent requests above which all requests slow down.
     pub slots: u32,
-    /// Time between two tokens of one request when alone.
+    /// Time between two tokens of a request that runs alone.
     pub token_time: Duration,
-    /// Time to read a prompt whose prefix is not held; a tenth of it when it is.
+    /// Time to process a prompt whose prefix isn't cached; a tenth of it for a cached prefix.
     pub prefill_time: Duration,
-    /// Time to load a model's weights; none when it holds them already.
+    /// Time to load the weights of a model; zero if they are loaded already.
     pub load_time: Duration,
-    /// Requests at once that it bears while cold; more make it fall over.
+    /// Number of concurrent requests that the engine handles while cold; more make it crash.
     pub cold_capacity: u32,
-    /// Completed requests after which it is warm.
+    /// Number of completed requests after which the engine is warm.
     pub warmup_requests: u32,
-    /// Time that it is away after falling over.
+    /// Time that the engine is down after a crash.
     pub downtime: Duration,
-    /// Prefixes that it holds.
+    /// Capacity of the prefix cache.
     pub cached_prefixes: usize,
-    /// Refuses an order with an old fencing number.
+    /// Whether a load order with a stale fencing number is rejected.
     pub checks_fence: bool,
-    /// Skips the events that a resuming caller has.
+    /// Whether a resumed stream skips the events that the client has received.
     pub resumes: bool,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// What it holds for a group.
+/// Model that the engine has loaded for a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Loaded {
     fence: u64,
@@ -64,19 +64,19 @@
 /// Counts for tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that began to run.
+    /// Requests started.
     pub started: u64,
     /// Requests completed.
     pub completed: u64,
-    /// Requests whose caller went away before the end.
+    /// Requests whose client disconnected before the end of the response.
     pub cancelled: u64,
-    /// Times that it fell over because it was loaded while cold.
+    /// Crashes by overload while cold.
     pub crashes: u64,
-    /// Requests that came while it held no model, or to another member than the first.
+    /// Requests received while no model was loaded, or as another group member than the first.
     pub misdirected: u64,
-    /// Orders refused for their old fencing number.
+    /// Load orders rejected for a stale fencing number.
     pub stale_orders: u64,
-    /// Times that it loaded weights.
+    /// Number of times that weights were loaded.
     pub loads: u64,
 }
 
@@ -91,7 +91,7 @@
     faults: fault_injection::Faults,
 }
 
-/// The engine.
+/// Fake engine.
 pub struct Engine {
     profile: Profile,
     state: Mutex<State>,
@@ -116,17 +116,17 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Counts so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         self.state().counts
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.state().running
     }
 
-    /// Does what a test asks.
+    /// Injects or clears a fault.
     pub fn inject(&self, command: fault_injection::Command) {
         let mut state = self.state();
         state.faults.apply(command);
@@ -138,7 +138,7 @@
     }
 }
 
-/// Starts anew: nothing is loaded, remembered or running.
+/// Restarts the engine as a new incarnation: nothing is loaded, cached or running.
 fn restart(state: &mut State) {
     state.incarnation += 1;
     state.running = 0;
@@ -221,7 +221,8 @@
     complete_order(engine, incarnation, loaded)
 }
 
-/// Takes an order on: the incarnation that took it, and whether the weights are there already.
+/// Accepts a load order, and returns the accepting incarnation and whether the weights are already
+/// loaded; returns `None` for a stale order.
 fn accept_order(engine: &Engine, fence: u64, model: &str) -> Option<(u64, bool)> {
     let mut state = engine.state();
     if engine.profile.checks_fence && fence < state.highest_fence {
--- a/crates/hyssopfork-test-support/src/engine/generation.rs
+++ b/crates/hyssopfork-test-support/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! One completion: prompt, tokens, end.
+//! Generation of one completion.
 
 use super::Engine;
 use crate::{fault_injection, http, token};
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Tokens of an answer when the request names no number.
+/// Default of `max_tokens`.
 const DEFAULT_TOKENS: u64 = 16;
-/// Header with the number of events that the caller has.
+/// Header with the number of events that the client has received.
 const RESUME_HEADER: &str = "hyssopfork-resume-from";
-/// How much faster a prompt is read whose prefix is held.
+/// Speedup of prompt processing for a cached prefix.
 const CACHED_PREFILL_SPEEDUP: u32 = 10;
 
-/// A running completion; counts itself as cancelled when dropped before its end.
+/// A running completion; counted as cancelled when dropped before its end.
 struct Completion {
     engine: Arc<Engine>,
     incarnation: u64,
@@ -31,7 +31,7 @@
     is_finished: bool,
 }
 
-/// Runs a completion and answers it whole or as events.
+/// Runs a completion and responds with one JSON document or with a stream of events.
 pub(super) async fn run(
     engine: Arc<Engine>,
     endpoint: token::Endpoint,
@@ -124,21 +124,22 @@
         }
     }
 
-    /// Time to the next token: longer for all when more run than there are slots.
+    /// Returns the time to the next token, which grows for all requests when more run than there are
+    /// slots.
     fn token_time(&self) -> Duration {
         let running = self.engine.state().running.max(1);
         let rounds = running.div_ceil(self.engine.profile.slots.max(1));
         self.engine.profile.token_time * rounds
     }
 
-    /// Waits for the next token; an error when the engine has fallen over since.
+    /// Waits for the next token; fails if the engine has crashed in the meantime.
     async fn wait_for_token(&self) -> Result<(), io::Error> {
         actix_rt::time::sleep(self.token_time()).await;
         fault_injection::wait_while_stalled(|| self.engine.state().faults.is_stalled).await;
         if self.engine.state().incarnation == self.incarnation {
             Ok(())
         } else {
-            Err(io::Error::other("the engine fell over"))
+            Err(io::Error::other("the engine crashed"))
         }
     }
 
@@ -152,10 +153,10 @@
         }
     }
 
-    /// The next event; the caller stops after an error or the end mark.
+    /// Returns the next event; must not be called again after an error or the end marker.
     async fn next_event(&mut self) -> Result<Bytes, io::Error> {
         if self.cut_after.is_some_and(|limit| self.sent_events >= limit) {
-            return Err(io::Error::other("cut by a test"));
+            return Err(io::Error::other("response cut off by an injected fault"));
         }
         self.sent_events += 1;
         if self.next_token >= self.token_count {
--- a/crates/hyssopfork-test-support/src/fault_injection.rs
+++ b/crates/hyssopfork-test-support/src/fault_injection.rs
@@ -1,33 +1,33 @@
-//! What a test may do to a fake back end, over `POST /fake/...`.
+//! Fault injection into a fake upstream, by `POST /fake/...`.
 
 use crate::http;
 use actix_http::Request;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at whether a stall has ended.
+/// Interval between checks whether a stall has ended.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// An order of a test.
+/// A command to inject or clear faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `/fake/stall`: nothing moves until healed; connections stay open.
+    /// `/fake/stall`: requests make no progress until healed; connections stay open.
     Stall,
-    /// `/fake/cold`: the back end is as after a start, but keeps what it holds.
+    /// `/fake/cold`: the upstream becomes cold as after a start, but keeps its loaded state.
     Cold,
-    /// `/fake/die?millis=N`: all work is cut and the back end is away for N ms, then starts anew.
+    /// `/fake/die?millis=N`: the upstream aborts all requests, is down for N ms and then restarts.
     Die(Duration),
-    /// `/fake/cut?after=N`: the next answer breaks off after N bytes (events for streams).
+    /// `/fake/cut?after=N`: the next response is cut off after N bytes (events for streams).
     Cut(usize),
-    /// `/fake/delay?millis=N`: each answer begins N ms later.
+    /// `/fake/delay?millis=N`: each response starts N ms later.
     Delay(Duration),
-    /// `/fake/heal`: ends stalls, delays and pending cuts.
+    /// `/fake/heal`: clears stalls, delays and pending cuts.
     Heal,
 }
 
-/// Time that a back end stays away when the order gives none.
+/// Downtime of [`Command::Die`] without a duration.
 const DEFAULT_DOWNTIME: Duration = Duration::from_secs(1);
 
-/// Reads an order from a request's path; `None` for an unknown one.
+/// Parses the command in the path of a request; returns `None` for an unknown path.
 pub fn parse(request: &Request) -> Option<Command> {
     let number = |key| http::query_value(request, key).and_then(|text| text.parse::<u64>().ok());
     match request.path().strip_prefix("/fake/")? {
@@ -43,21 +43,22 @@
     }
 }
 
-/// What holds now.
+/// Faults in effect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Whether nothing moves.
+    /// Whether requests make no progress.
     pub is_stalled: bool,
-    /// Added before each answer.
+    /// Delay before each response.
     pub delay: Duration,
-    /// Where the next answer breaks off.
+    /// Number of bytes or events after which the next response is cut off.
     pub cut_after: Option<usize>,
-    /// Until when the back end is away.
+    /// Time until which the upstream is down.
     pub down_until: Option<Instant>,
 }
 
 impl Faults {
-    /// Notes an order; [`Order::Cold`] and what dying forgets are the back end's own.
+    /// Applies a command. The upstream itself handles [`Command::Cold`] and the loss of state on
+    /// [`Command::Die`].
     pub fn apply(&mut self, command: Command) {
         match command {
             Command::Stall => self.is_stalled = true,
@@ -69,13 +70,13 @@
         }
     }
 
-    /// Whether the back end is away.
+    /// Returns whether the upstream is down.
     pub fn is_down(&self) -> bool {
         self.down_until.is_some_and(|until| Instant::now() < until)
     }
 }
 
-/// Waits for the end of a stall that `look` reads.
+/// Waits until `is_stalled` returns false.
 pub async fn wait_while_stalled(is_stalled: impl Fn() -> bool) {
     while is_stalled() {
         actix_rt::time::sleep(STALL_POLL_INTERVAL).await;
--- a/crates/hyssopfork-test-support/src/fixture.rs
+++ b/crates/hyssopfork-test-support/src/fixture.rs
@@ -1,22 +1,23 @@
-//! Values that tests start from.
+//! Fixtures: valid values for tests.
 
 use hyssopfork_wire::{attempt, change, configuration, fleet, name, number, patch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net;
 use std::time::Duration;
 
-/// Zones of [`configuration`].
+/// Availability zones of [`configuration`].
 pub const ZONES: [&str; 3] = ["ikeja", "lekki", "apapa"];
 /// Pool of engines of [`configuration`].
 pub const ENGINE_POOL: &str = "hyssop-pool";
 /// Pool of plain services of [`configuration`].
 pub const SERVICE_POOL: &str = "levy-desk";
-/// Bearer token of the one team of [`configuration`].
+/// Bearer token of the only team of [`configuration`].
 pub const TOKEN: &str = "demo-token";
 /// SHA-256 of [`TOKEN`].
 pub const TOKEN_SHA256: &str = "7c43ef5ae21d43ce2743f770c68e24def1a43ee2f416d2438410c8af7af2ff2c";
 
-/// A small fleet: three zones, a pool of engines with one group of two, a pool of services.
+/// Returns the configuration of a small fleet: three zones, a pool of engines with one group of two,
+/// and a pool of services.
 pub fn configuration() -> configuration::Configuration {
     configuration::Configuration {
         number: number::Configuration(1),
@@ -35,18 +36,18 @@
     }
 }
 
-/// A pool of `kind` in every zone.
+/// Returns a pool of `kind` in every zone.
 pub fn pool(kind: configuration::Kind) -> configuration::Pool {
     configuration::Pool { kind, zones: BTreeSet::new() }
 }
 
-/// A group of two engines.
+/// Returns a group of two engines.
 pub fn group() -> configuration::Group {
     let model = name::Model::from("summary-70b");
     configuration::Group { pool: ENGINE_POOL.into(), model, size: 2, priority: 0 }
 }
 
-/// A route of interactive work with a deadline of 2 s.
+/// Returns a route of interactive requests with a deadline of 2 s.
 pub fn route(prefix: &str, pool: &str, repeatable: bool) -> configuration::Route {
     configuration::Route {
         prefix: prefix.into(),
@@ -57,13 +58,13 @@
     }
 }
 
-/// A team whose one token is [`TOKEN`].
+/// Returns a team whose only token is [`TOKEN`].
 pub fn team() -> configuration::Team {
     let token_sha256 = BTreeSet::from([TOKEN_SHA256.to_owned()]);
     configuration::Team { token_sha256, weight: 1 }
 }
 
-/// What an engine can do that can do everything.
+/// Returns the profile of an engine with all capabilities.
 pub fn engine_profile() -> fleet::Profile {
     fleet::Profile {
         kind: configuration::Kind::Engine,
@@ -75,7 +76,7 @@
     }
 }
 
-/// What a plain service can do.
+/// Returns the profile of a plain service.
 pub fn service_profile() -> fleet::Profile {
     fleet::Profile {
         kind: configuration::Kind::Service,
@@ -87,7 +88,7 @@
     }
 }
 
-/// An engine's announcement; `place` gives its name, ports and boot.
+/// Returns the announcement of an engine; `index` determines its name, ports and boot number.
 pub fn announcement(zone: &str, domain: &str, index: u16) -> fleet::Announcement {
     fleet::Announcement {
         instance: name::Instance::new(format!("runner-{index}")),
@@ -101,13 +102,13 @@
     }
 }
 
-/// A present member with this announcement.
+/// Returns a present member with this announcement.
 pub fn member(announcement: fleet::Announcement) -> fleet::Member {
     let incarnation = number::Incarnation(1);
     fleet::Member { announcement, incarnation, present: true, leaving: false }
 }
 
-/// A view of [`configuration`] with `members` and no placement.
+/// Returns a view of [`configuration`] with `members` and without placements.
 pub fn view(members: impl IntoIterator<Item = fleet::Member>) -> change::View {
     let members_by_name =
         members.into_iter().map(|member| (member.announcement.instance.clone(), member));
@@ -119,7 +120,7 @@
     }
 }
 
-/// A patch of one operation.
+/// Returns a patch of one operation.
 pub fn patch(identifier: &str, base: u64, operation: patch::Operation) -> patch::Patch {
     patch::Patch {
         identifier: patch::Identifier(identifier.into()),
@@ -129,7 +130,7 @@
     }
 }
 
-/// An offer of a completion to the agent of `boot`.
+/// Returns an offer of a completion request to the agent of `boot`.
 pub fn offer(count: u64, boot: u64, group: Option<(name::Group, number::Fence)>) -> attempt::Offer {
     attempt::Offer {
         attempt: attempt::Identifier { boot: 1, count },
@@ -148,7 +149,7 @@
     }
 }
 
-/// A loopback address.
+/// Returns the loopback address with `port`.
 pub fn loopback(port: u16) -> net::SocketAddr {
     net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, port))
 }
--- a/crates/hyssopfork-test-support/src/http.rs
+++ b/crates/hyssopfork-test-support/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on a thread of its own, and the answers that the fakes give.
+//! HTTP server on its own thread, and the responses of the fake upstreams.
 
 use actix_http::body::{BodyStream, BoxBody, SizedStream};
 use actix_http::{HttpMessage, HttpService, Request, Response, StatusCode, header};
@@ -18,13 +18,13 @@
 /// Media type of server-sent events.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
-/// Time in which what was written goes out before a connection is broken.
+/// Time for written bytes to be sent before a connection is aborted.
 const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// The connection that a request came on.
+/// Connection of a request.
 struct Connection(net::TcpStream);
 
-/// A running server; stops when dropped.
+/// A running HTTP server; stops when dropped.
 pub struct Server {
     address: net::SocketAddr,
     handle: ServerHandle,
@@ -32,7 +32,7 @@
 }
 
 impl Server {
-    /// Serves `listener` with `handler` until dropped.
+    /// Starts a server that answers the requests on `listener` with `handler`.
     pub fn start<H, F>(listener: net::TcpListener, handler: H) -> io::Result<Server>
     where
         H: Fn(Request) -> F + Clone + Send + 'static,
@@ -45,12 +45,12 @@
         Ok(Server { address, handle, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Waits until the server ends by itself, which it does only on a failure.
+    /// Waits until the server stops by itself, which happens only on a failure.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             thread.join().ok();
@@ -76,7 +76,8 @@
         HttpService::build()
             .h1_allow_half_closed(false)
             .on_connect_ext(|stream: &TcpStream, data| {
-                // A second handle of the socket, so that an answer can break it without a head.
+                // A second handle of the socket lets a handler close the connection before any
+                // response head is sent.
                 if let Ok(handle) = stream.as_fd().try_clone_to_owned() {
                     data.insert(Connection(net::TcpStream::from(handle)));
                 }
@@ -96,12 +97,12 @@
     });
 }
 
-/// A listener on a free loopback port.
+/// Binds a listener to a free loopback port.
 pub fn free_listener() -> io::Result<net::TcpListener> {
     net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0))
 }
 
-/// The whole body of a request; a body that breaks off counts as what came of it.
+/// Reads the body of a request; of a truncated body, returns the part that was received.
 pub async fn read_body(request: &mut Request) -> Bytes {
     let mut whole = BytesMut::new();
     while let Some(Ok(part)) = request.payload().next().await {
@@ -110,26 +111,27 @@
     whole.freeze()
 }
 
-/// The value of a header, if it is text.
+/// Returns the value of a header, if it is text.
 pub fn header_text<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-/// A value of the query, as `key=value`.
+/// Returns the value of a `key=value` pair of the query string.
 pub fn query_value<'a>(request: &'a Request, key: &str) -> Option<&'a str> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(name, _)| *name == key).map(|(_, value)| value)
 }
 
-/// An answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json(status: StatusCode, value: &serde_json::Value) -> Response<BoxBody> {
     let mut response = Response::build(status);
     response.insert_header((header::CONTENT_TYPE, JSON));
     response.body(value.to_string()).map_into_boxed_body()
 }
 
-/// An answer of known length that may break off after `keep` bytes.
+/// Returns a JSON response whose body is cut off after `limit` bytes, if given, while its
+/// `content-length` states the full length.
 pub fn truncated_json(status: StatusCode, whole: Bytes, limit: Option<usize>) -> Response<BoxBody> {
     let mut response = Response::build(status);
     response.insert_header((header::CONTENT_TYPE, JSON));
@@ -138,7 +140,7 @@
     response.message_body(body).expect("the head is well formed").map_into_boxed_body()
 }
 
-/// An answer of events as they come; an error in `events` breaks the connection off.
+/// Returns a streamed response of server-sent events; an error in `events` aborts the connection.
 pub fn events<S>(events: S) -> Response<BoxBody>
 where
     S: stream::Stream<Item = Result<Bytes, io::Error>> + 'static,
@@ -149,7 +151,7 @@
     response.message_body(body).expect("the head is well formed").map_into_boxed_body()
 }
 
-/// Closes the request's connection without an answer, as a back end does that falls over.
+/// Closes the connection of the request without a response, as a crashing upstream does.
 pub fn drop_connection(request: &Request) -> Response<BoxBody> {
     if let Some(Connection(stream)) = request.conn_data() {
         stream.shutdown(net::Shutdown::Both).ok();
@@ -168,10 +170,10 @@
     head.chain(stream::iter(is_truncated.then_some(())).then(move |()| abort_body(sent_bytes)))
 }
 
-/// Breaks off; after a part, only when that part has surely gone out.
+/// Aborts a body with an error; waits first until the preceding part has been sent.
 async fn abort_body(sent_bytes: usize) -> Result<Bytes, io::Error> {
     if sent_bytes > 0 {
         actix_rt::time::sleep(FLUSH_DELAY).await;
     }
-    Err(io::Error::other("cut by a test"))
+    Err(io::Error::other("response cut off by an injected fault"))
 }
--- a/crates/hyssopfork-test-support/src/layout.rs
+++ b/crates/hyssopfork-test-support/src/layout.rs
@@ -1,4 +1,4 @@
-//! Settings of every process of a trial on one machine, from an example's layout.
+//! Generation of the settings of all processes of a trial on one machine from a layout file.
 
 use crate::ports;
 use hyssopfork_settings::jsonc;
@@ -7,13 +7,13 @@
 use serde_json::{Value, json};
 use std::{fs, io, net, path};
 
-/// A layout file.
+/// Contents of a layout file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layout {
     /// Zone of each control instance.
     pub control_zones: Vec<String>,
-    /// Zone of each entry.
+    /// Zone of each entry instance.
     pub entry_zones: Vec<String>,
     /// Model engines.
     pub engines: Pool,
@@ -21,29 +21,29 @@
     pub services: Pool,
 }
 
-/// A pool's upstreams.
+/// Upstreams of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub pool: String,
-    /// Start of its instances' names.
+    /// Prefix of the names of its instances.
     pub prefix: String,
-    /// Where they stand.
+    /// Fabric domains of its instances.
     pub domains: Vec<Domain>,
-    /// What each can do.
+    /// Capabilities of each upstream.
     pub profile: fleet::Profile,
 }
 
-/// A fabric domain's instances.
+/// Instances of a fabric domain.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Domain {
-    /// Its zone.
+    /// Zone of the domain.
     pub zone: String,
-    /// Its name.
+    /// Name of the domain.
     pub domain: String,
-    /// Instances in it.
+    /// Number of instances.
     pub instances: u32,
 }
 
@@ -52,24 +52,24 @@
 pub struct Process {
     /// Role in the manifest.
     pub role: Role,
-    /// Instance that it stands on.
+    /// Instance that the process runs on.
     pub instance: String,
     /// Zone of the instance.
     pub zone: String,
-    /// Where others reach it: control's, entry's or upstream's address.
+    /// Service address: listen address of the control role, the entry or the upstream.
     pub address: net::SocketAddr,
-    /// Where it tells its health and metrics.
+    /// Listen address for health checks and metrics.
     pub metrics_address: net::SocketAddr,
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Value,
 }
 
-/// Role of a process, as the manifest writes it.
+/// Role of a process in the manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A control instance.
     Control,
-    /// An entry.
+    /// An entry instance.
     Entry,
     /// An agent beside an engine.
     Engine,
@@ -78,7 +78,7 @@
 }
 
 impl Role {
-    /// The role's word in the manifest.
+    /// Returns the name of the role in the manifest.
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Control => "control",
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads a layout.
+/// Reads a layout file.
 pub fn read(path: &path::Path) -> io::Result<Layout> {
     let text = fs::read_to_string(path)?;
     let invalid_data = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
@@ -97,7 +97,7 @@
     serde_json::from_str(&json).map_err(|cause| invalid_data(cause.to_string()))
 }
 
-/// Every process of the layout, on free ports, with data folders under `folder`.
+/// Returns all processes of the layout, with free ports and with data folders under `folder`.
 pub fn plan_processes(layout: &Layout, folder: &path::Path) -> io::Result<Vec<Process>> {
     let mut ports = ports::Allocator::new();
     let control = control(layout, folder, &mut ports)?;
@@ -112,8 +112,8 @@
     Ok(processes)
 }
 
-/// Writes each process's settings, and the manifest: one line a process with role, instance, zone,
-/// address, metrics address and settings file, separated by tabs.
+/// Writes the settings of each process and the manifest, which has one line per process with role,
+/// instance, zone, address, metrics address and settings file, separated by tabs.
 pub fn write(processes: &[Process], folder: &path::Path) -> io::Result<()> {
     let mut manifest = String::new();
     for process in processes {
--- a/crates/hyssopfork-test-support/src/lib.rs
+++ b/crates/hyssopfork-test-support/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fixtures and fakes at the interfaces: an engine, a plain service, a TCP relay.
+//! Test support: fixtures, a fake engine, a fake plain service and a TCP relay.
 //!
-//! The fakes speak what real back ends speak (see docs/DEVELOPING.md, "Back ends") and take orders
-//! of tests under `/fake/`. They are no simulator of a cluster: each is one process's peer.
+//! The fakes implement the interface of real upstreams and accept fault injection commands under
+//! `/fake/`. They don't simulate a cluster: each is the peer of a single process.
 
 pub mod engine;
 pub mod fault_injection;
--- a/crates/hyssopfork-test-support/src/ports.rs
+++ b/crates/hyssopfork-test-support/src/ports.rs
@@ -1,13 +1,13 @@
-//! Free loopback ports for processes that are started later.
+//! Allocation of free loopback ports for processes that are started later.
 
 use rand::RngExt;
 use std::{io, net};
 
-/// Below the range from which systems commonly take the ports of outgoing connections: a port that
-/// was free when it was drawn is otherwise soon taken by a connection of the trial itself.
+/// Range of allocated ports. It lies below the usual ephemeral port range: otherwise an outgoing
+/// connection of the trial itself could take a port between its allocation and its use.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 
-/// Draws ports, each once.
+/// Allocates each port at most once.
 #[derive(Debug)]
 pub struct Allocator {
     next: u16,
@@ -15,12 +15,12 @@
 }
 
 impl Allocator {
-    /// Starts at a random port, so that trials at the same time seldom meet.
+    /// Creates an allocator that starts at a random port, so that concurrent trials seldom collide.
     pub fn new() -> Self {
         Allocator { next: rand::rng().random_range(PORT_RANGE), attempted: 0 }
     }
 
-    /// The next port that nobody listens on.
+    /// Returns the loopback address with the next port that no process listens on.
     pub fn allocate(&mut self) -> io::Result<net::SocketAddr> {
         while self.attempted < PORT_RANGE.len() {
             let address = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, self.next));
--- a/crates/hyssopfork-test-support/src/prefix_cache.rs
+++ b/crates/hyssopfork-test-support/src/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! Memory of prompt prefixes, limited as an engine's is.
+//! Least recently used (LRU) cache of prompt prefixes, which models the prefix cache of an engine.
 
 use crate::token;
 use std::collections::VecDeque;
 
-/// Bytes of a prompt that count as its prefix.
+/// Length of a prompt's prefix.
 const PREFIX_BYTES: usize = 64;
 
-/// The memory; the least recently used prefix is forgotten first.
+/// Cache of a limited number of prefixes; evicts the least recently used prefix first.
 #[derive(Debug)]
 pub struct Cache {
     capacity: usize,
@@ -14,12 +14,12 @@
 }
 
 impl Cache {
-    /// An empty memory of `capacity` prefixes.
+    /// Creates an empty cache of `capacity` prefixes.
     pub fn new(capacity: usize) -> Self {
         Cache { capacity, recently_used: VecDeque::new() }
     }
 
-    /// Whether the prompt's prefix is held; from now on it is.
+    /// Inserts the prefix of the prompt, and returns whether it was cached before.
     pub fn insert(&mut self, prompt: &str) -> bool {
         let bytes = prompt.as_bytes();
         let prefix = token::hash(&bytes[..bytes.len().min(PREFIX_BYTES)]);
@@ -32,7 +32,7 @@
         position.is_some()
     }
 
-    /// Forgets everything, as a restart does.
+    /// Removes all prefixes, as a restart does.
     pub fn clear(&mut self) {
         self.recently_used.clear();
     }
--- a/crates/hyssopfork-test-support/src/relay.rs
+++ b/crates/hyssopfork-test-support/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that cuts, delays, holds back or silently forgets connections.
+//! TCP relay that injects network faults: closed, delayed, paused and blackholed connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch};
 
-/// Bytes passed on at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What the relay does now.
+/// Faults in effect and the number of connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Mode {
-    /// Connections numbered below this are closed.
+struct State {
+    /// Connections with lower numbers are closed.
     closed_below: u64,
-    /// Connections numbered below this pass nothing on for good, and stay open.
+    /// Connections with lower numbers stay open but never forward anything again.
     blackholed_below: u64,
-    /// Whether bytes are held back, on all connections; they go on when healed.
+    /// Whether all connections hold bytes back; they are forwarded when healed.
     is_paused: bool,
-    /// Time by which each chunk is late.
+    /// Delay of each chunk.
     delay: Duration,
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     accepted_count: u64,
 }
 
-impl Mode {
-    /// Whether a connection has been forgotten or cut.
+impl State {
+    /// Returns whether a connection has been blackholed or closed.
     fn is_disconnected(&self, number: u64) -> bool {
         number < self.blackholed_below || number < self.closed_below
     }
@@ -35,7 +35,7 @@
 /// A relay to one target; stops when dropped.
 pub struct Relay {
     address: net::SocketAddr,
-    mode: Arc<watch::Sender<Mode>>,
+    state: Arc<watch::Sender<State>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<thread::JoinHandle<()>>,
 }
@@ -46,9 +46,9 @@
         let listener = net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let mode = Arc::new(watch::Sender::new(Mode::default()));
+        let state = Arc::new(watch::Sender::new(State::default()));
         let (stop, stopped) = oneshot::channel();
-        let shared = mode.clone();
+        let shared = state.clone();
         let thread = thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 tokio::select! {
@@ -57,40 +57,40 @@
                 }
             });
         });
-        Ok(Relay { address, mode, stop: Some(stop), thread: Some(thread) })
+        Ok(Relay { address, state, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Closes every open connection; new ones work.
+    /// Closes all open connections; new connections work.
     pub fn close_connections(&self) {
-        self.mode.send_modify(|mode| mode.closed_below = mode.accepted_count);
+        self.state.send_modify(|state| state.closed_below = state.accepted_count);
     }
 
-    /// Passes nothing more on over the connections that are open now, for good and without closing
-    /// them, as when something between the two ends has lost track of them; new ones work.
+    /// Drops all further traffic of the open connections without closing them, as a firewall or NAT
+    /// that has lost its connection state does; new connections work.
     pub fn blackhole_connections(&self) {
-        self.mode.send_modify(|mode| mode.blackholed_below = mode.accepted_count);
+        self.state.send_modify(|state| state.blackholed_below = state.accepted_count);
     }
 
-    /// Holds all bytes back, on new connections too, until [`Relay::heal`].
+    /// Holds back all bytes, also those of new connections, until [`Relay::heal`].
     pub fn pause(&self) {
-        self.mode.send_modify(|mode| mode.is_paused = true);
+        self.state.send_modify(|state| state.is_paused = true);
     }
 
-    /// Makes each chunk late by `time`.
+    /// Delays each chunk by `time`.
     pub fn delay(&self, time: Duration) {
-        self.mode.send_modify(|mode| mode.delay = time);
+        self.state.send_modify(|state| state.delay = time);
     }
 
-    /// Ends silence and delay. What was cut or forgotten stays so.
+    /// Ends pause and delay. Connections that were closed or blackholed stay so.
     pub fn heal(&self) {
-        self.mode.send_modify(|mode| {
-            mode.is_paused = false;
-            mode.delay = Duration::ZERO;
+        self.state.send_modify(|state| {
+            state.is_paused = false;
+            state.delay = Duration::ZERO;
         });
     }
 }
@@ -109,16 +109,16 @@
 async fn accept(
     listener: net::TcpListener,
     target: net::SocketAddr,
-    mode: Arc<watch::Sender<Mode>>,
+    state: Arc<watch::Sender<State>>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     while let Ok((client, _)) = listener.accept().await {
         let mut number = 0;
-        mode.send_modify(|mode| {
-            number = mode.accepted_count;
-            mode.accepted_count += 1;
+        state.send_modify(|state| {
+            number = state.accepted_count;
+            state.accepted_count += 1;
         });
-        actix_rt::spawn(relay_connection(client, target, number, mode.subscribe()));
+        actix_rt::spawn(relay_connection(client, target, number, state.subscribe()));
     }
 }
 
@@ -126,20 +126,20 @@
     client: TcpStream,
     target: net::SocketAddr,
     number: u64,
-    mut mode: watch::Receiver<Mode>,
+    mut state: watch::Receiver<State>,
 ) {
     let Ok(server) = TcpStream::connect(target).await else { return };
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let to_server = forward(client_read, server_write, number, mode.clone());
-    let to_client = forward(server_read, client_write, number, mode.clone());
+    let to_server = forward(client_read, server_write, number, state.clone());
+    let to_client = forward(server_read, client_write, number, state.clone());
     tokio::select! {
         _ = async { tokio::join!(to_server, to_client) } => {}
-        _ = mode.wait_for(|mode| number < mode.closed_below) => {}
+        _ = state.wait_for(|state| number < state.closed_below) => {}
     }
 }
 
-async fn forward<R, W>(mut from: R, mut to: W, number: u64, mut mode: watch::Receiver<Mode>)
+async fn forward<R, W>(mut from: R, mut to: W, number: u64, mut state: watch::Receiver<State>)
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin,
@@ -147,16 +147,17 @@
     let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut buffer).await.unwrap_or(0);
-        let delay = mode.borrow().delay;
+        let delay = state.borrow().delay;
         if !delay.is_zero() {
             actix_rt::time::sleep(delay).await;
         }
-        if mode.wait_for(|mode| !mode.is_paused).await.is_err() {
+        if state.wait_for(|state| !state.is_paused).await.is_err() {
             return;
         }
-        if mode.borrow().is_disconnected(number) {
-            // Neither bytes nor the end of the connection are passed on any more. A cut shows here
-            // as well, since the closing runs beside this loop and a chunk could slip through.
+        if state.borrow().is_disconnected(number) {
+            // Neither bytes nor the end of the connection are forwarded any more. Closed connections
+            // are checked here as well: they are closed concurrently with this loop, which could
+            // otherwise forward one more chunk.
             std::future::pending::<()>().await;
         }
         if length == 0 {
--- a/crates/hyssopfork-test-support/src/service.rs
+++ b/crates/hyssopfork-test-support/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it ran, for each reference.
+//! Fake plain service that counts the requests it ran, by reference.
 
 use crate::{fault_injection, http, token};
 use actix_http::body::BoxBody;
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use std::{io, net};
 
-/// What the service is like.
+/// Behavior of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Profile {
-    /// Time that one call takes.
+    /// Time that a request takes.
     pub response_time: Duration,
-    /// Calls at once that it bears while cold; more make it fall over.
+    /// Number of concurrent requests that the service handles while cold; more make it crash.
     pub cold_capacity: u32,
-    /// Completed calls after which it is warm.
+    /// Number of completed requests after which the service is warm.
     pub warmup_requests: u32,
 }
 
@@ -37,7 +37,7 @@
     faults: fault_injection::Faults,
 }
 
-/// The service.
+/// Fake plain service.
 pub struct Service {
     profile: Profile,
     state: Mutex<State>,
@@ -61,17 +61,17 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// How often the work of each reference ran.
+    /// Returns how often the request of each reference ran.
     pub fn runs_by_reference(&self) -> BTreeMap<String, u64> {
         self.state().runs_by_reference.clone()
     }
 
-    /// How often it fell over because it was loaded while cold.
+    /// Returns the number of crashes by overload while cold.
     pub fn crash_count(&self) -> u64 {
         self.state().crash_count
     }
 
-    /// Does what a test asks.
+    /// Injects or clears a fault.
     pub fn inject(&self, command: fault_injection::Command) {
         let mut state = self.state();
         state.faults.apply(command);
@@ -144,7 +144,8 @@
     finish_request(service, request, &reference, incarnation)
 }
 
-/// Counts the work as run before anything can cut its answer; `None` when it fell over instead.
+/// Counts the request as run before its response can be cut off; returns `None` if the service
+/// crashed instead.
 fn start_request(service: &Service, request: &Request, reference: &str) -> Option<u64> {
     let mut state = service.state();
     let cold = state.completed_since_start < service.profile.warmup_requests;
@@ -183,8 +184,8 @@
     json!({ "reference": reference, "path": request.path(), "receipt": receipt })
 }
 
-/// What the work is counted under: the body's `reference`, else the query's, else the
-/// Idempotency-Key, else a hash of the body.
+/// Returns the reference that the request is counted by: `reference` in the body, else in the query
+/// string, else the `Idempotency-Key` header, else a hash of the body.
 fn reference(request: &Request, body: &Bytes) -> String {
     let parsed: Option<Value> = serde_json::from_slice(body).ok();
     let named = parsed.as_ref().and_then(|value| value["reference"].as_str());
--- a/crates/hyssopfork-test-support/src/token.rs
+++ b/crates/hyssopfork-test-support/src/token.rs
@@ -1,14 +1,16 @@
-//! Tokens of the fake engine: a function of the prompt alone, so that any engine continues what
-//! another began, and a caller can tell its own answer, whole and in order, from any other.
+//! Tokens of the fake engine.
+//!
+//! They depend on the prompt alone, so that any engine can continue the stream of another, and a
+//! client can verify that it received its own response, complete and in order.
 
 use serde_json::{Value, json};
 
-/// Start of a mark in a prompt that the tokens repeat.
+/// Start of a marker in a prompt; the tokens repeat the marker.
 pub const MARK_OPEN: &str = "[#";
-/// End of such a mark.
+/// End of a marker in a prompt.
 pub const MARK_CLOSE: &str = "]";
 
-/// Which of the two completion calls is answered.
+/// Completion endpoint that is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/completions`.
@@ -17,19 +19,19 @@
     ChatCompletions,
 }
 
-/// What a prompt's tokens are named after: its mark, or a hash of the whole.
+/// Returns the stem of the tokens for a prompt: its marker, or else a hash of the prompt.
 pub fn stem(prompt: &str) -> String {
     let after = prompt.split_once(MARK_OPEN).map(|(_, after)| after);
     let mark = after.and_then(|after| after.split_once(MARK_CLOSE)).map(|(mark, _)| mark);
     mark.map_or_else(|| format!("{:016x}", hash(prompt.as_bytes())), str::to_owned)
 }
 
-/// Token number `place` of a prompt's answer.
+/// Returns the token with number `index`.
 pub fn token_text(stem: &str, index: u64) -> String {
     format!(" {stem}.{index}")
 }
 
-/// One event of a stream, without its end mark.
+/// Returns the event of a stream that carries the token with number `index`.
 pub fn token_event(endpoint: Endpoint, stem: &str, index: u64) -> String {
     let token = token_text(stem, index);
     let body = match endpoint {
@@ -45,10 +47,10 @@
     format!("data: {body}\n\n")
 }
 
-/// End mark of a stream.
+/// End marker of a stream.
 pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// A whole answer that is not streamed.
+/// Returns the response to a request without streaming.
 pub fn completion(endpoint: Endpoint, stem: &str, count: u64) -> Value {
     let tokens: String = (0..count).map(|index| token_text(stem, index)).collect();
     let usage = json!({ "completion_tokens": count });
@@ -67,7 +69,7 @@
     }
 }
 
-/// FNV-1a, 64 bits.
+/// Returns the 64-bit FNV-1a hash.
 pub fn hash(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/hyssopfork-test-support/tests/engine.rs
+++ b/crates/hyssopfork-test-support/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The fake engine does what the contract says of engines.
+//! The fake engine behaves as the upstream interface requires of engines.
 
 mod support;
 
@@ -37,7 +37,7 @@
 const PATH: &str = "/v1/completions";
 
 #[actix_rt::test]
-async fn stream_is_whole_and_depends_on_the_prompt_alone() {
+async fn stream_is_complete_and_depends_on_the_prompt_alone() {
     let (one, _) = start(quick());
     let (other, _) = start(quick());
     load(one.address(), 1).await;
@@ -53,7 +53,7 @@
 }
 
 #[actix_rt::test]
-async fn resumed_stream_is_the_rest_of_the_whole_one() {
+async fn resumed_stream_is_the_remainder_of_the_complete_stream() {
     let (server, _) = start(quick());
     load(server.address(), 1).await;
     let body = completion("a [#r]", 5);
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn engine_that_holds_no_model_refuses_work_and_counts_it() {
+async fn engine_without_a_model_rejects_requests_and_counts_them() {
     let (server, engine) = start(quick());
 
     let answer = call("POST", server.address(), PATH, &completion("a", 1)).await;
@@ -78,7 +78,7 @@
 }
 
 #[actix_rt::test]
-async fn old_fencing_number_is_refused_by_an_engine_that_checks() {
+async fn stale_fencing_number_is_rejected_by_an_engine_that_checks_it() {
     let (server, engine) = start(quick());
     load(server.address(), 5).await;
 
@@ -89,7 +89,7 @@
 }
 
 #[actix_rt::test]
-async fn old_fencing_number_is_taken_by_an_engine_that_ignores_it() {
+async fn stale_fencing_number_is_accepted_by_an_engine_that_ignores_it() {
     let (server, _) = start(engine::Profile { checks_fence: false, ..quick() });
     load(server.address(), 5).await;
 
@@ -101,7 +101,7 @@
 }
 
 #[actix_rt::test]
-async fn new_fencing_number_for_the_same_model_keeps_the_weights() {
+async fn newer_fencing_number_for_the_same_model_keeps_the_weights() {
     let (server, engine) = start(quick());
     load(server.address(), 1).await;
 
@@ -111,7 +111,7 @@
 }
 
 #[actix_rt::test]
-async fn cold_engine_falls_over_above_its_bearing_and_comes_back_empty() {
+async fn overloaded_cold_engine_crashes_and_restarts_without_a_model() {
     let (server, engine) = start(engine::Profile { cold_capacity: 1, ..quick() });
     load(server.address(), 1).await;
     let health = call("GET", server.address(), "/health", "").await.expect("answered").json();
@@ -125,13 +125,16 @@
     assert!(first.is_none() && second.is_none());
     assert_eq!(engine.counts().crashes, 1);
     actix_rt::time::sleep(Duration::from_millis(150)).await;
-    let after = call("GET", server.address(), "/health", "").await.expect("back").json();
+    let after = call("GET", server.address(), "/health", "")
+        .await
+        .expect("the engine has restarted")
+        .json();
     assert_ne!(after["incarnation"], health["incarnation"]);
     assert_eq!(after["loaded"], serde_json::Value::Null);
 }
 
 #[actix_rt::test]
-async fn warm_engine_bears_more() {
+async fn warm_engine_handles_more_concurrent_requests_than_a_cold_one() {
     let (server, engine) =
         start(engine::Profile { cold_capacity: 1, warmup_requests: 1, ..quick() });
     load(server.address(), 1).await;
@@ -148,7 +151,7 @@
 }
 
 #[actix_rt::test]
-async fn cut_answer_breaks_off_once() {
+async fn only_the_next_response_is_cut_off() {
     let (server, _) = start(quick());
     load(server.address(), 1).await;
     call("POST", server.address(), "/fake/cut?after=2", "").await;
@@ -162,7 +165,7 @@
 }
 
 #[actix_rt::test]
-async fn stalled_engine_answers_nothing_until_healed() {
+async fn stalled_engine_sends_no_response_until_healed() {
     let (server, engine) = start(quick());
     engine.inject(fault_injection::Command::Stall);
 
@@ -177,7 +180,7 @@
 }
 
 #[actix_rt::test]
-async fn work_of_a_caller_that_went_away_is_cancelled() {
+async fn request_of_a_disconnected_client_is_cancelled() {
     let (server, engine) = start(quick());
     load(server.address(), 1).await;
     let body = completion("a", 10_000);
--- a/crates/hyssopfork-test-support/tests/fixture.rs
+++ b/crates/hyssopfork-test-support/tests/fixture.rs
@@ -1,10 +1,10 @@
-//! The fixtures agree with each other.
+//! The fixtures are consistent with each other.
 
 use hyssopfork_test_support::fixture;
 use hyssopfork_wire::name;
 
 #[test]
-fn routes_and_groups_name_declared_pools() {
+fn routes_and_groups_refer_to_declared_pools() {
     let configuration = fixture::configuration();
 
     let routed = configuration.routes.values().map(|route| &route.pool);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn view_holds_members_by_their_names() {
+fn view_contains_members_by_name() {
     let member = fixture::member(fixture::announcement("ikeja", "ikeja-1", 3));
 
     let view = fixture::view([member.clone()]);
--- a/crates/hyssopfork-test-support/tests/layout.rs
+++ b/crates/hyssopfork-test-support/tests/layout.rs
@@ -1,4 +1,4 @@
-//! The shipped examples lay out to settings that read whole and fit their declarations.
+//! The layouts of the shipped examples give valid settings that match the declarations.
 
 use hyssopfork_settings::{jsonc, settings};
 use hyssopfork_test_support::layout;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn settings_of_every_process_read_whole() {
+fn settings_of_every_process_are_valid() {
     for process in EXAMPLES.into_iter().flat_map(processes) {
         let read = settings::parse(&process.settings.to_string());
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn no_address_is_given_twice() {
+fn addresses_are_unique() {
     let processes = processes("levy-reporting");
 
     let addresses = processes.iter().flat_map(|process| [process.address, process.metrics_address]);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn declarations_name_the_zones_and_pools_that_are_laid_out() {
+fn declarations_contain_the_zones_and_pools_of_the_layouts() {
     for example in EXAMPLES {
         let declared = declaration(example);
         for process in processes(example) {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn examples_have_the_sizes_that_they_stand_for() {
+fn examples_have_the_expected_sizes() {
     for example in EXAMPLES {
         let processes = processes(example);
         let count = |role| processes.iter().filter(|process| process.role == role).count();
--- a/crates/hyssopfork-test-support/tests/relay.rs
+++ b/crates/hyssopfork-test-support/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay cuts, forgets and holds back.
+//! The relay forwards bytes, and closes, blackholes and pauses connections.
 
 use hyssopfork_test_support::{http, relay};
 use std::io::{Read, Write};
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time after which silence counts as such.
-const SILENCE: Duration = Duration::from_millis(150);
+/// Time without bytes after which a connection counts as silent.
+const READ_TIMEOUT: Duration = Duration::from_millis(150);
 
 fn echo_target() -> SocketAddr {
     let listener = http::free_listener().expect("a free port");
@@ -27,7 +27,7 @@
 
 fn connect(relay: &relay::Relay) -> TcpStream {
     let stream = TcpStream::connect(relay.address()).expect("the relay accepts");
-    stream.set_read_timeout(Some(SILENCE)).expect("a timeout may be set");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("the timeout can be set");
     stream
 }
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn bytes_pass_both_ways() {
+fn bytes_are_forwarded_in_both_directions() {
     let relay = relay::Relay::start(echo_target()).expect("the relay starts");
 
     let answer = echo(&mut connect(&relay));
@@ -48,21 +48,21 @@
 }
 
 #[test]
-fn cut_connection_ends_and_new_ones_work() {
+fn closed_connection_ends_and_new_connections_work() {
     let relay = relay::Relay::start(echo_target()).expect("the relay starts");
     let mut stream = connect(&relay);
     echo(&mut stream).expect("echoed");
 
     relay.close_connections();
 
-    stream.set_read_timeout(None).expect("a timeout may be taken away");
+    stream.set_read_timeout(None).expect("the timeout can be set");
     let ended = matches!(stream.read(&mut [0]), Ok(0) | Err(_));
     assert!(ended);
     assert!(echo(&mut connect(&relay)).is_ok());
 }
 
 #[test]
-fn forgotten_connection_stays_silent_for_good_while_new_ones_work() {
+fn blackholed_connection_stays_silent_while_new_connections_work() {
     let relay = relay::Relay::start(echo_target()).expect("the relay starts");
     let mut stream = connect(&relay);
     echo(&mut stream).expect("echoed");
@@ -70,23 +70,23 @@
     relay.blackhole_connections();
     relay.heal();
 
-    let error = echo(&mut stream).expect_err("nothing comes back");
+    let error = echo(&mut stream).expect_err("no byte comes back");
     assert!(matches!(error.kind(), std::io::ErrorKind::WouldBlock), "{error}");
     assert!(echo(&mut connect(&relay)).is_ok());
 }
 
 #[test]
-fn bytes_held_back_in_silence_arrive_when_healed() {
+fn bytes_held_back_by_a_pause_arrive_when_healed() {
     let relay = relay::Relay::start(echo_target()).expect("the relay starts");
     let mut stream = connect(&relay);
     echo(&mut stream).expect("echoed");
     relay.pause();
-    echo(&mut stream).expect_err("nothing comes back");
+    echo(&mut stream).expect_err("no byte comes back");
 
     relay.heal();
 
     let mut byte = [0];
-    stream.set_read_timeout(None).expect("a timeout may be taken away");
-    stream.read_exact(&mut byte).expect("the held byte comes");
+    stream.set_read_timeout(None).expect("the timeout can be set");
+    stream.read_exact(&mut byte).expect("the held-back byte arrives");
     assert_eq!(byte, *b"x");
 }
--- a/crates/hyssopfork-test-support/tests/service.rs
+++ b/crates/hyssopfork-test-support/tests/service.rs
@@ -1,4 +1,4 @@
-//! The fake service counts what it ran.
+//! The fake service counts the requests that it ran.
 
 mod support;
 
@@ -12,7 +12,7 @@
 }
 
 #[actix_rt::test]
-async fn work_is_counted_for_each_reference() {
+async fn requests_are_counted_by_reference() {
     let (server, service) = start();
     let body = r#"{"reference":"lodgement-1"}"#;
 
@@ -25,7 +25,7 @@
 }
 
 #[actix_rt::test]
-async fn work_whose_answer_is_cut_has_run() {
+async fn request_whose_response_is_cut_off_is_counted() {
     let (server, service) = start();
     call("POST", server.address(), "/fake/cut?after=3", "").await;
 
@@ -36,7 +36,7 @@
 }
 
 #[actix_rt::test]
-async fn reading_is_not_counted_as_work() {
+async fn get_requests_are_not_counted() {
     let (server, service) = start();
 
     let answer = call("GET", server.address(), "/status?reference=x", "").await;
@@ -46,7 +46,7 @@
 }
 
 #[actix_rt::test]
-async fn service_that_died_answers_nothing() {
+async fn crashed_service_sends_no_response() {
     let (server, _) = start();
     call("POST", server.address(), "/fake/die?millis=60000", "").await;
 
--- a/crates/hyssopfork-test-support/tests/support/mod.rs
+++ b/crates/hyssopfork-test-support/tests/support/mod.rs
@@ -1,29 +1,29 @@
-//! Calls to the fakes.
+//! Requests to the fake upstreams.
 
 use bytes::Bytes;
 use hyssopfork_exchange::connection;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A whole answer.
+/// A complete response.
 pub struct Answer {
     pub status: u16,
     pub body: String,
 }
 
 impl Answer {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("the body is JSON")
     }
 }
 
-/// One call's whole answer; `None` when it was cut or never came.
+/// Sends a request and returns its response; `None` if the response is truncated or missing.
 pub async fn call(method: &str, address: SocketAddr, path: &str, body: &str) -> Option<Answer> {
     send(method, address, path, body, &[]).await
 }
 
-/// As [`call`], with headers.
+/// Sends a request with headers; otherwise the same as [`call`].
 pub async fn send(
     method: &str,
     address: SocketAddr,
