--- a/crates/hyssopfork-agent/tests/agent/fixture.rs
+++ b/crates/hyssopfork-agent/tests/agent/fixture.rs
@@ -1,4 +1,4 @@
-//! Fixtures: an agent with a view, a lease and a back end, and its offers.
+//! Fixtures: an agent with a view, a lease and an upstream, and offers to it.
 
 use hyssopfork_agent::{action, core, event};
 use hyssopfork_wire::{
@@ -10,7 +10,7 @@
 /// Boot of the agent under test.
 pub const BOOT: u64 = 7;
 
-/// Time that a stop gives what runs; another than the default.
+/// Time limit of a graceful stop; differs from the default.
 pub const STOP_LIMIT: Duration = Duration::from_secs(20);
 
 /// Fencing number of the group's first placement.
@@ -24,39 +24,39 @@
     renewal: Option<u64>,
 }
 
-/// First member of a group of two whose engine is loaded and whose other member has granted.
+/// First member of a group of two, with its engine loaded and a grant from the other member.
 pub fn first_member() -> Agent {
-    let mut agent = engine("i0");
-    agent.hold(Duration::ZERO);
-    agent.settle_guard();
-    agent.load(FENCE);
-    agent.grant();
+    let mut agent = engine_agent("i0");
+    agent.renew_lease(Duration::ZERO);
+    agent.wait_for_grant_guard();
+    agent.finish_load(FENCE);
+    agent.receive_grant();
     agent
 }
 
 /// Second member of the same group, with its engine loaded.
 pub fn second_member() -> Agent {
-    let mut agent = engine("i1");
-    agent.hold(Duration::ZERO);
-    agent.settle_guard();
-    agent.load(FENCE);
+    let mut agent = engine_agent("i1");
+    agent.renew_lease(Duration::ZERO);
+    agent.wait_for_grant_guard();
+    agent.finish_load(FENCE);
     agent
 }
 
-/// An agent of an engine that has started just now and knows nothing.
-pub fn engine(instance: &str) -> Agent {
-    agent(instance, configuration::Kind::Engine, true)
+/// Agent of an engine, just started, with no view and no lease.
+pub fn engine_agent(instance: &str) -> Agent {
+    new_agent(instance, configuration::Kind::Engine, true)
 }
 
-/// An agent of a plain service that can take work.
-pub fn service(cancels: bool) -> Agent {
-    let mut agent = agent("s0", configuration::Kind::Service, cancels);
-    agent.hold(Duration::ZERO);
+/// Agent of a service, ready for attempts.
+pub fn service_agent(cancels: bool) -> Agent {
+    let mut agent = new_agent("s0", configuration::Kind::Service, cancels);
+    agent.renew_lease(Duration::ZERO);
     agent.probe(Some(health("a", None)));
     agent
 }
 
-fn agent(instance: &str, kind: configuration::Kind, cancels: bool) -> Agent {
+fn new_agent(instance: &str, kind: configuration::Kind, cancels: bool) -> Agent {
     let announcement = announcement(instance, kind, cancels);
     let control = vec![address(1), address(2)];
     let settings = core::Settings { announcement, control, stop_limit: STOP_LIMIT };
@@ -68,7 +68,7 @@
     event::Health { incarnation: Some(incarnation.into()), running: None, loaded }
 }
 
-/// An offer to the agent under test, the `count`th of one entry.
+/// Offer to the agent under test, the `count`th attempt of one entry.
 pub fn offer(count: u64) -> attempt::Offer {
     attempt::Offer {
         attempt: identifier(count),
@@ -87,7 +87,7 @@
     }
 }
 
-pub fn plain_offer(count: u64) -> attempt::Offer {
+pub fn service_offer(count: u64) -> attempt::Offer {
     attempt::Offer { group: None, ..offer(count) }
 }
 
@@ -95,7 +95,7 @@
     attempt::Identifier { boot: 99, count }
 }
 
-pub fn request(fence: number::Fence) -> member::Request {
+pub fn grant_request(fence: number::Fence) -> member::Request {
     member::Request {
         group: "g1".into(),
         fence,
@@ -109,63 +109,63 @@
 impl Agent {
     pub fn step(&mut self, event: event::Event) -> Vec<action::Action> {
         let actions = self.core.step(self.now, event);
-        self.renewal = actions.iter().find_map(renewal).or(self.renewal);
+        self.renewal = actions.iter().find_map(find_renewal).or(self.renewal);
         actions
     }
 
-    /// Time passes in ticks; nothing else happens, and no call is answered.
-    pub fn pass(&mut self, span: Duration) -> Vec<action::Action> {
+    /// Advances the clock in ticks, without any other event; no call gets a response.
+    pub fn advance(&mut self, span: Duration) -> Vec<action::Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            self.now = (self.now + action::TICK).min(end);
+            self.now = (self.now + action::TICK_INTERVAL).min(end);
             actions.extend(self.step(event::Event::Tick));
         }
         actions
     }
 
-    /// Time passes while the process is paused: not a tick comes.
+    /// Advances the clock without a tick, as if the process were paused.
     pub fn pause(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 
-    /// Renews the lease with the fixture's view; the answer comes after `delay`.
-    pub fn hold(&mut self, delay: Duration) -> Vec<action::Action> {
+    /// Renews the lease with the fixture's view; the response arrives after `delay`.
+    pub fn renew_lease(&mut self, delay: Duration) -> Vec<action::Action> {
         if let Some(call) = self.renewal.take() {
-            self.step(event::Event::Controlled { call, response: None });
+            self.step(event::Event::ControlResponded { call, response: None });
         }
         let call = loop {
             self.step(event::Event::Tick);
             if let Some(call) = self.renewal.take() {
                 break call;
             }
-            self.now = self.now + action::TICK;
+            self.now = self.now + action::TICK_INTERVAL;
         };
         self.now = self.now + delay;
         let update = change::Update::Whole(Box::new(self.view.clone()));
         let grant = control::Grant { duration: timing::HOLDER_LEASE, update, incarnation: None };
         let response = Some(control::Response::Granted(grant));
-        self.step(event::Event::Controlled { call, response })
+        self.step(event::Event::ControlResponded { call, response })
     }
 
-    /// The view moves on to another one, with a new lease.
-    pub fn change(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
+    /// Changes the view, as a new version, and renews the lease.
+    pub fn change_view(&mut self, change: impl FnOnce(&mut change::View)) -> Vec<action::Action> {
         change(&mut self.view);
         self.view.version = self.view.version.next();
-        self.hold(Duration::ZERO)
+        self.renew_lease(Duration::ZERO)
     }
 
-    /// Time until the process may grant and order, with its lease and probes kept up.
-    pub fn settle_guard(&mut self) {
+    /// Waits until the process may give grants and send orders, with a fresh lease and probe.
+    pub fn wait_for_grant_guard(&mut self) {
         self.probe(Some(health("a", None)));
-        self.pass(timing::GROUP_GRANT_GUARD);
+        self.advance(timing::GROUP_GRANT_GUARD);
         self.probe(Some(health("a", None)));
-        self.hold(Duration::ZERO);
+        self.renew_lease(Duration::ZERO);
     }
 
-    /// The engine carries out the order that is outstanding.
-    pub fn load(&mut self, fence: number::Fence) {
-        self.step(event::Event::Ordered { fence, done: true });
+    /// The engine carries out the pending order.
+    pub fn finish_load(&mut self, fence: number::Fence) {
+        self.step(event::Event::LoadFinished { fence, succeeded: true });
     }
 
     pub fn probe(&mut self, health: Option<event::Health>) -> Vec<action::Action> {
@@ -173,54 +173,58 @@
     }
 
     /// The other member grants the newest request.
-    pub fn grant(&mut self) -> Vec<action::Action> {
-        self.answer_stand(member::Response::Granted {
+    pub fn receive_grant(&mut self) -> Vec<action::Action> {
+        self.receive_grant_response(member::Response::Granted {
             duration: timing::GROUP_GRANT,
             version: self.view.version,
             leaving: false,
         })
     }
 
-    /// The other member answers the newest request.
-    pub fn answer_stand(&mut self, response: member::Response) -> Vec<action::Action> {
-        let actions = self.pass(timing::GROUP_RENEWAL_INTERVAL + action::TICK);
-        let asked = actions.iter().rev().find_map(stand).expect("the members are asked");
-        self.step(event::Event::Stood { call: asked.0, response: Some(response) })
+    /// The other member responds to the newest grant request.
+    pub fn receive_grant_response(&mut self, response: member::Response) -> Vec<action::Action> {
+        let actions = self.advance(timing::GROUP_RENEWAL_INTERVAL + action::TICK_INTERVAL);
+        let request = actions
+            .iter()
+            .rev()
+            .find_map(find_grant_request)
+            .expect("the member gets a grant request");
+        self.step(event::Event::GrantResponded { call: request.0, response: Some(response) })
     }
 
-    /// An attempt is offered and handed to the upstream.
-    pub fn run(&mut self, offer: attempt::Offer) {
+    /// Offers an attempt and forwards it to the upstream.
+    pub fn forward(&mut self, offer: attempt::Offer) {
         let attempt = offer.attempt;
-        let offered = self.step(event::Event::Offered(offer));
-        assert!(prepares(&offered), "the offer is admitted: {offered:?}");
-        let ready = self.step(event::Event::Ready(attempt));
-        assert!(forwards(&ready), "the attempt is forwarded: {ready:?}");
+        let offered = self.step(event::Event::OfferArrived(offer));
+        assert!(has_connect(&offered), "the offer is admitted: {offered:?}");
+        let ready = self.step(event::Event::Connected(attempt));
+        assert!(has_forward(&ready), "the attempt is forwarded: {ready:?}");
     }
 
-    pub fn ask(&mut self, request: member::Request) -> member::Response {
-        let actions = self.step(event::Event::Asked { call: 5, request });
+    pub fn request_grant(&mut self, request: member::Request) -> member::Response {
+        let actions = self.step(event::Event::GrantRequested { call: 5, request });
         let reply = actions.into_iter().find_map(|action| match action {
-            action::Action::ReplyStand { call: 5, response } => Some(response),
+            action::Action::ReplyGrant { call: 5, response } => Some(response),
             _ => None,
         });
-        reply.expect("a request is answered at once")
+        reply.expect("a grant request gets a response at once")
     }
 
     pub fn cancel(&mut self, count: u64) -> attempt::Cancelled {
         let attempt = identifier(count);
-        let event = event::Event::Cancelled { call: 6, attempt, boot: BOOT };
+        let event = event::Event::CancelRequested { call: 6, attempt, boot: BOOT };
         let actions = self.step(event);
         let reply = actions.into_iter().find_map(|action| match action {
             action::Action::ReplyCancel { call: 6, outcome } => Some(outcome),
             _ => None,
         });
-        reply.expect("a cancel is answered at once")
+        reply.expect("a cancel request gets a response at once")
     }
 
-    /// What becomes of an offer: the refusal, or none when it is admitted.
-    pub fn refusal(&mut self, offer: attempt::Offer) -> Option<refusal::Refusal> {
-        let actions = self.step(event::Event::Offered(offer));
-        refused(&actions)
+    /// Makes an offer; returns its rejection, or `None` if it is admitted.
+    pub fn offer(&mut self, offer: attempt::Offer) -> Option<refusal::Refusal> {
+        let actions = self.step(event::Event::OfferArrived(offer));
+        find_rejection(&actions)
     }
 }
 
@@ -228,23 +232,23 @@
     matches!(response, member::Response::Granted { .. })
 }
 
-pub fn prepares(actions: &[action::Action]) -> bool {
-    actions.iter().any(|action| matches!(action, action::Action::Prepare { .. }))
+pub fn has_connect(actions: &[action::Action]) -> bool {
+    actions.iter().any(|action| matches!(action, action::Action::Connect { .. }))
 }
 
-pub fn forwards(actions: &[action::Action]) -> bool {
+pub fn has_forward(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Forward(_)))
 }
 
-pub fn aborts(actions: &[action::Action]) -> bool {
+pub fn has_abort(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Abort(_)))
 }
 
-pub fn stops(actions: &[action::Action]) -> bool {
+pub fn has_stopped(actions: &[action::Action]) -> bool {
     actions.iter().any(|action| matches!(action, action::Action::Stopped))
 }
 
-pub fn orders(actions: &[action::Action]) -> Vec<number::Fence> {
+pub fn load_orders(actions: &[action::Action]) -> Vec<number::Fence> {
     let order = |action: &action::Action| match action {
         action::Action::Order(order) => Some(order.fence),
         _ => None,
@@ -252,25 +256,25 @@
     actions.iter().filter_map(order).collect()
 }
 
-pub fn refused(actions: &[action::Action]) -> Option<refusal::Refusal> {
+pub fn find_rejection(actions: &[action::Action]) -> Option<refusal::Refusal> {
     actions.iter().find_map(|action| match action {
-        action::Action::Refuse { refusal, .. } => Some(*refusal),
+        action::Action::Reject { rejection, .. } => Some(*rejection),
         _ => None,
     })
 }
 
-fn renewal(action: &action::Action) -> Option<u64> {
+fn find_renewal(action: &action::Action) -> Option<u64> {
     match action {
-        action::Action::Control { call, request, .. } => {
+        action::Action::CallControl { call, request, .. } => {
             matches!(**request, control::Request::Renew(_)).then_some(*call)
         }
         _ => None,
     }
 }
 
-pub fn stand(action: &action::Action) -> Option<(u64, member::Request)> {
+pub fn find_grant_request(action: &action::Action) -> Option<(u64, member::Request)> {
     match action {
-        action::Action::Stand { call, request, .. } => Some((*call, request.clone())),
+        action::Action::RequestGrant { call, request, .. } => Some((*call, request.clone())),
         _ => None,
     }
 }
@@ -322,11 +326,11 @@
         let member = fleet::Member { announcement, incarnation, present: true, leaving: false };
         view.members.insert(name.into(), member);
     }
-    place(&mut view, FENCE, &["i0", "i1"]);
+    set_placement(&mut view, FENCE, &["i0", "i1"]);
     view
 }
 
-pub fn place(view: &mut change::View, fence: number::Fence, members: &[&str]) {
+pub fn set_placement(view: &mut change::View, fence: number::Fence, members: &[&str]) {
     let members = members.iter().map(|name| name::Instance::from(*name)).collect();
     view.placements.insert("g1".into(), fleet::Placement { fence, members });
 }
--- a/crates/hyssopfork-entry/tests/history/events.rs
+++ b/crates/hyssopfork-entry/tests/history/events.rs
@@ -20,7 +20,7 @@
         match event {
             Event::TickAgent(index) => {
                 self.step_agent(index, agent::event::Event::Tick);
-                let tick = agent::action::TICK.as_micros() as u64;
+                let tick = agent::action::TICK_INTERVAL.as_micros() as u64;
                 self.schedule_for(Node::Agent(index), tick, Event::TickAgent(index));
             }
             Event::TickEntry(index) => {
@@ -146,7 +146,7 @@
         });
         let node = Node::Agent(index);
         let sent = self.clock(node);
-        let event = agent::event::Event::ProbedAt { sent, health };
+        let event = agent::event::Event::ProbedAt { sent_at: sent, health };
         self.schedule_for(node, 500, Event::Agent(index, event));
         self.schedule_for(node, timing::PROBE_INTERVAL.as_micros() as u64, Event::Probe(index));
     }
@@ -164,7 +164,7 @@
         self.append_frame(index, attempt, shell::Frame::Started);
         let upstream = &mut self.upstreams[index];
         if !upstream.alive {
-            let fault = agent::event::Event::Failed(attempt, agent::event::Fault::Broken);
+            let fault = agent::event::Event::ResponseFailed(attempt, agent::event::Fault::Broken);
             self.schedule_for(Node::Agent(index), 300, Event::Agent(index, fault));
             return;
         }
@@ -227,7 +227,7 @@
             upstream.load(fence);
         }
         let done = upstream.alive;
-        let event = agent::event::Event::Ordered { fence, done };
+        let event = agent::event::Event::LoadFinished { fence, succeeded: done };
         self.schedule_for(Node::Agent(index), 300, Event::Agent(index, event));
     }
 
@@ -251,7 +251,7 @@
         let first = self.shells[index].slots[&attempt].offer.as_ref().map(|o| o.resume_from);
         if first == Some(part as u64) {
             self.append_frame(index, attempt, shell::Frame::Head { stream: running.stream });
-            let begun = agent::event::Event::Begun(attempt);
+            let begun = agent::event::Event::ResponseStarted(attempt);
             self.schedule_for(Node::Agent(index), 0, Event::Agent(index, begun));
         }
         if let Some(text) = running.parts.get(part) {
@@ -263,7 +263,7 @@
         }
         self.upstreams[index].complete(attempt);
         self.append_frame(index, attempt, shell::Frame::End);
-        let ended = agent::event::Event::Ended(attempt);
+        let ended = agent::event::Event::ResponseCompleted(attempt);
         self.schedule_for(Node::Agent(index), 0, Event::Agent(index, ended));
     }
 
@@ -360,7 +360,7 @@
         }
         self.upstreams[index].crash(self.now);
         for attempt in running {
-            let fault = agent::event::Event::Failed(attempt, agent::event::Fault::Broken);
+            let fault = agent::event::Event::ResponseFailed(attempt, agent::event::Fault::Broken);
             self.schedule_for(Node::Agent(index), 300, Event::Agent(index, fault));
         }
         self.schedule(span / 4, Event::RestartUpstream(index));
