--- a/crates/hyssopfork-settings/src/edge.rs
+++ b/crates/hyssopfork-settings/src/edge.rs
@@ -23,8 +23,8 @@
     pub peer_port: u16,
     /// Listen port for the metrics (HTTP).
     pub metrics_port: u16,
-    /// Control addresses of the peers to contact first; the data folder of the first one bootstraps
-    /// the replicated log.
+    /// Control addresses of the peers to contact first; on the first start, the first seed selects
+    /// the data folder that forms the replicated log.
     pub seeds: Vec<net::SocketAddr>,
     /// Whether this is the first start of the system, with empty data folders on all instances.
     pub first_start: bool,
