--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -95,7 +95,7 @@
 pub fn measure(registry: &metrics::Registry, measure: &measurement::Measurement) {
     if let measurement::Outcome::Rejected(reason, ran) = measure.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
-        registry.count_refusal(measure.team.as_ref(), &refusal);
+        registry.count_rejection(measure.team.as_ref(), &refusal);
     }
     let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
     registry.observe_wait(team, class, measure.wait_time);
@@ -109,8 +109,10 @@
         registry.count_retry(team, class);
     }
     match measure.outcome {
-        measurement::Outcome::Completed => registry.observe_answer(team, class, measure.total_time),
-        measurement::Outcome::Aborted(_) => registry.count_aborted_answer(team, class),
+        measurement::Outcome::Completed => {
+            registry.observe_response(team, class, measure.total_time)
+        }
+        measurement::Outcome::Aborted(_) => registry.count_aborted_response(team, class),
         measurement::Outcome::Rejected(..) | measurement::Outcome::ClientGone => {}
     }
 }
@@ -127,7 +129,7 @@
 /// Adds a finished request of an edge process to the histograms.
 pub fn measure_edge(registry: &metrics::Registry, measure: &gateway_measure::Measurement) {
     if let gateway_measure::Outcome::Rejected(reason) = measure.outcome {
-        registry.count_refusal(measure.team.as_ref(), &refusal_of(reason));
+        registry.count_rejection(measure.team.as_ref(), &refusal_of(reason));
     }
     let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
     for _ in 1..measure.attempts {
@@ -136,9 +138,9 @@
     match measure.outcome {
         gateway_measure::Outcome::Completed(first) => {
             registry.observe_first_token(team, class, first);
-            registry.observe_answer(team, class, measure.total_time);
+            registry.observe_response(team, class, measure.total_time);
         }
-        gateway_measure::Outcome::Aborted => registry.count_aborted_answer(team, class),
+        gateway_measure::Outcome::Aborted => registry.count_aborted_response(team, class),
         gateway_measure::Outcome::Rejected(_) => {}
     }
 }
--- a/crates/hyssopfork-telemetry/src/label.rs
+++ b/crates/hyssopfork-telemetry/src/label.rs
@@ -26,7 +26,7 @@
 
 /// Labels of the metric of rejected requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Refusal {
+pub struct Rejection {
     /// The team; `None` if the token belongs to no team.
     pub team: Option<name::Team>,
     /// Reason of the rejection.
@@ -35,7 +35,7 @@
     pub ran: refusal::Ran,
 }
 
-impl EncodeLabelSet for Refusal {
+impl EncodeLabelSet for Rejection {
     fn encode(&self, encoder: &mut LabelSetEncoder) -> Result<(), fmt::Error> {
         let team = self.team.as_ref().map_or("", |team| team.as_str());
         let reason: &'static str = self.reason.into();
--- a/crates/hyssopfork-telemetry/src/metrics.rs
+++ b/crates/hyssopfork-telemetry/src/metrics.rs
@@ -30,10 +30,10 @@
     time_to_first_token: Histograms,
     inter_token_latency: Histograms,
     total_time: Histograms,
-    answers: Counters<label::Request>,
-    refusals: Counters<label::Refusal>,
+    responses: Counters<label::Request>,
+    rejections: Counters<label::Rejection>,
     retries: Counters<label::Request>,
-    aborted_answers: Counters<label::Request>,
+    aborted_responses: Counters<label::Request>,
     queued: gauge::Gauge,
     in_flight: gauge::Gauge,
     lease_remaining: SecondsGauge,
@@ -56,79 +56,67 @@
     /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = registry::Registry::with_prefix("hyssopfork");
-        let registry_mut = &mut registry;
+        let metrics = &mut registry;
         Registry {
             wait_time: register_histograms(
-                registry_mut,
+                metrics,
                 "wait_seconds",
                 "Time from arrival until the work was sent",
             ),
             time_to_first_token: register_histograms(
-                registry_mut,
+                metrics,
                 "first_token_seconds",
                 "Time from arrival to the first part",
             ),
             inter_token_latency: register_histograms(
-                registry_mut,
+                metrics,
                 "between_tokens_seconds",
                 "Time between parts",
             ),
             total_time: register_histograms(
-                registry_mut,
+                metrics,
                 "whole_seconds",
                 "Time from arrival to the whole answer",
             ),
-            answers: register_counters(registry_mut, "answers", "Requests answered whole"),
-            refusals: register_counters(
-                registry_mut,
+            responses: register_counters(metrics, "answers", "Requests answered whole"),
+            rejections: register_counters(
+                metrics,
                 "refusals",
                 "Requests refused, by reason and whether work ran",
             ),
-            retries: register_counters(registry_mut, "retries", "Attempts after the first"),
-            aborted_answers: register_counters(
-                registry_mut,
+            retries: register_counters(metrics, "retries", "Attempts after the first"),
+            aborted_responses: register_counters(
+                metrics,
                 "cut_answers",
                 "Answers that ended with an error mark",
             ),
-            queued: register_gauge(registry_mut, "queued", "Requests that wait"),
-            in_flight: register_gauge(registry_mut, "in_flight", "Requests being answered"),
+            queued: register_gauge(metrics, "queued", "Requests that wait"),
+            in_flight: register_gauge(metrics, "in_flight", "Requests being answered"),
             lease_remaining: register_seconds_gauge(
-                registry_mut,
+                metrics,
                 "lease_left_seconds",
                 "Time until the lease lapses; 0 without one",
             ),
             configuration_number: register_gauge(
-                registry_mut,
+                metrics,
                 "configuration_number",
                 "Configuration number in force",
             ),
-            view_version: register_gauge(
-                registry_mut,
-                "view_version",
-                "Version of the view in force",
-            ),
-            consensus_term: register_gauge(
-                registry_mut,
-                "consensus_term",
-                "Term of the replicated log",
-            ),
+            view_version: register_gauge(metrics, "view_version", "Version of the view in force"),
+            consensus_term: register_gauge(metrics, "consensus_term", "Term of the replicated log"),
             commit_index: register_gauge(
-                registry_mut,
+                metrics,
                 "consensus_committed",
                 "Committed index of the replicated log",
             ),
-            is_leader: register_gauge(
-                registry_mut,
-                "consensus_leads",
-                "1 while this instance leads",
-            ),
+            is_leader: register_gauge(metrics, "consensus_leads", "1 while this instance leads"),
             replicated_bytes: register_counter(
-                registry_mut,
+                metrics,
                 "consensus_sent_bytes",
                 "Bytes of entries and snapshots sent to other voters, repeats included",
             ),
             published_bytes: register_counter(
-                registry_mut,
+                metrics,
                 "published_document_bytes",
                 "Bytes of declarations sent to followers, repeats included",
             ),
@@ -162,16 +150,16 @@
     }
 
     /// Counts a completed request and records the time from arrival to the end of its response.
-    pub fn observe_answer(&self, team: &name::Team, class: configuration::Class, time: Duration) {
+    pub fn observe_response(&self, team: &name::Team, class: configuration::Class, time: Duration) {
         observe(&self.total_time, team, class, time);
-        self.answers.get_or_create(&request_labels(team, class)).inc();
+        self.responses.get_or_create(&request_labels(team, class)).inc();
     }
 
     /// Counts a rejected request.
-    pub fn count_refusal(&self, team: Option<&name::Team>, refusal: &refusal::Refusal) {
+    pub fn count_rejection(&self, team: Option<&name::Team>, refusal: &refusal::Refusal) {
         let labels =
-            label::Refusal { team: team.cloned(), reason: refusal.reason, ran: refusal.ran };
-        self.refusals.get_or_create(&labels).inc();
+            label::Rejection { team: team.cloned(), reason: refusal.reason, ran: refusal.ran };
+        self.rejections.get_or_create(&labels).inc();
     }
 
     /// Counts a retry.
@@ -180,8 +168,8 @@
     }
 
     /// Counts a response that was aborted after the client had received a part of it.
-    pub fn count_aborted_answer(&self, team: &name::Team, class: configuration::Class) {
-        self.aborted_answers.get_or_create(&request_labels(team, class)).inc();
+    pub fn count_aborted_response(&self, team: &name::Team, class: configuration::Class) {
+        self.aborted_responses.get_or_create(&request_labels(team, class)).inc();
     }
 
     /// Sets the number of queued requests and of requests in flight.
--- a/crates/hyssopfork-telemetry/tests/metrics.rs
+++ b/crates/hyssopfork-telemetry/tests/metrics.rs
@@ -16,8 +16,8 @@
 fn response_times_are_recorded_per_team_and_class() {
     let registry = metrics::Registry::new();
 
-    registry.observe_answer(&team(), CLASS, Duration::from_millis(20));
-    registry.observe_answer(&name::Team::from("other"), CLASS, Duration::from_millis(20));
+    registry.observe_response(&team(), CLASS, Duration::from_millis(20));
+    registry.observe_response(&name::Team::from("other"), CLASS, Duration::from_millis(20));
 
     let text = registry.encode();
     let expected = "hyssopfork_whole_seconds_count{team=\"lagos-steel\",class=\"interactive\"} 1";
@@ -29,7 +29,7 @@
     let registry = metrics::Registry::new();
     let refusal = refusal::Refusal::not_run(refusal::Reason::Overloaded, None);
 
-    registry.count_refusal(Some(&team()), &refusal);
+    registry.count_rejection(Some(&team()), &refusal);
 
     let text = registry.encode();
     let expected = "hyssopfork_refusals_total{team=\"lagos-steel\",reason=\"overloaded\",\
--- a/crates/hyssopfork-test-support/src/engine/generation.rs
+++ b/crates/hyssopfork-test-support/src/engine/generation.rs
@@ -204,5 +204,5 @@
     }
     completion.finish();
     let body = token::completion(completion.endpoint, &completion.stem, completion.token_count);
-    http::truncated_json(StatusCode::OK, Bytes::from(body.to_string()), completion.cut_after)
+    http::sized_json(StatusCode::OK, Bytes::from(body.to_string()), completion.cut_after)
 }
--- a/crates/hyssopfork-test-support/src/http.rs
+++ b/crates/hyssopfork-test-support/src/http.rs
@@ -132,7 +132,7 @@
 
 /// Returns a JSON response whose body is cut off after `limit` bytes, if given, while its
 /// `content-length` states the full length.
-pub fn truncated_json(status: StatusCode, whole: Bytes, limit: Option<usize>) -> Response<BoxBody> {
+pub fn sized_json(status: StatusCode, whole: Bytes, limit: Option<usize>) -> Response<BoxBody> {
     let mut response = Response::build(status);
     response.insert_header((header::CONTENT_TYPE, JSON));
     let length = whole.len() as u64;
--- a/crates/hyssopfork-test-support/src/relay.rs
+++ b/crates/hyssopfork-test-support/src/relay.rs
@@ -27,7 +27,7 @@
 
 impl State {
     /// Returns whether a connection has been blackholed or closed.
-    fn is_disconnected(&self, number: u64) -> bool {
+    fn is_cut_off(&self, number: u64) -> bool {
         number < self.blackholed_below || number < self.closed_below
     }
 }
@@ -154,7 +154,7 @@
         if state.wait_for(|state| !state.is_paused).await.is_err() {
             return;
         }
-        if state.borrow().is_disconnected(number) {
+        if state.borrow().is_cut_off(number) {
             // Neither bytes nor the end of the connection are forwarded any more. Closed connections
             // are checked here as well: they are closed concurrently with this loop, which could
             // otherwise forward one more chunk.
--- a/crates/hyssopfork-test-support/src/service.rs
+++ b/crates/hyssopfork-test-support/src/service.rs
@@ -176,7 +176,7 @@
     state.completed_since_start = state.completed_since_start.saturating_add(1);
     let cut_after = state.faults.cut_after.take();
     let status = if request.method() == Method::GET { StatusCode::OK } else { StatusCode::CREATED };
-    http::truncated_json(status, Bytes::from(receipt(request, reference).to_string()), cut_after)
+    http::sized_json(status, Bytes::from(receipt(request, reference).to_string()), cut_after)
 }
 
 fn receipt(request: &Request, reference: &str) -> Value {
