--- a/crates/hyssopfork-daemon/src/edge/process.rs
+++ b/crates/hyssopfork-daemon/src/edge/process.rs
@@ -39,7 +39,7 @@
 /// Runs the process until it has stopped on request. `text` is the content of the settings file at
 /// `path`.
 pub fn run(settings: &edge::Edge, path: &Path, text: String) -> Result<(), process::Error> {
-    let log_output = telemetry_log::Bounded::start(settings.log.format, settings.log.level)?;
+    let log_output = telemetry_log::Logger::start(settings.log.format, settings.log.level)?;
     System::new().block_on(supervise(settings, path, text, &log_output))
 }
 
@@ -47,7 +47,7 @@
     settings: &edge::Edge,
     path: &Path,
     mut text: String,
-    log_output: &telemetry_log::Bounded,
+    log_output: &telemetry_log::Logger,
 ) -> Result<(), process::Error> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
@@ -75,7 +75,7 @@
             _ = hangup.recv() => reload(path, &mut text, &mailbox, true),
             _ = ticks.tick() => {
                 reload(path, &mut text, &mailbox, false);
-                let dropped = log_output.dropped();
+                let dropped = log_output.take_dropped_lines();
                 if dropped > 0 {
                     log::notice(&notice::Notice::LinesDropped(dropped));
                 }
@@ -122,7 +122,7 @@
     phase.send_replace(http_server::Phase::Draining);
     mailbox.post(control::Input::Event(Box::new(event::Event::Stop)));
     let started = time::Instant::now();
-    let limit = settings.grace.saturating_sub(STOP_MARGIN);
+    let limit = settings.grace_period.saturating_sub(STOP_MARGIN);
     loop {
         time::sleep(STOP_CHECK_INTERVAL).await;
         let elapsed = started.elapsed();
@@ -160,7 +160,7 @@
             first_start: settings.first_start,
             has_folder: settings.data_folder.is_some(),
             tolerated_losses: settings.tolerated_losses,
-            heartbeat_interval: settings.heartbeat,
+            heartbeat_interval: settings.heartbeat_interval,
         };
         let core = core::Core::new(core_settings, operator::parse_stored_declaration, clock::now());
         let journal = match &settings.data_folder {
--- a/crates/hyssopfork-settings/src/agent.rs
+++ b/crates/hyssopfork-settings/src/agent.rs
@@ -1,44 +1,47 @@
-//! The `agent` section.
+//! Settings of the agent role: the `agent` section.
 
 use crate::section;
 use hyssopfork_wire::{configuration, fleet, name};
 use std::net;
 
-/// The section.
+/// The `agent` section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Agent {
-    /// Where entries bring attempts (HTTP).
+    /// Listen address for attempts from entries (HTTP).
     pub traffic_listen: net::SocketAddr,
-    /// Where entries are told to bring attempts; `traffic_listen` unless something stands between.
+    /// Address for attempts that is announced to entries; defaults to `traffic_listen` and differs
+    /// from it when entries connect through an intermediary.
     pub traffic_announce: net::SocketAddr,
-    /// Where the agents of the same group call (tarpc).
+    /// Listen address for agents of the same group (tarpc).
     pub peer_listen: net::SocketAddr,
-    /// Where agents are told to call; `peer_listen` unless something stands between.
+    /// Address that is announced to agents of the same group; defaults to `peer_listen` and differs
+    /// from it when agents connect through an intermediary.
     pub peer_announce: net::SocketAddr,
-    /// Pool that the upstream offers itself to.
+    /// Pool that the upstream joins.
     pub pool: name::Pool,
     /// Fabric domain of the instance.
     pub domain: name::Domain,
-    /// Where the upstream listens (HTTP).
+    /// Listen address of the upstream (HTTP).
     pub upstream: net::SocketAddr,
-    /// What the upstream can do.
+    /// Capabilities of the upstream.
     pub profile: fleet::Profile,
 }
 
-const LIMIT: u64 = 1 << 16;
+/// Maximum of `accelerators` and of `concurrency`.
+const MAX_COUNT: u64 = 1 << 16;
 
-/// Reads the section.
+/// Reads the `agent` section; faults are added to the section's collector.
 pub fn read(section: section::Section<'_>) -> Option<Agent> {
-    let traffic_listen = section.reachable("traffic_listen");
-    let traffic_announce = announced(&section, "traffic_announce", traffic_listen);
-    let peer_listen = section.reachable("peer_listen");
-    let peer_announce = announced(&section, "peer_announce", peer_listen);
+    let traffic_listen = section.reachable_address("traffic_listen");
+    let traffic_announce = announced_address(&section, "traffic_announce", traffic_listen);
+    let peer_listen = section.reachable_address("peer_listen");
+    let peer_announce = announced_address(&section, "peer_announce", peer_listen);
     let pool = section.name("pool").map(name::Pool::from);
     let domain = section.name("domain").map(name::Domain::from);
-    let upstream = section.reachable("upstream");
+    let upstream = section.reachable_address("upstream");
     let profile = section.section("profile");
     if profile.is_none() && !section.has("profile") {
-        section.fault("profile", "\"agent.profile\" is missing; add it");
+        section.report_fault("profile", "\"agent.profile\" is missing; add it");
     }
     let profile = profile.and_then(read_profile);
     section.finish();
@@ -54,22 +57,23 @@
     })
 }
 
-/// The address under `key`, or the one that is listened on.
-fn announced(
+/// Reads the announced address under `key`, which defaults to the listen address.
+fn announced_address(
     section: &section::Section<'_>,
     key: &'static str,
     listen: Option<net::SocketAddr>,
 ) -> Option<net::SocketAddr> {
-    if section.has(key) { section.reachable(key) } else { listen }
+    if section.has(key) { section.reachable_address(key) } else { listen }
 }
 
 fn read_profile(section: section::Section<'_>) -> Option<fleet::Profile> {
-    let kind: Option<configuration::Kind> = section.required_word("kind", &["engine", "service"]);
-    let checks_fence = section.flag("checks_fence");
-    let resumes = section.flag("resumes");
-    let cancels = section.flag("cancels");
-    let accelerators = section.number("accelerators", 0, 0..=LIMIT) as u32;
-    let concurrency = section.required_number("concurrency", 1..=LIMIT) as u32;
+    let kind: Option<configuration::Kind> =
+        section.required_keyword("kind", &["engine", "service"]);
+    let checks_fence = section.boolean("checks_fence");
+    let resumes = section.boolean("resumes");
+    let cancels = section.boolean("cancels");
+    let accelerators = section.number("accelerators", 0, 0..=MAX_COUNT) as u32;
+    let concurrency = section.required_number("concurrency", 1..=MAX_COUNT) as u32;
     section.finish();
     Some(fleet::Profile { kind: kind?, checks_fence, resumes, cancels, accelerators, concurrency })
 }
--- a/crates/hyssopfork-settings/src/plain.rs
+++ b/crates/hyssopfork-settings/src/jsonc.rs
@@ -1,13 +1,15 @@
-//! JSON with comments made plain, with every byte in its place, so that a parser of plain JSON
-//! reports lines and columns of the file as it was written.
+//! Conversion of JSON with comments (JSONC) to JSON.
+//!
+//! Byte offsets and line breaks are preserved, so that the lines and columns that a JSON parser
+//! reports are those of the original file.
 
 use crate::fault;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::tokens::Token;
 use jsonc_parser::{CollectOptions, CommentCollectionStrategy, ParseOptions, ast, common};
 
-/// What the files may hold beyond JSON: comments and trailing commas.
-pub(crate) fn options() -> ParseOptions {
+/// Extensions to JSON that are accepted: comments and trailing commas.
+pub(crate) fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -22,25 +24,29 @@
     }
 }
 
-/// `text` as plain JSON of the same length; comments and trailing commas become blanks.
-pub fn json(text: &str) -> Result<String, Vec<fault::Fault>> {
-    let collect = CollectOptions { comments: CommentCollectionStrategy::Separate, tokens: true };
-    let result = match jsonc_parser::parse_to_ast(text, &collect, &options()) {
+/// Converts `text` to JSON of the same length by replacing comments and trailing commas with spaces.
+pub fn to_json(text: &str) -> Result<String, Vec<fault::Fault>> {
+    let collect_options =
+        CollectOptions { comments: CommentCollectionStrategy::Separate, tokens: true };
+    let result = match jsonc_parser::parse_to_ast(text, &collect_options, &parse_options()) {
         Ok(result) => result,
         Err(error) => return Err(syntax_fault(text, error.range(), error.kind())),
     };
-    let mut plain = text.as_bytes().to_vec();
+    let mut json = text.as_bytes().to_vec();
     for comments in result.comments.iter().flat_map(|comments| comments.values()) {
-        comments.iter().for_each(|comment| blank(&mut plain, comment_range(comment)));
+        comments
+            .iter()
+            .for_each(|comment| overwrite_with_spaces(&mut json, comment_range(comment)));
     }
     let tokens = result.tokens.unwrap_or_default();
     for pair in tokens.windows(2) {
         let closes = matches!(pair[1].token, Token::CloseBrace | Token::CloseBracket);
         if closes && matches!(pair[0].token, Token::Comma) {
-            blank(&mut plain, pair[0].range);
+            overwrite_with_spaces(&mut json, pair[0].range);
         }
     }
-    Ok(String::from_utf8(plain).expect("whole comments were blanked"))
+    Ok(String::from_utf8(json)
+        .expect("comments are overwritten whole, so no UTF-8 sequence is split"))
 }
 
 fn syntax_fault(
@@ -48,9 +54,9 @@
     range: common::Range,
     kind: &jsonc_parser::errors::ParseErrorKind,
 ) -> Vec<fault::Fault> {
-    let log = fault::Log::new(text);
-    log.add(range.start, format!("not JSON with comments: {kind}"));
-    log.into_faults()
+    let collector = fault::Collector::new(text);
+    collector.add(range.start, format!("not JSON with comments: {kind}"));
+    collector.into_faults()
 }
 
 fn comment_range(comment: &ast::Comment<'_>) -> common::Range {
@@ -60,8 +66,8 @@
     }
 }
 
-/// Blanks bytes; line ends stay, so that lines keep their numbers.
-fn blank(plain: &mut [u8], range: common::Range) {
-    let bytes = &mut plain[range.start..range.end];
+/// Overwrites a range with spaces; line breaks are kept to preserve the line numbers.
+fn overwrite_with_spaces(json: &mut [u8], range: common::Range) {
+    let bytes = &mut json[range.start..range.end];
     bytes.iter_mut().filter(|byte| **byte != b'\n').for_each(|byte| *byte = b' ');
 }
--- a/crates/hyssopfork-test-support/src/token.rs
+++ b/crates/hyssopfork-test-support/src/token.rs
@@ -1,43 +1,45 @@
-//! Tokens of the fake engine: a function of the prompt alone, so that any engine continues what
-//! another began, and a caller can tell its own answer, whole and in order, from any other.
+//! Tokens of the fake engine.
+//!
+//! They depend on the prompt alone, so that any engine can continue the stream of another, and a
+//! client can verify that it received its own response, complete and in order.
 
 use serde_json::{Value, json};
 
-/// Start of a mark in a prompt that the tokens repeat.
+/// Start of a marker in a prompt; the tokens repeat the marker.
 pub const MARK_OPEN: &str = "[#";
-/// End of such a mark.
+/// End of a marker in a prompt.
 pub const MARK_CLOSE: &str = "]";
 
-/// Which of the two completion calls is answered.
+/// Completion endpoint that is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum Endpoint {
     /// `/v1/completions`.
-    Text,
+    Completions,
     /// `/v1/chat/completions`.
-    Chat,
+    ChatCompletions,
 }
 
-/// What a prompt's tokens are named after: its mark, or a hash of the whole.
+/// Returns the stem of the tokens for a prompt: its marker, or else a hash of the prompt.
 pub fn stem(prompt: &str) -> String {
     let after = prompt.split_once(MARK_OPEN).map(|(_, after)| after);
     let mark = after.and_then(|after| after.split_once(MARK_CLOSE)).map(|(mark, _)| mark);
     mark.map_or_else(|| format!("{:016x}", hash(prompt.as_bytes())), str::to_owned)
 }
 
-/// Token number `place` of a prompt's answer.
-pub fn text(stem: &str, place: u64) -> String {
-    format!(" {stem}.{place}")
+/// Returns the token with number `index`.
+pub fn token_text(stem: &str, index: u64) -> String {
+    format!(" {stem}.{index}")
 }
 
-/// One event of a stream, without its end mark.
-pub fn event(shape: Shape, stem: &str, place: u64) -> String {
-    let token = text(stem, place);
-    let body = match shape {
-        Shape::Text => json!({
+/// Returns the event of a stream that carries the token with number `index`.
+pub fn token_event(endpoint: Endpoint, stem: &str, index: u64) -> String {
+    let token = token_text(stem, index);
+    let body = match endpoint {
+        Endpoint::Completions => json!({
             "id": stem, "object": "text_completion",
             "choices": [{ "index": 0, "text": token }],
         }),
-        Shape::Chat => json!({
+        Endpoint::ChatCompletions => json!({
             "id": stem, "object": "chat.completion.chunk",
             "choices": [{ "index": 0, "delta": { "content": token } }],
         }),
@@ -45,19 +47,19 @@
     format!("data: {body}\n\n")
 }
 
-/// End mark of a stream.
-pub const DONE: &str = "data: [DONE]\n\n";
+/// End marker of a stream.
+pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// A whole answer that is not streamed.
-pub fn whole(shape: Shape, stem: &str, count: u64) -> Value {
-    let tokens: String = (0..count).map(|place| text(stem, place)).collect();
+/// Returns the response to a request without streaming.
+pub fn completion(endpoint: Endpoint, stem: &str, count: u64) -> Value {
+    let tokens: String = (0..count).map(|index| token_text(stem, index)).collect();
     let usage = json!({ "completion_tokens": count });
-    match shape {
-        Shape::Text => json!({
+    match endpoint {
+        Endpoint::Completions => json!({
             "id": stem, "object": "text_completion", "usage": usage,
             "choices": [{ "index": 0, "text": tokens, "finish_reason": "length" }],
         }),
-        Shape::Chat => {
+        Endpoint::ChatCompletions => {
             let message = json!({ "role": "assistant", "content": tokens });
             json!({
                 "id": stem, "object": "chat.completion", "usage": usage,
@@ -67,7 +69,7 @@
     }
 }
 
-/// FNV-1a, 64 bits.
+/// Returns the 64-bit FNV-1a hash.
 pub fn hash(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/hyssopfork-test-support/tests/layout.rs
+++ b/crates/hyssopfork-test-support/tests/layout.rs
@@ -1,6 +1,6 @@
-//! The shipped examples lay out to settings that read whole and fit their declarations.
+//! The layouts of the shipped examples give valid settings that match the declarations.
 
-use hyssopfork_settings::{plain, settings};
+use hyssopfork_settings::{jsonc, settings};
 use hyssopfork_test_support::layout;
 use hyssopfork_wire::{configuration, name};
 use std::collections::BTreeSet;
@@ -15,17 +15,17 @@
 
 fn processes(example: &str) -> Vec<layout::Process> {
     let layout = layout::read(&folder(example).join("layout.json")).expect("a layout");
-    layout::draw(&layout, Path::new("/tmp/trial")).expect("free ports")
+    layout::plan_processes(&layout, Path::new("/tmp/trial")).expect("free ports")
 }
 
 fn declaration(example: &str) -> configuration::Configuration {
     let text = std::fs::read_to_string(folder(example).join("fleet.json")).expect("a declaration");
-    let plain = plain::json(&text).expect("JSON with comments");
-    serde_json::from_str(&plain).expect("a configuration")
+    let json = jsonc::to_json(&text).expect("JSON with comments");
+    serde_json::from_str(&json).expect("a configuration")
 }
 
 #[test]
-fn settings_of_every_process_read_whole() {
+fn settings_of_every_process_are_valid() {
     for process in EXAMPLES.into_iter().flat_map(processes) {
         let read = settings::parse(&process.settings.to_string());
 
@@ -36,17 +36,17 @@
 }
 
 #[test]
-fn no_address_is_given_twice() {
+fn addresses_are_unique() {
     let processes = processes("levy-reporting");
 
-    let addresses = processes.iter().flat_map(|process| [process.address, process.metrics]);
+    let addresses = processes.iter().flat_map(|process| [process.address, process.metrics_address]);
     let unique: BTreeSet<SocketAddr> = addresses.collect();
 
     assert_eq!(unique.len(), processes.len() * 2);
 }
 
 #[test]
-fn declarations_name_the_zones_and_pools_that_are_laid_out() {
+fn declarations_contain_the_zones_and_pools_of_the_layouts() {
     for example in EXAMPLES {
         let declared = declaration(example);
         for process in processes(example) {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn examples_have_the_sizes_that_they_stand_for() {
+fn examples_have_the_expected_sizes() {
     for example in EXAMPLES {
         let processes = processes(example);
         let count = |role| processes.iter().filter(|process| process.role == role).count();
