--- a/crates/hyssopfork-cli/src/client.rs
+++ b/crates/hyssopfork-cli/src/client.rs
@@ -7,9 +7,9 @@
 use tarpc::{client, context, serde_transport, tokio_serde};
 
 /// Longest time for one try.
-const TRY_LIMIT: Duration = Duration::from_secs(2);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before the same instances are asked again.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A client of all control instances.
 ///
@@ -19,38 +19,41 @@
 pub struct Client {
     addresses: Vec<net::SocketAddr>,
     current: usize,
-    limit: Duration,
+    timeout: Duration,
 }
 
 /// What one control instance says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
+pub enum Role {
     /// It leads.
-    Leads,
+    #[strum(serialize = "leads")]
+    Leader,
     /// It follows.
-    Follows,
+    #[strum(serialize = "follows")]
+    Follower,
     /// It doesn't answer.
-    Silent,
+    #[strum(serialize = "silent")]
+    Unreachable,
 }
 
 /// Why an instance gave no answer.
-struct Fault {
-    text: String,
+struct Failure {
+    reason: String,
     /// Whether the request may have come there.
-    sent: bool,
+    maybe_received: bool,
 }
 
-enum Step {
-    Done(Box<control::Response>),
-    Elsewhere(Option<net::SocketAddr>),
-    Again,
+enum Outcome {
+    Answered(Box<control::Response>),
+    Redirected(Option<net::SocketAddr>),
+    Retryable,
 }
 
 impl Client {
     /// A client of `addresses`, which gives up on a request after `limit`.
-    pub fn new(addresses: Vec<net::SocketAddr>, limit: Duration) -> Self {
-        Client { addresses, current: 0, limit }
+    pub fn new(addresses: Vec<net::SocketAddr>, timeout: Duration) -> Self {
+        Client { addresses, current: 0, timeout }
     }
 
     /// Asks until the leader has answered or the time is up.
@@ -58,112 +61,122 @@
         &mut self,
         request: &control::Request,
     ) -> Result<control::Response, error::Error> {
-        let deadline = Instant::now() + self.limit;
-        let mut tried: Vec<(net::SocketAddr, String)> = Vec::new();
-        let mut sent = false;
+        let deadline = Instant::now() + self.timeout;
+        let mut failures: Vec<(net::SocketAddr, String)> = Vec::new();
+        let mut maybe_received = false;
         while Instant::now() < deadline {
             let address = self.addresses[self.current];
-            let left = deadline.saturating_duration_since(Instant::now());
-            match ask(address, request, left.min(TRY_LIMIT)).await.map(judge) {
-                Ok(Ok(Step::Done(response))) => return Ok(*response),
-                Ok(Ok(Step::Elsewhere(leader))) => {
-                    note(&mut tried, address, "does not lead".into());
-                    self.turn_to(leader).await;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match call_with_timeout(address, request, remaining.min(ATTEMPT_TIMEOUT))
+                .await
+                .map(classify)
+            {
+                Ok(Ok(Outcome::Answered(response))) => return Ok(*response),
+                Ok(Ok(Outcome::Redirected(leader))) => {
+                    record_failure(&mut failures, address, "does not lead".into());
+                    self.select_next(leader).await;
                 }
-                Ok(Ok(Step::Again)) => {
-                    sent = true;
-                    note(&mut tried, address, "cannot answer now".into());
-                    self.turn_to(None).await;
+                Ok(Ok(Outcome::Retryable)) => {
+                    maybe_received = true;
+                    record_failure(&mut failures, address, "cannot answer now".into());
+                    self.select_next(None).await;
                 }
                 Ok(Err(error)) => return Err(error),
-                Err(fault) => {
-                    sent |= fault.sent;
-                    note(&mut tried, address, fault.text);
-                    self.turn_to(None).await;
+                Err(failure) => {
+                    maybe_received |= failure.maybe_received;
+                    record_failure(&mut failures, address, failure.reason);
+                    self.select_next(None).await;
                 }
             }
         }
-        Err(error::Error::Unreachable(tried, sent))
+        Err(error::Error::Unreachable(failures, maybe_received))
     }
 
     /// The whole view and who holds leases.
     pub async fn status(&mut self) -> Result<control::Status, error::Error> {
         match self.call(&control::Request::Status).await? {
             control::Response::Status(status) => Ok(*status),
-            _ => Err(error::Error::Unexpected),
+            _ => Err(error::Error::UnexpectedResponse),
         }
     }
 
     /// Asks every instance by itself.
-    pub async fn standings(&self) -> Vec<(net::SocketAddr, Standing)> {
-        let asked = self.addresses.iter().map(|&address| async move {
-            let answer = ask(address, &control::Request::Status, TRY_LIMIT).await;
-            let standing = match answer {
-                Ok(control::Response::Status(_)) => Standing::Leads,
-                Ok(_) => Standing::Follows,
-                Err(_) => Standing::Silent,
+    pub async fn roles(&self) -> Vec<(net::SocketAddr, Role)> {
+        let queries = self.addresses.iter().map(|&address| async move {
+            let response =
+                call_with_timeout(address, &control::Request::Status, ATTEMPT_TIMEOUT).await;
+            let role = match response {
+                Ok(control::Response::Status(_)) => Role::Leader,
+                Ok(_) => Role::Follower,
+                Err(_) => Role::Unreachable,
             };
-            (address, standing)
+            (address, role)
         });
-        futures::future::join_all(asked).await
+        futures::future::join_all(queries).await
     }
 
     /// Takes the leader where it is known, or else the next instance after a pause.
-    async fn turn_to(&mut self, leader: Option<net::SocketAddr>) {
+    async fn select_next(&mut self, leader: Option<net::SocketAddr>) {
         if let Some(leader) = leader.filter(|&leader| leader != self.addresses[self.current]) {
-            let known = self.addresses.iter().position(|&address| address == leader);
-            self.current = known.unwrap_or_else(|| {
+            let position = self.addresses.iter().position(|&address| address == leader);
+            self.current = position.unwrap_or_else(|| {
                 self.addresses.push(leader);
                 self.addresses.len() - 1
             });
             return;
         }
         self.current = (self.current + 1) % self.addresses.len();
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-fn judge(response: control::Response) -> Result<Step, error::Error> {
+fn classify(response: control::Response) -> Result<Outcome, error::Error> {
     match response {
-        control::Response::NotLeader(leader) => Ok(Step::Elsewhere(leader)),
-        control::Response::Unavailable | control::Response::Unknown => Ok(Step::Again),
+        control::Response::NotLeader(leader) => Ok(Outcome::Redirected(leader)),
+        control::Response::Unavailable | control::Response::Unknown => Ok(Outcome::Retryable),
         control::Response::Protocol { version: speaks } => Err(error::Error::Protocol(speaks)),
-        response => Ok(Step::Done(Box::new(response))),
+        response => Ok(Outcome::Answered(Box::new(response))),
     }
 }
 
 /// Keeps the last fault of each address.
-fn note(tried: &mut Vec<(net::SocketAddr, String)>, address: net::SocketAddr, fault: String) {
-    match tried.iter_mut().find(|(known, _)| *known == address) {
-        Some(entry) => entry.1 = fault,
-        None => tried.push((address, fault)),
+fn record_failure(
+    failures: &mut Vec<(net::SocketAddr, String)>,
+    address: net::SocketAddr,
+    reason: String,
+) {
+    match failures.iter_mut().find(|(known, _)| *known == address) {
+        Some(entry) => entry.1 = reason,
+        None => failures.push((address, reason)),
     }
 }
 
-async fn ask(
+async fn call_with_timeout(
     address: net::SocketAddr,
     request: &control::Request,
     limit: Duration,
-) -> Result<control::Response, Fault> {
-    let answer = actix_rt::time::timeout(limit, exchange(address, request, limit)).await;
-    let text = || format!("no answer within {} ms", limit.as_millis());
-    answer.unwrap_or_else(|_| Err(Fault { text: text(), sent: true }))
+) -> Result<control::Response, Failure> {
+    let response = actix_rt::time::timeout(limit, connect_and_call(address, request, limit)).await;
+    let reason = || format!("no answer within {} ms", limit.as_millis());
+    response.unwrap_or_else(|_| Err(Failure { reason: reason(), maybe_received: true }))
 }
 
-async fn exchange(
+async fn connect_and_call(
     address: net::SocketAddr,
     request: &control::Request,
     limit: Duration,
-) -> Result<control::Response, Fault> {
+) -> Result<control::Response, Failure> {
     let format = tokio_serde::formats::Bincode::default;
     let transport = serde_transport::tcp::connect(address, format).await;
-    let transport = transport
-        .map_err(|cause| Fault { text: format!("cannot connect: {cause}"), sent: false })?;
+    let transport = transport.map_err(|cause| Failure {
+        reason: format!("cannot connect: {cause}"),
+        maybe_received: false,
+    })?;
     let client = control::ControlClient::new(client::Config::default(), transport).spawn();
     let mut context = context::current();
     context.deadline = Instant::now() + limit;
-    let answer = client.call(context, envelope::Envelope::new(request.clone())).await;
-    answer.map_err(|cause| Fault { text: describe(&cause), sent: true })
+    let response = client.call(context, envelope::Envelope::new(request.clone())).await;
+    response.map_err(|cause| Failure { reason: describe(&cause), maybe_received: true })
 }
 
 fn describe(cause: &client::RpcError) -> String {
--- a/crates/hyssopfork-cli/src/command/check_history.rs
+++ b/crates/hyssopfork-cli/src/command/check_history.rs
@@ -8,7 +8,7 @@
 use std::{net, path};
 
 /// Time that a back end has to tell its counts.
-const LIMIT: Duration = Duration::from_secs(5);
+const COUNTS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Examples of the command.
 pub const EXAMPLES: &[&str] =
@@ -17,7 +17,7 @@
 /// The command.
 pub fn command() -> Command {
     let about = "Check histories against what back ends ran; exit code 1 if anything did not hold";
-    super::described("check-history", about, EXAMPLES)
+    super::leaf_command("check-history", about, EXAMPLES)
         .arg(
             Arg::new("files")
                 .value_name("FILE")
@@ -53,15 +53,18 @@
     }
     let verdict = history::check(&lines, &counts);
     let text = match context.output {
-        output::Output::Json => output::json(&verdict),
-        output::Output::Table => render(&verdict),
+        output::Format::Json => output::to_json(&verdict),
+        output::Format::Table => render(&verdict),
     };
-    Ok(output::Report { text, code: if verdict.held() { 0 } else { error::FOUND } })
+    Ok(output::Report {
+        text,
+        exit_code: if verdict.is_consistent() { 0 } else { error::CHECK_FAILED },
+    })
 }
 
 async fn read_counts(address: net::SocketAddr) -> Result<history::Counts, error::Error> {
-    let failed = |cause: String| error::Error::Counts(address, cause);
-    let body = actix_rt::time::timeout(LIMIT, fetch(address)).await;
+    let failed = |cause: String| error::Error::CountsUnavailable(address, cause);
+    let body = actix_rt::time::timeout(COUNTS_TIMEOUT, fetch(address)).await;
     let body = body.map_err(|_| failed("no answer in time".into()))?;
     let body = body.map_err(|cause| failed(cause.to_string()))?;
     serde_json::from_slice(&body).map_err(|cause| failed(cause.to_string()))
@@ -77,16 +80,16 @@
 
 fn render(verdict: &history::Verdict) -> String {
     let mut table = output::Table::new(&["ENDED AS", "REQUESTS"]);
-    for (kind, count) in &verdict.kinds {
-        table.row([kind.to_string(), count.to_string()]);
+    for (kind, count) in &verdict.outcomes {
+        table.add_row([kind.to_string(), count.to_string()]);
     }
-    let held = if verdict.held() {
+    let result = if verdict.is_consistent() {
         "all held: whole answers, true refusals, at most one run for each of the compared\n".into()
     } else {
         format!("DID NOT HOLD:\n  {}\n", verdict.violations.join("\n  "))
     };
     format!(
-        "{}{} requests, {} pieces of non-repeatable work compared with what back ends ran\n{held}",
+        "{}{} requests, {} pieces of non-repeatable work compared with what back ends ran\n{result}",
         table.render(),
         verdict.requests,
         verdict.compared
--- a/crates/hyssopfork-cli/src/command/config/check.rs
+++ b/crates/hyssopfork-cli/src/command/config/check.rs
@@ -9,7 +9,7 @@
 
 /// The command.
 pub fn command() -> Command {
-    super::super::described("check", "Check a declaration without submitting it", EXAMPLES)
+    super::super::leaf_command("check", "Check a declaration without submitting it", EXAMPLES)
         .arg(super::file_argument())
 }
 
@@ -37,8 +37,8 @@
         teams: declared.teams.len(),
     };
     let text = match context.output {
-        output::Output::Json => output::json(&summary),
-        output::Output::Table => format!(
+        output::Format::Json => output::to_json(&summary),
+        output::Format::Table => format!(
             "{} is well formed: {} zones, {} pools, {} groups, {} routes, {} teams\n",
             path.display(),
             summary.zones,
@@ -48,5 +48,5 @@
             summary.teams
         ),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
--- a/crates/hyssopfork-cli/src/command/config/diff.rs
+++ b/crates/hyssopfork-cli/src/command/config/diff.rs
@@ -9,7 +9,7 @@
 /// The command.
 pub fn command() -> Command {
     let about = "Compare a declaration with the configuration in force; exit code 1 if they differ";
-    super::super::described("diff", about, EXAMPLES).arg(super::file_argument())
+    super::super::leaf_command("diff", about, EXAMPLES).arg(super::file_argument())
 }
 
 /// Runs it.
@@ -20,12 +20,12 @@
     let declared = declaration::read(super::file(matches))?;
     let in_force = context.client()?.status().await?.view.configuration;
     let differences = declaration::differences(&in_force, &declared);
-    let code = if differences.is_empty() { 0 } else { error::FOUND };
+    let code = if differences.is_empty() { 0 } else { error::CHECK_FAILED };
     let text = match context.output {
-        output::Output::Json => output::json(&differences),
-        output::Output::Table => render(in_force.number.0, &differences),
+        output::Format::Json => output::to_json(&differences),
+        output::Format::Table => render(in_force.number.0, &differences),
     };
-    Ok(output::Report { text, code })
+    Ok(output::Report { text, exit_code: code })
 }
 
 fn render(number: u64, differences: &[declaration::Difference]) -> String {
@@ -35,10 +35,10 @@
     let mut text = format!("differences from configuration {number}:\n");
     for difference in differences {
         if let Some(value) = &difference.in_force {
-            text.push_str(&format!("- {}: {value}\n", difference.at));
+            text.push_str(&format!("- {}: {value}\n", difference.path));
         }
         if let Some(value) = &difference.declared {
-            text.push_str(&format!("+ {}: {value}\n", difference.at));
+            text.push_str(&format!("+ {}: {value}\n", difference.path));
         }
     }
     text
--- a/crates/hyssopfork-cli/src/command/config/history.rs
+++ b/crates/hyssopfork-cli/src/command/config/history.rs
@@ -18,7 +18,8 @@
         .default_value("0")
         .value_parser(clap::value_parser!(u64))
         .help("Only patches after this number");
-    super::super::described("history", "Show accepted patches, oldest first", EXAMPLES).arg(since)
+    super::super::leaf_command("history", "Show accepted patches, oldest first", EXAMPLES)
+        .arg(since)
 }
 
 /// Runs it.
@@ -29,19 +30,19 @@
     let since = *matches.get_one::<u64>("since").expect("has a default");
     let request = control::Request::History(number::Configuration(since));
     let control::Response::History(records) = context.client()?.call(&request).await? else {
-        return Err(error::Error::Unexpected);
+        return Err(error::Error::UnexpectedResponse);
     };
     let text = match context.output {
-        output::Output::Json => output::json(&records),
-        output::Output::Table => render(&records),
+        output::Format::Json => output::to_json(&records),
+        output::Format::Table => render(&records),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
 fn render(records: &[patch::Record]) -> String {
     let mut table = output::Table::new(&["NUMBER", "BY", "IDENTIFIER", "CHANGE"]);
     for record in records {
-        table.row([
+        table.add_row([
             record.number.to_string(),
             record.author.to_string(),
             record.identifier.0.clone(),
--- a/crates/hyssopfork-cli/src/command/config/mod.rs
+++ b/crates/hyssopfork-cli/src/command/config/mod.rs
@@ -14,7 +14,7 @@
 pub fn command() -> Command {
     let commands =
         [show::command(), check::command(), diff::command(), submit::command(), history::command()];
-    super::family("config", "Show, check and change the declared configuration", commands)
+    super::parent_command("config", "Show, check and change the declared configuration", commands)
 }
 
 /// Runs the command that was parsed.
--- a/crates/hyssopfork-cli/src/command/config/show.rs
+++ b/crates/hyssopfork-cli/src/command/config/show.rs
@@ -11,18 +11,18 @@
 
 /// The command.
 pub fn command() -> Command {
-    super::super::described("show", "Show the configuration in force as a declaration", EXAMPLES)
+    super::super::leaf_command("show", "Show the configuration in force as a declaration", EXAMPLES)
 }
 
 /// Runs it.
 pub async fn run(context: &mut context::Context) -> Result<output::Report, error::Error> {
     let configuration = context.client()?.status().await?.view.configuration;
-    let declaration = output::json(&configuration);
+    let declaration = output::to_json(&configuration);
     let text = match context.output {
-        output::Output::Json => declaration,
-        output::Output::Table => {
+        output::Format::Json => declaration,
+        output::Format::Table => {
             format!("// Configuration {} in force.\n{declaration}", configuration.number)
         }
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
--- a/crates/hyssopfork-cli/src/command/config/submit.rs
+++ b/crates/hyssopfork-cli/src/command/config/submit.rs
@@ -12,10 +12,14 @@
 
 /// The command.
 pub fn command() -> Command {
-    super::super::described("submit", "Submit a declaration as the whole configuration", EXAMPLES)
-        .arg(super::file_argument())
-        .arg(submission::base_argument().required(true))
-        .arg(submission::identifier_argument())
+    super::super::leaf_command(
+        "submit",
+        "Submit a declaration as the whole configuration",
+        EXAMPLES,
+    )
+    .arg(super::file_argument())
+    .arg(submission::base_argument().required(true))
+    .arg(submission::identifier_argument())
 }
 
 /// Runs it.
--- a/crates/hyssopfork-cli/src/command/explain.rs
+++ b/crates/hyssopfork-cli/src/command/explain.rs
@@ -12,7 +12,7 @@
 pub fn command() -> Command {
     let about = "Tell one request's story from logs, with what the processes believed meanwhile; \
                  exit code 1 if something is missing";
-    super::described("explain", about, EXAMPLES)
+    super::leaf_command("explain", about, EXAMPLES)
         .arg(
             Arg::new("request")
                 .value_name("ID")
@@ -35,37 +35,41 @@
     context: &mut context::Context,
 ) -> Result<output::Report, error::Error> {
     let request = matches.get_one::<String>("request").expect("required by the parser");
-    let (mut lines, mut unread) = (Vec::new(), 0);
+    let (mut lines, mut skipped) = (Vec::new(), 0);
     for path in matches.get_many::<path::PathBuf>("files").expect("required by the parser") {
-        let (read, left_out) = explain::read(path)?;
-        lines.extend(read);
-        unread += left_out;
+        let (parsed, skipped_in_file) = explain::read(path)?;
+        lines.extend(parsed);
+        skipped += skipped_in_file;
     }
-    let Some(mut story) = explain::tell(&lines, request) else {
+    let Some(mut timeline) = explain::build_timeline(&lines, request) else {
         return Err(error::Error::NoSuchRequest(request.clone(), lines.len()));
     };
-    if unread > 0 {
-        story.missing.push(format!("{unread} lines are no numbered events and were left out"));
+    if skipped > 0 {
+        timeline.missing.push(format!("{skipped} lines are no numbered events and were left out"));
     }
     let text = match context.output {
-        output::Output::Json => output::json(&story),
-        output::Output::Table => render(&story),
+        output::Format::Json => output::to_json(&timeline),
+        output::Format::Table => render(&timeline),
     };
-    Ok(output::Report { text, code: if story.missing.is_empty() { 0 } else { error::FOUND } })
+    Ok(output::Report {
+        text,
+        exit_code: if timeline.missing.is_empty() { 0 } else { error::CHECK_FAILED },
+    })
 }
 
-fn render(story: &explain::Story) -> String {
+fn render(timeline: &explain::Timeline) -> String {
     let mut table = output::Table::new(&["", "TIME", "PROCESS", "EVENT", "WHAT"]);
-    for told in &story.lines {
-        let line = &told.line;
-        table.row([
-            if told.own { "*".to_owned() } else { String::new() },
-            line.at.time().to_string(),
+    for entry in &timeline.lines {
+        let line = &entry.line;
+        table.add_row([
+            if entry.own { "*".to_owned() } else { String::new() },
+            line.timestamp.time().to_string(),
             line.process.clone(),
             line.name.clone(),
             line.message.clone(),
         ]);
     }
-    let missing: Vec<String> = story.missing.iter().map(|it| format!("missing: {it}\n")).collect();
+    let missing: Vec<String> =
+        timeline.missing.iter().map(|it| format!("missing: {it}\n")).collect();
     format!("{}* the request's own lines\n{}", table.render(), missing.concat())
 }
--- a/crates/hyssopfork-cli/src/command/group/create.rs
+++ b/crates/hyssopfork-cli/src/command/group/create.rs
@@ -19,7 +19,7 @@
     };
     let number = clap::value_parser!(u32);
     let priority = Arg::new("priority").long("priority").value_name("N").default_value("0");
-    super::super::described(
+    super::super::leaf_command(
         "create",
         "Create a serving group, or replace its declaration",
         EXAMPLES,
--- a/crates/hyssopfork-cli/src/command/group/list.rs
+++ b/crates/hyssopfork-cli/src/command/group/list.rs
@@ -1,6 +1,6 @@
 //! `group list`: declared serving groups and where they stand.
 
-use crate::{context, error, output, screen};
+use crate::{context, error, output, overview};
 use clap::{ArgMatches, Command};
 
 /// Examples of the command.
@@ -8,7 +8,7 @@
 
 /// The command.
 pub fn command() -> Command {
-    super::super::described("list", "List serving groups with their members", EXAMPLES)
+    super::super::leaf_command("list", "List serving groups with their members", EXAMPLES)
 }
 
 /// Runs it.
@@ -16,22 +16,22 @@
     _: &ArgMatches,
     context: &mut context::Context,
 ) -> Result<output::Report, error::Error> {
-    let groups = screen::draw(&context.client()?.status().await?).groups;
+    let groups = overview::build(&context.client()?.status().await?).groups;
     let text = match context.output {
-        output::Output::Json => output::json(&groups),
-        output::Output::Table => render(&groups),
+        output::Format::Json => output::to_json(&groups),
+        output::Format::Table => render(&groups),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
 /// Groups as a table.
-pub fn render(groups: &[screen::Group]) -> String {
+pub fn render(groups: &[overview::Group]) -> String {
     let mut table =
         output::Table::new(&["GROUP", "STATE", "ZONE", "FENCE", "RUNNING", "MEMBERS", "MISSING"]);
     for group in groups {
-        table.row([
+        table.add_row([
             group.group.to_string(),
-            group.standing.to_string(),
+            group.state.to_string(),
             group.zone.as_ref().map_or_else(|| "-".into(), ToString::to_string),
             group.fence.map_or_else(|| "-".into(), |fence| fence.to_string()),
             group.running.to_string(),
--- a/crates/hyssopfork-cli/src/command/group/mod.rs
+++ b/crates/hyssopfork-cli/src/command/group/mod.rs
@@ -10,7 +10,7 @@
 /// The family.
 pub fn command() -> Command {
     let commands = [list::command(), create::command(), remove::command()];
-    super::family("group", "List, create and remove serving groups", commands)
+    super::parent_command("group", "List, create and remove serving groups", commands)
 }
 
 /// Runs the command that was parsed.
--- a/crates/hyssopfork-cli/src/command/group/remove.rs
+++ b/crates/hyssopfork-cli/src/command/group/remove.rs
@@ -10,10 +10,14 @@
 /// The command.
 pub fn command() -> Command {
     let group = Arg::new("group").value_name("GROUP").required(true).help("Serving group");
-    super::super::described("remove", "Remove a serving group; its instances become free", EXAMPLES)
-        .arg(group)
-        .arg(submission::base_argument())
-        .arg(submission::identifier_argument())
+    super::super::leaf_command(
+        "remove",
+        "Remove a serving group; its instances become free",
+        EXAMPLES,
+    )
+    .arg(group)
+    .arg(submission::base_argument())
+    .arg(submission::identifier_argument())
 }
 
 /// Runs it.
--- a/crates/hyssopfork-cli/src/command/instance/list.rs
+++ b/crates/hyssopfork-cli/src/command/instance/list.rs
@@ -1,6 +1,6 @@
 //! `instance list`: every process that holds a lease or announced itself.
 
-use crate::{context, error, output, screen};
+use crate::{context, error, output, overview};
 use clap::Command;
 use hyssopfork_wire::control;
 use serde::Serialize;
@@ -10,7 +10,7 @@
 
 /// The command.
 pub fn command() -> Command {
-    super::super::described("list", "List every instance with its role and lease", EXAMPLES)
+    super::super::leaf_command("list", "List every instance with its role and lease", EXAMPLES)
 }
 
 #[derive(Serialize)]
@@ -30,16 +30,16 @@
     let status = context.client()?.status().await?;
     let rows = rows(&status);
     let text = match context.output {
-        output::Output::Json => output::json(&rows),
-        output::Output::Table => render(&rows),
+        output::Format::Json => output::to_json(&rows),
+        output::Format::Table => render(&rows),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
 fn rows(status: &control::Status) -> Vec<Row> {
-    let drawn = screen::draw(status);
+    let overview = overview::build(status);
     let row = |holding: &control::Holding| {
-        let known = drawn.instances.iter().find(|known| known.instance == holding.instance);
+        let known = overview.instances.iter().find(|known| known.instance == holding.instance);
         let condition = known.filter(|_| holding.agent).map(|known| known.condition.to_string());
         Row {
             instance: holding.instance.to_string(),
@@ -56,7 +56,7 @@
     let mut table =
         output::Table::new(&["INSTANCE", "ROLE", "VERSION", "LEASE AGE MS", "CONDITION"]);
     for row in rows {
-        table.row([
+        table.add_row([
             row.instance.clone(),
             row.role.into(),
             row.version.to_string(),
--- a/crates/hyssopfork-cli/src/command/instance/mod.rs
+++ b/crates/hyssopfork-cli/src/command/instance/mod.rs
@@ -8,7 +8,7 @@
 /// The family.
 pub fn command() -> Command {
     let commands = [list::command()];
-    super::family("instance", "List instances", commands)
+    super::parent_command("instance", "List instances", commands)
 }
 
 /// Runs the command that was parsed.
--- a/crates/hyssopfork-cli/src/command/load.rs
+++ b/crates/hyssopfork-cli/src/command/load.rs
@@ -16,7 +16,7 @@
 
 /// The command.
 pub fn command() -> Command {
-    super::described("load", "Send requests at a rate and tell what callers received", EXAMPLES)
+    super::leaf_command("load", "Send requests at a rate and tell what callers received", EXAMPLES)
         .arg(
             Arg::new("plan")
                 .value_name("PLAN")
@@ -34,7 +34,7 @@
                 .value_parser(clap::value_parser!(net::SocketAddr))
                 .help("Entries, used in turn"),
         )
-        .args(numbers())
+        .args(number_arguments())
         .arg(
             Arg::new("arrivals")
                 .long("arrivals")
@@ -58,7 +58,7 @@
         )
 }
 
-fn numbers() -> [Arg; 6] {
+fn number_arguments() -> [Arg; 6] {
     let number = |id: &'static str, default: &'static str, least: u64, help: &'static str| {
         let parser = builder::RangedU64ValueParser::<u64>::new().range(least..=1_000_000);
         let argument = Arg::new(id).long(id).value_name("N").default_value(default);
@@ -79,31 +79,31 @@
     matches: &ArgMatches,
     context: &mut context::Context,
 ) -> Result<output::Report, error::Error> {
-    let order = order(matches)?;
-    let lines = run::run(order).await;
+    let options = read_options(matches)?;
+    let records = run::run(options).await;
     if let Some(path) = matches.get_one::<path::PathBuf>("history") {
-        write(path, &lines)?;
+        write_history(path, &records)?;
     }
-    let summary = summary::sum(&lines);
+    let summary = summary::summarize(&records);
     let text = match context.output {
-        output::Output::Json => output::json(&summary),
-        output::Output::Table => summary.render(),
+        output::Format::Json => output::to_json(&summary),
+        output::Format::Table => summary.render(),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
-fn order(matches: &ArgMatches) -> Result<run::Order, error::Error> {
+fn read_options(matches: &ArgMatches) -> Result<run::Options, error::Error> {
     let path = matches.get_one::<path::PathBuf>("plan").expect("required by the parser");
     let plan: plan::Plan = declaration::read_json(path)?;
-    let faults = plan.faults();
+    let faults = plan.validate();
     if !faults.is_empty() {
-        return Err(error::Error::Faulty(path.clone(), faults));
+        return Err(error::Error::InvalidFile(path.clone(), faults));
     }
     let number = |id| *matches.get_one::<u64>(id).expect("has a default");
     let text = |id| matches.get_one::<String>(id).expect("has a default").as_str();
     let entries = matches.get_many::<net::SocketAddr>("entry").expect("required by the parser");
     let arrivals: schedule::Arrivals = text("arrivals").parse().expect("checked by the parser");
-    Ok(run::Order {
+    Ok(run::Options {
         entries: entries.copied().collect(),
         plan,
         rate: number("rate") as f64,
@@ -111,13 +111,13 @@
         duration: Duration::from_secs(number("duration-s")),
         seed: number("seed"),
         resend_percent: number("resend-percent") as u32,
-        limit: Duration::from_millis(number("caller-timeout-ms")),
-        outstanding: number("outstanding") as usize,
-        label: text("label").to_owned(),
+        request_timeout: Duration::from_millis(number("caller-timeout-ms")),
+        max_in_flight: number("outstanding") as usize,
+        reference_prefix: text("label").to_owned(),
     })
 }
 
-fn write(path: &path::Path, lines: &[history::Line]) -> Result<(), error::Error> {
-    let text: String = lines.iter().map(output::json_line).collect();
+fn write_history(path: &path::Path, records: &[history::Record]) -> Result<(), error::Error> {
+    let text: String = records.iter().map(output::to_json_line).collect();
     fs::write(path, text).map_err(|cause| error::Error::File(path.to_owned(), cause))
 }
--- a/crates/hyssopfork-cli/src/command/mod.rs
+++ b/crates/hyssopfork-cli/src/command/mod.rs
@@ -19,7 +19,7 @@
     Command::new("hyssopfork")
         .about("Operate a hyssopfork fleet")
         .version(clap::crate_version!())
-        .after_help(error::CODES)
+        .after_help(error::EXIT_CODES)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .args(context::arguments())
@@ -58,13 +58,13 @@
 }
 
 /// A command with its examples in the help.
-fn described(name: &'static str, about: &'static str, examples: &[&str]) -> Command {
+fn leaf_command(name: &'static str, about: &'static str, examples: &[&str]) -> Command {
     let lines: Vec<String> = examples.iter().map(|example| format!("  {example}")).collect();
     Command::new(name).about(about).after_help(format!("Examples:\n{}", lines.join("\n")))
 }
 
 /// A family of commands.
-fn family(
+fn parent_command(
     name: &'static str,
     about: &'static str,
     commands: impl IntoIterator<Item = Command>,
--- a/crates/hyssopfork-cli/src/command/status.rs
+++ b/crates/hyssopfork-cli/src/command/status.rs
@@ -1,7 +1,7 @@
 //! `status`: the state of the fleet on one screen.
 
 use super::group;
-use crate::{client, context, error, output, screen, traffic};
+use crate::{client, context, error, output, overview, traffic};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use serde::Serialize;
 use std::net;
@@ -26,23 +26,24 @@
         .value_delimiter(',')
         .value_parser(clap::value_parser!(net::SocketAddr))
         .help("`metrics_listen` of entries, to show queues and refusals of each team");
-    super::described("status", "Show the whole fleet on one screen", EXAMPLES)
+    super::leaf_command("status", "Show the whole fleet on one screen", EXAMPLES)
         .arg(check)
         .arg(metrics)
 }
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct Document<'a> {
     control: Vec<Row>,
     traffic: Option<&'a traffic::Traffic>,
     #[serde(flatten)]
-    screen: &'a screen::Screen,
+    overview: &'a overview::Overview,
 }
 
 #[derive(Serialize)]
 struct Row {
     address: net::SocketAddr,
-    standing: String,
+    #[serde(rename = "standing")]
+    role: String,
 }
 
 /// Runs it.
@@ -52,80 +53,83 @@
 ) -> Result<output::Report, error::Error> {
     let output = context.output;
     let client = context.client()?;
-    let screen = screen::draw(&client.status().await?);
-    let standings = client.standings().await;
+    let overview = overview::build(&client.status().await?);
+    let roles = client.roles().await;
     let traffic = match matches.get_many::<net::SocketAddr>("entry-metrics") {
-        Some(addresses) => Some(traffic::ask(&addresses.copied().collect::<Vec<_>>()).await),
+        Some(addresses) => Some(traffic::collect(&addresses.copied().collect::<Vec<_>>()).await),
         None => None,
     };
     let text = match output {
-        output::Output::Json => output::json(&Shown {
-            control: rows(&standings),
+        output::Format::Json => output::to_json(&Document {
+            control: control_rows(&roles),
             traffic: traffic.as_ref(),
-            screen: &screen,
+            overview: &overview,
         }),
-        output::Output::Table => render(&screen, &standings, traffic.as_ref()),
+        output::Format::Table => render(&overview, &roles, traffic.as_ref()),
     };
-    let unwell = matches.get_flag("check") && !screen.is_well();
-    Ok(output::Report { text, code: if unwell { error::FOUND } else { 0 } })
+    let is_unhealthy = matches.get_flag("check") && !overview.is_healthy();
+    Ok(output::Report { text, exit_code: if is_unhealthy { error::CHECK_FAILED } else { 0 } })
 }
 
-fn rows(standings: &[(net::SocketAddr, client::Standing)]) -> Vec<Row> {
-    let row = |&(address, standing): &(net::SocketAddr, client::Standing)| Row {
+fn control_rows(roles: &[(net::SocketAddr, client::Role)]) -> Vec<Row> {
+    let row = |&(address, role): &(net::SocketAddr, client::Role)| Row {
         address,
-        standing: standing.to_string(),
+        role: role.to_string(),
     };
-    standings.iter().map(row).collect()
+    roles.iter().map(row).collect()
 }
 
 fn render(
-    screen: &screen::Screen,
-    standings: &[(net::SocketAddr, client::Standing)],
+    overview: &overview::Overview,
+    roles: &[(net::SocketAddr, client::Role)],
     traffic: Option<&traffic::Traffic>,
 ) -> String {
     let mut parts = vec![
-        head(screen),
-        control(standings),
-        zones(&screen.zones),
-        group::list::render(&screen.groups),
-        troubles(screen),
+        render_head(overview),
+        render_control(roles),
+        render_zones(&overview.zones),
+        group::list::render(&overview.groups),
+        render_attention(overview),
     ];
     parts.extend(traffic.map(traffic::Traffic::render));
     parts.join("\n")
 }
 
-fn head(screen: &screen::Screen) -> String {
-    let force = if screen.behind.is_empty() {
-        format!("in force everywhere ({} processes, {} entries)", screen.holders, screen.entries)
+fn render_head(overview: &overview::Overview) -> String {
+    let rollout = if overview.laggards.is_empty() {
+        format!(
+            "in force everywhere ({} processes, {} entries)",
+            overview.holders, overview.entries
+        )
     } else {
-        let behind = screen.behind.len();
-        format!("NOT YET reported in force by {behind} of {} processes (below)", screen.holders)
+        let count = overview.laggards.len();
+        format!("NOT YET reported in force by {count} of {} processes (below)", overview.holders)
     };
     format!(
-        "configuration {}  {force}\nleader {}  term {}  committed {}  view {}  stranded \
+        "configuration {}  {rollout}\nleader {}  term {}  committed {}  view {}  stranded \
          accelerators {}\n",
-        screen.configuration,
-        screen.leader,
-        screen.term,
-        screen.committed,
-        screen.version,
-        screen.stranded
+        overview.configuration,
+        overview.leader,
+        overview.term,
+        overview.committed,
+        overview.version,
+        overview.stranded
     )
 }
 
-fn control(standings: &[(net::SocketAddr, client::Standing)]) -> String {
+fn render_control(roles: &[(net::SocketAddr, client::Role)]) -> String {
     let mut table = output::Table::new(&["CONTROL", "STATE"]);
-    for (address, standing) in standings {
-        table.row([address.to_string(), standing.to_string()]);
+    for (address, role) in roles {
+        table.add_row([address.to_string(), role.to_string()]);
     }
     table.render()
 }
 
-fn zones(zones: &[screen::Zone]) -> String {
+fn render_zones(zones: &[overview::Zone]) -> String {
     let mut table =
         output::Table::new(&["ZONE", "STATE", "GROUPS SERVING", "PRESENT", "MISSING", "COLD"]);
     for zone in zones {
-        table.row([
+        table.add_row([
             zone.zone.to_string(),
             if zone.out { "OUT".into() } else { "in service".into() },
             zone.serving.to_string(),
@@ -138,24 +142,24 @@
 }
 
 /// Instances that need a look, and processes that are behind.
-fn troubles(screen: &screen::Screen) -> String {
+fn render_attention(overview: &overview::Overview) -> String {
     let mut table = output::Table::new(&["NEEDS A LOOK", "ZONE", "GROUP", "WHY"]);
-    let unwell =
-        |instance: &&screen::Instance| !matches!(instance.condition, screen::Condition::Ready);
-    for instance in screen.instances.iter().filter(unwell) {
-        table.row([
+    let needs_attention =
+        |instance: &&overview::Instance| !matches!(instance.condition, overview::Condition::Ready);
+    for instance in overview.instances.iter().filter(needs_attention) {
+        table.add_row([
             instance.instance.to_string(),
             instance.zone.to_string(),
             instance.group.as_ref().map_or_else(|| "-".into(), ToString::to_string),
             instance.condition.to_string(),
         ]);
     }
-    for behind in &screen.behind {
-        let why = format!("acts on view {} of {}", behind.version, screen.version);
-        table.row([behind.instance.to_string(), "-".into(), "-".into(), why]);
+    for laggard in &overview.laggards {
+        let reason = format!("acts on view {} of {}", laggard.version, overview.version);
+        table.add_row([laggard.instance.to_string(), "-".into(), "-".into(), reason]);
     }
-    for lapsed in &screen.lapsed {
-        table.row([lapsed.to_string(), "-".into(), "-".into(), "its lease has lapsed".into()]);
+    for lapsed in &overview.lapsed {
+        table.add_row([lapsed.to_string(), "-".into(), "-".into(), "its lease has lapsed".into()]);
     }
     table.render()
 }
--- a/crates/hyssopfork-cli/src/command/upstream/drain.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/drain.rs
@@ -20,7 +20,7 @@
         .long("unannounced")
         .action(ArgAction::SetTrue)
         .help("Also where no such instance has announced itself yet");
-    super::super::described(
+    super::super::leaf_command(
         "drain",
         "Drain an upstream: it finishes what runs and gets no new work",
         EXAMPLES,
@@ -52,7 +52,7 @@
     if context.client()?.status().await?.view.members.contains_key(instance) {
         return Ok(());
     }
-    Err(error::Error::Refused(vec![format!(
+    Err(error::Error::Rejected(vec![format!(
         "no instance {instance} has announced itself; see `hyssopfork upstream list`, or give \
          --unannounced to drain it before it comes"
     )]))
--- a/crates/hyssopfork-cli/src/command/upstream/list.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/list.rs
@@ -1,6 +1,6 @@
 //! `upstream list`: engines and plain services that announced themselves.
 
-use crate::{context, error, output, screen};
+use crate::{context, error, output, overview};
 use clap::{Arg, ArgMatches, Command};
 
 /// Examples of the command.
@@ -12,7 +12,7 @@
 /// The command.
 pub fn command() -> Command {
     let zone = Arg::new("zone").long("zone").value_name("ZONE").help("Only those in this zone");
-    super::super::described("list", "List upstreams with their state", EXAMPLES).arg(zone)
+    super::super::leaf_command("list", "List upstreams with their state", EXAMPLES).arg(zone)
 }
 
 /// Runs it.
@@ -21,21 +21,21 @@
     context: &mut context::Context,
 ) -> Result<output::Report, error::Error> {
     let zone = matches.get_one::<String>("zone");
-    let mut instances = screen::draw(&context.client()?.status().await?).instances;
+    let mut instances = overview::build(&context.client()?.status().await?).instances;
     instances.retain(|instance| zone.is_none_or(|zone| instance.zone.as_str() == zone));
     let text = match context.output {
-        output::Output::Json => output::json(&instances),
-        output::Output::Table => render(&instances),
+        output::Format::Json => output::to_json(&instances),
+        output::Format::Table => render(&instances),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
-fn render(instances: &[screen::Instance]) -> String {
+fn render(instances: &[overview::Instance]) -> String {
     let mut table = output::Table::new(&[
         "INSTANCE", "ZONE", "DOMAIN", "POOL", "KIND", "STATE", "GROUP", "RUNNING",
     ]);
     for instance in instances {
-        table.row([
+        table.add_row([
             instance.instance.to_string(),
             instance.zone.to_string(),
             instance.domain.to_string(),
--- a/crates/hyssopfork-cli/src/command/upstream/mod.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/mod.rs
@@ -10,7 +10,7 @@
 /// The family.
 pub fn command() -> Command {
     let commands = [list::command(), drain::command(), undrain::command()];
-    super::family("upstream", "List and drain upstreams", commands)
+    super::parent_command("upstream", "List and drain upstreams", commands)
 }
 
 /// Runs the command that was parsed.
--- a/crates/hyssopfork-cli/src/command/upstream/undrain.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/undrain.rs
@@ -13,7 +13,7 @@
         .value_name("INSTANCE")
         .required(true)
         .help("Instance that the upstream stands on");
-    super::super::described("undrain", "Let a drained upstream take work again", EXAMPLES)
+    super::super::leaf_command("undrain", "Let a drained upstream take work again", EXAMPLES)
         .arg(instance)
         .arg(submission::base_argument())
         .arg(submission::identifier_argument())
--- a/crates/hyssopfork-cli/src/command/watch/mod.rs
+++ b/crates/hyssopfork-cli/src/command/watch/mod.rs
@@ -3,7 +3,7 @@
 pub mod change;
 pub mod tally;
 
-use crate::{context, error, output, screen};
+use crate::{context, error, output, overview};
 use clap::{Arg, ArgMatches, Command};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -18,7 +18,7 @@
     let number = |id: &'static str| {
         Arg::new(id).long(id).value_name("N").value_parser(clap::value_parser!(u64).range(1..))
     };
-    super::described(
+    super::leaf_command(
         "watch",
         "Print changes as they happen, and at the end what they cost",
         EXAMPLES,
@@ -32,43 +32,47 @@
     matches: &ArgMatches,
     context: &mut context::Context,
 ) -> Result<output::Report, error::Error> {
-    let every = Duration::from_millis(*matches.get_one("every-ms").expect("has a default"));
+    let interval = Duration::from_millis(*matches.get_one("every-ms").expect("has a default"));
     let duration = matches.get_one::<u64>("duration-s").map(|&s| Duration::from_secs(s));
     let started = Instant::now();
     let mut tally = tally::Tally::default();
-    let mut last: Option<screen::Screen> = None;
+    let mut previous: Option<overview::Overview> = None;
     while duration.is_none_or(|duration| started.elapsed() < duration) {
         // A look that fails shows nothing; the fleet goes on without it, and so does the watch.
-        let looked = context.client()?.status().await;
-        match (looked, &last) {
+        let polled = context.client()?.status().await;
+        match (polled, &previous) {
             (Ok(status), _) => {
-                let now = screen::draw(&status);
-                tally.add(started.elapsed(), &now);
-                print_changes(last.as_ref(), &now, context.output);
-                last = Some(now);
+                let current = overview::build(&status);
+                tally.record(started.elapsed(), &current);
+                print_changes(previous.as_ref(), &current, context.output);
+                previous = Some(current);
             }
             (Err(error), None) => return Err(error),
             (Err(error), Some(_)) => eprintln!("hyssopfork: {error}"),
         }
-        actix_rt::time::sleep(every).await;
+        actix_rt::time::sleep(interval).await;
     }
     let text = match context.output {
-        output::Output::Json => output::json_line(&tally.summary()),
-        output::Output::Table => tally.summary().render(),
+        output::Format::Json => output::to_json_line(&tally.summary()),
+        output::Format::Table => tally.summary().render(),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
-fn print_changes(last: Option<&screen::Screen>, now: &screen::Screen, output: output::Output) {
-    let Some(last) = last else { return };
+fn print_changes(
+    previous: Option<&overview::Overview>,
+    current: &overview::Overview,
+    format: output::Format,
+) {
+    let Some(previous) = previous else { return };
     let at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-    for change in change::between(last, now) {
-        let text = match output {
-            output::Output::Json => {
+    for change in change::diff(previous, current) {
+        let text = match format {
+            output::Format::Json => {
                 let value = serde_json::json!({ "at_ms": at_ms as u64, "change": change });
-                output::json_line(&value)
+                output::to_json_line(&value)
             }
-            output::Output::Table => format!("{}.{:03} {change}\n", at_ms / 1000, at_ms % 1000),
+            output::Format::Table => format!("{}.{:03} {change}\n", at_ms / 1000, at_ms % 1000),
         };
         output::print(&text);
     }
--- a/crates/hyssopfork-cli/src/command/watch/tally.rs
+++ b/crates/hyssopfork-cli/src/command/watch/tally.rs
@@ -1,6 +1,6 @@
 //! What the changes cost: group downtime and stranded accelerators, summed over the looks.
 
-use crate::{output, screen};
+use crate::{output, overview};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 /// Sums up to now.
 #[derive(Debug, Default)]
 pub struct Tally {
-    last: Option<Duration>,
-    looks: u64,
+    last_poll_at: Option<Duration>,
+    polls: u64,
     down: BTreeMap<String, Duration>,
     stranded_accelerator_seconds: f64,
-    most_stranded: u32,
+    max_stranded: u32,
 }
 
 /// What is told at the end.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
     /// Looks that were answered.
-    pub looks: u64,
+    #[serde(rename = "looks")]
+    pub polls: u64,
     /// Time that each group did not serve, in milliseconds; groups that always did are left out.
     pub group_down_ms: BTreeMap<String, u64>,
     /// Time that groups did not serve, summed over groups.
@@ -27,24 +28,25 @@
     /// Accelerators that served nothing, times how long.
     pub stranded_accelerator_seconds: f64,
     /// Most accelerators that served nothing at one look.
-    pub most_stranded: u32,
+    #[serde(rename = "most_stranded")]
+    pub max_stranded: u32,
 }
 
 impl Tally {
     /// Counts the time since the last look by what this one shows.
     ///
     /// The sums are as fine as the looks are close; an outage that fits between two is not seen.
-    pub fn add(&mut self, at: Duration, screen: &screen::Screen) {
-        let passed = self.last.map_or(Duration::ZERO, |last| at.saturating_sub(last));
-        self.last = Some(at);
-        self.looks += 1;
-        for group in &screen.groups {
-            if group.standing != screen::Standing::Serving {
-                *self.down.entry(group.group.to_string()).or_default() += passed;
+    pub fn record(&mut self, at: Duration, overview: &overview::Overview) {
+        let elapsed = self.last_poll_at.map_or(Duration::ZERO, |last| at.saturating_sub(last));
+        self.last_poll_at = Some(at);
+        self.polls += 1;
+        for group in &overview.groups {
+            if group.state != overview::State::Serving {
+                *self.down.entry(group.group.to_string()).or_default() += elapsed;
             }
         }
-        self.stranded_accelerator_seconds += f64::from(screen.stranded) * passed.as_secs_f64();
-        self.most_stranded = self.most_stranded.max(screen.stranded);
+        self.stranded_accelerator_seconds += f64::from(overview.stranded) * elapsed.as_secs_f64();
+        self.max_stranded = self.max_stranded.max(overview.stranded);
     }
 
     /// The sums.
@@ -52,11 +54,11 @@
         let millis = |time: &Duration| time.as_millis() as u64;
         let down = self.down.iter().filter(|(_, time)| !time.is_zero());
         Summary {
-            looks: self.looks,
+            polls: self.polls,
             group_down_ms: down.map(|(group, time)| (group.clone(), millis(time))).collect(),
             down_ms: self.down.values().map(millis).sum(),
             stranded_accelerator_seconds: self.stranded_accelerator_seconds,
-            most_stranded: self.most_stranded,
+            max_stranded: self.max_stranded,
         }
     }
 }
@@ -66,7 +68,7 @@
     pub fn render(&self) -> String {
         let mut table = output::Table::new(&["GROUP", "DOWN MS"]);
         for (group, down) in &self.group_down_ms {
-            table.row([group.clone(), down.to_string()]);
+            table.add_row([group.clone(), down.to_string()]);
         }
         format!(
             "{}groups down {} ms in all; stranded accelerators {:.1} accelerator-seconds, {} at \
@@ -74,8 +76,8 @@
             table.render(),
             self.down_ms,
             self.stranded_accelerator_seconds,
-            self.most_stranded,
-            self.looks
+            self.max_stranded,
+            self.polls
         )
     }
 }
--- a/crates/hyssopfork-cli/src/command/zone/bring_in.rs
+++ b/crates/hyssopfork-cli/src/command/zone/bring_in.rs
@@ -10,7 +10,7 @@
 /// The command.
 pub fn command() -> Command {
     let zone = Arg::new("zone").value_name("ZONE").required(true).help("Availability zone");
-    super::super::described("in", "Bring a zone back into service", EXAMPLES)
+    super::super::leaf_command("in", "Bring a zone back into service", EXAMPLES)
         .arg(zone)
         .arg(submission::base_argument())
         .arg(submission::identifier_argument())
--- a/crates/hyssopfork-cli/src/command/zone/mod.rs
+++ b/crates/hyssopfork-cli/src/command/zone/mod.rs
@@ -9,7 +9,7 @@
 /// The family.
 pub fn command() -> Command {
     let commands = [out::command(), bring_in::command()];
-    super::family("zone", "Take availability zones out of service and back", commands)
+    super::parent_command("zone", "Take availability zones out of service and back", commands)
 }
 
 /// Runs the command that was parsed.
--- a/crates/hyssopfork-cli/src/command/zone/out.rs
+++ b/crates/hyssopfork-cli/src/command/zone/out.rs
@@ -13,10 +13,14 @@
 /// The command.
 pub fn command() -> Command {
     let zone = Arg::new("zone").value_name("ZONE").required(true).help("Availability zone");
-    super::super::described("out", "Take a zone out of service: no new work goes there", EXAMPLES)
-        .arg(zone)
-        .arg(submission::base_argument())
-        .arg(submission::identifier_argument())
+    super::super::leaf_command(
+        "out",
+        "Take a zone out of service: no new work goes there",
+        EXAMPLES,
+    )
+    .arg(zone)
+    .arg(submission::base_argument())
+    .arg(submission::identifier_argument())
 }
 
 /// Runs it.
--- a/crates/hyssopfork-cli/src/context.rs
+++ b/crates/hyssopfork-cli/src/context.rs
@@ -7,7 +7,7 @@
 use std::{env, net};
 
 /// Environment variable with the control instances' addresses.
-pub const CONTROL_VARIABLE: &str = "HYSSOPFORK_CONTROL";
+pub const CONTROL_ENV_VAR: &str = "HYSSOPFORK_CONTROL";
 
 /// Context of one run.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     /// Client of the control instances; a command that needs none leaves it unused.
     pub control: Option<client::Client>,
     /// How results are printed.
-    pub output: output::Output,
+    pub output: output::Format,
     /// Who submits.
     pub operator: name::Operator,
 }
@@ -30,7 +30,7 @@
             .value_delimiter(',')
             .value_parser(clap::value_parser!(net::SocketAddr))
             .global(true)
-            .help(format!("Control instances; else from {CONTROL_VARIABLE}, separated by commas")),
+            .help(format!("Control instances; else from {CONTROL_ENV_VAR}, separated by commas")),
         Arg::new("output")
             .long("output")
             .value_parser(["table", "json"])
@@ -56,47 +56,47 @@
     /// Reads the common arguments.
     pub fn read(matches: &ArgMatches) -> Result<Context, error::Error> {
         let output = matches.get_one::<String>("output").expect("has a default");
-        let limit = *matches.get_one::<u64>("timeout-ms").expect("has a default");
-        let given = matches.get_many::<net::SocketAddr>("control");
-        let addresses = match given {
+        let timeout_ms = *matches.get_one::<u64>("timeout-ms").expect("has a default");
+        let arguments = matches.get_many::<net::SocketAddr>("control");
+        let addresses = match arguments {
             Some(addresses) => addresses.copied().collect(),
-            None => from_environment()?,
+            None => addresses_from_env()?,
         };
         let control = (!addresses.is_empty())
-            .then(|| client::Client::new(addresses, Duration::from_millis(limit)));
+            .then(|| client::Client::new(addresses, Duration::from_millis(timeout_ms)));
         Ok(Context {
             control,
             output: output.parse().expect("checked by the parser"),
-            operator: operator(matches)?,
+            operator: read_operator(matches)?,
         })
     }
 
     /// The client, for a command that needs one.
     pub fn client(&mut self) -> Result<&mut client::Client, error::Error> {
-        let missing = || {
+        let usage_error = || {
             let text =
-                format!("name the control instances with --control IP:PORT or {CONTROL_VARIABLE}");
+                format!("name the control instances with --control IP:PORT or {CONTROL_ENV_VAR}");
             error::Error::Usage(text)
         };
-        self.control.as_mut().ok_or_else(missing)
+        self.control.as_mut().ok_or_else(usage_error)
     }
 }
 
-fn from_environment() -> Result<Vec<net::SocketAddr>, error::Error> {
-    let Ok(text) = env::var(CONTROL_VARIABLE) else { return Ok(Vec::new()) };
+fn addresses_from_env() -> Result<Vec<net::SocketAddr>, error::Error> {
+    let Ok(text) = env::var(CONTROL_ENV_VAR) else { return Ok(Vec::new()) };
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
     let parsed = parts.map(|part| {
         part.parse().map_err(|_| {
-            let text = format!("{CONTROL_VARIABLE} holds {part:?}; write IP:PORT,IP:PORT,...");
+            let text = format!("{CONTROL_ENV_VAR} holds {part:?}; write IP:PORT,IP:PORT,...");
             error::Error::Usage(text)
         })
     });
     parsed.collect()
 }
 
-fn operator(matches: &ArgMatches) -> Result<name::Operator, error::Error> {
-    let given = matches.get_one::<String>("operator").cloned();
-    let text = given.or_else(|| env::var("USER").ok()).unwrap_or_else(|| "operator".into());
+fn read_operator(matches: &ArgMatches) -> Result<name::Operator, error::Error> {
+    let argument = matches.get_one::<String>("operator").cloned();
+    let text = argument.or_else(|| env::var("USER").ok()).unwrap_or_else(|| "operator".into());
     if name::is_valid(&text) {
         return Ok(name::Operator::new(text));
     }
--- a/crates/hyssopfork-cli/src/declaration.rs
+++ b/crates/hyssopfork-cli/src/declaration.rs
@@ -14,42 +14,43 @@
     if faults.is_empty() {
         return Ok(declared);
     }
-    Err(error::Error::Faulty(path.to_owned(), faults))
+    Err(error::Error::InvalidFile(path.to_owned(), faults))
 }
 
 /// Reads a file of JSON with comments; faults carry line and column.
 pub fn read_json<T: DeserializeOwned>(path: &path::Path) -> Result<T, error::Error> {
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
-    let faulty = |faults: Vec<String>| error::Error::Faulty(path.to_owned(), faults);
+    let invalid_file = |faults: Vec<String>| error::Error::InvalidFile(path.to_owned(), faults);
     let plain = plain::json(&text)
-        .map_err(|faults| faulty(faults.iter().map(ToString::to_string).collect()))?;
-    serde_json::from_str(&plain).map_err(|cause| faulty(vec![cause.to_string()]))
+        .map_err(|faults| invalid_file(faults.iter().map(ToString::to_string).collect()))?;
+    serde_json::from_str(&plain).map_err(|cause| invalid_file(vec![cause.to_string()]))
 }
 
 /// A top-level part in which two configurations differ, by its path.
 pub fn differences(
-    ours: &configuration::Configuration,
-    theirs: &configuration::Configuration,
+    in_force: &configuration::Configuration,
+    declared: &configuration::Configuration,
 ) -> Vec<Difference> {
-    let (ours, theirs) = (value(ours), value(theirs));
-    let mut found = Vec::new();
-    compare("", &ours, &theirs, &mut found);
-    found
+    let (in_force, declared) = (to_comparable_value(in_force), to_comparable_value(declared));
+    let mut differences = Vec::new();
+    compare("", &in_force, &declared, &mut differences);
+    differences
 }
 
 /// One difference.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Difference {
     /// Where, as keys joined by `/`.
-    pub at: String,
+    #[serde(rename = "at")]
+    pub path: String,
     /// What is in force; `None` where nothing is.
     pub in_force: Option<serde_json::Value>,
     /// What the file declares; `None` where it declares nothing.
     pub declared: Option<serde_json::Value>,
 }
 
-fn value(configuration: &configuration::Configuration) -> serde_json::Value {
+fn to_comparable_value(configuration: &configuration::Configuration) -> serde_json::Value {
     let mut value = serde_json::to_value(configuration).expect("configurations are plain data");
     if let Some(object) = value.as_object_mut() {
         object.remove("number");
@@ -58,25 +59,28 @@
 }
 
 fn compare(
-    at: &str,
-    ours: &serde_json::Value,
-    theirs: &serde_json::Value,
-    found: &mut Vec<Difference>,
+    path: &str,
+    in_force: &serde_json::Value,
+    declared: &serde_json::Value,
+    differences: &mut Vec<Difference>,
 ) {
-    let (Some(left), Some(right)) = (ours.as_object(), theirs.as_object()) else {
-        if ours != theirs {
-            let (in_force, declared) = (Some(ours.clone()), Some(theirs.clone()));
-            found.push(Difference { at: at.into(), in_force, declared });
+    let (Some(in_force_fields), Some(declared_fields)) =
+        (in_force.as_object(), declared.as_object())
+    else {
+        if in_force != declared {
+            let (in_force, declared) = (Some(in_force.clone()), Some(declared.clone()));
+            differences.push(Difference { path: path.into(), in_force, declared });
         }
         return;
     };
-    let keys: std::collections::BTreeSet<&String> = left.keys().chain(right.keys()).collect();
+    let keys: std::collections::BTreeSet<&String> =
+        in_force_fields.keys().chain(declared_fields.keys()).collect();
     for key in keys {
-        let path = if at.is_empty() { key.clone() } else { format!("{at}/{key}") };
-        match (left.get(key), right.get(key)) {
-            (Some(ours), Some(theirs)) => compare(&path, ours, theirs, found),
-            (in_force, declared) => found.push(Difference {
-                at: path,
+        let path = if path.is_empty() { key.clone() } else { format!("{path}/{key}") };
+        match (in_force_fields.get(key), declared_fields.get(key)) {
+            (Some(in_force), Some(declared)) => compare(&path, in_force, declared, differences),
+            (in_force, declared) => differences.push(Difference {
+                path,
                 in_force: in_force.cloned(),
                 declared: declared.cloned(),
             }),
--- a/crates/hyssopfork-cli/src/error.rs
+++ b/crates/hyssopfork-cli/src/error.rs
@@ -5,16 +5,16 @@
 use std::{io, net, path};
 
 /// A check or comparison found something.
-pub const FOUND: u8 = 1;
+pub const CHECK_FAILED: u8 = 1;
 const USAGE: u8 = 2;
 const STALE: u8 = 3;
-const REFUSED: u8 = 4;
+const REJECTED: u8 = 4;
 const UNREACHABLE: u8 = 5;
-const UNKNOWN: u8 = 6;
-const FILE: u8 = 7;
+const OUTCOME_UNKNOWN: u8 = 6;
+const FILE_ERROR: u8 = 7;
 
 /// Exit codes and their meaning, for the help.
-pub const CODES: &str = "\
+pub const EXIT_CODES: &str = "\
 Exit codes: 0 done; 1 a check found something; 2 wrong arguments; 3 the base number is stale; \
 4 refused as invalid; 5 no control instance answered; 6 the outcome is not known; \
 7 a file cannot be read or written.";
@@ -34,15 +34,15 @@
             current: number::Configuration,
             since: Vec<patch::Record>
         ) {
-            display("{}", stale(*base, *current, since))
+            display("{}", format_stale(*base, *current, since))
         }
         /// The patch or declaration breaks rules.
-        Refused(faults: Vec<String>) {
+        Rejected(faults: Vec<String>) {
             display("refused, nothing was changed; correct it and submit again:\n  {}",
                 faults.join("\n  "))
         }
         /// The patch's identifier was used for another patch.
-        Reused(identifier: String) {
+        IdentifierReused(identifier: String) {
             display(
                 "the identifier {} was used before with other content; leave --identifier out to \
                  get a new one",
@@ -50,11 +50,11 @@
             )
         }
         /// No control instance answered; `sent` says whether the request may have come to one.
-        Unreachable(tried: Vec<(net::SocketAddr, String)>, sent: bool) {
+        Unreachable(failures: Vec<(net::SocketAddr, String)>, maybe_received: bool) {
             display(
                 "no control instance answered; check --control (or HYSSOPFORK_CONTROL) and that \
                  they run:\n  {}",
-                lines(tried)
+                format_failures(failures)
             )
         }
         /// The control instances speak another protocol version.
@@ -67,12 +67,12 @@
             )
         }
         /// A patch was sent and its outcome did not come back.
-        OutcomeUnknown(identifier: String, tried: Vec<(net::SocketAddr, String)>) {
+        OutcomeUnknown(identifier: String, failures: Vec<(net::SocketAddr, String)>) {
             display(
                 "the patch was sent but its outcome did not come back; run the same command with \
                  --identifier {} to learn it: it is applied once at most\n  {}",
                 identifier,
-                lines(tried)
+                format_failures(failures)
             )
         }
         /// A file cannot be read or written.
@@ -81,11 +81,11 @@
             source(cause)
         }
         /// A file has faults.
-        Faulty(path: path::PathBuf, faults: Vec<String>) {
+        InvalidFile(path: path::PathBuf, faults: Vec<String>) {
             display("{} has faults; correct them:\n  {}", path.display(), faults.join("\n  "))
         }
         /// A control instance answered with something else than was asked.
-        Unexpected {
+        UnexpectedResponse {
             display(
                 "the control instance answered another question; use the hyssopfork of its release"
             )
@@ -100,7 +100,7 @@
             )
         }
         /// A service that was asked for its counts did not answer.
-        Counts(address: net::SocketAddr, cause: String) {
+        CountsUnavailable(address: net::SocketAddr, cause: String) {
             display("cannot read counts from {}: {}; check --counts", address, cause)
         }
     }
@@ -108,26 +108,26 @@
 
 impl Error {
     /// Exit code of the program.
-    pub fn code(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
             Error::Usage(_) => USAGE,
             Error::Stale(..) => STALE,
-            Error::Refused(_) | Error::Reused(_) | Error::Faulty(..) => REFUSED,
-            Error::Unreachable(..) | Error::Protocol(_) | Error::Unexpected => UNREACHABLE,
-            Error::Counts(..) => UNREACHABLE,
-            Error::OutcomeUnknown(..) => UNKNOWN,
-            Error::NoSuchRequest(..) => FOUND,
-            Error::File(..) => FILE,
+            Error::Rejected(_) | Error::IdentifierReused(_) | Error::InvalidFile(..) => REJECTED,
+            Error::Unreachable(..) | Error::Protocol(_) | Error::UnexpectedResponse => UNREACHABLE,
+            Error::CountsUnavailable(..) => UNREACHABLE,
+            Error::OutcomeUnknown(..) => OUTCOME_UNKNOWN,
+            Error::NoSuchRequest(..) => CHECK_FAILED,
+            Error::File(..) => FILE_ERROR,
         }
     }
 }
 
-fn lines(tried: &[(net::SocketAddr, String)]) -> String {
-    let lines: Vec<String> = tried.iter().map(|(at, fault)| format!("{at}: {fault}")).collect();
+fn format_failures(failures: &[(net::SocketAddr, String)]) -> String {
+    let lines: Vec<String> = failures.iter().map(|(at, fault)| format!("{at}: {fault}")).collect();
     lines.join("\n  ")
 }
 
-fn stale(
+fn format_stale(
     base: number::Configuration,
     current: number::Configuration,
     since: &[patch::Record],
--- a/crates/hyssopfork-cli/src/explain.rs
+++ b/crates/hyssopfork-cli/src/explain.rs
@@ -12,14 +12,14 @@
 
 /// Time before the request's first line from which beliefs are shown: a group that is missing was
 /// lost seconds before, and the weights that it waits for take up to sixteen seconds.
-const BEFORE: time::Duration = time::Duration::seconds(5);
+const CONTEXT_BEFORE_REQUEST: time::Duration = time::Duration::seconds(5);
 
 /// Time around the request's lines in which lines that were dropped may be the request's: a process
 /// counts them once a second.
-const DROPPED_AROUND: time::Duration = time::Duration::seconds(2);
+const DROPPED_LINES_MARGIN: time::Duration = time::Duration::seconds(2);
 
 /// Numbers of events, as docs/events.md lists them.
-mod number {
+mod event {
     use std::ops::RangeInclusive;
 
     /// A process started, stopped or read its settings, or an outside dependency failed.
@@ -31,27 +31,27 @@
     /// What an upstream said, or that it is gone.
     pub const UPSTREAM: RangeInclusive<u16> = 5020..=5023;
     /// An upstream counts as dead.
-    pub const LOST: u16 = 5023;
+    pub const UPSTREAM_LOST: u16 = 5023;
     /// A group was formed, of the members that the line names.
-    pub const FORMED: u16 = 5030;
+    pub const GROUP_FORMED: u16 = 5030;
     /// Groups and orders.
     pub const GROUP: RangeInclusive<u16> = 5030..=5034;
     /// Formed, adopted, turned, ended: a group's life without its orders.
-    pub const GROUP_LIFE: RangeInclusive<u16> = 5030..=5033;
+    pub const GROUP_LIFECYCLE: RangeInclusive<u16> = 5030..=5033;
     /// Everything stands still on an upstream.
-    pub const STALLED: u16 = 5220;
+    pub const UPSTREAM_STALLED: u16 = 5220;
     /// How a request ends: refused, broken off, answered, given up by its caller.
-    pub const ENDINGS: RangeInclusive<u16> = 5213..=5216;
+    pub const REQUEST_ENDED: RangeInclusive<u16> = 5213..=5216;
     /// A request is sent to an upstream: the third word names it.
-    pub const SENT: u16 = 5210;
+    pub const REQUEST_SENT: u16 = 5210;
 }
 
 /// A log line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Line {
     /// When it was written, by its process's clock.
-    #[serde(with = "time::serde::rfc3339")]
-    pub at: time::OffsetDateTime,
+    #[serde(rename = "at", with = "time::serde::rfc3339")]
+    pub timestamp: time::OffsetDateTime,
     /// Process that wrote it.
     pub process: String,
     /// Number of the event.
@@ -65,29 +65,29 @@
 }
 
 impl Line {
-    fn names(&self, word: &str) -> bool {
+    fn has_word(&self, word: &str) -> bool {
         self.message
             .split(|letter: char| !letter.is_alphanumeric() && letter != '-')
             .any(|it| it == word)
     }
 
-    fn is_of(&self, request: &str) -> bool {
+    fn has_request(&self, request: &str) -> bool {
         self.fields.split(' ').any(|field| field.strip_prefix("request=") == Some(request))
     }
 }
 
 /// A request's story.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// Its own lines and what the processes believed meanwhile, in order of time.
-    pub lines: Vec<Told>,
+    pub lines: Vec<Entry>,
     /// What the logs don't say.
     pub missing: Vec<String>,
 }
 
 /// A line of a story.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Told {
+pub struct Entry {
     /// Whether it is the request's own.
     pub own: bool,
     /// The line.
@@ -104,20 +104,21 @@
 }
 
 /// Takes the lines of a log; `process` wrote those that don't say who did.
-pub fn parse(text: &str, process: &str) -> (Vec<Line>, usize) {
-    let parsed: Vec<Option<Line>> = text.lines().map(|line| parse_line(line, process)).collect();
-    let unread = parsed.iter().filter(|line| line.is_none()).count();
-    (parsed.into_iter().flatten().collect(), unread)
+pub fn parse(text: &str, default_process: &str) -> (Vec<Line>, usize) {
+    let parsed: Vec<Option<Line>> =
+        text.lines().map(|line| parse_line(line, default_process)).collect();
+    let skipped = parsed.iter().filter(|line| line.is_none()).count();
+    (parsed.into_iter().flatten().collect(), skipped)
 }
 
 /// A collector may put words of its own before a line; the last of them then names the process.
-fn parse_line(line: &str, process: &str) -> Option<Line> {
+fn parse_line(line: &str, default_process: &str) -> Option<Line> {
     let (prefix, json) = line.split_at(line.find('{')?);
     let value: serde_json::Value = serde_json::from_str(json).ok()?;
     let text = |key: &str| value.get(key).and_then(|it| it.as_str()).unwrap_or_default().to_owned();
     Some(Line {
-        at: time::OffsetDateTime::parse(&text("timestamp"), &Rfc3339).ok()?,
-        process: prefix.split_whitespace().last().unwrap_or(process).to_owned(),
+        timestamp: time::OffsetDateTime::parse(&text("timestamp"), &Rfc3339).ok()?,
+        process: prefix.split_whitespace().last().unwrap_or(default_process).to_owned(),
         number: u16::try_from(value.get("number")?.as_u64()?).ok()?,
         name: text("name"),
         message: text("message"),
@@ -126,94 +127,101 @@
 }
 
 /// Tells a request's story; `None` when no line is its own.
-pub fn tell(lines: &[Line], request: &str) -> Option<Story> {
-    let own: Vec<&Line> = lines.iter().filter(|line| line.is_of(request)).collect();
-    let first = own.iter().map(|line| line.at).min()?;
-    let last = own.iter().map(|line| line.at).max()?;
-    let process = &own[0].process;
-    let upstreams = upstreams(&own);
-    let during = |line: &&Line| line.at >= first - BEFORE && line.at <= last;
-    let groups = groups(lines.iter().filter(during), &upstreams);
-    let members = members(lines, &groups);
-    let believed = |line: &Line| {
-        let control = line.process == *process || number::CONTROL.contains(&line.number);
+pub fn build_timeline(lines: &[Line], request: &str) -> Option<Timeline> {
+    let own_lines: Vec<&Line> = lines.iter().filter(|line| line.has_request(request)).collect();
+    let first = own_lines.iter().map(|line| line.timestamp).min()?;
+    let last = own_lines.iter().map(|line| line.timestamp).max()?;
+    let process = &own_lines[0].process;
+    let upstreams = find_upstreams(&own_lines);
+    let is_in_period =
+        |line: &&Line| line.timestamp >= first - CONTEXT_BEFORE_REQUEST && line.timestamp <= last;
+    let groups = find_groups(lines.iter().filter(is_in_period), &upstreams);
+    let members = find_members(lines, &groups);
+    let is_context = |line: &Line| {
+        let from_process_or_control =
+            line.process == *process || event::CONTROL.contains(&line.number);
         let relevant = match line.number {
-            it if number::PROCESS.contains(&it) || number::CONTROL.contains(&it) => control,
-            it if number::UPSTREAM.contains(&it) || it == number::STALLED => {
-                let lost = it == number::LOST
-                    && (upstreams.is_empty() || members.iter().any(|member| line.names(member)));
-                lost || upstreams.iter().any(|upstream| line.names(upstream))
+            it if event::PROCESS.contains(&it) || event::CONTROL.contains(&it) => {
+                from_process_or_control
             }
-            it if number::GROUP.contains(&it) => {
-                let any = upstreams.is_empty() && number::GROUP_LIFE.contains(&it);
-                any || groups.iter().any(|group| line.names(group))
+            it if event::UPSTREAM.contains(&it) || it == event::UPSTREAM_STALLED => {
+                let lost = it == event::UPSTREAM_LOST
+                    && (upstreams.is_empty() || members.iter().any(|member| line.has_word(member)));
+                lost || upstreams.iter().any(|upstream| line.has_word(upstream))
+            }
+            it if event::GROUP.contains(&it) => {
+                let unsent = upstreams.is_empty() && event::GROUP_LIFECYCLE.contains(&it);
+                unsent || groups.iter().any(|group| line.has_word(group))
             }
             _ => false,
         };
-        relevant && during(&line)
+        relevant && is_in_period(&line)
     };
-    let mut told: Vec<Told> = lines
+    let mut entries: Vec<Entry> = lines
         .iter()
-        .map(|line| Told { own: line.is_of(request), line: line.clone() })
-        .filter(|told| told.own || believed(&told.line))
+        .map(|line| Entry { own: line.has_request(request), line: line.clone() })
+        .filter(|entry| entry.own || is_context(&entry.line))
         .collect();
-    told.sort_by_key(|told| told.line.at);
-    Some(Story { lines: told, missing: missing(lines, &own, (first, last)) })
+    entries.sort_by_key(|entry| entry.line.timestamp);
+    Some(Timeline { lines: entries, missing: find_missing(lines, &own_lines, (first, last)) })
 }
 
 /// Upstreams that the request was sent to.
-fn upstreams(own: &[&Line]) -> BTreeSet<String> {
-    let sent = own.iter().filter(|line| line.number == number::SENT);
+fn find_upstreams(own_lines: &[&Line]) -> BTreeSet<String> {
+    let sent = own_lines.iter().filter(|line| line.number == event::REQUEST_SENT);
     sent.filter_map(|line| line.message.split(' ').nth(2)).map(str::to_owned).collect()
 }
 
 /// Groups that the upstreams were members of.
-fn groups<'a>(
+fn find_groups<'a>(
     lines: impl Iterator<Item = &'a Line>,
     upstreams: &BTreeSet<String>,
 ) -> BTreeSet<String> {
-    let names = |line: &&Line| {
-        let group = number::GROUP.contains(&line.number) || number::UPSTREAM.contains(&line.number);
-        group && upstreams.iter().any(|upstream| line.names(upstream))
+    let mentions_upstream = |line: &&Line| {
+        let is_fleet_event =
+            event::GROUP.contains(&line.number) || event::UPSTREAM.contains(&line.number);
+        is_fleet_event && upstreams.iter().any(|upstream| line.has_word(upstream))
     };
-    let group = |line: &'a Line| {
+    let group_name = |line: &'a Line| {
         let mut words =
             line.message.split([' ', '=', ':']).skip_while(|it| !matches!(*it, "group" | "for"));
         words.nth(1).map(str::to_owned)
     };
-    lines.filter(names).filter_map(group).collect()
+    lines.filter(mentions_upstream).filter_map(group_name).collect()
 }
 
 /// Members of the groups, by the lines that tell of their forming.
-fn members(lines: &[Line], groups: &BTreeSet<String>) -> BTreeSet<String> {
+fn find_members(lines: &[Line], groups: &BTreeSet<String>) -> BTreeSet<String> {
     let formed = lines.iter().filter(|line| {
-        line.number == number::FORMED && groups.iter().any(|group| line.names(group))
+        line.number == event::GROUP_FORMED && groups.iter().any(|group| line.has_word(group))
     });
-    let named = formed.filter_map(|line| line.message.split_once(": ")).map(|(_, named)| named);
-    named.flat_map(str::split_whitespace).map(str::to_owned).collect()
+    let members = formed.filter_map(|line| line.message.split_once(": ")).map(|(_, named)| named);
+    members.flat_map(str::split_whitespace).map(str::to_owned).collect()
 }
 
 /// What a reader must know is not in the logs.
-fn missing(
+fn find_missing(
     lines: &[Line],
-    own: &[&Line],
+    own_lines: &[&Line],
     (first, last): (time::OffsetDateTime, time::OffsetDateTime),
 ) -> Vec<String> {
     let mut missing = Vec::new();
-    if !own.iter().any(|line| number::ENDINGS.contains(&line.number)) {
+    if !own_lines.iter().any(|line| event::REQUEST_ENDED.contains(&line.number)) {
         missing.push(
             "no line says how the request ended: its process ended first, or the line was \
                       dropped"
                 .to_owned(),
         );
     }
-    let around = first - DROPPED_AROUND..=last + DROPPED_AROUND;
-    let dropped = |line: &&Line| line.number == number::LINES_DROPPED && around.contains(&line.at);
+    let around = first - DROPPED_LINES_MARGIN..=last + DROPPED_LINES_MARGIN;
+    let dropped =
+        |line: &&Line| line.number == event::LINES_DROPPED && around.contains(&line.timestamp);
     for line in lines.iter().filter(dropped) {
-        missing.push(format!("{} at {}: {}", line.process, line.at, line.message));
+        missing.push(format!("{} at {}: {}", line.process, line.timestamp, line.message));
     }
-    let leads = |line: &Line| number::GROUP.contains(&line.number) || line.number == number::LOST;
-    if !lines.iter().any(leads) {
+    let from_leader =
+        |line: &Line| event::GROUP.contains(&line.number) || line.number == event::UPSTREAM_LOST;
+    if !lines.iter().any(from_leader) {
         missing.push("no line tells of groups: add the log of the process that led".to_owned());
     }
     missing
--- a/crates/hyssopfork-cli/src/history.rs
+++ b/crates/hyssopfork-cli/src/history.rs
@@ -22,11 +22,13 @@
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Kind {
+pub enum Outcome {
     /// Answered whole.
     Answered,
     /// Refused, and told that the work did not run.
-    RefusedNotRun,
+    #[serde(rename = "refused_not_run")]
+    #[strum(serialize = "refused_not_run")]
+    RejectedNotRun,
     /// Told that the work may have run.
     MayHaveRun,
     /// Ended in another way: cut without a word, timed out, wrong.
@@ -35,7 +37,7 @@
 
 /// One request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Record {
     /// Identifier of the request; a resend has another one.
     pub request: String,
     /// What back ends count the work under; a resend has the same.
@@ -59,15 +61,18 @@
     /// When the answer ended, in microseconds from the start.
     pub answered_us: u64,
     /// How it ended.
-    pub kind: Kind,
+    #[serde(rename = "kind")]
+    pub outcome: Outcome,
     /// HTTP status, when a head came.
     pub status: Option<u16>,
     /// Reason of a refusal, or what went wrong.
     pub reason: Option<String>,
     /// Whether the answer came whole by its framing and end mark.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// Whether the answer was the one that this request had to get.
-    pub right: bool,
+    #[serde(rename = "right")]
+    pub correct: bool,
     /// Hash of the answer's body, to compare the answers to one key.
     pub digest: String,
 }
@@ -76,11 +81,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Counts {
     /// How often the work of each reference ran.
-    #[serde(default)]
-    pub ran: BTreeMap<String, u64>,
+    #[serde(rename = "ran", default)]
+    pub runs: BTreeMap<String, u64>,
     /// How often it fell over because it was loaded while cold.
-    #[serde(default)]
-    pub falls: u64,
+    #[serde(rename = "falls", default)]
+    pub cold_overloads: u64,
 }
 
 /// What a check found.
@@ -89,7 +94,8 @@
     /// Lines that were read.
     pub requests: usize,
     /// How many ended in each way.
-    pub kinds: BTreeMap<Kind, u64>,
+    #[serde(rename = "kinds")]
+    pub outcomes: BTreeMap<Outcome, u64>,
     /// References of non-repeatable work whose runs were compared.
     pub compared: usize,
     /// What did not hold, one line each.
@@ -98,19 +104,19 @@
 
 impl Verdict {
     /// Whether all held.
-    pub fn held(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
 /// Reads a history file.
-pub fn read(path: &path::Path) -> Result<Vec<Line>, error::Error> {
+pub fn read(path: &path::Path) -> Result<Vec<Record>, error::Error> {
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
     let parse = |(number, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|cause| {
             let fault = format!("line {}: {cause}", number + 1);
-            error::Error::Faulty(path.to_owned(), vec![fault])
+            error::Error::InvalidFile(path.to_owned(), vec![fault])
         })
     };
     text.lines().enumerate().map(parse).collect()
@@ -118,74 +124,75 @@
 
 /// Checks histories against what the back ends ran. `counts` must be of all back ends that the
 /// histories' non-repeatable routes lead to.
-pub fn check(lines: &[Line], counts: &[Counts]) -> Verdict {
-    let mut verdict = Verdict { requests: lines.len(), ..Verdict::default() };
-    for line in lines {
-        *verdict.kinds.entry(line.kind).or_default() += 1;
-        verdict.violations.extend(fault_of(line));
+pub fn check(records: &[Record], counts: &[Counts]) -> Verdict {
+    let mut verdict = Verdict { requests: records.len(), ..Verdict::default() };
+    for record in records {
+        *verdict.outcomes.entry(record.outcome).or_default() += 1;
+        verdict.violations.extend(check_record(record));
     }
-    let by_reference = group(lines);
-    verdict.compared = by_reference.len();
-    let ran = sum(counts);
-    for (reference, lines) in &by_reference {
-        let times = ran.get(*reference).copied().unwrap_or(0);
-        verdict.violations.extend(faults_of_runs(reference, lines, times));
+    let records_by_reference = group_by_reference(records);
+    verdict.compared = records_by_reference.len();
+    let runs = sum_runs(counts);
+    for (reference, records) in &records_by_reference {
+        let count = runs.get(*reference).copied().unwrap_or(0);
+        verdict.violations.extend(check_runs(reference, records, count));
     }
-    let falls: u64 = counts.iter().map(|counts| counts.falls).sum();
-    if falls > 0 {
-        verdict.violations.push(format!("cold back ends were overloaded {falls} times"));
+    let cold_overloads: u64 = counts.iter().map(|counts| counts.cold_overloads).sum();
+    if cold_overloads > 0 {
+        verdict.violations.push(format!("cold back ends were overloaded {cold_overloads} times"));
     }
     verdict
 }
 
-fn group(lines: &[Line]) -> BTreeMap<&str, Vec<&Line>> {
-    let mut grouped: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
-    for line in lines.iter().filter(|line| !line.repeatable) {
-        grouped.entry(&line.reference).or_default().push(line);
+fn group_by_reference(records: &[Record]) -> BTreeMap<&str, Vec<&Record>> {
+    let mut grouped: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
+    for record in records.iter().filter(|record| !record.repeatable) {
+        grouped.entry(&record.reference).or_default().push(record);
     }
     grouped
 }
 
-fn sum(counts: &[Counts]) -> BTreeMap<&str, u64> {
+fn sum_runs(counts: &[Counts]) -> BTreeMap<&str, u64> {
     let mut summed = BTreeMap::new();
-    for (reference, times) in counts.iter().flat_map(|counts| &counts.ran) {
-        *summed.entry(reference.as_str()).or_default() += times;
+    for (reference, count) in counts.iter().flat_map(|counts| &counts.runs) {
+        *summed.entry(reference.as_str()).or_default() += count;
     }
     summed
 }
 
-fn fault_of(line: &Line) -> Option<String> {
-    let request = &line.request;
-    let route = &line.route;
-    match line.kind {
-        Kind::Answered if !line.whole => {
+fn check_record(record: &Record) -> Option<String> {
+    let request = &record.request;
+    let route = &record.route;
+    match record.outcome {
+        Outcome::Answered if !record.complete => {
             Some(format!("{request} on {route}: given as answered, but cut"))
         }
-        Kind::Answered if !line.right => {
+        Outcome::Answered if !record.correct => {
             Some(format!("{request} on {route}: got another answer than its own"))
         }
-        Kind::Error => {
-            let reason = line.reason.as_deref().unwrap_or("no reason");
+        Outcome::Error => {
+            let reason = record.reason.as_deref().unwrap_or("no reason");
             Some(format!("{request} on {route}: neither answered nor refused honestly: {reason}"))
         }
         _ => None,
     }
 }
 
-fn faults_of_runs(reference: &str, lines: &[&Line], times: u64) -> Vec<String> {
-    let mut faults = Vec::new();
-    let answered: Vec<&&Line> = lines.iter().filter(|line| line.kind == Kind::Answered).collect();
-    if times > 1 {
-        faults.push(format!("{reference}: ran {times} times and may run once"));
+fn check_runs(reference: &str, records: &[&Record], count: u64) -> Vec<String> {
+    let mut violations = Vec::new();
+    let answered: Vec<&&Record> =
+        records.iter().filter(|record| record.outcome == Outcome::Answered).collect();
+    if count > 1 {
+        violations.push(format!("{reference}: ran {count} times and may run once"));
     }
-    if times > 0 && lines.iter().all(|line| line.kind == Kind::RefusedNotRun) {
-        faults.push(format!("{reference}: refused as not run, and ran"));
+    if count > 0 && records.iter().all(|record| record.outcome == Outcome::RejectedNotRun) {
+        violations.push(format!("{reference}: refused as not run, and ran"));
     }
-    if times == 0 && !answered.is_empty() {
-        faults.push(format!("{reference}: answered, and no back end ran it"));
+    if count == 0 && !answered.is_empty() {
+        violations.push(format!("{reference}: answered, and no back end ran it"));
     }
     if answered.windows(2).any(|pair| pair[0].digest != pair[1].digest) {
-        faults.push(format!("{reference}: the same key got different answers"));
+        violations.push(format!("{reference}: the same key got different answers"));
     }
-    faults
+    violations
 }
--- a/crates/hyssopfork-cli/src/lib.rs
+++ b/crates/hyssopfork-cli/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod history;
 pub mod load;
 pub mod output;
+pub mod overview;
 pub mod program;
-pub mod screen;
 pub mod submission;
 pub mod traffic;
--- a/crates/hyssopfork-cli/src/load/caller.rs
+++ b/crates/hyssopfork-cli/src/load/client.rs
@@ -9,52 +9,52 @@
 
 /// Time after which an idle connection is not used again: well below servers' keep-alive, so that
 /// no request meets a connection that is being closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What came back.
 #[derive(Clone, Debug, Default)]
-pub struct Received {
+pub struct Response {
     /// HTTP status, when a head came.
     pub status: Option<u16>,
     /// Whether the answer is a stream of events.
-    pub events: bool,
+    pub is_event_stream: bool,
     /// Body as far as it came.
     pub body: Bytes,
     /// When its first part came.
-    pub first: Option<Instant>,
+    pub first_part_at: Option<Instant>,
     /// Why it is not whole; `None` when it is.
-    pub fault: Option<String>,
+    pub error: Option<String>,
 }
 
 /// Callers of some entries, which keep connections between requests.
 #[derive(Default)]
-pub struct Caller {
+pub struct Client {
     idle: RefCell<Vec<(net::SocketAddr, Instant, connection::Connection)>>,
 }
 
-impl Caller {
+impl Client {
     /// Sends a request to the first of `entries` that can be reached, as a balancer would.
     pub async fn call(
         &self,
         entries: &[net::SocketAddr],
         request: &plan::Request,
-        limit: Duration,
-    ) -> Received {
-        let mut received = Received::default();
-        let exchange = self.exchange(entries, request, &mut received);
-        let fault = match actix_rt::time::timeout(limit, exchange).await {
+        timeout: Duration,
+    ) -> Response {
+        let mut response = Response::default();
+        let exchanged = self.exchange(entries, request, &mut response);
+        let error = match actix_rt::time::timeout(timeout, exchanged).await {
             Ok(Ok(())) => None,
             Ok(Err(error)) => Some(error.to_string()),
-            Err(_) => Some(format!("no whole answer within {} ms", limit.as_millis())),
+            Err(_) => Some(format!("no whole answer within {} ms", timeout.as_millis())),
         };
-        Received { fault, ..received }
+        Response { error, ..response }
     }
 
     async fn exchange(
         &self,
         entries: &[net::SocketAddr],
         request: &plan::Request,
-        received: &mut Received,
+        response: &mut Response,
     ) -> Result<(), error::Error> {
         let (address, mut connection) = self.connect(entries).await?;
         let headers = request.headers();
@@ -66,18 +66,18 @@
         let body = request.route.body.as_ref().map(ToString::to_string).unwrap_or_default();
         connection.send(&head, Bytes::from(body)).await?;
         let head = connection.read_head().await?;
-        received.status = Some(head.status);
-        let media = head.header("content-type").unwrap_or_default();
-        received.events = media.starts_with("text/event-stream");
-        let mut whole = BytesMut::new();
+        response.status = Some(head.status);
+        let content_type = head.header("content-type").unwrap_or_default();
+        response.is_event_stream = content_type.starts_with("text/event-stream");
+        let mut received = BytesMut::new();
         while let Some(part) = connection.read_part().await.inspect_err(|_| {
-            received.body = whole.clone().freeze();
+            response.body = received.clone().freeze();
         })? {
-            received.first.get_or_insert_with(Instant::now);
-            whole.extend_from_slice(&part);
+            response.first_part_at.get_or_insert_with(Instant::now);
+            received.extend_from_slice(&part);
         }
-        received.body = whole.freeze();
-        self.keep(address, connection);
+        response.body = received.freeze();
+        self.store_idle(address, connection);
         Ok(())
     }
 
@@ -85,27 +85,27 @@
         &self,
         entries: &[net::SocketAddr],
     ) -> Result<(net::SocketAddr, connection::Connection), error::Error> {
-        if let Some(connection) = self.take(entries[0]) {
+        if let Some(connection) = self.take_idle(entries[0]) {
             return Ok((entries[0], connection));
         }
-        let mut last = None;
+        let mut last_error = None;
         for &entry in entries {
             match connection::Connection::connect(entry).await {
                 Ok(connection) => return Ok((entry, connection)),
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(last.unwrap_or(error::Error::ConnectionLost))
+        Err(last_error.unwrap_or(error::Error::ConnectionLost))
     }
 
-    fn take(&self, entry: net::SocketAddr) -> Option<connection::Connection> {
+    fn take_idle(&self, entry: net::SocketAddr) -> Option<connection::Connection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|(_, since, _)| since.elapsed() < IDLE_LIMIT);
-        let place = idle.iter().position(|(address, ..)| *address == entry)?;
-        Some(idle.swap_remove(place).2)
+        idle.retain(|(_, since, _)| since.elapsed() < IDLE_TIMEOUT);
+        let index = idle.iter().position(|(address, ..)| *address == entry)?;
+        Some(idle.swap_remove(index).2)
     }
 
-    fn keep(&self, address: net::SocketAddr, connection: connection::Connection) {
+    fn store_idle(&self, address: net::SocketAddr, connection: connection::Connection) {
         if connection.is_reusable() {
             self.idle.borrow_mut().push((address, Instant::now(), connection));
         }
--- a/crates/hyssopfork-cli/src/load/mod.rs
+++ b/crates/hyssopfork-cli/src/load/mod.rs
@@ -5,7 +5,7 @@
 //! request that callers would have sent meanwhile.
 
 pub mod answer;
-pub mod caller;
+pub mod client;
 pub mod plan;
 pub mod run;
 pub mod schedule;
--- a/crates/hyssopfork-cli/src/load/plan.rs
+++ b/crates/hyssopfork-cli/src/load/plan.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Stands for the request's reference in paths, bodies and expectations.
-pub const PLACEHOLDER: &str = "{request}";
+pub const REFERENCE_PLACEHOLDER: &str = "{request}";
 
 /// A plan.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -54,13 +54,13 @@
     pub share: u32,
     /// What a right answer is.
     #[serde(default)]
-    pub expect: Expect,
+    pub expect: Expectation,
 }
 
 /// What a right answer is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Expect {
+pub enum Expectation {
     /// Anything whole.
     #[default]
     Whole,
@@ -84,7 +84,7 @@
 
 impl Plan {
     /// What is wrong with the plan; empty when nothing is.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut faults = Vec::new();
         if self.teams.iter().all(|team| team.share == 0) {
             faults.push("\"teams\" names none with a share; give one a share above 0".into());
@@ -102,11 +102,11 @@
     }
 
     /// Draws a request, called `reference`.
-    pub fn draw(&self, reference: String, random: &mut impl RngExt) -> Request {
+    pub fn sample_request(&self, reference: String, random: &mut impl RngExt) -> Request {
         let shares = self.teams.iter().map(|team| team.share);
-        let team = self.teams[pick(shares, random)].clone();
+        let team = self.teams[pick_weighted(shares, random)].clone();
         let shares = self.routes.iter().map(|route| route.share);
-        let route = fill(&self.routes[pick(shares, random)], &reference);
+        let route = fill_placeholders(&self.routes[pick_weighted(shares, random)], &reference);
         Request { reference, team, route }
     }
 }
@@ -126,25 +126,27 @@
     }
 }
 
-fn fill(route: &Route, reference: &str) -> Route {
+fn fill_placeholders(route: &Route, reference: &str) -> Route {
     let body = route.body.as_ref().map(|body| {
-        let text = body.to_string().replace(PLACEHOLDER, reference);
+        let text = body.to_string().replace(REFERENCE_PLACEHOLDER, reference);
         serde_json::from_str(&text).expect("references are plain text")
     });
     let expect = match &route.expect {
-        Expect::Text(text) => Expect::Text(text.replace(PLACEHOLDER, reference)),
+        Expectation::Text(text) => {
+            Expectation::Text(text.replace(REFERENCE_PLACEHOLDER, reference))
+        }
         other => other.clone(),
     };
-    let path = route.path.replace(PLACEHOLDER, reference);
+    let path = route.path.replace(REFERENCE_PLACEHOLDER, reference);
     Route { path, body, expect, ..route.clone() }
 }
 
-fn pick(shares: impl Iterator<Item = u32> + Clone, random: &mut impl RngExt) -> usize {
+fn pick_weighted(shares: impl Iterator<Item = u32> + Clone, random: &mut impl RngExt) -> usize {
     let total: u32 = shares.clone().sum();
     let mut drawn = random.random_range(0..total.max(1));
-    for (place, share) in shares.enumerate() {
+    for (index, share) in shares.enumerate() {
         if drawn < share {
-            return place;
+            return index;
         }
         drawn -= share;
     }
--- a/crates/hyssopfork-cli/src/load/run.rs
+++ b/crates/hyssopfork-cli/src/load/run.rs
@@ -1,6 +1,6 @@
 //! A run: sends every request when it is due and writes down what came of it.
 
-use super::{answer, caller, plan, schedule};
+use super::{answer, client, plan, schedule};
 use crate::history;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +13,7 @@
 
 /// What to run.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Options {
     /// Entries, used in turn.
     pub entries: Vec<net::SocketAddr>,
     /// What is sent.
@@ -29,85 +29,98 @@
     /// Of 100 requests with a key, how many are sent again after their end, over another entry.
     pub resend_percent: u32,
     /// Time after which a caller gives up.
-    pub limit: Duration,
+    pub request_timeout: Duration,
     /// Most requests at once; what is due beyond it is noted as an error, never sent late unseen.
-    pub outstanding: usize,
+    pub max_in_flight: usize,
     /// Start of every reference, so that runs against the same back ends differ.
-    pub label: String,
+    pub reference_prefix: String,
 }
 
 struct Run {
-    order: Order,
+    options: Options,
     started: Instant,
-    caller: caller::Caller,
-    outstanding: Cell<usize>,
-    lines: RefCell<Vec<history::Line>>,
+    client: client::Client,
+    in_flight: Cell<usize>,
+    records: RefCell<Vec<history::Record>>,
 }
 
 /// Sends all and returns what came of each, in the order in which they ended.
-pub async fn run(order: Order) -> Vec<history::Line> {
-    let mut random = ChaCha8Rng::seed_from_u64(order.seed);
-    let due = schedule::draw(order.arrivals, order.rate, order.duration, &mut random);
+pub async fn run(options: Options) -> Vec<history::Record> {
+    let mut random = ChaCha8Rng::seed_from_u64(options.seed);
+    let due =
+        schedule::sample_due_times(options.arrivals, options.rate, options.duration, &mut random);
     let run = Rc::new(Run {
         started: Instant::now(),
-        caller: caller::Caller::default(),
-        outstanding: Cell::new(0),
-        lines: RefCell::new(Vec::with_capacity(due.len())),
-        order,
+        client: client::Client::default(),
+        in_flight: Cell::new(0),
+        records: RefCell::new(Vec::with_capacity(due.len())),
+        options,
     });
-    let mut callers = Vec::with_capacity(due.len());
+    let mut requests = Vec::with_capacity(due.len());
     for (number, due) in due.into_iter().enumerate() {
-        let reference = format!("{}-{number}", run.order.label);
-        let request = run.order.plan.draw(reference, &mut random);
-        let again = request.route.key && random.random_range(0..100) < run.order.resend_percent;
+        let reference = format!("{}-{number}", run.options.reference_prefix);
+        let request = run.options.plan.sample_request(reference, &mut random);
+        let resend = request.route.key && random.random_range(0..100) < run.options.resend_percent;
         let wait = due.saturating_sub(run.started.elapsed());
         actix_rt::time::sleep(wait).await;
-        callers.push(actix_rt::spawn(call(run.clone(), number, request, due, again)));
+        requests.push(actix_rt::spawn(run_request(run.clone(), number, request, due, resend)));
     }
-    futures::future::join_all(callers).await;
-    run.lines.take()
+    futures::future::join_all(requests).await;
+    run.records.take()
 }
 
-async fn call(run: Rc<Run>, number: usize, request: plan::Request, due: Duration, again: bool) {
-    if run.outstanding.get() >= run.order.outstanding {
-        run.lines.borrow_mut().push(unsent(&run, &request, due));
+async fn run_request(
+    run: Rc<Run>,
+    number: usize,
+    request: plan::Request,
+    due: Duration,
+    resend: bool,
+) {
+    if run.in_flight.get() >= run.options.max_in_flight {
+        run.records.borrow_mut().push(unsent_record(&run, &request, due));
         return;
     }
-    run.outstanding.set(run.outstanding.get() + 1);
-    send(&run, number, &request, due, "").await;
-    if again {
-        send(&run, number + 1, &request, run.started.elapsed(), "-again").await;
+    run.in_flight.set(run.in_flight.get() + 1);
+    send_request(&run, number, &request, due, "").await;
+    if resend {
+        send_request(&run, number + 1, &request, run.started.elapsed(), "-again").await;
     }
-    run.outstanding.set(run.outstanding.get() - 1);
+    run.in_flight.set(run.in_flight.get() - 1);
 }
 
-async fn send(run: &Run, number: usize, request: &plan::Request, due: Duration, mark: &str) {
-    let mut entries = run.order.entries.clone();
+async fn send_request(
+    run: &Run,
+    number: usize,
+    request: &plan::Request,
+    due: Duration,
+    suffix: &str,
+) {
+    let mut entries = run.options.entries.clone();
     let count = entries.len();
     entries.rotate_left(number % count);
     let sent = run.started.elapsed();
-    let received = run.caller.call(&entries, request, run.order.limit).await;
+    let response = run.client.call(&entries, request, run.options.request_timeout).await;
     let ended = run.started.elapsed();
-    let judged = answer::judge(request, &received);
-    let line = history::Line {
-        request: format!("{}{mark}", request.reference),
-        first_us: received.first.map(|first| micros(first.duration_since(run.started))),
+    let classification = answer::classify(request, &response);
+    let record = history::Record {
+        request: format!("{}{suffix}", request.reference),
+        first_us: response.first_part_at.map(|first| micros(first.duration_since(run.started))),
         sent_us: micros(sent),
         answered_us: micros(ended),
-        kind: judged.kind,
-        status: received.status,
-        reason: judged.reason,
-        whole: judged.whole,
-        right: judged.right,
-        digest: digest(&received.body),
-        ..unsent(run, request, due)
+        outcome: classification.outcome,
+        status: response.status,
+        reason: classification.reason,
+        complete: classification.complete,
+        correct: classification.correct,
+        digest: digest(&response.body),
+        ..unsent_record(run, request, due)
     };
-    run.lines.borrow_mut().push(line);
+    run.records.borrow_mut().push(record);
 }
 
 /// A line for a request that was not sent since too many were outstanding.
-fn unsent(run: &Run, request: &plan::Request, due: Duration) -> history::Line {
-    history::Line {
+fn unsent_record(run: &Run, request: &plan::Request, due: Duration) -> history::Record {
+    history::Record {
         request: request.reference.clone(),
         reference: request.reference.clone(),
         team: request.team.team.clone(),
@@ -119,11 +132,11 @@
         sent_us: micros(due),
         first_us: None,
         answered_us: micros(run.started.elapsed().max(due)),
-        kind: history::Kind::Error,
+        outcome: history::Outcome::Error,
         status: None,
         reason: Some("not sent: too many outstanding; raise --outstanding or lower --rate".into()),
-        whole: false,
-        right: false,
+        complete: false,
+        correct: false,
         digest: String::new(),
     }
 }
--- a/crates/hyssopfork-cli/src/load/schedule.rs
+++ b/crates/hyssopfork-cli/src/load/schedule.rs
@@ -14,7 +14,7 @@
 }
 
 /// Due times within `duration`, ascending.
-pub fn draw(
+pub fn sample_due_times(
     arrivals: Arrivals,
     rate: f64,
     duration: Duration,
@@ -22,20 +22,20 @@
 ) -> Vec<Duration> {
     let limit = duration.as_secs_f64();
     let mut at = 0.0;
-    let next = |number: u32| {
+    let next_due = |number: u32| {
         at = match arrivals {
             // From the number and not from the time before, so that rounding doesn't add up.
             Arrivals::Constant => f64::from(number) / rate,
-            Arrivals::Poisson => at + exponential(rate, random),
+            Arrivals::Poisson => at + sample_gap(rate, random),
         };
         at
     };
-    let times = (1..).map(next).take_while(|&at| at < limit);
+    let times = (1..).map(next_due).take_while(|&at| at < limit);
     times.map(Duration::from_secs_f64).collect()
 }
 
 /// A gap whose mean is the inverse of the rate.
-fn exponential(rate: f64, random: &mut impl RngExt) -> f64 {
+fn sample_gap(rate: f64, random: &mut impl RngExt) -> f64 {
     let uniform: f64 = random.random();
     -(1.0 - uniform).ln() / rate
 }
--- a/crates/hyssopfork-cli/src/load/summary.rs
+++ b/crates/hyssopfork-cli/src/load/summary.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// Longest time that the histograms tell, in microseconds: an hour, beyond any caller's patience.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 /// Latencies in milliseconds, measured from when requests were due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -34,11 +34,14 @@
     /// Requests that were sent.
     pub sent: u64,
     /// How many ended in each way.
-    pub kinds: BTreeMap<history::Kind, u64>,
+    #[serde(rename = "kinds")]
+    pub outcomes: BTreeMap<history::Outcome, u64>,
     /// Time to the first part of whole answers.
-    pub first: Quantiles,
+    #[serde(rename = "first")]
+    pub first_part: Quantiles,
     /// Time to the end of whole answers.
-    pub whole: Quantiles,
+    #[serde(rename = "whole")]
+    pub total: Quantiles,
 }
 
 /// The summary of a run.
@@ -49,52 +52,60 @@
     /// How many requests ended for each reason.
     pub reasons: BTreeMap<String, u64>,
     /// How many ended in each way.
-    pub kinds: BTreeMap<history::Kind, u64>,
+    #[serde(rename = "kinds")]
+    pub outcomes: BTreeMap<history::Outcome, u64>,
 }
 
-/// Sums lines up.
-pub fn sum(lines: &[history::Line]) -> Summary {
-    let mut shares: BTreeMap<(&name::Team, configuration::Class), Vec<&history::Line>> =
+/// Sums records up.
+pub fn summarize(records: &[history::Record]) -> Summary {
+    let mut groups: BTreeMap<(&name::Team, configuration::Class), Vec<&history::Record>> =
         BTreeMap::new();
-    for line in lines {
-        shares.entry((&line.team, line.class)).or_default().push(line);
+    for record in records {
+        groups.entry((&record.team, record.class)).or_default().push(record);
     }
-    let rows = shares.into_iter().map(|((team, class), lines)| row(team, class, &lines));
+    let rows =
+        groups.into_iter().map(|((team, class), records)| summarize_group(team, class, &records));
     let mut reasons = BTreeMap::new();
-    for line in lines.iter().filter(|line| line.kind != history::Kind::Answered) {
-        let reason = line.reason.clone().unwrap_or_else(|| "none given".into());
-        *reasons.entry(format!("{}: {reason}", line.kind)).or_default() += 1;
+    for record in records.iter().filter(|record| record.outcome != history::Outcome::Answered) {
+        let reason = record.reason.clone().unwrap_or_else(|| "none given".into());
+        *reasons.entry(format!("{}: {reason}", record.outcome)).or_default() += 1;
     }
-    Summary { rows: rows.collect(), reasons, kinds: kinds(lines.iter()) }
+    Summary { rows: rows.collect(), reasons, outcomes: count_outcomes(records.iter()) }
 }
 
-fn kinds<'a>(lines: impl Iterator<Item = &'a history::Line>) -> BTreeMap<history::Kind, u64> {
-    let mut kinds = BTreeMap::new();
-    for line in lines {
-        *kinds.entry(line.kind).or_default() += 1;
+fn count_outcomes<'a>(
+    records: impl Iterator<Item = &'a history::Record>,
+) -> BTreeMap<history::Outcome, u64> {
+    let mut outcomes = BTreeMap::new();
+    for record in records {
+        *outcomes.entry(record.outcome).or_default() += 1;
     }
-    kinds
+    outcomes
 }
 
-fn row(team: &name::Team, class: configuration::Class, lines: &[&history::Line]) -> Row {
-    let answered = || lines.iter().filter(|line| line.kind == history::Kind::Answered);
-    let first = answered().filter_map(|line| Some(line.first_us? - line.intended_us));
-    let whole = answered().map(|line| line.answered_us - line.intended_us);
+fn summarize_group(
+    team: &name::Team,
+    class: configuration::Class,
+    records: &[&history::Record],
+) -> Row {
+    let answered = || records.iter().filter(|record| record.outcome == history::Outcome::Answered);
+    let first_part = answered().filter_map(|record| Some(record.first_us? - record.intended_us));
+    let total = answered().map(|record| record.answered_us - record.intended_us);
     Row {
         team: team.clone(),
         class,
-        sent: lines.len() as u64,
-        kinds: kinds(lines.iter().copied()),
-        first: quantiles(first),
-        whole: quantiles(whole),
+        sent: records.len() as u64,
+        outcomes: count_outcomes(records.iter().copied()),
+        first_part: compute_quantiles(first_part),
+        total: compute_quantiles(total),
     }
 }
 
-fn quantiles(times_us: impl Iterator<Item = u64>) -> Quantiles {
+fn compute_quantiles(times_us: impl Iterator<Item = u64>) -> Quantiles {
     // With a bound: one that resizes itself does so in `record` only, and `saturating_record`
     // would cap every time at its first size.
-    let mut histogram =
-        Histogram::<u64>::new_with_max(LONGEST_US, DIGITS).expect("the bounds are allowed");
+    let mut histogram = Histogram::<u64>::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("the bounds are allowed");
     times_us.for_each(|time| histogram.saturating_record(time));
     if histogram.is_empty() {
         return Quantiles::default();
@@ -122,22 +133,22 @@
             "WHOLE MAX",
         ]);
         for row in &self.rows {
-            let kind = |kind| row.kinds.get(&kind).copied().unwrap_or(0).to_string();
+            let count = |outcome| row.outcomes.get(&outcome).copied().unwrap_or(0).to_string();
             let time = |time: f64| format!("{time:.1}");
-            table.row([
+            table.add_row([
                 row.team.to_string(),
                 row.class.to_string(),
                 row.sent.to_string(),
-                kind(history::Kind::Answered),
-                kind(history::Kind::RefusedNotRun),
-                kind(history::Kind::MayHaveRun),
-                kind(history::Kind::Error),
-                time(row.first.p50_ms),
-                time(row.first.p95_ms),
-                time(row.whole.p50_ms),
-                time(row.whole.p95_ms),
-                time(row.whole.p99_ms),
-                time(row.whole.max_ms),
+                count(history::Outcome::Answered),
+                count(history::Outcome::RejectedNotRun),
+                count(history::Outcome::MayHaveRun),
+                count(history::Outcome::Error),
+                time(row.first_part.p50_ms),
+                time(row.first_part.p95_ms),
+                time(row.total.p50_ms),
+                time(row.total.p95_ms),
+                time(row.total.p99_ms),
+                time(row.total.max_ms),
             ]);
         }
         format!(
@@ -153,7 +164,7 @@
         }
         let mut table = output::Table::new(&["NOT ANSWERED BECAUSE", "REQUESTS"]);
         for (reason, count) in &self.reasons {
-            table.row([reason.clone(), count.to_string()]);
+            table.add_row([reason.clone(), count.to_string()]);
         }
         format!("\n{}", table.render())
     }
--- a/crates/hyssopfork-cli/src/output.rs
+++ b/crates/hyssopfork-cli/src/output.rs
@@ -6,7 +6,7 @@
 /// How results are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
-pub enum Output {
+pub enum Format {
     /// Columns for people.
     #[default]
     Table,
@@ -20,13 +20,13 @@
     /// Text, with its last line end.
     pub text: String,
     /// Exit code.
-    pub code: u8,
+    pub exit_code: u8,
 }
 
 impl Report {
     /// A result with exit code 0.
-    pub fn done(text: impl Into<String>) -> Report {
-        Report { text: text.into(), code: 0 }
+    pub fn success(text: impl Into<String>) -> Report {
+        Report { text: text.into(), exit_code: 0 }
     }
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Adds a row.
-    pub fn row<const N: usize>(&mut self, cells: [String; N]) {
+    pub fn add_row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.into());
     }
 
@@ -72,14 +72,14 @@
 }
 
 /// A value as indented JSON.
-pub fn json(value: &impl Serialize) -> String {
+pub fn to_json(value: &impl Serialize) -> String {
     let mut text = serde_json::to_string_pretty(value).expect("results are plain data");
     text.push('\n');
     text
 }
 
 /// A value as one line of JSON.
-pub fn json_line(value: &impl Serialize) -> String {
+pub fn to_json_line(value: &impl Serialize) -> String {
     let mut text = serde_json::to_string(value).expect("results are plain data");
     text.push('\n');
     text
--- a/crates/hyssopfork-cli/src/screen.rs
+++ b/crates/hyssopfork-cli/src/overview.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
+pub enum State {
     /// Its first member takes requests.
     Serving,
     /// It is placed and not all members have loaded or granted yet.
@@ -25,7 +25,8 @@
     /// Its name.
     pub group: name::Group,
     /// State.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: State,
     /// Fencing number of its placement.
     pub fence: Option<number::Fence>,
     /// Zone of its first member.
@@ -100,7 +101,7 @@
 
 /// A process that acts on an older view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Behind {
+pub struct Laggard {
     /// Its instance.
     pub instance: name::Instance,
     /// Version that it reported last.
@@ -109,7 +110,7 @@
 
 /// The whole screen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Screen {
+pub struct Overview {
     /// Configuration number in force.
     pub configuration: number::Configuration,
     /// Version of the newest view.
@@ -131,7 +132,8 @@
     /// Processes that hold a lease.
     pub holders: usize,
     /// Holders of a lease that act on an older view.
-    pub behind: Vec<Behind>,
+    #[serde(rename = "behind")]
+    pub laggards: Vec<Laggard>,
     /// Processes whose lease has lapsed: they serve nothing until they have another.
     pub lapsed: Vec<name::Instance>,
     /// Accelerators that serve nothing: on present, undrained engines in zones that are in service,
@@ -139,27 +141,27 @@
     pub stranded: u32,
 }
 
-impl Screen {
+impl Overview {
     /// Whether every declared group serves and the newest view is in force everywhere.
-    pub fn is_well(&self) -> bool {
-        let serving = self.groups.iter().all(|group| group.standing == Standing::Serving);
-        serving && self.behind.is_empty()
+    pub fn is_healthy(&self) -> bool {
+        let serving = self.groups.iter().all(|group| group.state == State::Serving);
+        serving && self.laggards.is_empty()
     }
 }
 
 /// Works the screen out.
-pub fn draw(status: &control::Status) -> Screen {
-    let reports = Reports::new(status);
+pub fn build(status: &control::Status) -> Overview {
+    let lookup = Lookup::new(status);
     let groups: Vec<Group> =
-        status.view.configuration.groups.keys().map(|group| reports.group(group)).collect();
+        status.view.configuration.groups.keys().map(|group| lookup.group(group)).collect();
     let instances: Vec<Instance> =
-        status.view.members.values().map(|member| reports.instance(member)).collect();
+        status.view.members.values().map(|member| lookup.instance(member)).collect();
     let zones = status.view.configuration.zones.iter();
-    let zones = zones.map(|(name, zone)| draw_zone(name, zone, &groups, &instances)).collect();
-    let stranded = stranded(status, &groups, &instances);
-    let live = || status.holdings.iter().filter(|holding| !is_lapsed(holding));
+    let zones = zones.map(|(name, zone)| build_zone(name, zone, &groups, &instances)).collect();
+    let stranded = count_stranded(status, &groups, &instances);
+    let holders = || status.holdings.iter().filter(|holding| !is_lapsed(holding));
     let lapsed = status.holdings.iter().filter(|holding| is_lapsed(holding));
-    Screen {
+    Overview {
         configuration: status.view.configuration.number,
         version: status.view.version,
         leader: status.leader.clone(),
@@ -168,22 +170,22 @@
         zones,
         groups,
         instances,
-        entries: live().filter(|holding| !holding.agent).count(),
-        holders: live().count(),
-        behind: live().filter_map(|holding| behind(status, holding)).collect(),
+        entries: holders().filter(|holding| !holding.agent).count(),
+        holders: holders().count(),
+        laggards: holders().filter_map(|holding| find_laggard(status, holding)).collect(),
         lapsed: lapsed.map(|holding| holding.instance.clone()).collect(),
         stranded,
     }
 }
 
 /// Reports by instance, beside the view that they belong to.
-struct Reports<'a> {
+struct Lookup<'a> {
     status: &'a control::Status,
     by_instance: BTreeMap<&'a name::Instance, &'a fleet::Report>,
     group_of: BTreeMap<&'a name::Instance, &'a name::Group>,
 }
 
-impl<'a> Reports<'a> {
+impl<'a> Lookup<'a> {
     fn new(status: &'a control::Status) -> Self {
         let holdings = status.holdings.iter();
         let reported =
@@ -192,14 +194,14 @@
         let placed = placements.flat_map(|(group, placement)| {
             placement.members.iter().map(move |member| (member, group))
         });
-        Reports { status, by_instance: reported.collect(), group_of: placed.collect() }
+        Lookup { status, by_instance: reported.collect(), group_of: placed.collect() }
     }
 
     fn group(&self, group: &name::Group) -> Group {
         let Some(placement) = self.status.view.placements.get(group) else {
             return Group {
                 group: group.clone(),
-                standing: Standing::Unplaced,
+                state: State::Unplaced,
                 fence: None,
                 zone: None,
                 members: Vec::new(),
@@ -215,7 +217,7 @@
         let member = first.and_then(|first| self.status.view.members.get(first));
         Group {
             group: group.clone(),
-            standing: standing(placement, report.copied(), &missing),
+            state: group_state(placement, report.copied(), &missing),
             fence: Some(placement.fence),
             zone: member.map(|member| member.announcement.zone.clone()),
             members: placement.members.clone(),
@@ -243,14 +245,14 @@
             Condition::Drained
         } else if !report.alive {
             Condition::Down
-        } else if !report.warm && self.takes_requests(member) {
+        } else if !report.warm && self.is_request_target(member) {
             Condition::Cold
         } else {
             Condition::Ready
         }
     }
 
-    fn takes_requests(&self, member: &fleet::Member) -> bool {
+    fn is_request_target(&self, member: &fleet::Member) -> bool {
         let instance = &member.announcement.instance;
         let mut placements = self.status.view.placements.values();
         member.announcement.profile.kind == configuration::Kind::Service
@@ -274,39 +276,39 @@
     }
 }
 
-fn standing(
+fn group_state(
     placement: &fleet::Placement,
     first: Option<&fleet::Report>,
     missing: &[name::Instance],
-) -> Standing {
-    let serves = first.is_some_and(|first| first.serving && first.joined == placement.fence);
-    match (missing.is_empty(), serves) {
-        (false, _) => Standing::Incomplete,
-        (true, true) => Standing::Serving,
-        (true, false) => Standing::Forming,
+) -> State {
+    let is_serving = first.is_some_and(|first| first.serving && first.joined == placement.fence);
+    match (missing.is_empty(), is_serving) {
+        (false, _) => State::Incomplete,
+        (true, true) => State::Serving,
+        (true, false) => State::Forming,
     }
 }
 
-fn draw_zone(
+fn build_zone(
     name: &name::Zone,
     zone: &configuration::Zone,
     groups: &[Group],
     instances: &[Instance],
 ) -> Zone {
-    let count = |matches: fn(Condition) -> bool| {
-        let here = instances.iter().filter(|instance| instance.zone == *name);
-        here.filter(|instance| matches(instance.condition)).count()
+    let count_instances = |predicate: fn(Condition) -> bool| {
+        let in_zone = instances.iter().filter(|instance| instance.zone == *name);
+        in_zone.filter(|instance| predicate(instance.condition)).count()
     };
     let serving = groups
         .iter()
-        .filter(|group| group.standing == Standing::Serving && group.zone.as_ref() == Some(name));
+        .filter(|group| group.state == State::Serving && group.zone.as_ref() == Some(name));
     Zone {
         zone: name.clone(),
         out: zone.out,
         serving: serving.count(),
-        present: count(|condition| condition != Condition::Missing),
-        missing: count(|condition| condition == Condition::Missing),
-        cold: count(|condition| condition == Condition::Cold),
+        present: count_instances(|condition| condition != Condition::Missing),
+        missing: count_instances(|condition| condition == Condition::Missing),
+        cold: count_instances(|condition| condition == Condition::Cold),
     }
 }
 
@@ -314,23 +316,23 @@
     holding.age > timing::HOLDER_LEASE
 }
 
-fn behind(status: &control::Status, holding: &control::Holding) -> Option<Behind> {
+fn find_laggard(status: &control::Status, holding: &control::Holding) -> Option<Laggard> {
     let (instance, version) = (holding.instance.clone(), holding.version);
-    (version < status.view.version).then_some(Behind { instance, version })
+    (version < status.view.version).then_some(Laggard { instance, version })
 }
 
-fn stranded(status: &control::Status, groups: &[Group], instances: &[Instance]) -> u32 {
-    let serves = |instance: &Instance| {
+fn count_stranded(status: &control::Status, groups: &[Group], instances: &[Instance]) -> u32 {
+    let is_serving = |instance: &Instance| {
         let group = groups.iter().find(|group| Some(&group.group) == instance.group.as_ref());
-        group.is_some_and(|group| group.standing == Standing::Serving)
+        group.is_some_and(|group| group.state == State::Serving)
     };
     let idle = instances.iter().filter(|instance| {
         let zone = status.view.configuration.zones.get(&instance.zone);
-        let usable = matches!(instance.condition, Condition::Ready | Condition::Cold);
+        let is_usable = matches!(instance.condition, Condition::Ready | Condition::Cold);
         instance.kind == configuration::Kind::Engine
-            && usable
+            && is_usable
             && zone.is_some_and(|zone| !zone.out)
-            && !serves(instance)
+            && !is_serving(instance)
     });
     idle.map(|instance| instance.accelerators).sum()
 }
--- a/crates/hyssopfork-cli/src/program.rs
+++ b/crates/hyssopfork-cli/src/program.rs
@@ -7,15 +7,15 @@
 /// Runs the program with the process's arguments.
 pub fn main() -> ExitCode {
     let matches = command::command().get_matches();
-    let json = matches.get_one::<String>("output").is_some_and(|output| output == "json");
+    let as_json = matches.get_one::<String>("output").is_some_and(|output| output == "json");
     match actix_rt::System::new().block_on(run(&matches)) {
         Ok(report) => {
             output::print(&report.text);
-            ExitCode::from(report.code)
+            ExitCode::from(report.exit_code)
         }
         Err(error) => {
-            complain(&error, json);
-            ExitCode::from(error.code())
+            print_error(&error, as_json);
+            ExitCode::from(error.exit_code())
         }
     }
 }
@@ -26,10 +26,10 @@
     command::run(matches, &mut context).await
 }
 
-fn complain(error: &error::Error, json: bool) {
-    if json {
-        let value = serde_json::json!({ "error": error.to_string(), "code": error.code() });
-        eprint!("{}", output::json_line(&value));
+fn print_error(error: &error::Error, as_json: bool) {
+    if as_json {
+        let value = serde_json::json!({ "error": error.to_string(), "code": error.exit_code() });
+        eprint!("{}", output::to_json_line(&value));
     } else {
         eprintln!("hyssopfork: {error}");
     }
--- a/crates/hyssopfork-cli/src/submission.rs
+++ b/crates/hyssopfork-cli/src/submission.rs
@@ -38,51 +38,52 @@
         Some(&base) => number::Configuration(base),
         None => context.client()?.status().await?.view.configuration.number,
     };
-    let identifier = matches.get_one::<String>("identifier").cloned().unwrap_or_else(fresh);
+    let identifier =
+        matches.get_one::<String>("identifier").cloned().unwrap_or_else(random_identifier);
     let author = context.operator.clone();
     let patch =
         patch::Patch { identifier: patch::Identifier(identifier), base, author, operations };
-    send(context, patch).await
+    submit_patch(context, patch).await
 }
 
-fn fresh() -> String {
+fn random_identifier() -> String {
     format!("{:016x}{:016x}", rand::random::<u64>(), rand::random::<u64>())
 }
 
-async fn send(
+async fn submit_patch(
     context: &mut context::Context,
     patch: patch::Patch,
 ) -> Result<output::Report, error::Error> {
     let identifier = patch.identifier.0.clone();
     let base = patch.base;
-    let answer = context.client()?.call(&control::Request::Submit(patch)).await;
-    let response = match answer {
-        Err(error::Error::Unreachable(tried, true)) => {
-            return Err(error::Error::OutcomeUnknown(identifier, tried));
+    let result = context.client()?.call(&control::Request::Submit(patch)).await;
+    let response = match result {
+        Err(error::Error::Unreachable(failures, true)) => {
+            return Err(error::Error::OutcomeUnknown(identifier, failures));
         }
         answer => answer?,
     };
     let control::Response::Submitted(outcome) = response else {
-        return Err(error::Error::Unexpected);
+        return Err(error::Error::UnexpectedResponse);
     };
     match outcome {
-        patch::Outcome::Accepted(accepted) => Ok(report(context, accepted, identifier)),
+        patch::Outcome::Accepted(accepted) => Ok(accepted_report(context, accepted, identifier)),
         patch::Outcome::Stale { current, since } => Err(error::Error::Stale(base, current, since)),
-        patch::Outcome::Invalid(faults) => Err(error::Error::Refused(faults)),
-        patch::Outcome::Reused => Err(error::Error::Reused(identifier)),
+        patch::Outcome::Invalid(faults) => Err(error::Error::Rejected(faults)),
+        patch::Outcome::Reused => Err(error::Error::IdentifierReused(identifier)),
     }
 }
 
-fn report(
+fn accepted_report(
     context: &context::Context,
     accepted: number::Configuration,
     identifier: String,
 ) -> output::Report {
     match context.output {
-        output::Output::Json => {
-            output::Report::done(output::json(&Accepted { accepted, identifier }))
+        output::Format::Json => {
+            output::Report::success(output::to_json(&Accepted { accepted, identifier }))
         }
-        output::Output::Table => output::Report::done(format!(
+        output::Format::Table => output::Report::success(format!(
             "configuration {accepted} is accepted; in force everywhere within {} ms\n",
             timing::IN_FORCE_BOUND.as_millis()
         )),
--- a/crates/hyssopfork-cli/src/traffic.rs
+++ b/crates/hyssopfork-cli/src/traffic.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time that an entry has to tell its metrics.
-const LIMIT: Duration = Duration::from_secs(2);
+const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What one team received since the entries started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
@@ -36,16 +36,17 @@
     /// By team; requests without a team's token stand under the empty name.
     pub teams: BTreeMap<String, Team>,
     /// Entries that gave no metrics.
-    pub silent: Vec<net::SocketAddr>,
+    #[serde(rename = "silent")]
+    pub unreachable: Vec<net::SocketAddr>,
 }
 
 /// Asks the entries' `metrics_listen` addresses.
-pub async fn ask(addresses: &[net::SocketAddr]) -> Traffic {
+pub async fn collect(addresses: &[net::SocketAddr]) -> Traffic {
     let mut traffic = Traffic::default();
     for &address in addresses {
-        match actix_rt::time::timeout(LIMIT, fetch(address)).await {
-            Ok(Ok(body)) => traffic.add(&String::from_utf8_lossy(&body)),
-            _ => traffic.silent.push(address),
+        match actix_rt::time::timeout(METRICS_TIMEOUT, fetch(address)).await {
+            Ok(Ok(body)) => traffic.add_metrics(&String::from_utf8_lossy(&body)),
+            _ => traffic.unreachable.push(address),
         }
     }
     traffic
@@ -61,7 +62,7 @@
 
 impl Traffic {
     /// Adds one entry's metrics.
-    pub fn add(&mut self, text: &str) {
+    pub fn add_metrics(&mut self, text: &str) {
         for line in text.lines().filter(|line| !line.starts_with('#')) {
             let Some((series, value)) = line.rsplit_once(' ') else { continue };
             let Ok(value) = value.parse::<f64>() else { continue };
@@ -71,25 +72,25 @@
 
     fn add_series(&mut self, series: &str, value: u64) {
         let (name, labels) = series.split_once('{').unwrap_or((series, ""));
-        let team = || label(labels, "team").unwrap_or_default().to_owned();
+        let team = || label_value(labels, "team").unwrap_or_default().to_owned();
         match name {
             "hyssopfork_queued" => self.queued += value,
             "hyssopfork_in_flight" => self.in_flight += value,
             "hyssopfork_answers_total" => self.teams.entry(team()).or_default().answered += value,
             "hyssopfork_cut_answers_total" => self.teams.entry(team()).or_default().cut += value,
-            "hyssopfork_refusals_total" => self.refused(labels, value),
+            "hyssopfork_refusals_total" => self.add_rejections(labels, value),
             _ => {}
         }
     }
 
-    fn refused(&mut self, labels: &str, value: u64) {
-        let team = label(labels, "team").unwrap_or_default().to_owned();
+    fn add_rejections(&mut self, labels: &str, value: u64) {
+        let team = label_value(labels, "team").unwrap_or_default().to_owned();
         let team = self.teams.entry(team).or_default();
-        match label(labels, "ran") {
+        match label_value(labels, "ran") {
             Some("not_run") => team.not_run += value,
             _ => team.may_have_run += value,
         }
-        let reason = label(labels, "reason").unwrap_or_default().to_owned();
+        let reason = label_value(labels, "reason").unwrap_or_default().to_owned();
         *team.reasons.entry(reason).or_default() += value;
     }
 
@@ -105,7 +106,7 @@
         ]);
         for (name, team) in &self.teams {
             let reasons = team.reasons.iter().map(|(reason, count)| format!("{reason} {count}"));
-            table.row([
+            table.add_row([
                 if name.is_empty() { "(none)".into() } else { name.clone() },
                 team.answered.to_string(),
                 team.not_run.to_string(),
@@ -114,20 +115,20 @@
                 reasons.collect::<Vec<_>>().join(", "),
             ]);
         }
-        let silent: Vec<String> =
-            self.silent.iter().map(|address| format!("no metrics from {address}\n")).collect();
+        let unreachable: Vec<String> =
+            self.unreachable.iter().map(|address| format!("no metrics from {address}\n")).collect();
         format!(
             "queued {}  in flight {}\n{}{}",
             self.queued,
             self.in_flight,
             table.render(),
-            silent.concat()
+            unreachable.concat()
         )
     }
 }
 
 /// A label's value; teams and reasons hold no quotes.
-fn label<'a>(labels: &'a str, name: &str) -> Option<&'a str> {
+fn label_value<'a>(labels: &'a str, name: &str) -> Option<&'a str> {
     let pairs = labels.trim_end_matches('}').split(',');
     let value = pairs.filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name)?.1;
     Some(value.trim_matches('"'))
--- a/crates/hyssopfork-cli/tests/all/client.rs
+++ b/crates/hyssopfork-cli/tests/all/client.rs
@@ -84,7 +84,7 @@
 
     let error = run(&arguments).await.expect_err("no outcome came");
 
-    assert_eq!(error.code(), 6);
+    assert_eq!(error.exit_code(), 6);
     assert!(error.to_string().contains("--identifier p-1"), "{error}");
 }
 
@@ -94,7 +94,7 @@
 
     let error = run(&arguments).await.expect_err("nobody is there");
 
-    assert_eq!(error.code(), 5);
+    assert_eq!(error.exit_code(), 5);
     assert!(error.to_string().contains("check --control"), "{error}");
 }
 
@@ -111,6 +111,6 @@
 async fn command_without_control_instances_names_the_option() {
     let error = run("status").await.expect_err("none is named");
 
-    assert_eq!(error.code(), 2);
+    assert_eq!(error.exit_code(), 2);
     assert!(error.to_string().contains("--control"), "{error}");
 }
--- a/crates/hyssopfork-cli/tests/all/commands.rs
+++ b/crates/hyssopfork-cli/tests/all/commands.rs
@@ -56,7 +56,7 @@
 
     let error = run(&arguments).await.expect_err("stale");
 
-    assert_eq!(error.code(), 3);
+    assert_eq!(error.exit_code(), 3);
     let text = error.to_string();
     assert!(text.contains("5 by bisi: zone lekki out"), "{text}");
     assert!(text.contains("--base 5"), "{text}");
@@ -71,7 +71,7 @@
 
     let error = run(&arguments).await.expect_err("refused");
 
-    assert_eq!(error.code(), 4);
+    assert_eq!(error.exit_code(), 4);
     assert!(error.to_string().contains("one fault\n  another fault"), "{error}");
 }
 
@@ -109,7 +109,7 @@
 
     let report = run(&format!("status --check --control {leader}")).await.expect("answered");
 
-    assert_eq!(report.code, 0);
+    assert_eq!(report.exit_code, 0);
     for wanted in ["configuration 1  in force everywhere", "control-1", "serving", "leads"] {
         assert!(report.text.contains(wanted), "{wanted} in {}", report.text);
     }
@@ -147,7 +147,7 @@
     let early = run(&format!("upstream drain runner-9 --unannounced --control {leader}")).await;
 
     let error = misspelt.expect_err("refused");
-    assert_eq!(error.code(), 4);
+    assert_eq!(error.exit_code(), 4);
     assert!(error.to_string().contains("--unannounced"), "{error}");
     assert!(early.is_ok());
     assert_eq!(submitted(&control).operations.len(), 1);
--- a/crates/hyssopfork-cli/tests/all/declaration.rs
+++ b/crates/hyssopfork-cli/tests/all/declaration.rs
@@ -33,7 +33,7 @@
 
     let error = run(&format!("config check {}", path.display())).await.expect_err("faulty");
 
-    assert_eq!(error.code(), 4);
+    assert_eq!(error.exit_code(), 4);
     assert!(error.to_string().contains("line 5"), "{error}");
 }
 
@@ -52,7 +52,7 @@
 async fn file_that_is_not_there_is_named() {
     let error = run("config check /nonexistent/fleet.json").await.expect_err("no file");
 
-    assert_eq!(error.code(), 7);
+    assert_eq!(error.exit_code(), 7);
     assert!(error.to_string().contains("/nonexistent/fleet.json"), "{error}");
 }
 
@@ -67,9 +67,9 @@
     let none = run(&format!("config diff {} --control {leader}", same.display())).await;
     let some = run(&format!("config diff {} --control {leader}", other.display())).await;
 
-    assert_eq!(none.expect("compared").code, 0);
+    assert_eq!(none.expect("compared").exit_code, 0);
     let some = some.expect("compared");
-    assert_eq!(some.code, 1);
+    assert_eq!(some.exit_code, 1);
     assert!(some.text.contains("- routes/completions/deadline_ms: 2000"), "{}", some.text);
     assert!(some.text.contains("+ routes/completions/deadline_ms: 9"), "{}", some.text);
 }
--- a/crates/hyssopfork-cli/tests/all/explain.rs
+++ b/crates/hyssopfork-cli/tests/all/explain.rs
@@ -41,7 +41,7 @@
     logs.iter().flat_map(|(process, text)| explain::parse(text, process).0).collect()
 }
 
-fn messages(story: &explain::Story) -> Vec<&str> {
+fn messages(story: &explain::Timeline) -> Vec<&str> {
     story.lines.iter().map(|told| told.line.message.as_str()).collect()
 }
 
@@ -51,7 +51,7 @@
 fn the_story_of_a_broken_stream_names_the_member_that_was_lost() {
     let lines = read(&[("entry", entry()), ("leader", leader())]);
 
-    let story = explain::tell(&lines, "a").expect("it is there");
+    let story = explain::build_timeline(&lines, "a").expect("it is there");
 
     assert!(messages(&story).contains(&"i-2 answers nothing and counts as dead"));
     assert!(messages(&story).contains(&"group g1 is leaving"));
@@ -66,7 +66,7 @@
     let refused = line(650, 5213, "Refused", "refused: no_upstream attempts=0", Some("c"));
     let lines = read(&[("entry", refused), ("leader", leader())]);
 
-    let story = explain::tell(&lines, "c").expect("it is there");
+    let story = explain::build_timeline(&lines, "c").expect("it is there");
 
     assert!(messages(&story).contains(&"group g1 is leaving"));
     assert!(messages(&story).contains(&"i-2 answers nothing and counts as dead"));
@@ -78,7 +78,7 @@
     let dropped = line(900, 4514, "LinesDropped", "dropped 40 log lines", None);
     let lines = read(&[("entry", format!("{sent}\n{dropped}"))]);
 
-    let story = explain::tell(&lines, "d").expect("it is there");
+    let story = explain::build_timeline(&lines, "d").expect("it is there");
 
     let missing = story.missing.join("\n");
     assert!(missing.contains("how the request ended"), "{missing}");
@@ -113,7 +113,7 @@
     fs::remove_file(&path).expect("removed");
     let absent = run(&["hyssopfork", "explain", "a", file]).await;
 
-    assert_eq!(told.code, 0);
+    assert_eq!(told.exit_code, 0);
     assert!(told.text.contains("counts as dead"), "{}", told.text);
     assert!(matches!(&unknown, Err(error::Error::NoSuchRequest(request, 12)) if request == "zzz"));
     assert!(matches!(absent, Err(error::Error::File(..))));
--- a/crates/hyssopfork-cli/tests/all/history.rs
+++ b/crates/hyssopfork-cli/tests/all/history.rs
@@ -4,8 +4,8 @@
 use hyssopfork_wire::configuration;
 use std::collections::BTreeMap;
 
-fn line(reference: &str, kind: history::Kind) -> history::Line {
-    history::Line {
+fn line(reference: &str, kind: history::Outcome) -> history::Record {
+    history::Record {
         request: reference.into(),
         reference: reference.into(),
         team: "tariff-desk".into(),
@@ -17,37 +17,37 @@
         sent_us: 0,
         first_us: Some(1),
         answered_us: 2,
-        kind,
+        outcome: kind,
         status: Some(201),
         reason: None,
-        whole: true,
-        right: true,
+        complete: true,
+        correct: true,
         digest: "d".into(),
     }
 }
 
 fn ran(reference: &str, times: u64) -> Vec<history::Counts> {
     let ran = BTreeMap::from([(reference.to_owned(), times)]);
-    vec![history::Counts { ran, falls: 0 }]
+    vec![history::Counts { runs: ran, cold_overloads: 0 }]
 }
 
-fn violations(lines: &[history::Line], counts: &[history::Counts]) -> Vec<String> {
+fn violations(lines: &[history::Record], counts: &[history::Counts]) -> Vec<String> {
     history::check(lines, counts).violations
 }
 
 #[test]
 fn answered_once_and_ran_once_holds() {
-    let lines = [line("a", history::Kind::Answered)];
+    let lines = [line("a", history::Outcome::Answered)];
 
     let verdict = history::check(&lines, &ran("a", 1));
 
-    assert!(verdict.held(), "{:?}", verdict.violations);
+    assert!(verdict.is_consistent(), "{:?}", verdict.violations);
     assert_eq!(verdict.compared, 1);
 }
 
 #[test]
 fn work_that_ran_twice_is_found_even_on_two_back_ends() {
-    let lines = [line("a", history::Kind::Answered)];
+    let lines = [line("a", history::Outcome::Answered)];
     let counts = [ran("a", 1), ran("a", 1)].concat();
 
     let found = violations(&lines, &counts);
@@ -57,7 +57,7 @@
 
 #[test]
 fn untrue_not_run_is_found() {
-    let lines = [line("a", history::Kind::RefusedNotRun)];
+    let lines = [line("a", history::Outcome::RejectedNotRun)];
 
     let found = violations(&lines, &ran("a", 1));
 
@@ -66,9 +66,11 @@
 
 #[test]
 fn refusal_of_a_resend_whose_first_try_ran_is_true() {
-    let again =
-        history::Line { request: "a-again".into(), ..line("a", history::Kind::RefusedNotRun) };
-    let lines = [line("a", history::Kind::MayHaveRun), again];
+    let again = history::Record {
+        request: "a-again".into(),
+        ..line("a", history::Outcome::RejectedNotRun)
+    };
+    let lines = [line("a", history::Outcome::MayHaveRun), again];
 
     let found = violations(&lines, &ran("a", 1));
 
@@ -77,7 +79,7 @@
 
 #[test]
 fn answer_to_work_that_nobody_ran_is_found() {
-    let lines = [line("a", history::Kind::Answered)];
+    let lines = [line("a", history::Outcome::Answered)];
 
     let found = violations(&lines, &[]);
 
@@ -86,8 +88,8 @@
 
 #[test]
 fn different_answers_to_one_key_are_found() {
-    let other = history::Line { digest: "e".into(), ..line("a", history::Kind::Answered) };
-    let lines = [line("a", history::Kind::Answered), other];
+    let other = history::Record { digest: "e".into(), ..line("a", history::Outcome::Answered) };
+    let lines = [line("a", history::Outcome::Answered), other];
 
     let found = violations(&lines, &ran("a", 1));
 
@@ -96,8 +98,11 @@
 
 #[test]
 fn answer_of_another_request_is_found_on_repeatable_routes_too() {
-    let wrong =
-        history::Line { right: false, repeatable: true, ..line("a", history::Kind::Answered) };
+    let wrong = history::Record {
+        correct: false,
+        repeatable: true,
+        ..line("a", history::Outcome::Answered)
+    };
 
     let found = violations(&[wrong], &[]);
 
@@ -106,7 +111,7 @@
 
 #[test]
 fn end_without_a_word_is_found() {
-    let cut = history::Line { reason: Some("cut".into()), ..line("a", history::Kind::Error) };
+    let cut = history::Record { reason: Some("cut".into()), ..line("a", history::Outcome::Error) };
 
     let found = violations(&[cut], &ran("a", 1));
 
@@ -115,7 +120,7 @@
 
 #[test]
 fn overload_of_a_cold_back_end_is_found() {
-    let counts = [history::Counts { ran: BTreeMap::new(), falls: 2 }];
+    let counts = [history::Counts { runs: BTreeMap::new(), cold_overloads: 2 }];
 
     let found = violations(&[], &counts);
 
--- a/crates/hyssopfork-cli/tests/all/load.rs
+++ b/crates/hyssopfork-cli/tests/all/load.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyssopfork_cli::history;
-use hyssopfork_cli::load::{answer, caller, plan, run, schedule, summary};
+use hyssopfork_cli::load::{answer, client, plan, run, schedule, summary};
 use hyssopfork_test_support::{http, impairment, service};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -23,25 +23,25 @@
     serde_json::from_value(value).expect("a plan")
 }
 
-fn request(expect: plan::Expect) -> plan::Request {
+fn request(expect: plan::Expectation) -> plan::Request {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
-    let mut request = plan().draw("r-1".into(), &mut random);
+    let mut request = plan().sample_request("r-1".into(), &mut random);
     request.route.expect = expect;
     request
 }
 
-fn received(status: u16, body: &str) -> caller::Received {
+fn received(status: u16, body: &str) -> client::Response {
     let body = Bytes::from(body.to_owned());
-    caller::Received { status: Some(status), body, ..caller::Received::default() }
+    client::Response { status: Some(status), body, ..client::Response::default() }
 }
 
-fn stream(body: &str, fault: Option<&str>) -> caller::Received {
+fn stream(body: &str, fault: Option<&str>) -> client::Response {
     let fault = fault.map(str::to_owned);
-    caller::Received { events: true, fault, ..received(200, body) }
+    client::Response { is_event_stream: true, error: fault, ..received(200, body) }
 }
 
-fn order(entry: std::net::SocketAddr) -> run::Order {
-    run::Order {
+fn order(entry: std::net::SocketAddr) -> run::Options {
+    run::Options {
         entries: vec![entry],
         plan: plan(),
         rate: 100.0,
@@ -49,9 +49,9 @@
         duration: Duration::from_millis(500),
         seed: SEED,
         resend_percent: 0,
-        limit: Duration::from_secs(5),
-        outstanding: 1_000,
-        label: "t".into(),
+        request_timeout: Duration::from_secs(5),
+        max_in_flight: 1_000,
+        reference_prefix: "t".into(),
     }
 }
 
@@ -59,8 +59,12 @@
 fn constant_arrivals_are_evenly_spaced() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
 
-    let due =
-        schedule::draw(schedule::Arrivals::Constant, 10.0, Duration::from_secs(1), &mut random);
+    let due = schedule::sample_due_times(
+        schedule::Arrivals::Constant,
+        10.0,
+        Duration::from_secs(1),
+        &mut random,
+    );
 
     assert_eq!(due.len(), 9);
     assert_eq!(due[1] - due[0], Duration::from_millis(100));
@@ -71,7 +75,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let duration = Duration::from_secs(100);
 
-    let due = schedule::draw(schedule::Arrivals::Poisson, 100.0, duration, &mut random);
+    let due = schedule::sample_due_times(schedule::Arrivals::Poisson, 100.0, duration, &mut random);
 
     assert!((9_700..10_300).contains(&due.len()), "{}", due.len());
     let gaps = due.windows(2).map(|pair| (pair[1] - pair[0]).as_secs_f64());
@@ -82,7 +86,7 @@
 
 #[test]
 fn request_is_filled_in_with_its_reference() {
-    let request = request(plan::Expect::Whole);
+    let request = request(plan::Expectation::Whole);
 
     let headers = request.headers();
 
@@ -93,64 +97,64 @@
 
 #[test]
 fn whole_answer_with_the_expected_text_is_right() {
-    let request = request(plan::Expect::Text("\"reference\":\"r-1\"".into()));
+    let request = request(plan::Expectation::Text("\"reference\":\"r-1\"".into()));
 
-    let own = answer::judge(&request, &received(201, "{\"reference\":\"r-1\"}"));
-    let other = answer::judge(&request, &received(201, "{\"reference\":\"r-2\"}"));
+    let own = answer::classify(&request, &received(201, "{\"reference\":\"r-1\"}"));
+    let other = answer::classify(&request, &received(201, "{\"reference\":\"r-2\"}"));
 
-    assert!(own.kind == history::Kind::Answered && own.right);
-    assert!(other.kind == history::Kind::Answered && !other.right);
+    assert!(own.outcome == history::Outcome::Answered && own.correct);
+    assert!(other.outcome == history::Outcome::Answered && !other.correct);
 }
 
 #[test]
 fn stream_with_every_token_in_order_is_right() {
-    let request = request(plan::Expect::Tokens(2));
+    let request = request(plan::Expectation::Tokens(2));
     let event = |place| format!("data: {{\"choices\":[{{\"text\":\" r-1.{place}\"}}]}}\n\n");
     let end = "data: [DONE]\n\n";
 
-    let whole = answer::judge(&request, &stream(&(event(0) + &event(1) + end), None));
-    let doubled = answer::judge(&request, &stream(&(event(0) + &event(0) + end), None));
-    let skipped = answer::judge(&request, &stream(&(event(1) + end), None));
+    let whole = answer::classify(&request, &stream(&(event(0) + &event(1) + end), None));
+    let doubled = answer::classify(&request, &stream(&(event(0) + &event(0) + end), None));
+    let skipped = answer::classify(&request, &stream(&(event(1) + end), None));
 
-    assert!(whole.right);
-    assert!(!doubled.right && !skipped.right);
+    assert!(whole.correct);
+    assert!(!doubled.correct && !skipped.correct);
 }
 
 #[test]
 fn stream_that_ends_in_an_error_mark_is_honest() {
-    let request = request(plan::Expect::Tokens(2));
+    let request = request(plan::Expectation::Tokens(2));
     let mark = "event: error\ndata: {\"ran\":\"may_have_run\",\"reason\":\"upstream_failed\"}\n\n";
 
-    let judged = answer::judge(&request, &stream(mark, Some("cut")));
+    let judged = answer::classify(&request, &stream(mark, Some("cut")));
 
-    assert_eq!(judged.kind, history::Kind::MayHaveRun);
+    assert_eq!(judged.outcome, history::Outcome::MayHaveRun);
     assert_eq!(judged.reason.as_deref(), Some("upstream_failed"));
 }
 
 #[test]
 fn stream_without_end_mark_or_error_mark_is_an_error() {
-    let request = request(plan::Expect::Whole);
+    let request = request(plan::Expectation::Whole);
     let event = "data: {\"choices\":[{\"text\":\" r-1.0\"}]}\n\n";
 
-    let silent = answer::judge(&request, &stream(event, None));
-    let cut = answer::judge(&request, &stream(&format!("{event}data: [DONE]\n\n"), Some("cut")));
+    let silent = answer::classify(&request, &stream(event, None));
+    let cut = answer::classify(&request, &stream(&format!("{event}data: [DONE]\n\n"), Some("cut")));
 
-    assert_eq!(silent.kind, history::Kind::Error);
-    assert_eq!(cut.kind, history::Kind::Error);
+    assert_eq!(silent.outcome, history::Outcome::Error);
+    assert_eq!(cut.outcome, history::Outcome::Error);
 }
 
 #[test]
 fn problem_documents_tell_whether_work_ran() {
-    let request = request(plan::Expect::Whole);
+    let request = request(plan::Expectation::Whole);
     let problem = |ran: &str| format!("{{\"ran\":\"{ran}\",\"reason\":\"overloaded\"}}");
 
-    let not = answer::judge(&request, &received(503, &problem("not_run")));
-    let may = answer::judge(&request, &received(502, &problem("may_have_run")));
-    let unsaid = answer::judge(&request, &received(500, "{}"));
+    let not = answer::classify(&request, &received(503, &problem("not_run")));
+    let may = answer::classify(&request, &received(502, &problem("may_have_run")));
+    let unsaid = answer::classify(&request, &received(500, "{}"));
 
-    assert_eq!(not.kind, history::Kind::RefusedNotRun);
-    assert_eq!(may.kind, history::Kind::MayHaveRun);
-    assert_eq!(unsaid.kind, history::Kind::Error);
+    assert_eq!(not.outcome, history::Outcome::RejectedNotRun);
+    assert_eq!(may.outcome, history::Outcome::MayHaveRun);
+    assert_eq!(unsaid.outcome, history::Outcome::Error);
 }
 
 #[actix_rt::test]
@@ -162,9 +166,9 @@
     let lines = run::run(order(server.address())).await;
 
     assert_eq!(lines.len(), 49);
-    let counts = history::Counts { ran: service.ran(), falls: service.falls() };
+    let counts = history::Counts { runs: service.ran(), cold_overloads: service.falls() };
     let verdict = history::check(&lines, &[counts]);
-    assert!(verdict.held(), "{:?}", verdict.violations);
+    assert!(verdict.is_consistent(), "{:?}", verdict.violations);
 }
 
 #[actix_rt::test]
@@ -172,13 +176,13 @@
     let listener = http::free_listener().expect("a free port");
     let (server, service) =
         service::start(listener, service::Profile::default()).expect("it starts");
-    let order = run::Order { resend_percent: 100, ..order(server.address()) };
+    let order = run::Options { resend_percent: 100, ..order(server.address()) };
 
     let lines = run::run(order).await;
 
     // The service alone runs whatever comes; keeping it to once is the system's work.
     assert_eq!(lines.len(), 98);
-    let counts = history::Counts { ran: service.ran(), falls: service.falls() };
+    let counts = history::Counts { runs: service.ran(), cold_overloads: service.falls() };
     let verdict = history::check(&lines, &[counts]);
     assert_eq!(verdict.violations.len(), 49, "{:?}", verdict.violations);
 }
@@ -199,8 +203,8 @@
 
     let slow = lines.iter().filter(|line| line.answered_us - line.intended_us > 50_000).count();
     assert!(slow >= 20, "{slow}");
-    let summary = summary::sum(&lines);
-    assert!(summary.rows[0].whole.max_ms >= 250.0, "{:?}", summary.rows[0].whole);
+    let summary = summary::summarize(&lines);
+    assert!(summary.rows[0].total.max_ms >= 250.0, "{:?}", summary.rows[0].total);
 }
 
 #[actix_rt::test]
@@ -210,7 +214,8 @@
         service::start(listener, service::Profile::default()).expect("it starts");
     service.impair(impairment::Order::Stall);
     let limit = Duration::from_millis(700);
-    let order = run::Order { outstanding: 5, limit, ..order(server.address()) };
+    let order =
+        run::Options { max_in_flight: 5, request_timeout: limit, ..order(server.address()) };
 
     let lines = run::run(order).await;
 
@@ -228,18 +233,18 @@
         "answered_us": 10_000, "kind": "answered", "status": 200, "reason": null,
         "whole": true, "right": true, "digest": "",
     });
-    let answered: history::Line = serde_json::from_value(value).expect("a line");
-    let refused = history::Line {
-        kind: history::Kind::RefusedNotRun,
+    let answered: history::Record = serde_json::from_value(value).expect("a line");
+    let refused = history::Record {
+        outcome: history::Outcome::RejectedNotRun,
         reason: Some("overloaded".into()),
         ..answered.clone()
     };
 
-    let summary = summary::sum(&[answered, refused]);
+    let summary = summary::summarize(&[answered, refused]);
 
     assert_eq!(summary.rows.len(), 1);
     assert_eq!(summary.rows[0].sent, 2);
-    assert!((9.9..10.1).contains(&summary.rows[0].whole.p99_ms));
+    assert!((9.9..10.1).contains(&summary.rows[0].total.p99_ms));
     assert_eq!(summary.reasons["refused_not_run: overloaded"], 1);
     assert!(summary.render().contains("batch"));
 }
--- a/crates/hyssopfork-cli/tests/all/screen.rs
+++ b/crates/hyssopfork-cli/tests/all/overview.rs
@@ -1,7 +1,7 @@
-//! What the screen makes of a status.
+//! What the overview makes of a status.
 
 use crate::support::{holding, report, status};
-use hyssopfork_cli::screen;
+use hyssopfork_cli::overview;
 use hyssopfork_test_support::fixture;
 use hyssopfork_wire::{fleet, name, number};
 use std::time::Duration;
@@ -10,11 +10,11 @@
 fn whole_fleet_is_well() {
     let status = status();
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    assert!(screen.is_well());
-    assert_eq!(screen.groups[0].standing, screen::Standing::Serving);
-    assert_eq!(screen.stranded, 0);
+    assert!(overview.is_healthy());
+    assert_eq!(overview.groups[0].state, overview::State::Serving);
+    assert_eq!(overview.stranded, 0);
 }
 
 #[test]
@@ -23,12 +23,12 @@
     let second = name::Instance::from("runner-2");
     status.view.members.get_mut(&second).expect("a member").present = false;
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    assert_eq!(screen.groups[0].standing, screen::Standing::Incomplete);
-    assert_eq!(screen.groups[0].missing, [second]);
-    assert_eq!(screen.stranded, 4);
-    assert!(!screen.is_well());
+    assert_eq!(overview.groups[0].state, overview::State::Incomplete);
+    assert_eq!(overview.groups[0].missing, [second]);
+    assert_eq!(overview.stranded, 4);
+    assert!(!overview.is_healthy());
 }
 
 #[test]
@@ -37,9 +37,9 @@
     let older = fleet::Report { joined: number::Fence(6), ..report(true) };
     status.holdings[0] = holding("runner-1", Some(older));
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    assert_eq!(screen.groups[0].standing, screen::Standing::Forming);
+    assert_eq!(overview.groups[0].state, overview::State::Forming);
 }
 
 #[test]
@@ -47,10 +47,10 @@
     let mut status = status();
     status.view.placements.clear();
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    assert_eq!(screen.groups[0].standing, screen::Standing::Unplaced);
-    assert_eq!(screen.stranded, 8);
+    assert_eq!(overview.groups[0].state, overview::State::Unplaced);
+    assert_eq!(overview.stranded, 8);
 }
 
 #[test]
@@ -59,9 +59,9 @@
     status.view.placements.clear();
     status.view.configuration.zones.get_mut(&"ikeja".into()).expect("declared").out = true;
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    assert_eq!(screen.stranded, 0);
+    assert_eq!(overview.stranded, 0);
 }
 
 #[test]
@@ -69,11 +69,12 @@
     let mut status = status();
     status.holdings[1].version = number::Version(0);
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    let behind: Vec<&str> = screen.behind.iter().map(|behind| behind.instance.as_str()).collect();
-    assert_eq!(behind, ["runner-2"]);
-    assert!(!screen.is_well());
+    let laggards: Vec<&str> =
+        overview.laggards.iter().map(|laggard| laggard.instance.as_str()).collect();
+    assert_eq!(laggards, ["runner-2"]);
+    assert!(!overview.is_healthy());
 }
 
 // A process that was killed keeps the version that it reported last. It serves nothing without a
@@ -85,11 +86,11 @@
     status.holdings[2].version = number::Version(0);
     status.holdings[2].age = Duration::from_secs(60);
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    assert_eq!(screen.lapsed, [name::Instance::from("entry-1")]);
-    assert!(screen.is_well());
-    assert_eq!((screen.holders, screen.entries), (2, 0));
+    assert_eq!(overview.lapsed, [name::Instance::from("entry-1")]);
+    assert!(overview.is_healthy());
+    assert_eq!((overview.holders, overview.entries), (2, 0));
 }
 
 #[test]
@@ -99,11 +100,11 @@
     status.holdings[0] = holding("runner-1", cold(true));
     status.holdings[1] = holding("runner-2", cold(false));
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    let conditions: Vec<screen::Condition> =
-        screen.instances.iter().map(|instance| instance.condition).collect();
-    assert_eq!(conditions, [screen::Condition::Cold, screen::Condition::Ready]);
+    let conditions: Vec<overview::Condition> =
+        overview.instances.iter().map(|instance| instance.condition).collect();
+    assert_eq!(conditions, [overview::Condition::Cold, overview::Condition::Ready]);
 }
 
 #[test]
@@ -117,10 +118,11 @@
     status.view.configuration.drained.insert("runner-3".into());
     status.holdings.push(holding("runner-3", Some(report(false))));
 
-    let screen = screen::draw(&status);
+    let overview = overview::build(&status);
 
-    let conditions: Vec<screen::Condition> =
-        screen.instances.iter().map(|instance| instance.condition).collect();
-    let wanted = [screen::Condition::Cold, screen::Condition::Down, screen::Condition::Drained];
+    let conditions: Vec<overview::Condition> =
+        overview.instances.iter().map(|instance| instance.condition).collect();
+    let wanted =
+        [overview::Condition::Cold, overview::Condition::Down, overview::Condition::Drained];
     assert_eq!(conditions, wanted);
 }
--- a/crates/hyssopfork-cli/tests/all/shipped.rs
+++ b/crates/hyssopfork-cli/tests/all/shipped.rs
@@ -15,7 +15,7 @@
         let plan: plan::Plan =
             declaration::read_json(&file(example, "load.json")).expect("well formed");
 
-        assert_eq!(plan.faults(), [""; 0]);
+        assert_eq!(plan.validate(), [""; 0]);
         assert_eq!(plan.routes.len(), declared.routes.len());
         assert_eq!(plan.teams.len(), declared.teams.len());
         assert!(plan.teams.iter().all(|team| declared.teams.contains_key(&team.team)));
--- a/crates/hyssopfork-cli/tests/all/traffic.rs
+++ b/crates/hyssopfork-cli/tests/all/traffic.rs
@@ -18,8 +18,8 @@
 fn entries_are_summed_up_by_team() {
     let mut traffic = traffic::Traffic::default();
 
-    traffic.add(METRICS);
-    traffic.add(METRICS);
+    traffic.add_metrics(METRICS);
+    traffic.add_metrics(METRICS);
 
     assert_eq!((traffic.queued, traffic.in_flight), (6, 10));
     let team = &traffic.teams["tariff-desk"];
@@ -34,7 +34,7 @@
     let address = listener.local_addr().expect("it is bound");
     drop(listener);
 
-    let traffic = traffic::ask(&[address]).await;
+    let traffic = traffic::collect(&[address]).await;
 
-    assert_eq!(traffic.silent, [address]);
+    assert_eq!(traffic.unreachable, [address]);
 }
--- a/crates/hyssopfork-cli/tests/all/watch.rs
+++ b/crates/hyssopfork-cli/tests/all/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{Control, run, status};
 use hyssopfork_cli::command::watch::{change, tally};
-use hyssopfork_cli::screen;
+use hyssopfork_cli::overview;
 use hyssopfork_wire::{control, number};
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 
 #[test]
 fn each_change_is_one_line() {
-    let (before, after) = (screen::draw(&status()), screen::draw(&broken()));
+    let (before, after) = (overview::build(&status()), overview::build(&broken()));
 
-    let lines = change::between(&before, &after);
+    let lines = change::diff(&before, &after);
 
     let wanted = [
         "configuration 2 is accepted",
@@ -31,27 +31,27 @@
 
 #[test]
 fn nothing_changed_is_no_line() {
-    let screen = screen::draw(&status());
+    let overview = overview::build(&status());
 
-    let lines = change::between(&screen, &screen);
+    let lines = change::diff(&overview, &overview);
 
     assert_eq!(lines, [""; 0]);
 }
 
 #[test]
 fn downtime_and_stranded_accelerators_are_summed_over_looks() {
-    let (well, ill) = (screen::draw(&status()), screen::draw(&broken()));
+    let (well, ill) = (overview::build(&status()), overview::build(&broken()));
     let mut tally = tally::Tally::default();
 
-    tally.add(Duration::from_secs(1), &well);
-    tally.add(Duration::from_secs(2), &ill);
-    tally.add(Duration::from_secs(4), &ill);
-    tally.add(Duration::from_secs(5), &well);
+    tally.record(Duration::from_secs(1), &well);
+    tally.record(Duration::from_secs(2), &ill);
+    tally.record(Duration::from_secs(4), &ill);
+    tally.record(Duration::from_secs(5), &well);
 
     let summary = tally.summary();
     assert_eq!(summary.group_down_ms["summaries-1"], 3_000);
     assert_eq!(summary.stranded_accelerator_seconds, 12.0);
-    assert_eq!(summary.most_stranded, 4);
+    assert_eq!(summary.max_stranded, 4);
 }
 
 #[actix_rt::test]
