--- a/crates/hyssopfork-cli/src/client.rs
+++ b/crates/hyssopfork-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the control instances, of which any may be away and one leads.
+//! RPC client of the control instances: finds the leader, fails over and retries.
 
 use crate::error;
 use hyssopfork_wire::{control, envelope};
@@ -6,15 +6,15 @@
 use std::time::{Duration, Instant};
 use tarpc::{client, context, serde_transport, tokio_serde};
 
-/// Longest time for one try.
+/// Upper bound on one attempt at one instance.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause before the same instances are asked again.
+/// Pause before the next instance is tried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A client of all control instances.
 ///
-/// A request goes from one to the next until the leader has answered. A lost answer makes it send
-/// the same request again; patches carry an identifier, so that this applies them once.
+/// Tries one instance after another until the leader responds. If a response is lost, the same
+/// request is sent again; a patch carries an identifier, so it is applied at most once.
 #[derive(Debug)]
 pub struct Client {
     addresses: Vec<net::SocketAddr>,
@@ -22,28 +22,29 @@
     timeout: Duration,
 }
 
-/// What one control instance says of itself.
+/// Role of a control instance, as the status query shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// It leads.
+    /// The instance is the leader.
     #[strum(serialize = "leads")]
     Leader,
-    /// It follows.
+    /// The instance responds and is not the leader.
     #[strum(serialize = "follows")]
     Follower,
-    /// It doesn't answer.
+    /// The instance does not respond.
     #[strum(serialize = "silent")]
     Unreachable,
 }
 
-/// Why an instance gave no answer.
+/// Why an instance gave no response.
 struct Failure {
     reason: String,
-    /// Whether the request may have come there.
+    /// Whether the instance may have received the request.
     maybe_received: bool,
 }
 
+/// What to do after a response.
 enum Outcome {
     Answered(Box<control::Response>),
     Redirected(Option<net::SocketAddr>),
@@ -51,12 +52,12 @@
 }
 
 impl Client {
-    /// A client of `addresses`, which gives up on a request after `limit`.
+    /// Creates a client of `addresses` that gives up on a request after `timeout`.
     pub fn new(addresses: Vec<net::SocketAddr>, timeout: Duration) -> Self {
         Client { addresses, current: 0, timeout }
     }
 
-    /// Asks until the leader has answered or the time is up.
+    /// Sends `request` until the leader responds or the timeout expires.
     pub async fn call(
         &mut self,
         request: &control::Request,
@@ -73,12 +74,12 @@
             {
                 Ok(Ok(Outcome::Answered(response))) => return Ok(*response),
                 Ok(Ok(Outcome::Redirected(leader))) => {
-                    record_failure(&mut failures, address, "does not lead".into());
+                    record_failure(&mut failures, address, "not the leader".into());
                     self.select_next(leader).await;
                 }
                 Ok(Ok(Outcome::Retryable)) => {
                     maybe_received = true;
-                    record_failure(&mut failures, address, "cannot answer now".into());
+                    record_failure(&mut failures, address, "temporarily unavailable".into());
                     self.select_next(None).await;
                 }
                 Ok(Err(error)) => return Err(error),
@@ -92,7 +93,7 @@
         Err(error::Error::Unreachable(failures, maybe_received))
     }
 
-    /// The whole view and who holds leases.
+    /// Fetches the full view and the lease holders from the leader.
     pub async fn status(&mut self) -> Result<control::Status, error::Error> {
         match self.call(&control::Request::Status).await? {
             control::Response::Status(status) => Ok(*status),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Asks every instance by itself.
+    /// Queries every instance separately for its role.
     pub async fn roles(&self) -> Vec<(net::SocketAddr, Role)> {
         let queries = self.addresses.iter().map(|&address| async move {
             let response =
@@ -115,7 +116,7 @@
         futures::future::join_all(queries).await
     }
 
-    /// Takes the leader where it is known, or else the next instance after a pause.
+    /// Selects the leader if it is known, otherwise the next instance after a pause.
     async fn select_next(&mut self, leader: Option<net::SocketAddr>) {
         if let Some(leader) = leader.filter(|&leader| leader != self.addresses[self.current]) {
             let position = self.addresses.iter().position(|&address| address == leader);
@@ -139,7 +140,7 @@
     }
 }
 
-/// Keeps the last fault of each address.
+/// Keeps the last failure of each address.
 fn record_failure(
     failures: &mut Vec<(net::SocketAddr, String)>,
     address: net::SocketAddr,
@@ -157,7 +158,7 @@
     limit: Duration,
 ) -> Result<control::Response, Failure> {
     let response = actix_rt::time::timeout(limit, connect_and_call(address, request, limit)).await;
-    let reason = || format!("no answer within {} ms", limit.as_millis());
+    let reason = || format!("no response within {} ms", limit.as_millis());
     response.unwrap_or_else(|_| Err(Failure { reason: reason(), maybe_received: true }))
 }
 
@@ -181,8 +182,8 @@
 
 fn describe(cause: &client::RpcError) -> String {
     match cause {
-        client::RpcError::DeadlineExceeded => "no answer in time".into(),
-        client::RpcError::Server(error) => format!("it failed: {error}"),
-        _ => "the connection broke off, or this is no control instance's `control.listen`".into(),
+        client::RpcError::DeadlineExceeded => "no response in time".into(),
+        client::RpcError::Server(error) => format!("server error: {error}"),
+        _ => "connection lost, or not the `control.listen` address of a control instance".into(),
     }
 }
--- a/crates/hyssopfork-cli/src/command/check_history.rs
+++ b/crates/hyssopfork-cli/src/command/check_history.rs
@@ -1,4 +1,4 @@
-//! `check-history`: whether all held in histories that `load` wrote.
+//! `check-history`: checks the consistency of histories that `load` wrote.
 
 use crate::{context, error, history, output};
 use bytes::Bytes;
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use std::{net, path};
 
-/// Time that a back end has to tell its counts.
+/// Timeout for reading the counts of a back end.
 const COUNTS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] =
     &["hyssopfork check-history run.jsonl --counts 127.0.0.1:9000,127.0.0.1:9001,127.0.0.1:9002"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    let about = "Check histories against what back ends ran; exit code 1 if anything did not hold";
+    let about = "Check histories against the work that back ends ran; exit code 1 on a violation";
     super::leaf_command("check-history", about, EXAMPLES)
         .arg(
             Arg::new("files")
@@ -34,11 +34,11 @@
                 .action(ArgAction::Append)
                 .value_delimiter(',')
                 .value_parser(clap::value_parser!(net::SocketAddr))
-                .help("Every back end of the non-repeatable routes; asked for GET /counts"),
+                .help("Every back end of the non-repeatable routes; queried with GET /counts"),
         )
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -65,7 +65,7 @@
 async fn read_counts(address: net::SocketAddr) -> Result<history::Counts, error::Error> {
     let failed = |cause: String| error::Error::CountsUnavailable(address, cause);
     let body = actix_rt::time::timeout(COUNTS_TIMEOUT, fetch(address)).await;
-    let body = body.map_err(|_| failed("no answer in time".into()))?;
+    let body = body.map_err(|_| failed("no response in time".into()))?;
     let body = body.map_err(|cause| failed(cause.to_string()))?;
     serde_json::from_slice(&body).map_err(|cause| failed(cause.to_string()))
 }
@@ -84,12 +84,13 @@
         table.add_row([kind.to_string(), count.to_string()]);
     }
     let result = if verdict.is_consistent() {
-        "all held: whole answers, true refusals, at most one run for each of the compared\n".into()
+        "no violations: responses complete, rejections accurate, compared work ran at most once\n"
+            .into()
     } else {
-        format!("DID NOT HOLD:\n  {}\n", verdict.violations.join("\n  "))
+        format!("VIOLATIONS:\n  {}\n", verdict.violations.join("\n  "))
     };
     format!(
-        "{}{} requests, {} pieces of non-repeatable work compared with what back ends ran\n{result}",
+        "{}{} requests, {} references of non-repeatable work compared with back ends\n{result}",
         table.render(),
         verdict.requests,
         verdict.compared
--- a/crates/hyssopfork-cli/src/command/config/check.rs
+++ b/crates/hyssopfork-cli/src/command/config/check.rs
@@ -1,13 +1,13 @@
-//! `config check`: whether a declaration is well formed and keeps the rules; asks nobody.
+//! `config check`: validates a declaration, without contacting control instances.
 
 use crate::{context, declaration, error, output};
 use clap::{ArgMatches, Command};
 use serde::Serialize;
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork config check fleet.json"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     super::super::leaf_command("check", "Check a declaration without submitting it", EXAMPLES)
         .arg(super::file_argument())
@@ -22,7 +22,7 @@
     teams: usize,
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn run(
     matches: &ArgMatches,
     context: &context::Context,
--- a/crates/hyssopfork-cli/src/command/config/diff.rs
+++ b/crates/hyssopfork-cli/src/command/config/diff.rs
@@ -1,18 +1,18 @@
-//! `config diff`: how a declaration differs from the configuration in force.
+//! `config diff`: compares a declaration with the configuration in force.
 
 use crate::{context, declaration, error, output};
 use clap::{ArgMatches, Command};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork config diff fleet.json --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let about = "Compare a declaration with the configuration in force; exit code 1 if they differ";
     super::super::leaf_command("diff", about, EXAMPLES).arg(super::file_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/config/history.rs
+++ b/crates/hyssopfork-cli/src/command/config/history.rs
@@ -1,16 +1,16 @@
-//! `config history`: accepted patches, and by whom.
+//! `config history`: shows accepted patches and their authors.
 
 use crate::{context, error, output};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{control, number, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork config history --control 127.0.0.1:7100",
     "hyssopfork config history --since 12 --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let since = Arg::new("since")
         .long("since")
@@ -22,7 +22,7 @@
         .arg(since)
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/config/mod.rs
+++ b/crates/hyssopfork-cli/src/command/config/mod.rs
@@ -1,4 +1,4 @@
-//! `config`: the declared configuration.
+//! `config`: shows, checks and changes the declared configuration.
 
 pub mod check;
 pub mod diff;
@@ -10,14 +10,14 @@
 use clap::{Arg, ArgMatches, Command};
 use std::path;
 
-/// The family.
+/// Defines the command and its subcommands.
 pub fn command() -> Command {
     let commands =
         [show::command(), check::command(), diff::command(), submit::command(), history::command()];
     super::parent_command("config", "Show, check and change the declared configuration", commands)
 }
 
-/// Runs the command that was parsed.
+/// Runs the parsed subcommand.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -28,11 +28,11 @@
         Some(("diff", matches)) => diff::run(matches, context).await,
         Some(("submit", matches)) => submit::run(matches, context).await,
         Some(("history", matches)) => history::run(matches, context).await,
-        _ => Err(error::Error::Usage("name a command of config".into())),
+        _ => Err(error::Error::Usage("no subcommand of config given".into())),
     }
 }
 
-/// The declaration's path.
+/// Argument for the path of the declaration.
 fn file_argument() -> Arg {
     Arg::new("file")
         .value_name("FILE")
--- a/crates/hyssopfork-cli/src/command/config/submit.rs
+++ b/crates/hyssopfork-cli/src/command/config/submit.rs
@@ -1,16 +1,16 @@
-//! `config submit`: declare the whole configuration anew.
+//! `config submit`: replaces the whole configuration.
 
 use crate::{context, declaration, error, output, submission};
 use clap::{ArgMatches, Command};
 use hyssopfork_wire::patch;
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork config submit fleet.json --base 0 --control 127.0.0.1:7100",
     "hyssopfork config submit fleet.json --base 12 --operator ada --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     super::super::leaf_command(
         "submit",
@@ -22,7 +22,7 @@
     .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/explain.rs
+++ b/crates/hyssopfork-cli/src/command/explain.rs
@@ -1,23 +1,23 @@
-//! `explain`: one request's story, from the logs of the processes.
+//! `explain`: timeline of one request, from the logs of the processes.
 
 use crate::{context, error, explain, output};
 use clap::{Arg, ArgMatches, Command};
 use std::path;
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] =
     &["hyssopfork explain 859256407797b963 edge-1.log edge-2.log edge-3.log"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    let about = "Tell one request's story from logs, with what the processes believed meanwhile; \
+    let about = "Show the timeline of one request from logs, with related lines of all processes; \
                  exit code 1 if something is missing";
     super::leaf_command("explain", about, EXAMPLES)
         .arg(
             Arg::new("request")
                 .value_name("ID")
                 .required(true)
-                .help("Identifier that the caller sent"),
+                .help("Identifier that the client sent"),
         )
         .arg(
             Arg::new("files")
@@ -25,11 +25,11 @@
                 .required(true)
                 .num_args(1..)
                 .value_parser(clap::value_parser!(path::PathBuf))
-                .help("Logs in JSON, one a process; the file's name is taken for the process's"),
+                .help("Logs in JSON, one per process; the file name names the process"),
         )
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -45,7 +45,7 @@
         return Err(error::Error::NoSuchRequest(request.clone(), lines.len()));
     };
     if skipped > 0 {
-        timeline.missing.push(format!("{skipped} lines are no numbered events and were left out"));
+        timeline.missing.push(format!("{skipped} lines are not numbered events and were skipped"));
     }
     let text = match context.output {
         output::Format::Json => output::to_json(&timeline),
@@ -71,5 +71,5 @@
     }
     let missing: Vec<String> =
         timeline.missing.iter().map(|it| format!("missing: {it}\n")).collect();
-    format!("{}* the request's own lines\n{}", table.render(), missing.concat())
+    format!("{}* lines of the request\n{}", table.render(), missing.concat())
 }
--- a/crates/hyssopfork-cli/src/command/group/create.rs
+++ b/crates/hyssopfork-cli/src/command/group/create.rs
@@ -1,10 +1,10 @@
-//! `group create`: declare a serving group, or declare one anew.
+//! `group create`: declares a serving group, or replaces its declaration.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{configuration, name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork group create summaries-3 --pool engines --model summary-70b --size 2 \
      --control 127.0.0.1:7100",
@@ -12,7 +12,7 @@
      --priority 5 --base 12 --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let text = |id: &'static str, value: &'static str, help: &'static str| {
         Arg::new(id).long(id).value_name(value).required(true).help(help)
@@ -24,16 +24,16 @@
         "Create a serving group, or replace its declaration",
         EXAMPLES,
     )
-    .arg(Arg::new("group").value_name("GROUP").required(true).help("Its name"))
-    .arg(text("pool", "POOL", "Pool of engines that its members come from"))
-    .arg(text("model", "MODEL", "Model that it serves"))
+    .arg(Arg::new("group").value_name("GROUP").required(true).help("Name of the group"))
+    .arg(text("pool", "POOL", "Pool of engines to take members from"))
+    .arg(text("model", "MODEL", "Model that the group serves"))
     .arg(text("size", "N", "Number of member instances").value_parser(number.range(1..)))
-    .arg(priority.value_parser(number).help("Order of repair: higher first"))
+    .arg(priority.value_parser(number).help("Repair priority: higher first"))
     .arg(submission::base_argument())
     .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/group/list.rs
+++ b/crates/hyssopfork-cli/src/command/group/list.rs
@@ -1,17 +1,17 @@
-//! `group list`: declared serving groups and where they stand.
+//! `group list`: lists declared serving groups and their states.
 
 use crate::{context, error, output, overview};
 use clap::{ArgMatches, Command};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork group list --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     super::super::leaf_command("list", "List serving groups with their members", EXAMPLES)
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     _: &ArgMatches,
     context: &mut context::Context,
@@ -24,7 +24,7 @@
     Ok(output::Report::success(text))
 }
 
-/// Groups as a table.
+/// Formats groups as a table.
 pub fn render(groups: &[overview::Group]) -> String {
     let mut table =
         output::Table::new(&["GROUP", "STATE", "ZONE", "FENCE", "RUNNING", "MEMBERS", "MISSING"]);
--- a/crates/hyssopfork-cli/src/command/group/mod.rs
+++ b/crates/hyssopfork-cli/src/command/group/mod.rs
@@ -1,4 +1,4 @@
-//! `group`: serving groups.
+//! `group`: lists, creates and removes serving groups.
 
 pub mod create;
 pub mod list;
@@ -7,13 +7,13 @@
 use crate::{context, error, output};
 use clap::{ArgMatches, Command};
 
-/// The family.
+/// Defines the command and its subcommands.
 pub fn command() -> Command {
     let commands = [list::command(), create::command(), remove::command()];
     super::parent_command("group", "List, create and remove serving groups", commands)
 }
 
-/// Runs the command that was parsed.
+/// Runs the parsed subcommand.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -22,6 +22,6 @@
         Some(("list", matches)) => list::run(matches, context).await,
         Some(("create", matches)) => create::run(matches, context).await,
         Some(("remove", matches)) => remove::run(matches, context).await,
-        _ => Err(error::Error::Usage("name a command of group".into())),
+        _ => Err(error::Error::Usage("no subcommand of group given".into())),
     }
 }
--- a/crates/hyssopfork-cli/src/command/group/remove.rs
+++ b/crates/hyssopfork-cli/src/command/group/remove.rs
@@ -1,13 +1,13 @@
-//! `group remove`: end a serving group.
+//! `group remove`: removes a serving group.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork group remove summaries-3 --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let group = Arg::new("group").value_name("GROUP").required(true).help("Serving group");
     super::super::leaf_command(
@@ -20,7 +20,7 @@
     .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/instance/list.rs
+++ b/crates/hyssopfork-cli/src/command/instance/list.rs
@@ -1,16 +1,16 @@
-//! `instance list`: every process that holds a lease or announced itself.
+//! `instance list`: lists every process that holds a lease or has announced itself.
 
 use crate::{context, error, output, overview};
 use clap::Command;
 use hyssopfork_wire::control;
 use serde::Serialize;
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork instance list --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    super::super::leaf_command("list", "List every instance with its role and lease", EXAMPLES)
+    super::super::leaf_command("list", "List all instances with role and lease age", EXAMPLES)
 }
 
 #[derive(Serialize)]
@@ -22,7 +22,7 @@
     condition: String,
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     _: &clap::ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/load.rs
+++ b/crates/hyssopfork-cli/src/command/load.rs
@@ -1,4 +1,4 @@
-//! `load`: send requests as a plan says, when they are due, and tell what callers received.
+//! `load`: sends requests of a plan at their due times and summarizes the responses.
 
 use crate::load::{plan, run, schedule, summary};
 use crate::{context, declaration, error, history, output};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::{fs, net, path};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork load examples/levy-reporting/load.json --entry 127.0.0.1:8080 --rate 50 \
      --duration-s 20",
@@ -14,48 +14,52 @@
      --arrivals constant --resend-percent 10 --history run.jsonl --seed 7",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    super::leaf_command("load", "Send requests at a rate and tell what callers received", EXAMPLES)
-        .arg(
-            Arg::new("plan")
-                .value_name("PLAN")
-                .required(true)
-                .value_parser(clap::value_parser!(path::PathBuf))
-                .help("Teams and routes with their shares, in JSON with comments"),
-        )
-        .arg(
-            Arg::new("entry")
-                .long("entry")
-                .value_name("IP:PORT")
-                .required(true)
-                .action(ArgAction::Append)
-                .value_delimiter(',')
-                .value_parser(clap::value_parser!(net::SocketAddr))
-                .help("Entries, used in turn"),
-        )
-        .args(number_arguments())
-        .arg(
-            Arg::new("arrivals")
-                .long("arrivals")
-                .value_parser(["poisson", "constant"])
-                .default_value("poisson")
-                .help("How arrivals are spread"),
-        )
-        .arg(
-            Arg::new("history")
-                .long("history")
-                .value_name("FILE")
-                .value_parser(clap::value_parser!(path::PathBuf))
-                .help("Where to write one JSON line for each request"),
-        )
-        .arg(
-            Arg::new("label")
-                .long("label")
-                .value_name("TEXT")
-                .default_value("load")
-                .help("Start of every request's reference; differs between runs"),
-        )
+    super::leaf_command(
+        "load",
+        "Send requests at a fixed rate and summarize the responses",
+        EXAMPLES,
+    )
+    .arg(
+        Arg::new("plan")
+            .value_name("PLAN")
+            .required(true)
+            .value_parser(clap::value_parser!(path::PathBuf))
+            .help("Teams and routes with their shares, in JSON with comments"),
+    )
+    .arg(
+        Arg::new("entry")
+            .long("entry")
+            .value_name("IP:PORT")
+            .required(true)
+            .action(ArgAction::Append)
+            .value_delimiter(',')
+            .value_parser(clap::value_parser!(net::SocketAddr))
+            .help("Entries, used in rotation"),
+    )
+    .args(number_arguments())
+    .arg(
+        Arg::new("arrivals")
+            .long("arrivals")
+            .value_parser(["poisson", "constant"])
+            .default_value("poisson")
+            .help("Distribution of arrivals"),
+    )
+    .arg(
+        Arg::new("history")
+            .long("history")
+            .value_name("FILE")
+            .value_parser(clap::value_parser!(path::PathBuf))
+            .help("File for the history, one JSON line per request"),
+    )
+    .arg(
+        Arg::new("label")
+            .long("label")
+            .value_name("TEXT")
+            .default_value("load")
+            .help("Prefix of every request's reference; give each run its own"),
+    )
 }
 
 fn number_arguments() -> [Arg; 6] {
@@ -65,16 +69,16 @@
         argument.value_parser(parser).help(help)
     };
     [
-        number("rate", "20", 1, "Requests a second"),
-        number("duration-s", "10", 1, "Time during which requests are sent"),
-        number("seed", "1", 0, "Seed of everything random"),
-        number("resend-percent", "0", 0, "Of 100 requests with a key, how many are sent twice"),
-        number("caller-timeout-ms", "30000", 1, "Time after which a caller gives up"),
-        number("outstanding", "2000", 1, "Most requests at once"),
+        number("rate", "20", 1, "Requests per second"),
+        number("duration-s", "10", 1, "Period during which requests are sent"),
+        number("seed", "1", 0, "Seed of the random number generator"),
+        number("resend-percent", "0", 0, "Percentage of requests with a key that are sent twice"),
+        number("caller-timeout-ms", "30000", 1, "Time after which a client gives up"),
+        number("outstanding", "2000", 1, "Most requests in flight"),
     ]
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/mod.rs
+++ b/crates/hyssopfork-cli/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! Commands: one file each, one folder a family.
+//! Commands: one file per command, one folder per parent command.
 
 pub mod check_history;
 pub mod config;
@@ -14,7 +14,7 @@
 use crate::{context, error, output};
 use clap::{ArgMatches, Command};
 
-/// The whole command line.
+/// Defines the command line.
 pub fn command() -> Command {
     Command::new("hyssopfork")
         .about("Operate a hyssopfork fleet")
@@ -37,7 +37,7 @@
         ])
 }
 
-/// Runs the command that was parsed.
+/// Runs the parsed command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -53,17 +53,17 @@
         Some(("load", matches)) => load::run(matches, context).await,
         Some(("check-history", matches)) => check_history::run(matches, context).await,
         Some(("explain", matches)) => explain::run(matches, context).await,
-        _ => Err(error::Error::Usage("name a command".into())),
+        _ => Err(error::Error::Usage("no command given".into())),
     }
 }
 
-/// A command with its examples in the help.
+/// Creates a command whose help ends with its examples.
 fn leaf_command(name: &'static str, about: &'static str, examples: &[&str]) -> Command {
     let lines: Vec<String> = examples.iter().map(|example| format!("  {example}")).collect();
     Command::new(name).about(about).after_help(format!("Examples:\n{}", lines.join("\n")))
 }
 
-/// A family of commands.
+/// Creates a command that only has subcommands.
 fn parent_command(
     name: &'static str,
     about: &'static str,
--- a/crates/hyssopfork-cli/src/command/status.rs
+++ b/crates/hyssopfork-cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of the fleet on one screen.
+//! `status`: shows the state of the fleet on one screen.
 
 use super::group;
 use crate::{client, context, error, output, overview, traffic};
@@ -6,26 +6,25 @@
 use serde::Serialize;
 use std::net;
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork status --control 127.0.0.1:7100,127.0.0.1:7110,127.0.0.1:7120",
     "hyssopfork status --check --output json --control 127.0.0.1:7100",
     "hyssopfork status --entry-metrics 127.0.0.1:7300,127.0.0.1:7301 --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    let check = Arg::new("check")
-        .long("check")
-        .action(ArgAction::SetTrue)
-        .help("Exit code 1 unless every group serves and the configuration is in force everywhere");
+    let check = Arg::new("check").long("check").action(ArgAction::SetTrue).help(
+        "Exit code 1 unless every group is serving and the configuration is in force everywhere",
+    );
     let metrics = Arg::new("entry-metrics")
         .long("entry-metrics")
         .value_name("IP:PORT")
         .action(ArgAction::Append)
         .value_delimiter(',')
         .value_parser(clap::value_parser!(net::SocketAddr))
-        .help("`metrics_listen` of entries, to show queues and refusals of each team");
+        .help("`metrics_listen` of entries, to show queues and rejections by team");
     super::leaf_command("status", "Show the whole fleet on one screen", EXAMPLES)
         .arg(check)
         .arg(metrics)
@@ -46,7 +45,7 @@
     role: String,
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -141,7 +140,7 @@
     table.render()
 }
 
-/// Instances that need a look, and processes that are behind.
+/// Lists instances that are not ready, and processes with an old view or a lapsed lease.
 fn render_attention(overview: &overview::Overview) -> String {
     let mut table = output::Table::new(&["NEEDS A LOOK", "ZONE", "GROUP", "WHY"]);
     let needs_attention =
--- a/crates/hyssopfork-cli/src/command/upstream/drain.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/drain.rs
@@ -1,28 +1,28 @@
-//! `upstream drain`: let an upstream finish what runs and give it no new work.
+//! `upstream drain`: drains an upstream; it finishes its requests and gets no new ones.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use hyssopfork_wire::{name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork upstream drain runner-07 --control 127.0.0.1:7100",
     "hyssopfork upstream drain runner-31 --unannounced --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let instance = Arg::new("instance")
         .value_name("INSTANCE")
         .required(true)
-        .help("Instance that the upstream stands on");
+        .help("Instance that the upstream runs on");
     let unannounced = Arg::new("unannounced")
         .long("unannounced")
         .action(ArgAction::SetTrue)
-        .help("Also where no such instance has announced itself yet");
+        .help("Allow an instance that has not announced itself yet");
     super::super::leaf_command(
         "drain",
-        "Drain an upstream: it finishes what runs and gets no new work",
+        "Drain an upstream: it finishes its requests and gets no new ones",
         EXAMPLES,
     )
     .arg(instance)
@@ -31,7 +31,7 @@
     .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -44,7 +44,8 @@
     submission::submit(matches, context, vec![patch::Operation::SetDrained(instance, true)]).await
 }
 
-/// A misspelt name would be accepted, and the upstream that was meant would go on taking work.
+/// Rejects an unknown instance: the control instances accept any name, so with a misspelt one the
+/// intended upstream would keep receiving requests.
 async fn check_announced(
     context: &mut context::Context,
     instance: &name::Instance,
@@ -54,6 +55,6 @@
     }
     Err(error::Error::Rejected(vec![format!(
         "no instance {instance} has announced itself; see `hyssopfork upstream list`, or give \
-         --unannounced to drain it before it comes"
+         --unannounced to drain it in advance"
     )]))
 }
--- a/crates/hyssopfork-cli/src/command/upstream/list.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/list.rs
@@ -1,21 +1,21 @@
-//! `upstream list`: engines and plain services that announced themselves.
+//! `upstream list`: lists engines and plain services that have announced themselves.
 
 use crate::{context, error, output, overview};
 use clap::{Arg, ArgMatches, Command};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork upstream list --control 127.0.0.1:7100",
     "hyssopfork upstream list --zone zone-b --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    let zone = Arg::new("zone").long("zone").value_name("ZONE").help("Only those in this zone");
+    let zone = Arg::new("zone").long("zone").value_name("ZONE").help("Only upstreams in this zone");
     super::super::leaf_command("list", "List upstreams with their state", EXAMPLES).arg(zone)
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/upstream/mod.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! `upstream`: engines and plain services.
+//! `upstream`: lists and drains engines and plain services.
 
 pub mod drain;
 pub mod list;
@@ -7,13 +7,13 @@
 use crate::{context, error, output};
 use clap::{ArgMatches, Command};
 
-/// The family.
+/// Defines the command and its subcommands.
 pub fn command() -> Command {
     let commands = [list::command(), drain::command(), undrain::command()];
     super::parent_command("upstream", "List and drain upstreams", commands)
 }
 
-/// Runs the command that was parsed.
+/// Runs the parsed subcommand.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -22,6 +22,6 @@
         Some(("list", matches)) => list::run(matches, context).await,
         Some(("drain", matches)) => drain::run(matches, context).await,
         Some(("undrain", matches)) => undrain::run(matches, context).await,
-        _ => Err(error::Error::Usage("name a command of upstream".into())),
+        _ => Err(error::Error::Usage("no subcommand of upstream given".into())),
     }
 }
--- a/crates/hyssopfork-cli/src/command/upstream/undrain.rs
+++ b/crates/hyssopfork-cli/src/command/upstream/undrain.rs
@@ -1,25 +1,25 @@
-//! `upstream undrain`: let a drained upstream take work again.
+//! `upstream undrain`: returns a drained upstream to service.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork upstream undrain runner-07 --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let instance = Arg::new("instance")
         .value_name("INSTANCE")
         .required(true)
-        .help("Instance that the upstream stands on");
-    super::super::leaf_command("undrain", "Let a drained upstream take work again", EXAMPLES)
+        .help("Instance that the upstream runs on");
+    super::super::leaf_command("undrain", "Return a drained upstream to service", EXAMPLES)
         .arg(instance)
         .arg(submission::base_argument())
         .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/watch/change.rs
+++ b/crates/hyssopfork-cli/src/command/watch/change.rs
@@ -1,9 +1,9 @@
-//! What changed between two looks at the fleet.
+//! Differences between two polls of the fleet.
 
 use crate::overview;
 use std::collections::BTreeMap;
 
-/// One line for each change.
+/// Lists the changes, one line each.
 pub fn diff(before: &overview::Overview, after: &overview::Overview) -> Vec<String> {
     let mut lines = Vec::new();
     if before.configuration != after.configuration {
--- a/crates/hyssopfork-cli/src/command/watch/mod.rs
+++ b/crates/hyssopfork-cli/src/command/watch/mod.rs
@@ -1,4 +1,4 @@
-//! `watch`: changes of the fleet as they happen, and what they cost.
+//! `watch`: prints changes of the fleet as they happen, and their cost at the end.
 
 pub mod change;
 pub mod tally;
@@ -7,27 +7,27 @@
 use clap::{Arg, ArgMatches, Command};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork watch --control 127.0.0.1:7100",
     "hyssopfork watch --duration-s 60 --output json --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let number = |id: &'static str| {
         Arg::new(id).long(id).value_name("N").value_parser(clap::value_parser!(u64).range(1..))
     };
     super::leaf_command(
         "watch",
-        "Print changes as they happen, and at the end what they cost",
+        "Print changes as they happen, and their cost at the end",
         EXAMPLES,
     )
-    .arg(number("duration-s").help("Time to watch; without it until interrupted"))
-    .arg(number("every-ms").default_value("200").help("Time between two looks"))
+    .arg(number("duration-s").help("Time to watch; default: until interrupted"))
+    .arg(number("every-ms").default_value("200").help("Time between two polls"))
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -38,7 +38,7 @@
     let mut tally = tally::Tally::default();
     let mut previous: Option<overview::Overview> = None;
     while duration.is_none_or(|duration| started.elapsed() < duration) {
-        // A look that fails shows nothing; the fleet goes on without it, and so does the watch.
+        // Only a failed first poll is fatal; the fleet works without polls, so watching continues.
         let polled = context.client()?.status().await;
         match (polled, &previous) {
             (Ok(status), _) => {
--- a/crates/hyssopfork-cli/src/command/watch/tally.rs
+++ b/crates/hyssopfork-cli/src/command/watch/tally.rs
@@ -1,11 +1,11 @@
-//! What the changes cost: group downtime and stranded accelerators, summed over the looks.
+//! Cost of changes: group downtime and idle accelerators, summed over polls.
 
 use crate::{output, overview};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sums up to now.
+/// Running totals.
 #[derive(Debug, Default)]
 pub struct Tally {
     last_poll_at: Option<Duration>,
@@ -15,27 +15,27 @@
     max_stranded: u32,
 }
 
-/// What is told at the end.
+/// Totals printed at the end.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// Looks that were answered.
+    /// Number of successful polls.
     #[serde(rename = "looks")]
     pub polls: u64,
-    /// Time that each group did not serve, in milliseconds; groups that always did are left out.
+    /// Time in milliseconds during which each group was not serving; omits groups that always were.
     pub group_down_ms: BTreeMap<String, u64>,
-    /// Time that groups did not serve, summed over groups.
+    /// Downtime summed over groups, in milliseconds.
     pub down_ms: u64,
-    /// Accelerators that served nothing, times how long.
+    /// Idle accelerators multiplied by time.
     pub stranded_accelerator_seconds: f64,
-    /// Most accelerators that served nothing at one look.
+    /// Largest number of idle accelerators in one poll.
     #[serde(rename = "most_stranded")]
     pub max_stranded: u32,
 }
 
 impl Tally {
-    /// Counts the time since the last look by what this one shows.
+    /// Attributes the time since the last poll to the state that this poll shows.
     ///
-    /// The sums are as fine as the looks are close; an outage that fits between two is not seen.
+    /// The resolution is the polling interval: an outage between two polls is not seen.
     pub fn record(&mut self, at: Duration, overview: &overview::Overview) {
         let elapsed = self.last_poll_at.map_or(Duration::ZERO, |last| at.saturating_sub(last));
         self.last_poll_at = Some(at);
@@ -49,7 +49,7 @@
         self.max_stranded = self.max_stranded.max(overview.stranded);
     }
 
-    /// The sums.
+    /// Returns the totals.
     pub fn summary(&self) -> Summary {
         let millis = |time: &Duration| time.as_millis() as u64;
         let down = self.down.iter().filter(|(_, time)| !time.is_zero());
@@ -64,7 +64,7 @@
 }
 
 impl Summary {
-    /// The summary as a table.
+    /// Formats the totals as a table.
     pub fn render(&self) -> String {
         let mut table = output::Table::new(&["GROUP", "DOWN MS"]);
         for (group, down) in &self.group_down_ms {
--- a/crates/hyssopfork-cli/src/command/zone/bring_in.rs
+++ b/crates/hyssopfork-cli/src/command/zone/bring_in.rs
@@ -1,22 +1,22 @@
-//! `zone in`: bring an availability zone back into service.
+//! `zone in`: returns an availability zone to service.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork zone in zone-b --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let zone = Arg::new("zone").value_name("ZONE").required(true).help("Availability zone");
-    super::super::leaf_command("in", "Bring a zone back into service", EXAMPLES)
+    super::super::leaf_command("in", "Return a zone to service", EXAMPLES)
         .arg(zone)
         .arg(submission::base_argument())
         .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/zone/mod.rs
+++ b/crates/hyssopfork-cli/src/command/zone/mod.rs
@@ -1,4 +1,4 @@
-//! `zone`: availability zones.
+//! `zone`: takes availability zones out of service and back in.
 
 pub mod bring_in;
 pub mod out;
@@ -6,13 +6,13 @@
 use crate::{context, error, output};
 use clap::{ArgMatches, Command};
 
-/// The family.
+/// Defines the command and its subcommands.
 pub fn command() -> Command {
     let commands = [out::command(), bring_in::command()];
-    super::parent_command("zone", "Take availability zones out of service and back", commands)
+    super::parent_command("zone", "Take availability zones out of service and back in", commands)
 }
 
-/// Runs the command that was parsed.
+/// Runs the parsed subcommand.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
@@ -20,6 +20,6 @@
     match matches.subcommand() {
         Some(("out", matches)) => out::run(matches, context).await,
         Some(("in", matches)) => bring_in::run(matches, context).await,
-        _ => Err(error::Error::Usage("name a command of zone".into())),
+        _ => Err(error::Error::Usage("no subcommand of zone given".into())),
     }
 }
--- a/crates/hyssopfork-cli/src/command/zone/out.rs
+++ b/crates/hyssopfork-cli/src/command/zone/out.rs
@@ -1,21 +1,21 @@
-//! `zone out`: take an availability zone out of service.
+//! `zone out`: takes an availability zone out of service.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &[
     "hyssopfork zone out zone-b --control 127.0.0.1:7100",
     "hyssopfork zone out zone-b --base 12 --control 127.0.0.1:7100",
 ];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let zone = Arg::new("zone").value_name("ZONE").required(true).help("Availability zone");
     super::super::leaf_command(
         "out",
-        "Take a zone out of service: no new work goes there",
+        "Take a zone out of service: it gets no new requests",
         EXAMPLES,
     )
     .arg(zone)
@@ -23,7 +23,7 @@
     .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/context.rs
+++ b/crates/hyssopfork-cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command is given besides its own arguments.
+//! Arguments and state that all commands share.
 
 use crate::{client, error, output};
 use clap::{Arg, ArgAction, ArgMatches};
@@ -6,21 +6,21 @@
 use std::time::Duration;
 use std::{env, net};
 
-/// Environment variable with the control instances' addresses.
+/// Environment variable with the addresses of the control instances.
 pub const CONTROL_ENV_VAR: &str = "HYSSOPFORK_CONTROL";
 
-/// Context of one run.
+/// Shared state of one invocation.
 #[derive(Debug)]
 pub struct Context {
-    /// Client of the control instances; a command that needs none leaves it unused.
+    /// Client of the control instances; `None` if no addresses were given.
     pub control: Option<client::Client>,
-    /// How results are printed.
+    /// Format in which results are printed.
     pub output: output::Format,
-    /// Who submits.
+    /// Author recorded with submitted patches.
     pub operator: name::Operator,
 }
 
-/// Arguments that every command takes.
+/// Arguments that every command accepts.
 pub fn arguments() -> [Arg; 4] {
     [
         Arg::new("control")
@@ -30,30 +30,30 @@
             .value_delimiter(',')
             .value_parser(clap::value_parser!(net::SocketAddr))
             .global(true)
-            .help(format!("Control instances; else from {CONTROL_ENV_VAR}, separated by commas")),
+            .help(format!("Control instances, separated by commas; default: {CONTROL_ENV_VAR}")),
         Arg::new("output")
             .long("output")
             .value_parser(["table", "json"])
             .default_value("table")
             .global(true)
-            .help("How results are printed"),
+            .help("Output format"),
         Arg::new("operator")
             .long("operator")
             .value_name("NAME")
             .global(true)
-            .help("Who submits patches, for the history; else from USER"),
+            .help("Author of submitted patches, shown in the history; default: USER"),
         Arg::new("timeout-ms")
             .long("timeout-ms")
             .value_name("MS")
             .value_parser(clap::value_parser!(u64).range(1..))
             .default_value("10000")
             .global(true)
-            .help("Time after which a request to the control instances is given up"),
+            .help("Timeout of a request to the control instances"),
     ]
 }
 
 impl Context {
-    /// Reads the common arguments.
+    /// Reads the shared arguments.
     pub fn read(matches: &ArgMatches) -> Result<Context, error::Error> {
         let output = matches.get_one::<String>("output").expect("has a default");
         let timeout_ms = *matches.get_one::<u64>("timeout-ms").expect("has a default");
@@ -71,11 +71,11 @@
         })
     }
 
-    /// The client, for a command that needs one.
+    /// Returns the client, or a usage error if no control instances were given.
     pub fn client(&mut self) -> Result<&mut client::Client, error::Error> {
         let usage_error = || {
             let text =
-                format!("name the control instances with --control IP:PORT or {CONTROL_ENV_VAR}");
+                format!("give the control instances with --control IP:PORT or {CONTROL_ENV_VAR}");
             error::Error::Usage(text)
         };
         self.control.as_mut().ok_or_else(usage_error)
@@ -87,7 +87,7 @@
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
     let parsed = parts.map(|part| {
         part.parse().map_err(|_| {
-            let text = format!("{CONTROL_ENV_VAR} holds {part:?}; write IP:PORT,IP:PORT,...");
+            let text = format!("{CONTROL_ENV_VAR} contains {part:?}; expected IP:PORT,IP:PORT,...");
             error::Error::Usage(text)
         })
     });
@@ -101,7 +101,7 @@
         return Ok(name::Operator::new(text));
     }
     Err(error::Error::Usage(format!(
-        "{text:?} is no operator's name; give --operator with lower-case letters, digits, '-', '_' \
-         or '.'"
+        "{text:?} is not a valid operator name; give --operator with lower-case letters, digits, \
+         '-', '_' or '.'"
     )))
 }
--- a/crates/hyssopfork-cli/src/declaration.rs
+++ b/crates/hyssopfork-cli/src/declaration.rs
@@ -1,4 +1,4 @@
-//! Declarations of the fleet in files kept under version control.
+//! Reads, validates and compares fleet declarations, which operators keep in files.
 
 use crate::error;
 use hyssopfork_settings::plain;
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use std::{fs, path};
 
-/// Reads and checks a declaration: its form, and every rule that a configuration keeps.
+/// Reads a declaration and checks its syntax and every rule of configurations.
 pub fn read(path: &path::Path) -> Result<configuration::Configuration, error::Error> {
     let declared: configuration::Configuration = read_json(path)?;
     let faults = rules::validate(&declared);
@@ -17,7 +17,7 @@
     Err(error::Error::InvalidFile(path.to_owned(), faults))
 }
 
-/// Reads a file of JSON with comments; faults carry line and column.
+/// Reads a file of JSON with comments; errors carry line and column.
 pub fn read_json<T: DeserializeOwned>(path: &path::Path) -> Result<T, error::Error> {
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
@@ -27,7 +27,7 @@
     serde_json::from_str(&plain).map_err(|cause| invalid_file(vec![cause.to_string()]))
 }
 
-/// A top-level part in which two configurations differ, by its path.
+/// Lists the values in which two configurations differ, ignoring their numbers.
 pub fn differences(
     in_force: &configuration::Configuration,
     declared: &configuration::Configuration,
@@ -38,15 +38,15 @@
     differences
 }
 
-/// One difference.
+/// A value in which two configurations differ.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Difference {
-    /// Where, as keys joined by `/`.
+    /// Keys that lead to the value, joined by `/`.
     #[serde(rename = "at")]
     pub path: String,
-    /// What is in force; `None` where nothing is.
+    /// Value in force; `None` if there is none.
     pub in_force: Option<serde_json::Value>,
-    /// What the file declares; `None` where it declares nothing.
+    /// Value in the file; `None` if there is none.
     pub declared: Option<serde_json::Value>,
 }
 
--- a/crates/hyssopfork-cli/src/error.rs
+++ b/crates/hyssopfork-cli/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a command failed, with the exit code that scripts see.
+//! Errors of commands, and the exit codes that scripts see.
 
 use hyssopfork_wire::{number, patch};
 use quick_error::quick_error;
 use std::{io, net, path};
 
-/// A check or comparison found something.
+/// Exit code if a check or comparison found a problem.
 pub const CHECK_FAILED: u8 = 1;
 const USAGE: u8 = 2;
 const STALE: u8 = 3;
@@ -13,22 +13,22 @@
 const OUTCOME_UNKNOWN: u8 = 6;
 const FILE_ERROR: u8 = 7;
 
-/// Exit codes and their meaning, for the help.
+/// Exit codes and their meaning, shown in the help.
 pub const EXIT_CODES: &str = "\
 Exit codes: 0 done; 1 a check found something; 2 wrong arguments; 3 the base number is stale; \
 4 refused as invalid; 5 no control instance answered; 6 the outcome is not known; \
 7 a file cannot be read or written.";
 
 quick_error! {
-    /// Why a command failed.
+    /// Error of a command.
     #[derive(Debug)]
     pub enum Error {
-        /// Arguments that the command line's parser could not judge.
+        /// Invalid arguments that the command line parser does not catch.
         Usage(text: String) {
             display("{}; see --help", text)
         }
-        /// The patch was written against a base number that is no longer in force: base, number in
-        /// force, and patches accepted since.
+        /// The base number of the patch is no longer in force: base, number in force, and patches
+        /// accepted since.
         Stale(
             base: number::Configuration,
             current: number::Configuration,
@@ -36,41 +36,42 @@
         ) {
             display("{}", format_stale(*base, *current, since))
         }
-        /// The patch or declaration breaks rules.
+        /// The patch breaks rules of configurations.
         Rejected(faults: Vec<String>) {
-            display("refused, nothing was changed; correct it and submit again:\n  {}",
+            display("rejected, nothing was changed; correct it and submit again:\n  {}",
                 faults.join("\n  "))
         }
-        /// The patch's identifier was used for another patch.
+        /// The identifier of the patch was used for another patch.
         IdentifierReused(identifier: String) {
             display(
-                "the identifier {} was used before with other content; leave --identifier out to \
-                 get a new one",
+                "the identifier {} was already used for another patch; omit --identifier to get a \
+                 new one",
                 identifier
             )
         }
-        /// No control instance answered; `sent` says whether the request may have come to one.
+        /// No control instance responded; `maybe_received` says whether one may have received the
+        /// request.
         Unreachable(failures: Vec<(net::SocketAddr, String)>, maybe_received: bool) {
             display(
-                "no control instance answered; check --control (or HYSSOPFORK_CONTROL) and that \
-                 they run:\n  {}",
+                "no control instance responded; check --control (or HYSSOPFORK_CONTROL) and that \
+                 they are running:\n  {}",
                 format_failures(failures)
             )
         }
-        /// The control instances speak another protocol version.
+        /// The control instances use another protocol version.
         Protocol(speaks: u16) {
             display(
-                "the control instance speaks protocol version {} and this program {}; use the \
-                 hyssopfork of the control instances' release",
+                "the control instance uses protocol version {} and this program {}; use the \
+                 hyssopfork binary of the control instances' release",
                 speaks,
                 hyssopfork_wire::envelope::PROTOCOL_VERSION
             )
         }
-        /// A patch was sent and its outcome did not come back.
+        /// A patch was sent and its outcome was not received.
         OutcomeUnknown(identifier: String, failures: Vec<(net::SocketAddr, String)>) {
             display(
-                "the patch was sent but its outcome did not come back; run the same command with \
-                 --identifier {} to learn it: it is applied once at most\n  {}",
+                "the patch was sent but its outcome was not received; run the same command with \
+                 --identifier {} to get it: the patch is applied at most once\n  {}",
                 identifier,
                 format_failures(failures)
             )
@@ -80,26 +81,27 @@
             display("{}: {}; check the path and its permissions", path.display(), cause)
             source(cause)
         }
-        /// A file has faults.
+        /// A file is invalid.
         InvalidFile(path: path::PathBuf, faults: Vec<String>) {
-            display("{} has faults; correct them:\n  {}", path.display(), faults.join("\n  "))
+            display("{} is invalid; correct it:\n  {}", path.display(), faults.join("\n  "))
         }
-        /// A control instance answered with something else than was asked.
+        /// The type of the response does not match the request.
         UnexpectedResponse {
             display(
-                "the control instance answered another question; use the hyssopfork of its release"
+                "unexpected response from the control instance; use the hyssopfork binary of \
+                 its release"
             )
         }
-        /// None of so many log lines is about the request.
+        /// None of the log lines belongs to the request.
         NoSuchRequest(request: String, lines: usize) {
             display(
-                "none of {} lines is about request {}; check the identifier, and give the logs of \
-                 all processes that take callers' requests, at level info",
+                "none of {} log lines belongs to request {}; check the identifier, and give the \
+                 logs of all processes that accept clients' requests, at level info",
                 lines,
                 request
             )
         }
-        /// A service that was asked for its counts did not answer.
+        /// The counts of a back end cannot be read.
         CountsUnavailable(address: net::SocketAddr, cause: String) {
             display("cannot read counts from {}: {}; check --counts", address, cause)
         }
@@ -107,7 +109,7 @@
 }
 
 impl Error {
-    /// Exit code of the program.
+    /// Exit code of the program for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Usage(_) => USAGE,
@@ -123,7 +125,8 @@
 }
 
 fn format_failures(failures: &[(net::SocketAddr, String)]) -> String {
-    let lines: Vec<String> = failures.iter().map(|(at, fault)| format!("{at}: {fault}")).collect();
+    let lines: Vec<String> =
+        failures.iter().map(|(address, reason)| format!("{address}: {reason}")).collect();
     lines.join("\n  ")
 }
 
@@ -133,19 +136,19 @@
     since: &[patch::Record],
 ) -> String {
     let mut text = format!(
-        "refused, nothing was changed: written against number {base}, but {current} is in force. "
+        "rejected, nothing was changed: based on number {base}, but {current} is in force. "
     );
     if since.is_empty() {
-        text.push_str("What changed since is no longer kept; ");
+        text.push_str("The changes since then are no longer stored; ");
     } else {
-        text.push_str("Meanwhile:\n");
+        text.push_str("Accepted since then:\n");
         for record in since {
             let summary = record.summary.join("; ");
             text.push_str(&format!("  {} by {}: {summary}\n", record.number, record.author));
         }
     }
     text.push_str(&format!(
-        "Look at `hyssopfork config show`, adapt your change, and submit it with --base {current}."
+        "See `hyssopfork config show`, adapt your change, and submit it with --base {current}."
     ));
     text
 }
--- a/crates/hyssopfork-cli/src/explain.rs
+++ b/crates/hyssopfork-cli/src/explain.rs
@@ -1,8 +1,8 @@
-//! One request's story, from the logs of many processes.
+//! Timeline of one request, correlated from the logs of several processes.
 //!
-//! A request's own lines carry its identifier. Why they decided as they did stands in lines of other
-//! processes: what the leader knew of an upstream, which group lost a member, who led. This module
-//! picks those that a reader would look for, and says what no log can tell.
+//! The lines of a request carry its identifier. The reasons for its routing are in lines of other
+//! processes: the leader's state of an upstream, a group that lost a member, a change of leader.
+//! This module selects the related lines and reports what the logs lack.
 
 use crate::error;
 use serde::Serialize;
@@ -10,57 +10,57 @@
 use std::{fs, path};
 use time::format_description::well_known::Rfc3339;
 
-/// Time before the request's first line from which beliefs are shown: a group that is missing was
-/// lost seconds before, and the weights that it waits for take up to sixteen seconds.
+/// Period before the first line of the request from which context lines are included: a missing
+/// group was lost seconds earlier, and loading the weights that it waits for takes up to 16 s.
 const CONTEXT_BEFORE_REQUEST: time::Duration = time::Duration::seconds(5);
 
-/// Time around the request's lines in which lines that were dropped may be the request's: a process
-/// counts them once a second.
+/// Period around the lines of the request in which dropped lines may belong to it: a process
+/// reports dropped lines once per second.
 const DROPPED_LINES_MARGIN: time::Duration = time::Duration::seconds(2);
 
-/// Numbers of events, as docs/events.md lists them.
+/// Numbers of log events, as listed in docs/events.md.
 mod event {
     use std::ops::RangeInclusive;
 
-    /// A process started, stopped or read its settings, or an outside dependency failed.
+    /// Start, stop and settings of a process, and failures of external dependencies.
     pub const PROCESS: RangeInclusive<u16> = 4500..=4513;
     /// Log lines were dropped.
     pub const LINES_DROPPED: u16 = 4514;
-    /// Who leads, which declaration is in force, which zones are out.
+    /// Leader, declaration in force, and zones taken out of service.
     pub const CONTROL: RangeInclusive<u16> = 5000..=5012;
-    /// What an upstream said, or that it is gone.
+    /// State reported by an upstream, or its loss.
     pub const UPSTREAM: RangeInclusive<u16> = 5020..=5023;
-    /// An upstream counts as dead.
+    /// An upstream is considered dead.
     pub const UPSTREAM_LOST: u16 = 5023;
-    /// A group was formed, of the members that the line names.
+    /// A group was formed; the message ends with its members.
     pub const GROUP_FORMED: u16 = 5030;
-    /// Groups and orders.
+    /// Groups and the orders sent to their members.
     pub const GROUP: RangeInclusive<u16> = 5030..=5034;
-    /// Formed, adopted, turned, ended: a group's life without its orders.
+    /// Life cycle of a group without its orders: formed, adopted, turned, ended.
     pub const GROUP_LIFECYCLE: RangeInclusive<u16> = 5030..=5033;
-    /// Everything stands still on an upstream.
+    /// All requests on an upstream have stalled.
     pub const UPSTREAM_STALLED: u16 = 5220;
-    /// How a request ends: refused, broken off, answered, given up by its caller.
+    /// End of a request: rejected, cut off, answered, or abandoned by its client.
     pub const REQUEST_ENDED: RangeInclusive<u16> = 5213..=5216;
-    /// A request is sent to an upstream: the third word names it.
+    /// A request is sent to an upstream, which is the third word of the message.
     pub const REQUEST_SENT: u16 = 5210;
 }
 
 /// A log line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Line {
-    /// When it was written, by its process's clock.
+    /// Time of the line, by the clock of its process.
     #[serde(rename = "at", with = "time::serde::rfc3339")]
     pub timestamp: time::OffsetDateTime,
-    /// Process that wrote it.
+    /// Process that wrote the line.
     pub process: String,
     /// Number of the event.
     pub number: u16,
     /// Name of the event.
     pub name: String,
-    /// What happened.
+    /// Text of the event.
     pub message: String,
-    /// Fields, as `key=value` with blanks between.
+    /// Fields, as `key=value` separated by blanks.
     pub fields: String,
 }
 
@@ -76,26 +76,26 @@
     }
 }
 
-/// A request's story.
+/// Timeline of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Timeline {
-    /// Its own lines and what the processes believed meanwhile, in order of time.
+    /// Lines of the request and related lines of other processes, by time.
     pub lines: Vec<Entry>,
-    /// What the logs don't say.
+    /// What the logs lack, one text each.
     pub missing: Vec<String>,
 }
 
-/// A line of a story.
+/// A line of a timeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// Whether it is the request's own.
+    /// Whether the line carries the request's identifier.
     pub own: bool,
     /// The line.
     #[serde(flatten)]
     pub line: Line,
 }
 
-/// Reads a log; lines of other formats are left out and counted.
+/// Reads a log; returns its events and the number of lines in other formats, which are skipped.
 pub fn read(path: &path::Path) -> Result<(Vec<Line>, usize), error::Error> {
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
@@ -103,7 +103,7 @@
     Ok(parse(&text, &process))
 }
 
-/// Takes the lines of a log; `process` wrote those that don't say who did.
+/// Parses the lines of a log; `default_process` is the process of lines without a prefix.
 pub fn parse(text: &str, default_process: &str) -> (Vec<Line>, usize) {
     let parsed: Vec<Option<Line>> =
         text.lines().map(|line| parse_line(line, default_process)).collect();
@@ -111,7 +111,7 @@
     (parsed.into_iter().flatten().collect(), skipped)
 }
 
-/// A collector may put words of its own before a line; the last of them then names the process.
+/// Parses one line. A log collector may prepend words, the last of which names the process.
 fn parse_line(line: &str, default_process: &str) -> Option<Line> {
     let (prefix, json) = line.split_at(line.find('{')?);
     let value: serde_json::Value = serde_json::from_str(json).ok()?;
@@ -126,7 +126,7 @@
     })
 }
 
-/// Tells a request's story; `None` when no line is its own.
+/// Builds the timeline of a request; `None` if no line carries its identifier.
 pub fn build_timeline(lines: &[Line], request: &str) -> Option<Timeline> {
     let own_lines: Vec<&Line> = lines.iter().filter(|line| line.has_request(request)).collect();
     let first = own_lines.iter().map(|line| line.timestamp).min()?;
@@ -166,13 +166,13 @@
     Some(Timeline { lines: entries, missing: find_missing(lines, &own_lines, (first, last)) })
 }
 
-/// Upstreams that the request was sent to.
+/// Finds the upstreams that the request was sent to.
 fn find_upstreams(own_lines: &[&Line]) -> BTreeSet<String> {
     let sent = own_lines.iter().filter(|line| line.number == event::REQUEST_SENT);
     sent.filter_map(|line| line.message.split(' ').nth(2)).map(str::to_owned).collect()
 }
 
-/// Groups that the upstreams were members of.
+/// Finds the groups that the upstreams were members of.
 fn find_groups<'a>(
     lines: impl Iterator<Item = &'a Line>,
     upstreams: &BTreeSet<String>,
@@ -190,7 +190,7 @@
     lines.filter(mentions_upstream).filter_map(group_name).collect()
 }
 
-/// Members of the groups, by the lines that tell of their forming.
+/// Finds the members of the groups, from the events of their formation.
 fn find_members(lines: &[Line], groups: &BTreeSet<String>) -> BTreeSet<String> {
     let formed = lines.iter().filter(|line| {
         line.number == event::GROUP_FORMED && groups.iter().any(|group| line.has_word(group))
@@ -199,7 +199,7 @@
     members.flat_map(str::split_whitespace).map(str::to_owned).collect()
 }
 
-/// What a reader must know is not in the logs.
+/// Lists what the logs lack: the end of the request, dropped lines, the log of the leader.
 fn find_missing(
     lines: &[Line],
     own_lines: &[&Line],
@@ -208,8 +208,8 @@
     let mut missing = Vec::new();
     if !own_lines.iter().any(|line| event::REQUEST_ENDED.contains(&line.number)) {
         missing.push(
-            "no line says how the request ended: its process ended first, or the line was \
-                      dropped"
+            "no line says how the request ended: its process stopped before, or the line \
+                      was dropped"
                 .to_owned(),
         );
     }
@@ -222,7 +222,7 @@
     let from_leader =
         |line: &Line| event::GROUP.contains(&line.number) || line.number == event::UPSTREAM_LOST;
     if !lines.iter().any(from_leader) {
-        missing.push("no line tells of groups: add the log of the process that led".to_owned());
+        missing.push("no events of groups: add the log of the process that led".to_owned());
     }
     missing
 }
--- a/crates/hyssopfork-cli/src/history.rs
+++ b/crates/hyssopfork-cli/src/history.rs
@@ -1,4 +1,4 @@
-//! Histories of what callers sent and received, one JSON object a line, and their check.
+//! Histories of requests as their clients saw them, as JSON lines, and their consistency check.
 
 use crate::error;
 use hyssopfork_wire::{configuration, name};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::{fs, path};
 
-/// How a request ended for its caller.
+/// Outcome of a request for its client.
 #[derive(
     Clone,
     Copy,
@@ -23,87 +23,87 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// Answered whole.
+    /// Answered completely.
     Answered,
-    /// Refused, and told that the work did not run.
+    /// Rejected with the statement that the work did not run.
     #[serde(rename = "refused_not_run")]
     #[strum(serialize = "refused_not_run")]
     RejectedNotRun,
-    /// Told that the work may have run.
+    /// Failed with the statement that the work may have run.
     MayHaveRun,
-    /// Ended in another way: cut without a word, timed out, wrong.
+    /// Any other end: cut off without an error event, timed out, or malformed.
     Error,
 }
 
-/// One request as its caller saw it.
+/// A request as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Identifier of the request; a resend has another one.
+    /// Identifier of the request; a resend has its own.
     pub request: String,
-    /// What back ends count the work under; a resend has the same.
+    /// Reference under which back ends count the work; a resend has the same.
     pub reference: String,
     /// Team that sent it.
     pub team: name::Team,
-    /// Route that it took.
+    /// Route of the request.
     pub route: name::Route,
-    /// Class that the plan gives the route.
+    /// Class of the route in the plan.
     pub class: configuration::Class,
-    /// Whether the route's work may run more than once.
+    /// Whether the work of the route may run more than once.
     pub repeatable: bool,
-    /// Idempotency-Key that it carried.
+    /// Idempotency-Key of the request.
     pub key: Option<String>,
-    /// When it was to be sent, in microseconds from the start.
+    /// Due time, in microseconds from the start.
     pub intended_us: u64,
-    /// When it was sent, in microseconds from the start.
+    /// Send time, in microseconds from the start.
     pub sent_us: u64,
-    /// When the first part of the answer came, in microseconds from the start.
+    /// Arrival of the first part of the response body, in microseconds from the start.
     pub first_us: Option<u64>,
-    /// When the answer ended, in microseconds from the start.
+    /// End of the response, in microseconds from the start.
     pub answered_us: u64,
-    /// How it ended.
+    /// Outcome of the request.
     #[serde(rename = "kind")]
     pub outcome: Outcome,
-    /// HTTP status, when a head came.
+    /// HTTP status, if a response head arrived.
     pub status: Option<u16>,
-    /// Reason of a refusal, or what went wrong.
+    /// Reason of the rejection or error.
     pub reason: Option<String>,
-    /// Whether the answer came whole by its framing and end mark.
+    /// Whether the response is complete by its framing and end marker.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// Whether the answer was the one that this request had to get.
+    /// Whether the response is the one expected for this request.
     #[serde(rename = "right")]
     pub correct: bool,
-    /// Hash of the answer's body, to compare the answers to one key.
+    /// Hash of the response body, to compare the responses to one key.
     pub digest: String,
 }
 
-/// What back ends say they ran.
+/// Counts of the work that a back end ran.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Counts {
-    /// How often the work of each reference ran.
+    /// Number of runs by reference.
     #[serde(rename = "ran", default)]
     pub runs: BTreeMap<String, u64>,
-    /// How often it fell over because it was loaded while cold.
+    /// Number of times the back end was overloaded while cold.
     #[serde(rename = "falls", default)]
     pub cold_overloads: u64,
 }
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Lines that were read.
+    /// Number of records checked.
     pub requests: usize,
-    /// How many ended in each way.
+    /// Number of requests by outcome.
     #[serde(rename = "kinds")]
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// References of non-repeatable work whose runs were compared.
+    /// Number of references of non-repeatable work whose runs were compared.
     pub compared: usize,
-    /// What did not hold, one line each.
+    /// Violations, one line each.
     pub violations: Vec<String>,
 }
 
 impl Verdict {
-    /// Whether all held.
+    /// Whether there are no violations.
     pub fn is_consistent(&self) -> bool {
         self.violations.is_empty()
     }
@@ -122,8 +122,8 @@
     text.lines().enumerate().map(parse).collect()
 }
 
-/// Checks histories against what the back ends ran. `counts` must be of all back ends that the
-/// histories' non-repeatable routes lead to.
+/// Checks histories against the work that back ends ran. `counts` must cover all back ends of the
+/// non-repeatable routes in the histories.
 pub fn check(records: &[Record], counts: &[Counts]) -> Verdict {
     let mut verdict = Verdict { requests: records.len(), ..Verdict::default() };
     for record in records {
@@ -165,14 +165,14 @@
     let route = &record.route;
     match record.outcome {
         Outcome::Answered if !record.complete => {
-            Some(format!("{request} on {route}: given as answered, but cut"))
+            Some(format!("{request} on {route}: recorded as answered, but incomplete"))
         }
         Outcome::Answered if !record.correct => {
-            Some(format!("{request} on {route}: got another answer than its own"))
+            Some(format!("{request} on {route}: answered with an unexpected response"))
         }
         Outcome::Error => {
             let reason = record.reason.as_deref().unwrap_or("no reason");
-            Some(format!("{request} on {route}: neither answered nor refused honestly: {reason}"))
+            Some(format!("{request} on {route}: neither answered nor properly rejected: {reason}"))
         }
         _ => None,
     }
@@ -183,16 +183,16 @@
     let answered: Vec<&&Record> =
         records.iter().filter(|record| record.outcome == Outcome::Answered).collect();
     if count > 1 {
-        violations.push(format!("{reference}: ran {count} times and may run once"));
+        violations.push(format!("{reference}: ran {count} times, may run once"));
     }
     if count > 0 && records.iter().all(|record| record.outcome == Outcome::RejectedNotRun) {
-        violations.push(format!("{reference}: refused as not run, and ran"));
+        violations.push(format!("{reference}: rejected as not run, but ran"));
     }
     if count == 0 && !answered.is_empty() {
-        violations.push(format!("{reference}: answered, and no back end ran it"));
+        violations.push(format!("{reference}: answered, but no back end ran it"));
     }
     if answered.windows(2).any(|pair| pair[0].digest != pair[1].digest) {
-        violations.push(format!("{reference}: the same key got different answers"));
+        violations.push(format!("{reference}: different responses to the same key"));
     }
     violations
 }
--- a/crates/hyssopfork-cli/src/lib.rs
+++ b/crates/hyssopfork-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' program: what `hyssopfork` does, as a library that tests can call.
+//! Command line tool for operators: the commands of `hyssopfork`, as a library for tests.
 
 pub mod client;
 pub mod command;
--- a/crates/hyssopfork-cli/src/load/answer.rs
+++ b/crates/hyssopfork-cli/src/load/answer.rs
@@ -1,26 +1,26 @@
-//! What a caller's answer means.
+//! Classification of responses: the outcome of a request, and whether the response is correct.
 
 use super::{client, plan};
 use crate::history;
 use serde_json::Value;
 
-/// Mark of a stream's clean end.
+/// Data of the event that ends a complete stream.
 const STREAM_END: &str = "[DONE]";
 
-/// A judged answer.
+/// Classification of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Classification {
-    /// How the request ended.
+    /// Outcome of the request.
     pub outcome: history::Outcome,
-    /// Why, where it was not answered.
+    /// Reason, if the request was not answered.
     pub reason: Option<String>,
-    /// Whether the answer came whole.
+    /// Whether the response is complete.
     pub complete: bool,
-    /// Whether it was the one that the request had to get.
+    /// Whether the response is the one expected for the request.
     pub correct: bool,
 }
 
-/// Judges what came back to `request`.
+/// Classifies the response to `request`.
 pub fn classify(request: &plan::Request, response: &client::Response) -> Classification {
     let text = String::from_utf8_lossy(&response.body);
     if response.is_event_stream {
@@ -39,7 +39,7 @@
         .unwrap_or_else(|| failed(format!("status {:?}: {text}", response.status)))
 }
 
-/// The data of each whole event.
+/// Returns the data of each complete event.
 fn parse_events(text: &str) -> Vec<String> {
     let complete = text.split_inclusive("\n\n").filter(|event| event.ends_with("\n\n"));
     let data = |event: &str| {
@@ -59,7 +59,7 @@
         let tokens: String = events.iter().map(|event| token_text(event)).collect();
         return answered(is_correct(request, &events.join("\n"), &tokens));
     }
-    // An answer that was cut says so in its last event, whatever the connection did then.
+    // A stream that was cut off ends with an error event, even if the connection failed afterwards.
     let error_event: Value = serde_json::from_str(last).unwrap_or_default();
     parse_rejection(&error_event).unwrap_or_else(|| {
         failed(response.error.clone().unwrap_or_else(|| "a stream without its end mark".into()))
@@ -99,7 +99,7 @@
     }
 }
 
-/// A refusal by its problem document; `None` when the value is none.
+/// Reads a rejection from a problem document; `None` if the value is not one.
 fn parse_rejection(problem: &Value) -> Option<Classification> {
     let problem = problem.get("error").filter(|error| error.is_object()).unwrap_or(problem);
     let outcome = match problem["ran"].as_str()?.replace(' ', "_").as_str() {
--- a/crates/hyssopfork-cli/src/load/client.rs
+++ b/crates/hyssopfork-cli/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from connection to last byte.
+//! HTTP client of the load generator, with a pool of idle connections.
 
 use super::plan;
 use bytes::{Bytes, BytesMut};
@@ -7,33 +7,33 @@
 use std::net;
 use std::time::{Duration, Instant};
 
-/// Time after which an idle connection is not used again: well below servers' keep-alive, so that
-/// no request meets a connection that is being closed.
+/// Time after which an idle connection is dropped: well below the keep-alive time of servers, so
+/// that no request is sent on a connection that the server is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What came back.
+/// Response to a request, as far as it arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// HTTP status, when a head came.
+    /// HTTP status, if a response head arrived.
     pub status: Option<u16>,
-    /// Whether the answer is a stream of events.
+    /// Whether the body is a stream of server-sent events.
     pub is_event_stream: bool,
-    /// Body as far as it came.
+    /// Body as far as it arrived.
     pub body: Bytes,
-    /// When its first part came.
+    /// When the first part of the body arrived.
     pub first_part_at: Option<Instant>,
-    /// Why it is not whole; `None` when it is.
+    /// Why the response is incomplete; `None` if it is complete.
     pub error: Option<String>,
 }
 
-/// Callers of some entries, which keep connections between requests.
+/// HTTP client that keeps idle connections to the entries.
 #[derive(Default)]
 pub struct Client {
     idle: RefCell<Vec<(net::SocketAddr, Instant, connection::Connection)>>,
 }
 
 impl Client {
-    /// Sends a request to the first of `entries` that can be reached, as a balancer would.
+    /// Sends a request to the first reachable entry of `entries`, as a load balancer would.
     pub async fn call(
         &self,
         entries: &[net::SocketAddr],
--- a/crates/hyssopfork-cli/src/load/mod.rs
+++ b/crates/hyssopfork-cli/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Open-loop load: requests are sent when they are due, whatever became of those before.
+//! Open-loop load generator: sends requests when they are due, regardless of earlier responses.
 //!
-//! Latency is measured from when a request was *due*. A generator that waits for an answer before
-//! it sends the next counts a stall once; one that measures from the due time counts it for every
-//! request that callers would have sent meanwhile.
+//! Latency is measured from the due time, which avoids coordinated omission: a generator that waits
+//! for a response before it sends the next request counts a stall only once. This one counts it for
+//! every request that clients would have sent during the stall.
 
 pub mod answer;
 pub mod client;
--- a/crates/hyssopfork-cli/src/load/plan.rs
+++ b/crates/hyssopfork-cli/src/load/plan.rs
@@ -1,107 +1,107 @@
-//! What is sent: teams, routes and their shares.
+//! Plan of a load run: teams, routes and their shares of the requests.
 
 use hyssopfork_wire::{configuration, name};
 use rand::RngExt;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Stands for the request's reference in paths, bodies and expectations.
+/// Placeholder for the reference of the request in paths, bodies and expectations.
 pub const REFERENCE_PLACEHOLDER: &str = "{request}";
 
-/// A plan.
+/// Teams and routes of a load run.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Teams that send; at least one.
+    /// Teams that send requests; at least one.
     pub teams: Vec<Team>,
-    /// Routes that they use; at least one.
+    /// Routes of the requests; at least one.
     pub routes: Vec<Route>,
 }
 
-/// A team that sends.
+/// A team that sends requests.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub team: name::Team,
-    /// Its bearer token.
+    /// Bearer token of the team.
     pub token: String,
-    /// Its share of the requests.
+    /// Relative share of the requests.
     pub share: u32,
 }
 
-/// A route that is used.
+/// A route that requests use.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub route: name::Route,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// JSON body; absent for none.
+    /// JSON body, if any.
     #[serde(default)]
     pub body: Option<serde_json::Value>,
     /// Class, for the summary.
     pub class: configuration::Class,
-    /// Whether the work may run more than once; as the fleet's configuration says.
+    /// Whether the work may run more than once, as in the fleet's configuration.
     pub repeatable: bool,
     /// Whether each request carries an Idempotency-Key.
     #[serde(default)]
     pub key: bool,
-    /// Its share of the requests.
+    /// Relative share of the requests.
     pub share: u32,
-    /// What a right answer is.
+    /// Expected response.
     #[serde(default)]
     pub expect: Expectation,
 }
 
-/// What a right answer is.
+/// Expected response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expectation {
-    /// Anything whole.
+    /// Any complete response.
     #[default]
     Whole,
-    /// A body that holds this text.
+    /// A body that contains this text.
     Text(String),
-    /// This many tokens, each naming the request and its place, in order: what the fake engines
-    /// answer to a prompt that holds `[#{request}]`.
+    /// This many tokens in order, each with the reference of the request and its index: what the
+    /// fake engines generate for a prompt that contains `[#{request}]`.
     Tokens(u64),
 }
 
-/// One request of the plan, filled in.
+/// A request sampled from the plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What back ends count its work under.
+    /// Reference under which back ends count the work.
     pub reference: String,
-    /// Team that sends it.
+    /// Team that sends the request.
     pub team: Team,
-    /// Its route, with the placeholder filled in.
+    /// Route of the request, with the placeholder replaced.
     pub route: Route,
 }
 
 impl Plan {
-    /// What is wrong with the plan; empty when nothing is.
+    /// Lists the errors of the plan; empty if it is valid.
     pub fn validate(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         if self.teams.iter().all(|team| team.share == 0) {
-            faults.push("\"teams\" names none with a share; give one a share above 0".into());
+            errors.push("\"teams\" has no team with a share; give one a share above 0".into());
         }
         if self.routes.iter().all(|route| route.share == 0) {
-            faults.push("\"routes\" names none with a share; give one a share above 0".into());
+            errors.push("\"routes\" has no route with a share; give one a share above 0".into());
         }
         let relative = self.routes.iter().filter(|route| !route.path.starts_with('/'));
-        faults.extend(
+        errors.extend(
             relative.map(|route| {
                 format!("path {:?} of {} must start with '/'", route.path, route.route)
             }),
         );
-        faults
+        errors
     }
 
-    /// Draws a request, called `reference`.
+    /// Samples a request with the given reference.
     pub fn sample_request(&self, reference: String, random: &mut impl RngExt) -> Request {
         let shares = self.teams.iter().map(|team| team.share);
         let team = self.teams[pick_weighted(shares, random)].clone();
@@ -112,7 +112,7 @@
 }
 
 impl Request {
-    /// Headers to send.
+    /// Headers of the request.
     pub fn headers(&self) -> Vec<(String, String)> {
         let authorization = format!("Bearer {}", self.team.token);
         let mut headers = BTreeMap::from([("authorization".to_owned(), authorization)]);
--- a/crates/hyssopfork-cli/src/load/run.rs
+++ b/crates/hyssopfork-cli/src/load/run.rs
@@ -1,4 +1,4 @@
-//! A run: sends every request when it is due and writes down what came of it.
+//! Load run: sends every request at its due time and records its outcome.
 
 use super::{answer, client, plan, schedule};
 use crate::history;
@@ -11,31 +11,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What to run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Entries, used in turn.
+    /// Entries, used in rotation.
     pub entries: Vec<net::SocketAddr>,
-    /// What is sent.
+    /// Plan that requests are sampled from.
     pub plan: plan::Plan,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How arrivals are spread.
+    /// Distribution of arrivals.
     pub arrivals: schedule::Arrivals,
-    /// Time during which requests are sent.
+    /// Period during which requests are sent.
     pub duration: Duration,
-    /// Seed of everything random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Of 100 requests with a key, how many are sent again after their end, over another entry.
+    /// Percentage of requests with a key that are sent again after they end, to the next entry.
     pub resend_percent: u32,
-    /// Time after which a caller gives up.
+    /// Time after which a client gives up.
     pub request_timeout: Duration,
-    /// Most requests at once; what is due beyond it is noted as an error, never sent late unseen.
+    /// Most requests in flight; further due requests are recorded as errors instead of being sent
+    /// late unnoticed.
     pub max_in_flight: usize,
-    /// Start of every reference, so that runs against the same back ends differ.
+    /// Prefix of every reference, so that runs against the same back ends are told apart.
     pub reference_prefix: String,
 }
 
+/// State shared by the requests of a run.
 struct Run {
     options: Options,
     started: Instant,
@@ -44,7 +46,7 @@
     records: RefCell<Vec<history::Record>>,
 }
 
-/// Sends all and returns what came of each, in the order in which they ended.
+/// Sends all requests and returns their records, in the order in which the requests ended.
 pub async fn run(options: Options) -> Vec<history::Record> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let due =
@@ -118,7 +120,7 @@
     run.records.borrow_mut().push(record);
 }
 
-/// A line for a request that was not sent since too many were outstanding.
+/// Creates the record of a request that was not sent because too many were in flight.
 fn unsent_record(run: &Run, request: &plan::Request, due: Duration) -> history::Record {
     history::Record {
         request: request.reference.clone(),
--- a/crates/hyssopfork-cli/src/load/schedule.rs
+++ b/crates/hyssopfork-cli/src/load/schedule.rs
@@ -1,19 +1,19 @@
-//! When requests are due.
+//! Due times of requests.
 
 use rand::RngExt;
 use std::time::Duration;
 
-/// How arrivals are spread.
+/// Distribution of arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Arrivals {
-    /// Independent of each other, as from many callers: gaps are exponentially distributed.
+    /// Independent of each other, as from many clients: gaps are exponentially distributed.
     Poisson,
     /// Evenly spaced.
     Constant,
 }
 
-/// Due times within `duration`, ascending.
+/// Samples the due times within `duration`, in ascending order.
 pub fn sample_due_times(
     arrivals: Arrivals,
     rate: f64,
@@ -24,7 +24,7 @@
     let mut at = 0.0;
     let next_due = |number: u32| {
         at = match arrivals {
-            // From the number and not from the time before, so that rounding doesn't add up.
+            // Computed from the number, so that rounding errors do not accumulate.
             Arrivals::Constant => f64::from(number) / rate,
             Arrivals::Poisson => at + sample_gap(rate, random),
         };
@@ -34,7 +34,7 @@
     times.map(Duration::from_secs_f64).collect()
 }
 
-/// A gap whose mean is the inverse of the rate.
+/// Samples a gap with mean `1 / rate`.
 fn sample_gap(rate: f64, random: &mut impl RngExt) -> f64 {
     let uniform: f64 = random.random();
     -(1.0 - uniform).ln() / rate
--- a/crates/hyssopfork-cli/src/load/summary.rs
+++ b/crates/hyssopfork-cli/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! What callers received, by team and class.
+//! Summary of a run: outcomes and latencies by team and class.
 
 use crate::{history, output};
 use hdrhistogram::Histogram;
@@ -8,55 +8,56 @@
 
 /// Significant digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longest time that the histograms tell, in microseconds: an hour, beyond any caller's patience.
+/// Longest time that the histograms record, in microseconds: an hour, longer than any client
+/// timeout.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Latencies in milliseconds, measured from when requests were due.
+/// Latency percentiles in milliseconds, measured from the due time of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Half are below.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// What one team received in one class.
+/// Outcomes and latencies of one team in one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// The team.
+    /// Team of the requests.
     pub team: name::Team,
-    /// The class.
+    /// Class of the requests.
     pub class: configuration::Class,
-    /// Requests that were sent.
+    /// Number of requests.
     pub sent: u64,
-    /// How many ended in each way.
+    /// Number of requests by outcome.
     #[serde(rename = "kinds")]
     pub outcomes: BTreeMap<history::Outcome, u64>,
-    /// Time to the first part of whole answers.
+    /// Time to the first part of complete responses.
     #[serde(rename = "first")]
     pub first_part: Quantiles,
-    /// Time to the end of whole answers.
+    /// Time to the end of complete responses.
     #[serde(rename = "whole")]
     pub total: Quantiles,
 }
 
-/// The summary of a run.
+/// Summary of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
     /// Rows by team and class.
     pub rows: Vec<Row>,
-    /// How many requests ended for each reason.
+    /// Number of requests that were not answered, by outcome and reason.
     pub reasons: BTreeMap<String, u64>,
-    /// How many ended in each way.
+    /// Number of requests by outcome.
     #[serde(rename = "kinds")]
     pub outcomes: BTreeMap<history::Outcome, u64>,
 }
 
-/// Sums records up.
+/// Summarizes the records of a run.
 pub fn summarize(records: &[history::Record]) -> Summary {
     let mut groups: BTreeMap<(&name::Team, configuration::Class), Vec<&history::Record>> =
         BTreeMap::new();
@@ -102,8 +103,8 @@
 }
 
 fn compute_quantiles(times_us: impl Iterator<Item = u64>) -> Quantiles {
-    // With a bound: one that resizes itself does so in `record` only, and `saturating_record`
-    // would cap every time at its first size.
+    // An auto-resizing histogram grows only in `record`; `saturating_record` would cap every time
+    // at its initial size.
     let mut histogram = Histogram::<u64>::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .expect("the bounds are allowed");
     times_us.for_each(|time| histogram.saturating_record(time));
@@ -115,7 +116,7 @@
 }
 
 impl Summary {
-    /// The summary as tables.
+    /// Formats the summary as tables.
     pub fn render(&self) -> String {
         let mut table = output::Table::new(&[
             "TEAM",
--- a/crates/hyssopfork-cli/src/output.rs
+++ b/crates/hyssopfork-cli/src/output.rs
@@ -1,43 +1,43 @@
-//! What commands print: tables for people, JSON for scripts.
+//! Output of commands: tables for people, JSON for scripts.
 
 use serde::Serialize;
 use std::io::{self, Write};
 
-/// How results are printed.
+/// Format in which results are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Format {
-    /// Columns for people.
+    /// Aligned columns, for people.
     #[default]
     Table,
-    /// One JSON value, or one a line for commands that go on.
+    /// One JSON value, or one per line for commands that print continuously.
     Json,
 }
 
-/// What a command has to say, and the program's exit code.
+/// Result of a command: text to print and exit code.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Text, with its last line end.
+    /// Text to print, including the final newline.
     pub text: String,
     /// Exit code.
     pub exit_code: u8,
 }
 
 impl Report {
-    /// A result with exit code 0.
+    /// Creates a result with exit code 0.
     pub fn success(text: impl Into<String>) -> Report {
         Report { text: text.into(), exit_code: 0 }
     }
 }
 
-/// Rows under a head, in columns as wide as their longest cell.
+/// Table with a header row; each column is as wide as its longest cell.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these column heads.
+    /// Creates a table with these column headers.
     pub fn new(head: &[&str]) -> Table {
         Table { rows: vec![head.iter().map(|cell| (*cell).to_owned()).collect()] }
     }
@@ -47,7 +47,7 @@
         self.rows.push(cells.into());
     }
 
-    /// The table as text.
+    /// Formats the table as text.
     pub fn render(&self) -> String {
         let widths = self.widths();
         let mut text = String::new();
@@ -71,21 +71,21 @@
     }
 }
 
-/// A value as indented JSON.
+/// Formats a value as indented JSON.
 pub fn to_json(value: &impl Serialize) -> String {
     let mut text = serde_json::to_string_pretty(value).expect("results are plain data");
     text.push('\n');
     text
 }
 
-/// A value as one line of JSON.
+/// Formats a value as one line of JSON.
 pub fn to_json_line(value: &impl Serialize) -> String {
     let mut text = serde_json::to_string(value).expect("results are plain data");
     text.push('\n');
     text
 }
 
-/// Prints at once; a reader that went away is no failure of the command.
+/// Prints and flushes; a closed standard output is not an error of the command.
 pub fn print(text: &str) {
     let mut stdout = io::stdout().lock();
     stdout.write_all(text.as_bytes()).and_then(|()| stdout.flush()).ok();
--- a/crates/hyssopfork-cli/src/overview.rs
+++ b/crates/hyssopfork-cli/src/overview.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet, worked out from the leader's status.
+//! State of the fleet for operators, derived from the leader's status.
 
 use hyssopfork_wire::{configuration, control, fleet, name, number, timing};
 use serde::Serialize;
@@ -9,147 +9,147 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
-    /// Its first member takes requests.
+    /// The first member accepts requests.
     Serving,
-    /// It is placed and not all members have loaded or granted yet.
+    /// Placed; not all members have loaded the model or granted a lease yet.
     Forming,
-    /// It is placed and a member is missing.
+    /// Placed; a member is missing.
     Incomplete,
-    /// No instances are placed for it.
+    /// No instances are assigned to the group.
     Unplaced,
 }
 
 /// A serving group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub group: name::Group,
-    /// State.
+    /// Current state.
     #[serde(rename = "standing")]
     pub state: State,
-    /// Fencing number of its placement.
+    /// Fencing number of the placement.
     pub fence: Option<number::Fence>,
-    /// Zone of its first member.
+    /// Zone of the first member.
     pub zone: Option<name::Zone>,
-    /// Members, first one first.
+    /// Members in the order of the placement.
     pub members: Vec<name::Instance>,
-    /// Members that are missing.
+    /// Missing members.
     pub missing: Vec<name::Instance>,
-    /// Requests that run on it.
+    /// Requests in flight.
     pub running: u32,
 }
 
-/// What is the matter with an instance.
+/// Condition of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Condition {
-    /// All is well.
+    /// Operational.
     Ready,
-    /// Its back end is new and bears little. Only said of those that requests go to: a spare and
-    /// a group's further members run none that could warm them.
+    /// The back end has just started and tolerates little load. Only instances that receive
+    /// requests are reported as cold: a spare and the other members of a group get none to warm up.
     Cold,
-    /// Operators have drained it.
+    /// Drained by operators.
     Drained,
-    /// Its agent has said that it is leaving.
+    /// The agent has announced that it is leaving.
     Leaving,
-    /// Its back end doesn't answer its agent.
+    /// The back end does not respond to its agent.
     Down,
-    /// It fell silent or left.
+    /// No recent report, or the instance has left.
     Missing,
 }
 
-/// An instance that announced itself.
+/// An announced instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub instance: name::Instance,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: name::Zone,
-    /// Its fabric domain.
+    /// Fabric domain of the instance.
     pub domain: name::Domain,
-    /// Its pool.
+    /// Pool of the instance.
     pub pool: name::Pool,
-    /// What it runs.
+    /// Kind of its upstream.
     pub kind: configuration::Kind,
-    /// State.
+    /// Current state.
     pub condition: Condition,
-    /// Group that it is placed in.
+    /// Group that the instance is placed in.
     pub group: Option<name::Group>,
-    /// Requests that run on it.
+    /// Requests in flight.
     pub running: u32,
-    /// Accelerators on it.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 /// An availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub zone: name::Zone,
-    /// Whether operators have taken it out.
+    /// Whether operators have taken the zone out of service.
     pub out: bool,
-    /// Groups that serve in it.
+    /// Number of serving groups whose first member is in the zone.
     pub serving: usize,
-    /// Instances that are present.
+    /// Number of instances that are present.
     pub present: usize,
-    /// Instances that are missing.
+    /// Number of missing instances.
     pub missing: usize,
-    /// Instances that are cold.
+    /// Number of cold instances.
     pub cold: usize,
 }
 
-/// A process that acts on an older view.
+/// A lease holder whose view is not the newest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Laggard {
-    /// Its instance.
+    /// Instance of the process.
     pub instance: name::Instance,
-    /// Version that it reported last.
+    /// Version in its last report.
     pub version: number::Version,
 }
 
-/// The whole screen.
+/// State of the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Overview {
     /// Configuration number in force.
     pub configuration: number::Configuration,
     /// Version of the newest view.
     pub version: number::Version,
-    /// Control instance that leads.
+    /// Control instance that is the leader.
     pub leader: name::Instance,
-    /// Term of the log.
+    /// Current term of the replicated log.
     pub term: number::Term,
-    /// Committed index of the log.
+    /// Committed index of the replicated log.
     pub committed: number::Index,
-    /// Zones by name.
+    /// Zones, sorted by name.
     pub zones: Vec<Zone>,
-    /// Groups by name.
+    /// Groups, sorted by name.
     pub groups: Vec<Group>,
-    /// Instances by name.
+    /// Instances, sorted by name.
     pub instances: Vec<Instance>,
-    /// Entries that hold a lease.
+    /// Number of entries that hold a lease.
     pub entries: usize,
-    /// Processes that hold a lease.
+    /// Number of processes that hold a lease.
     pub holders: usize,
-    /// Holders of a lease that act on an older view.
+    /// Lease holders whose view is not the newest.
     #[serde(rename = "behind")]
     pub laggards: Vec<Laggard>,
-    /// Processes whose lease has lapsed: they serve nothing until they have another.
+    /// Processes whose lease has lapsed; they serve nothing until they get a new one.
     pub lapsed: Vec<name::Instance>,
-    /// Accelerators that serve nothing: on present, undrained engines in zones that are in service,
-    /// outside serving groups.
+    /// Number of idle accelerators: on present, undrained engines in zones in service, outside
+    /// serving groups.
     pub stranded: u32,
 }
 
 impl Overview {
-    /// Whether every declared group serves and the newest view is in force everywhere.
+    /// Whether every declared group is serving and all lease holders have the newest view.
     pub fn is_healthy(&self) -> bool {
         let serving = self.groups.iter().all(|group| group.state == State::Serving);
         serving && self.laggards.is_empty()
     }
 }
 
-/// Works the screen out.
+/// Builds the overview from a status.
 pub fn build(status: &control::Status) -> Overview {
     let lookup = Lookup::new(status);
     let groups: Vec<Group> =
@@ -178,7 +178,7 @@
     }
 }
 
-/// Reports by instance, beside the view that they belong to.
+/// Index of a status: reports and groups by instance.
 struct Lookup<'a> {
     status: &'a control::Status,
     by_instance: BTreeMap<&'a name::Instance, &'a fleet::Report>,
--- a/crates/hyssopfork-cli/src/program.rs
+++ b/crates/hyssopfork-cli/src/program.rs
@@ -1,4 +1,4 @@
-//! From arguments to exit code.
+//! Entry point: parses arguments, runs the command and sets the exit code.
 
 use crate::{command, context, error, output};
 use clap::ArgMatches;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Runs one parsed command.
+/// Runs a parsed command.
 pub async fn run(matches: &ArgMatches) -> Result<output::Report, error::Error> {
     let mut context = context::Context::read(matches)?;
     command::run(matches, &mut context).await
--- a/crates/hyssopfork-cli/src/submission.rs
+++ b/crates/hyssopfork-cli/src/submission.rs
@@ -1,11 +1,11 @@
-//! Submitting patches against a numbered configuration.
+//! Submits patches against a numbered configuration.
 
 use crate::{context, error, output};
 use clap::{Arg, ArgMatches};
 use hyssopfork_wire::{control, number, patch, timing};
 use serde::Serialize;
 
-/// The base number's argument.
+/// Argument for the base number.
 pub fn base_argument() -> Arg {
     Arg::new("base")
         .long("base")
@@ -14,12 +14,12 @@
         .help("Configuration number that the change was written against")
 }
 
-/// The identifier's argument.
+/// Argument for the identifier of the patch.
 pub fn identifier_argument() -> Arg {
     Arg::new("identifier")
         .long("identifier")
         .value_name("TEXT")
-        .help("Identifier of the patch, to learn the outcome of one sent before")
+        .help("Identifier of the patch, to get the outcome of one sent earlier")
 }
 
 #[derive(Serialize)]
@@ -28,7 +28,7 @@
     identifier: String,
 }
 
-/// Submits operations against the number given with `--base`, or else the one in force now.
+/// Submits operations against the number given with `--base`, by default the one in force.
 pub async fn submit(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/traffic.rs
+++ b/crates/hyssopfork-cli/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What entries say of their traffic, read from their metrics.
+//! Traffic of entries, read from their metrics.
 
 use crate::output;
 use bytes::Bytes;
@@ -8,39 +8,39 @@
 use std::net;
 use std::time::Duration;
 
-/// Time that an entry has to tell its metrics.
+/// Timeout for reading the metrics of an entry.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What one team received since the entries started.
+/// Requests of one team since the entries started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Team {
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
-    /// Requests refused whose work did not run.
+    /// Rejected requests whose work did not run.
     pub not_run: u64,
-    /// Requests refused whose work may have run.
+    /// Rejected requests whose work may have run.
     pub may_have_run: u64,
-    /// Answers that were cut.
+    /// Responses that were cut off.
     pub cut: u64,
-    /// Refusals by reason.
+    /// Rejections by reason.
     pub reasons: BTreeMap<String, u64>,
 }
 
-/// What all asked entries say together.
+/// Traffic of all queried entries together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
-    /// Requests that wait.
+    /// Requests in queues.
     pub queued: u64,
-    /// Requests being answered.
+    /// Requests in flight.
     pub in_flight: u64,
-    /// By team; requests without a team's token stand under the empty name.
+    /// Requests by team; those without a valid token are under the empty name.
     pub teams: BTreeMap<String, Team>,
-    /// Entries that gave no metrics.
+    /// Entries whose metrics could not be read.
     #[serde(rename = "silent")]
     pub unreachable: Vec<net::SocketAddr>,
 }
 
-/// Asks the entries' `metrics_listen` addresses.
+/// Reads and sums the metrics from the `metrics_listen` addresses of entries.
 pub async fn collect(addresses: &[net::SocketAddr]) -> Traffic {
     let mut traffic = Traffic::default();
     for &address in addresses {
@@ -61,7 +61,7 @@
 }
 
 impl Traffic {
-    /// Adds one entry's metrics.
+    /// Adds the metrics of one entry.
     pub fn add_metrics(&mut self, text: &str) {
         for line in text.lines().filter(|line| !line.starts_with('#')) {
             let Some((series, value)) = line.rsplit_once(' ') else { continue };
@@ -94,7 +94,7 @@
         *team.reasons.entry(reason).or_default() += value;
     }
 
-    /// As a table.
+    /// Formats the traffic as a table.
     pub fn render(&self) -> String {
         let mut table = output::Table::new(&[
             "TEAM",
@@ -127,7 +127,7 @@
     }
 }
 
-/// A label's value; teams and reasons hold no quotes.
+/// Returns the value of a label; teams and reasons contain no quotes.
 fn label_value<'a>(labels: &'a str, name: &str) -> Option<&'a str> {
     let pairs = labels.trim_end_matches('}').split(',');
     let value = pairs.filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name)?.1;
--- a/crates/hyssopfork-cli/tests/all/history.rs
+++ b/crates/hyssopfork-cli/tests/all/history.rs
@@ -52,7 +52,7 @@
 
     let found = violations(&lines, &counts);
 
-    assert_eq!(found, ["a: ran 2 times and may run once"]);
+    assert_eq!(found, ["a: ran 2 times, may run once"]);
 }
 
 #[test]
@@ -61,7 +61,7 @@
 
     let found = violations(&lines, &ran("a", 1));
 
-    assert_eq!(found, ["a: refused as not run, and ran"]);
+    assert_eq!(found, ["a: rejected as not run, but ran"]);
 }
 
 #[test]
@@ -83,7 +83,7 @@
 
     let found = violations(&lines, &[]);
 
-    assert_eq!(found, ["a: answered, and no back end ran it"]);
+    assert_eq!(found, ["a: answered, but no back end ran it"]);
 }
 
 #[test]
@@ -93,7 +93,7 @@
 
     let found = violations(&lines, &ran("a", 1));
 
-    assert_eq!(found, ["a: the same key got different answers"]);
+    assert_eq!(found, ["a: different responses to the same key"]);
 }
 
 #[test]
@@ -106,7 +106,7 @@
 
     let found = violations(&[wrong], &[]);
 
-    assert_eq!(found, ["a on lodgements: got another answer than its own"]);
+    assert_eq!(found, ["a on lodgements: answered with an unexpected response"]);
 }
 
 #[test]
@@ -115,7 +115,7 @@
 
     let found = violations(&[cut], &ran("a", 1));
 
-    assert_eq!(found, ["a on lodgements: neither answered nor refused honestly: cut"]);
+    assert_eq!(found, ["a on lodgements: neither answered nor properly rejected: cut"]);
 }
 
 #[test]
