--- a/crates/hyssopfork-cli/src/command/check_history.rs
+++ b/crates/hyssopfork-cli/src/command/check_history.rs
@@ -80,8 +80,8 @@
 
 fn render(verdict: &history::Verdict) -> String {
     let mut table = output::Table::new(&["ENDED AS", "REQUESTS"]);
-    for (kind, count) in &verdict.outcomes {
-        table.add_row([kind.to_string(), count.to_string()]);
+    for (outcome, count) in &verdict.outcomes {
+        table.add_row([outcome.to_string(), count.to_string()]);
     }
     let result = if verdict.is_consistent() {
         "no violations: responses complete, rejections accurate, compared work ran at most once\n"
--- a/crates/hyssopfork-cli/src/command/load.rs
+++ b/crates/hyssopfork-cli/src/command/load.rs
@@ -99,9 +99,9 @@
 fn read_options(matches: &ArgMatches) -> Result<run::Options, error::Error> {
     let path = matches.get_one::<path::PathBuf>("plan").expect("required by the parser");
     let plan: plan::Plan = declaration::read_json(path)?;
-    let faults = plan.validate();
-    if !faults.is_empty() {
-        return Err(error::Error::InvalidFile(path.clone(), faults));
+    let errors = plan.validate();
+    if !errors.is_empty() {
+        return Err(error::Error::InvalidFile(path.clone(), errors));
     }
     let number = |id| *matches.get_one::<u64>(id).expect("has a default");
     let text = |id| matches.get_one::<String>(id).expect("has a default").as_str();
--- a/crates/hyssopfork-cli/src/declaration.rs
+++ b/crates/hyssopfork-cli/src/declaration.rs
@@ -10,20 +10,20 @@
 /// Reads a declaration and checks its syntax and every rule of configurations.
 pub fn read(path: &path::Path) -> Result<configuration::Configuration, error::Error> {
     let declared: configuration::Configuration = read_json(path)?;
-    let faults = rules::validate(&declared);
-    if faults.is_empty() {
+    let errors = rules::validate(&declared);
+    if errors.is_empty() {
         return Ok(declared);
     }
-    Err(error::Error::InvalidFile(path.to_owned(), faults))
+    Err(error::Error::InvalidFile(path.to_owned(), errors))
 }
 
 /// Reads a file of JSON with comments; errors carry line and column.
 pub fn read_json<T: DeserializeOwned>(path: &path::Path) -> Result<T, error::Error> {
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
-    let invalid_file = |faults: Vec<String>| error::Error::InvalidFile(path.to_owned(), faults);
+    let invalid_file = |errors: Vec<String>| error::Error::InvalidFile(path.to_owned(), errors);
     let plain = plain::json(&text)
-        .map_err(|faults| invalid_file(faults.iter().map(ToString::to_string).collect()))?;
+        .map_err(|errors| invalid_file(errors.iter().map(ToString::to_string).collect()))?;
     serde_json::from_str(&plain).map_err(|cause| invalid_file(vec![cause.to_string()]))
 }
 
--- a/crates/hyssopfork-cli/src/error.rs
+++ b/crates/hyssopfork-cli/src/error.rs
@@ -37,9 +37,9 @@
             display("{}", format_stale(*base, *current, since))
         }
         /// The patch breaks rules of configurations.
-        Rejected(faults: Vec<String>) {
+        Rejected(errors: Vec<String>) {
             display("rejected, nothing was changed; correct it and submit again:\n  {}",
-                faults.join("\n  "))
+                errors.join("\n  "))
         }
         /// The identifier of the patch was used for another patch.
         IdentifierReused(identifier: String) {
@@ -82,8 +82,8 @@
             source(cause)
         }
         /// A file is invalid.
-        InvalidFile(path: path::PathBuf, faults: Vec<String>) {
-            display("{} is invalid; correct it:\n  {}", path.display(), faults.join("\n  "))
+        InvalidFile(path: path::PathBuf, errors: Vec<String>) {
+            display("{} is invalid; correct it:\n  {}", path.display(), errors.join("\n  "))
         }
         /// The type of the response does not match the request.
         UnexpectedResponse {
--- a/crates/hyssopfork-cli/src/history.rs
+++ b/crates/hyssopfork-cli/src/history.rs
@@ -42,7 +42,7 @@
     pub request: String,
     /// Reference under which back ends count the work; a resend has the same.
     pub reference: String,
-    /// Team that sent it.
+    /// Team that sent the request.
     pub team: name::Team,
     /// Route of the request.
     pub route: name::Route,
@@ -115,8 +115,8 @@
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
     let parse = |(number, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|cause| {
-            let fault = format!("line {}: {cause}", number + 1);
-            error::Error::InvalidFile(path.to_owned(), vec![fault])
+            let message = format!("line {}: {cause}", number + 1);
+            error::Error::InvalidFile(path.to_owned(), vec![message])
         })
     };
     text.lines().enumerate().map(parse).collect()
--- a/crates/hyssopfork-cli/src/load/answer.rs
+++ b/crates/hyssopfork-cli/src/load/answer.rs
@@ -27,8 +27,8 @@
         return classify_stream(request, response, &parse_events(&text));
     }
     let body: Value = serde_json::from_str(&text).unwrap_or_default();
-    if let Some(fault) = &response.error {
-        return failed(fault.clone());
+    if let Some(error) = &response.error {
+        return failed(error.clone());
     }
     if response.status.is_some_and(|status| (200..300).contains(&status)) {
         let tokens = body["choices"][0]["text"].as_str();
--- a/crates/hyssopfork-cli/src/overview.rs
+++ b/crates/hyssopfork-cli/src/overview.rs
@@ -31,7 +31,7 @@
     pub fence: Option<number::Fence>,
     /// Zone of the first member.
     pub zone: Option<name::Zone>,
-    /// Members in the order of the placement.
+    /// Members; the first one receives the requests.
     pub members: Vec<name::Instance>,
     /// Missing members.
     pub missing: Vec<name::Instance>,
--- a/crates/hyssopfork-cli/src/submission.rs
+++ b/crates/hyssopfork-cli/src/submission.rs
@@ -69,7 +69,7 @@
     match outcome {
         patch::Outcome::Accepted(accepted) => Ok(accepted_report(context, accepted, identifier)),
         patch::Outcome::Stale { current, since } => Err(error::Error::Stale(base, current, since)),
-        patch::Outcome::Invalid(faults) => Err(error::Error::Rejected(faults)),
+        patch::Outcome::Invalid(errors) => Err(error::Error::Rejected(errors)),
         patch::Outcome::Reused => Err(error::Error::IdentifierReused(identifier)),
     }
 }
--- a/crates/hyssopfork-cli/tests/all/client.rs
+++ b/crates/hyssopfork-cli/tests/all/client.rs
@@ -1,4 +1,4 @@
-//! Failover between control instances, and what a lost answer means.
+//! Failover between control instances, and handling of lost responses.
 
 use crate::support::{Control, run, status};
 use hyssopfork_cli::error;
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
-fn answer(request: &control::Request) -> control::Response {
+fn respond(request: &control::Request) -> control::Response {
     match request {
         control::Request::Status => control::Response::Status(Box::new(status())),
         control::Request::Submit(_) => {
@@ -28,12 +28,12 @@
         control::Request::Submit(patch) => Some(patch.identifier.0),
         _ => None,
     };
-    control.asked().into_iter().filter_map(identifier).collect()
+    control.requests().into_iter().filter_map(identifier).collect()
 }
 
 #[actix_rt::test]
-async fn instance_that_is_away_is_passed_over() {
-    let (leader, _) = Control::start(answer).await;
+async fn unreachable_instance_is_skipped() {
+    let (leader, _) = Control::start(respond).await;
 
     let report = run(&format!("group list --control {},{leader}", closed_port())).await;
 
@@ -41,8 +41,8 @@
 }
 
 #[actix_rt::test]
-async fn leader_that_a_follower_names_is_asked() {
-    let (leader, _) = Control::start(answer).await;
+async fn client_follows_a_redirect_to_the_leader() {
+    let (leader, _) = Control::start(respond).await;
     let (follower, _) = Control::start(move |_| control::Response::NotLeader(Some(leader))).await;
 
     let report = run(&format!("group list --control {follower}")).await;
@@ -50,10 +50,10 @@
     assert!(report.expect("answered").text.contains("summaries-1"));
 }
 
-// The leader takes a patch and the connection breaks before its answer. The operator's program
-// must not give up or send another patch: the same identifier again is applied at most once.
+// The leader applies a patch and the connection breaks before its response. The client must neither
+// give up nor submit a new patch: the same identifier is applied at most once.
 #[actix_rt::test]
-async fn patch_whose_answer_was_lost_is_sent_again_under_its_identifier() {
+async fn patch_is_resent_with_the_same_identifier_after_a_lost_response() {
     let relay: Arc<Mutex<Option<relay::Relay>>> = Arc::default();
     let cut = relay.clone();
     let calls = AtomicU32::new(0);
@@ -61,7 +61,7 @@
         if calls.fetch_add(1, Ordering::SeqCst) == 0 {
             cut.lock().expect("no panic").as_ref().expect("started").cut();
         }
-        answer(request)
+        respond(request)
     })
     .await;
     let started = relay::Relay::start(leader).expect("the relay starts");
@@ -77,7 +77,7 @@
 }
 
 #[actix_rt::test]
-async fn patch_without_an_outcome_says_so_and_names_the_identifier() {
+async fn patch_without_an_outcome_reports_its_identifier() {
     let (leader, _) = Control::start(|_| control::Response::Unknown).await;
     let arguments =
         format!("zone out lekki --base 1 --identifier p-1 --timeout-ms 300 --control {leader}");
@@ -89,7 +89,7 @@
 }
 
 #[actix_rt::test]
-async fn patch_that_reached_nobody_is_not_called_unknown() {
+async fn patch_that_reached_no_instance_is_not_reported_as_unknown() {
     let arguments = format!("zone out lekki --base 1 --timeout-ms 300 --control {}", closed_port());
 
     let error = run(&arguments).await.expect_err("nobody is there");
@@ -99,7 +99,7 @@
 }
 
 #[actix_rt::test]
-async fn other_protocol_version_is_named_at_once() {
+async fn other_protocol_version_fails_without_retry() {
     let (leader, _) = Control::start(|_| control::Response::Protocol { version: 9 }).await;
 
     let error = run(&format!("status --control {leader}")).await.expect_err("it differs");
@@ -108,7 +108,7 @@
 }
 
 #[actix_rt::test]
-async fn command_without_control_instances_names_the_option() {
+async fn command_without_control_instances_fails_and_names_the_option() {
     let error = run("status").await.expect_err("none is named");
 
     assert_eq!(error.exit_code(), 2);
--- a/crates/hyssopfork-cli/tests/all/commands.rs
+++ b/crates/hyssopfork-cli/tests/all/commands.rs
@@ -4,7 +4,7 @@
 use hyssopfork_wire::{control, number, patch};
 use std::net::SocketAddr;
 
-async fn with_outcome(outcome: patch::Outcome) -> (SocketAddr, Control) {
+async fn start_with_outcome(outcome: patch::Outcome) -> (SocketAddr, Control) {
     Control::start(move |request| match request {
         control::Request::Status => control::Response::Status(Box::new(status())),
         control::Request::Submit(_) => control::Response::Submitted(outcome.clone()),
@@ -28,7 +28,7 @@
 }
 
 fn submitted(control: &Control) -> patch::Patch {
-    let patch = control.asked().into_iter().find_map(|request| match request {
+    let patch = control.requests().into_iter().find_map(|request| match request {
         control::Request::Submit(patch) => Some(patch),
         _ => None,
     });
@@ -36,8 +36,8 @@
 }
 
 #[actix_rt::test]
-async fn change_without_base_is_against_the_number_in_force() {
-    let (leader, control) = with_outcome(accepted()).await;
+async fn base_defaults_to_the_number_in_force() {
+    let (leader, control) = start_with_outcome(accepted()).await;
 
     run(&format!("zone in lekki --operator ada --control {leader}")).await.expect("accepted");
 
@@ -48,10 +48,11 @@
 }
 
 #[actix_rt::test]
-async fn stale_patch_tells_what_changed_and_by_whom_and_is_not_rebased() {
+async fn stale_patch_reports_later_changes_and_authors_and_is_not_rebased() {
     let since = vec![record()];
     let (leader, control) =
-        with_outcome(patch::Outcome::Stale { current: number::Configuration(5), since }).await;
+        start_with_outcome(patch::Outcome::Stale { current: number::Configuration(5), since })
+            .await;
     let arguments = format!("zone out lekki --base 4 --control {leader}");
 
     let error = run(&arguments).await.expect_err("stale");
@@ -60,24 +61,24 @@
     let text = error.to_string();
     assert!(text.contains("5 by bisi: zone lekki out"), "{text}");
     assert!(text.contains("--base 5"), "{text}");
-    assert_eq!(control.asked().len(), 1);
+    assert_eq!(control.requests().len(), 1);
 }
 
 #[actix_rt::test]
-async fn refused_patch_names_every_fault() {
-    let faults = vec!["one fault".to_owned(), "another fault".to_owned()];
-    let (leader, _) = with_outcome(patch::Outcome::Invalid(faults)).await;
+async fn rejected_patch_reports_every_error() {
+    let errors = vec!["first error".to_owned(), "second error".to_owned()];
+    let (leader, _) = start_with_outcome(patch::Outcome::Invalid(errors)).await;
     let arguments = format!("group remove summaries-1 --base 1 --control {leader}");
 
     let error = run(&arguments).await.expect_err("refused");
 
     assert_eq!(error.exit_code(), 4);
-    assert!(error.to_string().contains("one fault\n  another fault"), "{error}");
+    assert!(error.to_string().contains("first error\n  second error"), "{error}");
 }
 
 #[actix_rt::test]
 async fn group_is_created_as_declared() {
-    let (leader, control) = with_outcome(accepted()).await;
+    let (leader, control) = start_with_outcome(accepted()).await;
     let arguments = "group create g --pool hyssop-pool --model m --size 2 --priority 5";
 
     run(&format!("{arguments} --control {leader}")).await.expect("accepted");
@@ -88,13 +89,13 @@
         size: 2,
         priority: 5,
     };
-    let wanted = patch::Operation::PutGroup("g".into(), group);
-    assert_eq!(submitted(&control).operations, [wanted]);
+    let expected = patch::Operation::PutGroup("g".into(), group);
+    assert_eq!(submitted(&control).operations, [expected]);
 }
 
 #[actix_rt::test]
-async fn history_names_number_author_and_change() {
-    let (leader, _) = with_outcome(accepted()).await;
+async fn history_shows_number_author_and_change() {
+    let (leader, _) = start_with_outcome(accepted()).await;
 
     let report = run(&format!("config history --control {leader}")).await.expect("answered");
 
@@ -104,20 +105,20 @@
 }
 
 #[actix_rt::test]
-async fn status_shows_the_fleet_and_checks_out() {
-    let (leader, _) = with_outcome(accepted()).await;
+async fn status_shows_the_fleet_and_its_check_passes() {
+    let (leader, _) = start_with_outcome(accepted()).await;
 
     let report = run(&format!("status --check --control {leader}")).await.expect("answered");
 
     assert_eq!(report.exit_code, 0);
-    for wanted in ["configuration 1  in force everywhere", "control-1", "serving", "leads"] {
-        assert!(report.text.contains(wanted), "{wanted} in {}", report.text);
+    for expected in ["configuration 1  in force everywhere", "control-1", "serving", "leads"] {
+        assert!(report.text.contains(expected), "{expected} in {}", report.text);
     }
 }
 
 #[actix_rt::test]
-async fn lists_are_given_as_json() {
-    let (leader, _) = with_outcome(accepted()).await;
+async fn lists_are_printed_as_json() {
+    let (leader, _) = start_with_outcome(accepted()).await;
 
     for list in ["instance list", "upstream list --zone ikeja", "group list", "status"] {
         let arguments = format!("{list} --output json --control {leader}");
@@ -129,8 +130,8 @@
 }
 
 #[actix_rt::test]
-async fn upstreams_of_another_zone_are_left_out() {
-    let (leader, _) = with_outcome(accepted()).await;
+async fn upstream_list_is_filtered_by_zone() {
+    let (leader, _) = start_with_outcome(accepted()).await;
     let arguments = format!("upstream list --zone lekki --control {leader}");
 
     let report = run(&arguments).await.expect("answered");
@@ -138,17 +139,18 @@
     assert!(!report.text.contains("runner-1"), "{}", report.text);
 }
 
-// A misspelt name drains nothing, and the operator believes that the upstream takes no more work.
+// A misspelt name drains nothing, while the operator assumes that the upstream gets no more work.
 #[actix_rt::test]
-async fn drain_of_an_instance_that_nobody_knows_is_refused_before_it_is_submitted() {
-    let (leader, control) = with_outcome(accepted()).await;
+async fn drain_of_an_unknown_instance_is_rejected_before_submission() {
+    let (leader, control) = start_with_outcome(accepted()).await;
 
     let misspelt = run(&format!("upstream drain runner-l --control {leader}")).await;
-    let early = run(&format!("upstream drain runner-9 --unannounced --control {leader}")).await;
+    let unannounced =
+        run(&format!("upstream drain runner-9 --unannounced --control {leader}")).await;
 
     let error = misspelt.expect_err("refused");
     assert_eq!(error.exit_code(), 4);
     assert!(error.to_string().contains("--unannounced"), "{error}");
-    assert!(early.is_ok());
+    assert!(unannounced.is_ok());
     assert_eq!(submitted(&control).operations.len(), 1);
 }
--- a/crates/hyssopfork-cli/tests/all/examples.rs
+++ b/crates/hyssopfork-cli/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! Every example of the help is a command line that parses.
+//! Every example in the help parses.
 
 use clap::Command;
 use hyssopfork_cli::command;
--- a/crates/hyssopfork-cli/tests/all/explain.rs
+++ b/crates/hyssopfork-cli/tests/all/explain.rs
@@ -1,9 +1,9 @@
-//! Stories of requests from logs.
+//! Timelines of requests from logs.
 
 use hyssopfork_cli::{command, context, error, explain};
 use std::fs;
 
-/// A line as a process writes it, so many milliseconds after a full second.
+/// A log line as a process writes it, `millis` after a full second.
 fn line(millis: u32, number: u16, name: &str, message: &str, request: Option<&str>) -> String {
     let fields = request.map(|request| format!("request={request}")).unwrap_or_default();
     format!(
@@ -11,8 +11,8 @@
     )
 }
 
-/// The log of an entry that sent request `a` to a group, lost the answer, and broke it off.
-fn entry() -> String {
+/// Log of an entry that sent request `a` to a group, lost the response and cut off the stream.
+fn entry_log() -> String {
     let lines = [
         line(10, 5210, "Sent", "sent to i-1 as attempt 1 route=r load=3.0", Some("a")),
         line(12, 5210, "Sent", "sent to i-9 as attempt 1 route=r load=3.0", Some("b")),
@@ -24,8 +24,8 @@
     lines.join("\n")
 }
 
-/// The log of the leader, which lost a member of that group.
-fn leader() -> String {
+/// Log of the leader, which lost a member of that group.
+fn leader_log() -> String {
     let lines = [
         line(0, 5030, "Formed", "group g1 of large is joining: i-1 i-2", None),
         line(1, 5030, "Formed", "group g7 of large is joining: i-9 i-8", None),
@@ -41,58 +41,61 @@
     logs.iter().flat_map(|(process, text)| explain::parse(text, process).0).collect()
 }
 
-fn messages(story: &explain::Timeline) -> Vec<&str> {
-    story.lines.iter().map(|told| told.line.message.as_str()).collect()
+fn messages(timeline: &explain::Timeline) -> Vec<&str> {
+    timeline.lines.iter().map(|entry| entry.line.message.as_str()).collect()
 }
 
-/// A member of the group dies without a sign; the caller's stream is broken off 0.6 s later by a
-/// process that knows only that bytes stopped. The member's name stands in the leader's log alone.
+/// A member of the group dies silently; 0.6 s later the client's stream is cut off by a process
+/// that only sees that no more bytes arrive. Only the leader's log names the member.
 #[test]
-fn the_story_of_a_broken_stream_names_the_member_that_was_lost() {
-    let lines = read(&[("entry", entry()), ("leader", leader())]);
-
-    let story = explain::build_timeline(&lines, "a").expect("it is there");
-
-    assert!(messages(&story).contains(&"i-2 answers nothing and counts as dead"));
-    assert!(messages(&story).contains(&"group g1 is leaving"));
-    assert_eq!(story.lines.iter().filter(|told| told.own).count(), 3);
-    assert!(!messages(&story).iter().any(|it| it.contains("i-9")), "another request's upstream");
-    assert!(story.missing.is_empty(), "{:?}", story.missing);
+fn timeline_of_a_cut_stream_names_the_lost_member() {
+    let lines = read(&[("entry", entry_log()), ("leader", leader_log())]);
+
+    let timeline = explain::build_timeline(&lines, "a").expect("the request has log lines");
+
+    assert!(messages(&timeline).contains(&"i-2 answers nothing and counts as dead"));
+    assert!(messages(&timeline).contains(&"group g1 is leaving"));
+    assert_eq!(timeline.lines.iter().filter(|entry| entry.own).count(), 3);
+    assert!(
+        !messages(&timeline).iter().any(|message| message.contains("i-9")),
+        "another request's upstream"
+    );
+    assert!(timeline.missing.is_empty(), "{:?}", timeline.missing);
 }
 
-/// A refused request was sent nowhere: what groups did before tells why none had room.
+/// A rejected request was sent to no upstream: the earlier events of groups explain the rejection.
 #[test]
-fn the_story_of_a_refusal_tells_what_became_of_groups() {
-    let refused = line(650, 5213, "Refused", "refused: no_upstream attempts=0", Some("c"));
-    let lines = read(&[("entry", refused), ("leader", leader())]);
+fn timeline_of_a_rejection_shows_the_ends_of_groups() {
+    let rejected = line(650, 5213, "Refused", "refused: no_upstream attempts=0", Some("c"));
+    let lines = read(&[("entry", rejected), ("leader", leader_log())]);
 
-    let story = explain::build_timeline(&lines, "c").expect("it is there");
+    let timeline = explain::build_timeline(&lines, "c").expect("the request has log lines");
 
-    assert!(messages(&story).contains(&"group g1 is leaving"));
-    assert!(messages(&story).contains(&"i-2 answers nothing and counts as dead"));
+    assert!(messages(&timeline).contains(&"group g1 is leaving"));
+    assert!(messages(&timeline).contains(&"i-2 answers nothing and counts as dead"));
 }
 
 #[test]
-fn what_the_logs_do_not_hold_is_said() {
+fn missing_log_lines_are_reported() {
     let sent = line(10, 5210, "Sent", "sent to i-1 as attempt 1", Some("d"));
     let dropped = line(900, 4514, "LinesDropped", "dropped 40 log lines", None);
     let lines = read(&[("entry", format!("{sent}\n{dropped}"))]);
 
-    let story = explain::build_timeline(&lines, "d").expect("it is there");
+    let timeline = explain::build_timeline(&lines, "d").expect("the request has log lines");
 
-    let missing = story.missing.join("\n");
+    let missing = timeline.missing.join("\n");
     assert!(missing.contains("how the request ended"), "{missing}");
     assert!(missing.contains("40 log lines"), "{missing}");
     assert!(missing.contains("log of the process that led"), "{missing}");
 }
 
 #[test]
-fn a_collectors_prefix_names_the_process_and_other_lines_are_counted() {
+fn collector_prefix_names_the_process_and_other_lines_are_counted() {
     let text = format!("12.5 edge-7 {}\nno event {{}}\n", line(1, 4500, "Started", "runs", None));
 
-    let (lines, unread) = explain::parse(&text, "file");
+    let (lines, skipped) = explain::parse(&text, "file");
 
-    assert_eq!((lines.len(), unread), (1, 1));
+    assert_eq!((lines.len(), skipped), (1, 1));
     assert_eq!(lines[0].process, "edge-7");
 }
 
@@ -103,18 +106,18 @@
 }
 
 #[actix_rt::test]
-async fn the_command_prints_the_story_or_says_what_to_give_it() {
+async fn command_prints_the_timeline_or_an_error() {
     let path = std::env::temp_dir().join(format!("hyssopfork-explain-{}.log", std::process::id()));
-    fs::write(&path, format!("{}\n{}", entry(), leader())).expect("written");
+    fs::write(&path, format!("{}\n{}", entry_log(), leader_log())).expect("written");
     let file = path.to_str().expect("plain");
 
-    let told = run(&["hyssopfork", "explain", "a", file]).await.expect("told");
+    let known = run(&["hyssopfork", "explain", "a", file]).await.expect("the timeline is built");
     let unknown = run(&["hyssopfork", "explain", "zzz", file]).await;
     fs::remove_file(&path).expect("removed");
-    let absent = run(&["hyssopfork", "explain", "a", file]).await;
+    let missing_file = run(&["hyssopfork", "explain", "a", file]).await;
 
-    assert_eq!(told.exit_code, 0);
-    assert!(told.text.contains("counts as dead"), "{}", told.text);
+    assert_eq!(known.exit_code, 0);
+    assert!(known.text.contains("counts as dead"), "{}", known.text);
     assert!(matches!(&unknown, Err(error::Error::NoSuchRequest(request, 12)) if request == "zzz"));
-    assert!(matches!(absent, Err(error::Error::File(..))));
+    assert!(matches!(missing_file, Err(error::Error::File(..))));
 }
--- a/crates/hyssopfork-cli/tests/all/history.rs
+++ b/crates/hyssopfork-cli/tests/all/history.rs
@@ -1,10 +1,10 @@
-//! The check of histories sees each thing that must not happen.
+//! The check of histories finds each outcome of violation.
 
 use hyssopfork_cli::history;
 use hyssopfork_wire::configuration;
 use std::collections::BTreeMap;
 
-fn line(reference: &str, kind: history::Outcome) -> history::Record {
+fn record(reference: &str, outcome: history::Outcome) -> history::Record {
     history::Record {
         request: reference.into(),
         reference: reference.into(),
@@ -17,7 +17,7 @@
         sent_us: 0,
         first_us: Some(1),
         answered_us: 2,
-        outcome: kind,
+        outcome,
         status: Some(201),
         reason: None,
         complete: true,
@@ -26,103 +26,104 @@
     }
 }
 
-fn ran(reference: &str, times: u64) -> Vec<history::Counts> {
-    let ran = BTreeMap::from([(reference.to_owned(), times)]);
-    vec![history::Counts { runs: ran, cold_overloads: 0 }]
+fn counts_of(reference: &str, count: u64) -> Vec<history::Counts> {
+    let runs = BTreeMap::from([(reference.to_owned(), count)]);
+    vec![history::Counts { runs, cold_overloads: 0 }]
 }
 
-fn violations(lines: &[history::Record], counts: &[history::Counts]) -> Vec<String> {
-    history::check(lines, counts).violations
+fn find_violations(records: &[history::Record], counts: &[history::Counts]) -> Vec<String> {
+    history::check(records, counts).violations
 }
 
 #[test]
-fn answered_once_and_ran_once_holds() {
-    let lines = [line("a", history::Outcome::Answered)];
+fn request_answered_once_and_run_once_is_consistent() {
+    let records = [record("a", history::Outcome::Answered)];
 
-    let verdict = history::check(&lines, &ran("a", 1));
+    let verdict = history::check(&records, &counts_of("a", 1));
 
     assert!(verdict.is_consistent(), "{:?}", verdict.violations);
     assert_eq!(verdict.compared, 1);
 }
 
 #[test]
-fn work_that_ran_twice_is_found_even_on_two_back_ends() {
-    let lines = [line("a", history::Outcome::Answered)];
-    let counts = [ran("a", 1), ran("a", 1)].concat();
+fn two_runs_on_different_back_ends_are_a_violation() {
+    let records = [record("a", history::Outcome::Answered)];
+    let counts = [counts_of("a", 1), counts_of("a", 1)].concat();
 
-    let found = violations(&lines, &counts);
+    let violations = find_violations(&records, &counts);
 
-    assert_eq!(found, ["a: ran 2 times, may run once"]);
+    assert_eq!(violations, ["a: ran 2 times, may run once"]);
 }
 
 #[test]
-fn untrue_not_run_is_found() {
-    let lines = [line("a", history::Outcome::RejectedNotRun)];
+fn run_of_a_request_rejected_as_not_run_is_a_violation() {
+    let records = [record("a", history::Outcome::RejectedNotRun)];
 
-    let found = violations(&lines, &ran("a", 1));
+    let violations = find_violations(&records, &counts_of("a", 1));
 
-    assert_eq!(found, ["a: rejected as not run, but ran"]);
+    assert_eq!(violations, ["a: rejected as not run, but ran"]);
 }
 
 #[test]
-fn refusal_of_a_resend_whose_first_try_ran_is_true() {
-    let again = history::Record {
+fn rejection_of_a_resend_is_accurate_if_only_the_first_attempt_ran() {
+    let resend = history::Record {
         request: "a-again".into(),
-        ..line("a", history::Outcome::RejectedNotRun)
+        ..record("a", history::Outcome::RejectedNotRun)
     };
-    let lines = [line("a", history::Outcome::MayHaveRun), again];
+    let records = [record("a", history::Outcome::MayHaveRun), resend];
 
-    let found = violations(&lines, &ran("a", 1));
+    let violations = find_violations(&records, &counts_of("a", 1));
 
-    assert_eq!(found, [""; 0]);
+    assert_eq!(violations, [""; 0]);
 }
 
 #[test]
-fn answer_to_work_that_nobody_ran_is_found() {
-    let lines = [line("a", history::Outcome::Answered)];
+fn answer_without_a_run_is_a_violation() {
+    let records = [record("a", history::Outcome::Answered)];
 
-    let found = violations(&lines, &[]);
+    let violations = find_violations(&records, &[]);
 
-    assert_eq!(found, ["a: answered, but no back end ran it"]);
+    assert_eq!(violations, ["a: answered, but no back end ran it"]);
 }
 
 #[test]
-fn different_answers_to_one_key_are_found() {
-    let other = history::Record { digest: "e".into(), ..line("a", history::Outcome::Answered) };
-    let lines = [line("a", history::Outcome::Answered), other];
+fn different_responses_to_one_key_are_a_violation() {
+    let other = history::Record { digest: "e".into(), ..record("a", history::Outcome::Answered) };
+    let records = [record("a", history::Outcome::Answered), other];
 
-    let found = violations(&lines, &ran("a", 1));
+    let violations = find_violations(&records, &counts_of("a", 1));
 
-    assert_eq!(found, ["a: different responses to the same key"]);
+    assert_eq!(violations, ["a: different responses to the same key"]);
 }
 
 #[test]
-fn answer_of_another_request_is_found_on_repeatable_routes_too() {
-    let wrong = history::Record {
+fn unexpected_response_is_a_violation_on_repeatable_routes_too() {
+    let unexpected = history::Record {
         correct: false,
         repeatable: true,
-        ..line("a", history::Outcome::Answered)
+        ..record("a", history::Outcome::Answered)
     };
 
-    let found = violations(&[wrong], &[]);
+    let violations = find_violations(&[unexpected], &[]);
 
-    assert_eq!(found, ["a on lodgements: answered with an unexpected response"]);
+    assert_eq!(violations, ["a on lodgements: answered with an unexpected response"]);
 }
 
 #[test]
-fn end_without_a_word_is_found() {
-    let cut = history::Record { reason: Some("cut".into()), ..line("a", history::Outcome::Error) };
+fn request_that_ends_in_an_error_is_a_violation() {
+    let cut =
+        history::Record { reason: Some("cut".into()), ..record("a", history::Outcome::Error) };
 
-    let found = violations(&[cut], &ran("a", 1));
+    let violations = find_violations(&[cut], &counts_of("a", 1));
 
-    assert_eq!(found, ["a on lodgements: neither answered nor properly rejected: cut"]);
+    assert_eq!(violations, ["a on lodgements: neither answered nor properly rejected: cut"]);
 }
 
 #[test]
-fn overload_of_a_cold_back_end_is_found() {
+fn overload_of_a_cold_back_end_is_a_violation() {
     let counts = [history::Counts { runs: BTreeMap::new(), cold_overloads: 2 }];
 
-    let found = violations(&[], &counts);
+    let violations = find_violations(&[], &counts);
 
-    assert_eq!(found, ["cold back ends were overloaded 2 times"]);
+    assert_eq!(violations, ["cold back ends were overloaded 2 times"]);
 }
--- a/crates/hyssopfork-cli/tests/all/load.rs
+++ b/crates/hyssopfork-cli/tests/all/load.rs
@@ -1,4 +1,4 @@
-//! The load generator: when it sends, what it makes of answers, how it measures.
+//! Load generator: due times, classification of responses, latency measurement.
 
 use bytes::Bytes;
 use hyssopfork_cli::history;
@@ -30,17 +30,17 @@
     request
 }
 
-fn received(status: u16, body: &str) -> client::Response {
+fn response(status: u16, body: &str) -> client::Response {
     let body = Bytes::from(body.to_owned());
     client::Response { status: Some(status), body, ..client::Response::default() }
 }
 
-fn stream(body: &str, fault: Option<&str>) -> client::Response {
-    let fault = fault.map(str::to_owned);
-    client::Response { is_event_stream: true, error: fault, ..received(200, body) }
+fn stream(body: &str, error: Option<&str>) -> client::Response {
+    let error = error.map(str::to_owned);
+    client::Response { is_event_stream: true, error, ..response(200, body) }
 }
 
-fn order(entry: std::net::SocketAddr) -> run::Options {
+fn options(entry: std::net::SocketAddr) -> run::Options {
     run::Options {
         entries: vec![entry],
         plan: plan(),
@@ -80,12 +80,12 @@
     assert!((9_700..10_300).contains(&due.len()), "{}", due.len());
     let gaps = due.windows(2).map(|pair| (pair[1] - pair[0]).as_secs_f64());
     let long = gaps.filter(|&gap| gap > 0.02).count() as f64 / due.len() as f64;
-    // Of exponentially distributed gaps, e^-2 or 13.5 in 100 are over twice the mean.
+    // Of exponentially distributed gaps, e^-2 or 13.5 in 100 exceed twice the mean.
     assert!((0.12..0.15).contains(&long), "{long}");
 }
 
 #[test]
-fn request_is_filled_in_with_its_reference() {
+fn placeholders_are_replaced_by_the_reference() {
     let request = request(plan::Expectation::Whole);
 
     let headers = request.headers();
@@ -96,132 +96,132 @@
 }
 
 #[test]
-fn whole_answer_with_the_expected_text_is_right() {
+fn complete_response_is_correct_only_with_the_expected_text() {
     let request = request(plan::Expectation::Text("\"reference\":\"r-1\"".into()));
 
-    let own = answer::classify(&request, &received(201, "{\"reference\":\"r-1\"}"));
-    let other = answer::classify(&request, &received(201, "{\"reference\":\"r-2\"}"));
+    let own = answer::classify(&request, &response(201, "{\"reference\":\"r-1\"}"));
+    let other = answer::classify(&request, &response(201, "{\"reference\":\"r-2\"}"));
 
     assert!(own.outcome == history::Outcome::Answered && own.correct);
     assert!(other.outcome == history::Outcome::Answered && !other.correct);
 }
 
 #[test]
-fn stream_with_every_token_in_order_is_right() {
+fn stream_is_correct_only_with_every_token_in_order() {
     let request = request(plan::Expectation::Tokens(2));
     let event = |place| format!("data: {{\"choices\":[{{\"text\":\" r-1.{place}\"}}]}}\n\n");
     let end = "data: [DONE]\n\n";
 
-    let whole = answer::classify(&request, &stream(&(event(0) + &event(1) + end), None));
+    let complete = answer::classify(&request, &stream(&(event(0) + &event(1) + end), None));
     let doubled = answer::classify(&request, &stream(&(event(0) + &event(0) + end), None));
     let skipped = answer::classify(&request, &stream(&(event(1) + end), None));
 
-    assert!(whole.correct);
+    assert!(complete.correct);
     assert!(!doubled.correct && !skipped.correct);
 }
 
 #[test]
-fn stream_that_ends_in_an_error_mark_is_honest() {
+fn stream_that_ends_in_an_error_event_is_classified_by_that_event() {
     let request = request(plan::Expectation::Tokens(2));
     let mark = "event: error\ndata: {\"ran\":\"may_have_run\",\"reason\":\"upstream_failed\"}\n\n";
 
-    let judged = answer::classify(&request, &stream(mark, Some("cut")));
+    let classification = answer::classify(&request, &stream(mark, Some("cut")));
 
-    assert_eq!(judged.outcome, history::Outcome::MayHaveRun);
-    assert_eq!(judged.reason.as_deref(), Some("upstream_failed"));
+    assert_eq!(classification.outcome, history::Outcome::MayHaveRun);
+    assert_eq!(classification.reason.as_deref(), Some("upstream_failed"));
 }
 
 #[test]
-fn stream_without_end_mark_or_error_mark_is_an_error() {
+fn stream_without_end_marker_or_error_event_is_an_error() {
     let request = request(plan::Expectation::Whole);
     let event = "data: {\"choices\":[{\"text\":\" r-1.0\"}]}\n\n";
 
-    let silent = answer::classify(&request, &stream(event, None));
+    let unmarked = answer::classify(&request, &stream(event, None));
     let cut = answer::classify(&request, &stream(&format!("{event}data: [DONE]\n\n"), Some("cut")));
 
-    assert_eq!(silent.outcome, history::Outcome::Error);
+    assert_eq!(unmarked.outcome, history::Outcome::Error);
     assert_eq!(cut.outcome, history::Outcome::Error);
 }
 
 #[test]
-fn problem_documents_tell_whether_work_ran() {
+fn problem_documents_are_classified_by_whether_work_ran() {
     let request = request(plan::Expectation::Whole);
     let problem = |ran: &str| format!("{{\"ran\":\"{ran}\",\"reason\":\"overloaded\"}}");
 
-    let not = answer::classify(&request, &received(503, &problem("not_run")));
-    let may = answer::classify(&request, &received(502, &problem("may_have_run")));
-    let unsaid = answer::classify(&request, &received(500, "{}"));
+    let not_run = answer::classify(&request, &response(503, &problem("not_run")));
+    let may_have_run = answer::classify(&request, &response(502, &problem("may_have_run")));
+    let unspecified = answer::classify(&request, &response(500, "{}"));
 
-    assert_eq!(not.outcome, history::Outcome::RejectedNotRun);
-    assert_eq!(may.outcome, history::Outcome::MayHaveRun);
-    assert_eq!(unsaid.outcome, history::Outcome::Error);
+    assert_eq!(not_run.outcome, history::Outcome::RejectedNotRun);
+    assert_eq!(may_have_run.outcome, history::Outcome::MayHaveRun);
+    assert_eq!(unspecified.outcome, history::Outcome::Error);
 }
 
 #[actix_rt::test]
-async fn run_sends_all_and_the_history_holds() {
+async fn run_sends_all_requests_and_the_history_is_consistent() {
     let listener = http::free_listener().expect("a free port");
     let (server, service) =
         service::start(listener, service::Profile::default()).expect("it starts");
 
-    let lines = run::run(order(server.address())).await;
+    let records = run::run(options(server.address())).await;
 
-    assert_eq!(lines.len(), 49);
+    assert_eq!(records.len(), 49);
     let counts = history::Counts { runs: service.ran(), cold_overloads: service.falls() };
-    let verdict = history::check(&lines, &[counts]);
+    let verdict = history::check(&records, &[counts]);
     assert!(verdict.is_consistent(), "{:?}", verdict.violations);
 }
 
 #[actix_rt::test]
-async fn resends_carry_the_same_key_and_are_seen_when_they_run_twice() {
+async fn resends_have_the_same_key_and_double_runs_are_violations() {
     let listener = http::free_listener().expect("a free port");
     let (server, service) =
         service::start(listener, service::Profile::default()).expect("it starts");
-    let order = run::Options { resend_percent: 100, ..order(server.address()) };
+    let options = run::Options { resend_percent: 100, ..options(server.address()) };
 
-    let lines = run::run(order).await;
+    let records = run::run(options).await;
 
-    // The service alone runs whatever comes; keeping it to once is the system's work.
-    assert_eq!(lines.len(), 98);
+    // The service runs every request it gets; preventing duplicates is the gateway's task.
+    assert_eq!(records.len(), 98);
     let counts = history::Counts { runs: service.ran(), cold_overloads: service.falls() };
-    let verdict = history::check(&lines, &[counts]);
+    let verdict = history::check(&records, &[counts]);
     assert_eq!(verdict.violations.len(), 49, "{:?}", verdict.violations);
 }
 
-// A back end stalls for 300 ms while requests stay due every 10 ms. Each of them waits for the
-// stall's rest; a generator that only sends after the last answer would see a single slow one.
+// A back end stalls for 300 ms while a request is due every 10 ms. Each of them waits for the rest
+// of the stall; a generator that waits for responses before sending would see one slow request.
 #[actix_rt::test]
-async fn stall_counts_for_every_request_that_was_due_in_it() {
+async fn stall_delays_every_request_that_was_due_during_it() {
     let listener = http::free_listener().expect("a free port");
     let profile = service::Profile { cold_bearing: 1_000, ..service::Profile::default() };
     let (server, service) = service::start(listener, profile).expect("it starts");
     service.impair(impairment::Order::Stall);
-    let running = actix_rt::spawn(run::run(order(server.address())));
+    let running = actix_rt::spawn(run::run(options(server.address())));
 
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     service.impair(impairment::Order::Heal);
-    let lines = running.await.expect("the run ends");
+    let records = running.await.expect("the run ends");
 
-    let slow = lines.iter().filter(|line| line.answered_us - line.intended_us > 50_000).count();
+    let slow =
+        records.iter().filter(|record| record.answered_us - record.intended_us > 50_000).count();
     assert!(slow >= 20, "{slow}");
-    let summary = summary::summarize(&lines);
+    let summary = summary::summarize(&records);
     assert!(summary.rows[0].total.max_ms >= 250.0, "{:?}", summary.rows[0].total);
 }
 
 #[actix_rt::test]
-async fn requests_beyond_the_outstanding_limit_are_noted_and_not_sent_late() {
+async fn requests_beyond_the_in_flight_limit_are_recorded_and_not_sent_late() {
     let listener = http::free_listener().expect("a free port");
     let (server, service) =
         service::start(listener, service::Profile::default()).expect("it starts");
     service.impair(impairment::Order::Stall);
-    let limit = Duration::from_millis(700);
-    let order =
-        run::Options { max_in_flight: 5, request_timeout: limit, ..order(server.address()) };
+    let request_timeout = Duration::from_millis(700);
+    let options = run::Options { max_in_flight: 5, request_timeout, ..options(server.address()) };
 
-    let lines = run::run(order).await;
+    let records = run::run(options).await;
 
-    let unsent = lines
-        .iter()
-        .filter(|line| line.reason.as_ref().is_some_and(|reason| reason.starts_with("not sent")));
+    let unsent = records.iter().filter(|record| {
+        record.reason.as_ref().is_some_and(|reason| reason.starts_with("not sent"))
+    });
     assert_eq!(unsent.count(), 44);
 }
 
@@ -233,14 +233,14 @@
         "answered_us": 10_000, "kind": "answered", "status": 200, "reason": null,
         "whole": true, "right": true, "digest": "",
     });
-    let answered: history::Record = serde_json::from_value(value).expect("a line");
-    let refused = history::Record {
+    let answered: history::Record = serde_json::from_value(value).expect("a record");
+    let rejected = history::Record {
         outcome: history::Outcome::RejectedNotRun,
         reason: Some("overloaded".into()),
         ..answered.clone()
     };
 
-    let summary = summary::summarize(&[answered, refused]);
+    let summary = summary::summarize(&[answered, rejected]);
 
     assert_eq!(summary.rows.len(), 1);
     assert_eq!(summary.rows[0].sent, 2);
--- a/crates/hyssopfork-cli/tests/all/main.rs
+++ b/crates/hyssopfork-cli/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' program.
+//! Tests of the operators' command line tool.
 
 mod client;
 mod commands;
--- a/crates/hyssopfork-cli/tests/all/overview.rs
+++ b/crates/hyssopfork-cli/tests/all/overview.rs
@@ -1,4 +1,4 @@
-//! What the overview makes of a status.
+//! Deriving the overview from a status.
 
 use crate::support::{holding, report, status};
 use hyssopfork_cli::overview;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn whole_fleet_is_well() {
+fn fleet_with_all_groups_serving_is_healthy() {
     let status = status();
 
     let overview = overview::build(&status);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn group_with_a_silent_member_is_incomplete_and_strands_the_others() {
+fn group_with_a_missing_member_is_incomplete_and_strands_the_others() {
     let mut status = status();
     let second = name::Instance::from("runner-2");
     status.view.members.get_mut(&second).expect("a member").present = false;
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn group_whose_first_member_serves_under_an_older_number_is_forming() {
+fn group_whose_first_member_serves_with_an_older_fence_is_forming() {
     let mut status = status();
-    let older = fleet::Report { joined: number::Fence(6), ..report(true) };
-    status.holdings[0] = holding("runner-1", Some(older));
+    let older_fence = fleet::Report { joined: number::Fence(6), ..report(true) };
+    status.holdings[0] = holding("runner-1", Some(older_fence));
 
     let overview = overview::build(&status);
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn holder_of_a_lease_on_an_older_view_is_behind() {
+fn lease_holder_with_an_older_view_is_a_laggard() {
     let mut status = status();
     status.holdings[1].version = number::Version(0);
 
@@ -77,11 +77,11 @@
     assert!(!overview.is_healthy());
 }
 
-// A process that was killed keeps the version that it reported last. It serves nothing without a
-// lease, so the configuration is in force everywhere all the same; otherwise one dead instance
-// would keep every check of the fleet from ever passing again.
+// A killed process remains listed with the version that it reported last. It serves nothing without
+// a lease, so the configuration still is in force everywhere; if it counted as a laggard, one dead
+// instance would make every later check of the fleet fail.
 #[test]
-fn process_without_a_lease_is_lapsed_and_not_behind() {
+fn process_without_a_lease_is_lapsed_and_not_a_laggard() {
     let mut status = status();
     status.holdings[2].version = number::Version(0);
     status.holdings[2].age = Duration::from_secs(60);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn cold_is_said_only_of_those_that_requests_go_to() {
+fn only_instances_that_receive_requests_are_reported_cold() {
     let mut status = status();
     let cold = |serving| Some(fleet::Report { warm: false, ..report(serving) });
     status.holdings[0] = holding("runner-1", cold(true));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn conditions_tell_what_is_the_matter() {
+fn conditions_show_cold_down_and_drained() {
     let mut status = status();
     let cold = fleet::Report { warm: false, ..report(true) };
     status.holdings[0] = holding("runner-1", Some(cold));
@@ -122,7 +122,7 @@
 
     let conditions: Vec<overview::Condition> =
         overview.instances.iter().map(|instance| instance.condition).collect();
-    let wanted =
+    let expected =
         [overview::Condition::Cold, overview::Condition::Down, overview::Condition::Drained];
-    assert_eq!(conditions, wanted);
+    assert_eq!(conditions, expected);
 }
--- a/crates/hyssopfork-cli/tests/all/program.rs
+++ b/crates/hyssopfork-cli/tests/all/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: exit codes and where text goes.
+//! The program as a process: exit codes and output streams.
 
 use std::process::{Command, Output};
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn misspelt_command_is_refused_with_the_near_one() {
+fn misspelt_command_is_rejected_with_a_suggestion() {
     let output = hyssopfork(&["stats"]);
 
     assert_eq!(output.status.code(), Some(2));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn address_that_is_none_is_refused_by_name() {
+fn invalid_address_is_rejected_and_names_the_option() {
     let output = hyssopfork(&["status", "--control", "localhost"]);
 
     assert_eq!(output.status.code(), Some(2));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn error_is_told_as_json_where_json_is_asked_for() {
+fn error_is_printed_as_json_with_json_output() {
     let output = hyssopfork(&["status", "--output", "json"]);
 
     assert_eq!(output.status.code(), Some(2));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn nobody_at_the_address_is_exit_code_5() {
+fn unreachable_address_exits_with_code_5() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
     drop(listener);
--- a/crates/hyssopfork-cli/tests/all/shipped.rs
+++ b/crates/hyssopfork-cli/tests/all/shipped.rs
@@ -1,4 +1,4 @@
-//! The shipped examples' plans fit their declarations.
+//! The load plans of the shipped examples match their declarations.
 
 use hyssopfork_cli::{declaration, load::plan};
 use std::path::{Path, PathBuf};
--- a/crates/hyssopfork-cli/tests/all/support/mod.rs
+++ b/crates/hyssopfork-cli/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! A control instance that answers as a test says, and runs of the program.
+//! A fake control instance, and invocation of the program.
 
 use futures::{StreamExt, future};
 use hyssopfork_cli::{command, error, output, program};
@@ -11,11 +11,11 @@
 
 type Handler = dyn Fn(&control::Request) -> control::Response + Send + Sync;
 
-/// A control instance that answers what `handler` says and keeps what it was asked.
+/// A fake control instance that responds with `handler` and records the requests.
 #[derive(Clone)]
 pub struct Control {
     handler: Arc<Handler>,
-    asked: Arc<Mutex<Vec<control::Request>>>,
+    requests: Arc<Mutex<Vec<control::Request>>>,
 }
 
 impl control::Control for Control {
@@ -27,50 +27,50 @@
         request: envelope::Envelope<control::Request>,
     ) -> control::Response {
         let request = request.open().expect("the same protocol");
-        self.asked.lock().expect("no panic").push(request.clone());
+        self.requests.lock().expect("no panic").push(request.clone());
         (self.handler)(&request)
     }
 }
 
 impl Control {
-    /// Starts one; it ends with the test's runtime.
+    /// Starts an instance, which stops with the runtime of the test.
     pub async fn start(
         handler: impl Fn(&control::Request) -> control::Response + Send + Sync + 'static,
     ) -> (SocketAddr, Control) {
         use control::Control as _;
-        let this = Control { handler: Arc::new(handler), asked: Arc::default() };
+        let control = Control { handler: Arc::new(handler), requests: Arc::default() };
         let format = tokio_serde::formats::Bincode::default;
         let mut listener =
             serde_transport::tcp::listen("127.0.0.1:0", format).await.expect("a free port");
         let address = listener.local_addr();
-        let served = this.clone();
+        let served = control.clone();
         actix_rt::spawn(async move {
             while let Some(Ok(transport)) = listener.next().await {
                 let channel = server::BaseChannel::with_defaults(transport);
-                let answers = channel.execute(served.clone().serve());
-                actix_rt::spawn(answers.for_each(|answer| {
-                    actix_rt::spawn(answer);
+                let responses = channel.execute(served.clone().serve());
+                actix_rt::spawn(responses.for_each(|response| {
+                    actix_rt::spawn(response);
                     future::ready(())
                 }));
             }
         });
-        (address, this)
+        (address, control)
     }
 
-    /// What it was asked.
-    pub fn asked(&self) -> Vec<control::Request> {
-        self.asked.lock().expect("no panic").clone()
+    /// Returns the requests received so far.
+    pub fn requests(&self) -> Vec<control::Request> {
+        self.requests.lock().expect("no panic").clone()
     }
 }
 
-/// Runs the program on arguments, as a shell would split them.
+/// Runs the program with arguments separated by blanks.
 pub async fn run(arguments: &str) -> Result<output::Report, error::Error> {
     let words = ["hyssopfork"].into_iter().chain(arguments.split_whitespace());
     let matches = command::command().try_get_matches_from(words).expect("the arguments parse");
     program::run(&matches).await
 }
 
-/// The status of a fleet whose one group of two serves.
+/// Status of a fleet with one serving group of two members.
 pub fn status() -> control::Status {
     let members =
         [1, 2].map(|place| fixture::member(fixture::announcement("ikeja", "ikeja-1", place)));
@@ -93,7 +93,7 @@
     }
 }
 
-/// A holding at the view's version.
+/// A lease holder with the current version of the view.
 pub fn holding(instance: &str, report: Option<hyssopfork_wire::fleet::Report>) -> control::Holding {
     control::Holding {
         instance: instance.into(),
@@ -104,7 +104,7 @@
     }
 }
 
-/// A warm back end's report under the fencing number of [`status`].
+/// Report of a warm back end with the fencing number of [`status`].
 pub fn report(serving: bool) -> hyssopfork_wire::fleet::Report {
     hyssopfork_wire::fleet::Report {
         alive: true,
--- a/crates/hyssopfork-cli/tests/all/traffic.rs
+++ b/crates/hyssopfork-cli/tests/all/traffic.rs
@@ -1,4 +1,4 @@
-//! What entries' metrics say of their traffic.
+//! Traffic read from the metrics of entries.
 
 use hyssopfork_cli::traffic;
 
@@ -15,7 +15,7 @@
 ";
 
 #[test]
-fn entries_are_summed_up_by_team() {
+fn metrics_of_entries_are_summed_by_team() {
     let mut traffic = traffic::Traffic::default();
 
     traffic.add_metrics(METRICS);
@@ -29,7 +29,7 @@
 }
 
 #[actix_rt::test]
-async fn entry_that_gives_no_metrics_is_named() {
+async fn entry_without_metrics_is_reported() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     drop(listener);
--- a/crates/hyssopfork-cli/tests/all/watch.rs
+++ b/crates/hyssopfork-cli/tests/all/watch.rs
@@ -1,4 +1,4 @@
-//! Changes between looks, and what they cost.
+//! Changes between polls, and their cost.
 
 use crate::support::{Control, run, status};
 use hyssopfork_cli::command::watch::{change, tally};
@@ -6,7 +6,7 @@
 use hyssopfork_wire::{control, number};
 use std::time::Duration;
 
-fn broken() -> control::Status {
+fn degraded_status() -> control::Status {
     let mut status = status();
     status.view.members.get_mut(&"runner-2".into()).expect("a member").present = false;
     status.view.configuration.number = number::Configuration(2);
@@ -16,21 +16,21 @@
 
 #[test]
 fn each_change_is_one_line() {
-    let (before, after) = (overview::build(&status()), overview::build(&broken()));
+    let (before, after) = (overview::build(&status()), overview::build(&degraded_status()));
 
     let lines = change::diff(&before, &after);
 
-    let wanted = [
+    let expected = [
         "configuration 2 is accepted",
         "zone lekki: in service -> out",
         "group summaries-1: serving (fence 7) -> incomplete (fence 7)",
         "instance runner-2: ready -> missing",
     ];
-    assert_eq!(lines, wanted);
+    assert_eq!(lines, expected);
 }
 
 #[test]
-fn nothing_changed_is_no_line() {
+fn no_change_gives_no_line() {
     let overview = overview::build(&status());
 
     let lines = change::diff(&overview, &overview);
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn downtime_and_stranded_accelerators_are_summed_over_looks() {
-    let (well, ill) = (overview::build(&status()), overview::build(&broken()));
+fn downtime_and_stranded_accelerators_are_summed_over_polls() {
+    let (healthy, degraded) = (overview::build(&status()), overview::build(&degraded_status()));
     let mut tally = tally::Tally::default();
 
-    tally.record(Duration::from_secs(1), &well);
-    tally.record(Duration::from_secs(2), &ill);
-    tally.record(Duration::from_secs(4), &ill);
-    tally.record(Duration::from_secs(5), &well);
+    tally.record(Duration::from_secs(1), &healthy);
+    tally.record(Duration::from_secs(2), &degraded);
+    tally.record(Duration::from_secs(4), &degraded);
+    tally.record(Duration::from_secs(5), &healthy);
 
     let summary = tally.summary();
     assert_eq!(summary.group_down_ms["summaries-1"], 3_000);
@@ -55,9 +55,9 @@
 }
 
 #[actix_rt::test]
-async fn watch_ends_after_its_time_with_the_sums() {
-    let answer = |_: &control::Request| control::Response::Status(Box::new(status()));
-    let (leader, _) = Control::start(answer).await;
+async fn watch_ends_after_its_duration_with_the_totals() {
+    let respond = |_: &control::Request| control::Response::Status(Box::new(status()));
+    let (leader, _) = Control::start(respond).await;
     let arguments = format!("watch --duration-s 1 --every-ms 50 --output json --control {leader}");
 
     let report = run(&arguments).await.expect("watched");
