--- a/crates/hyssopfork-daemon/src/edge/folder.rs
+++ b/crates/hyssopfork-daemon/src/edge/journal.rs
@@ -1,7 +1,8 @@
-//! The thread that writes and syncs the journal, so that a slow disk holds up nothing else.
+//! Journal writer: a thread that writes and syncs the journal, so that a slow disk blocks nothing
+//! else.
 //!
-//! A disk that refuses writes ends the process's part in the replicated log, not the process: its
-//! callers are served on, and the folder is opened again once it can be.
+//! If the disk fails, the process stops taking part in the replicated log but continues to serve
+//! its clients. The data folder is reopened as soon as that succeeds.
 
 use crate::edge::control;
 use crate::{log, mailbox, notice};
@@ -11,70 +12,71 @@
 use std::time::{Duration, Instant};
 use std::{io, path, thread};
 
-/// Most writes that are synced together, besides the first.
-const TOGETHER_LIMIT: usize = 255;
+/// Maximum number of writes that are synced together with the first one.
+const MAX_FURTHER_WRITES: usize = 255;
 
-/// Time before a folder that can't be used is tried again.
-const RETRY: Duration = Duration::from_millis(300);
+/// Interval between attempts to open the data folder.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time from which on a sync is reported as slow.
-const SLOW_SYNC: Duration = Duration::from_millis(100);
+/// Sync duration from which on a sync is reported as slow.
+const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// What the thread is to do.
+/// Task of the thread.
 enum Task {
     Write(write::Write),
-    /// The writes before this belong to a part in the log that has ended.
+    /// Reopen the folder. Earlier writes belong to a membership in the replicated log that has
+    /// ended.
     Reopen,
 }
 
-/// Hands writes to the journal's thread.
+/// Handle that sends writes to the journal thread.
 #[derive(Debug)]
 pub struct Writer(mpsc::Sender<Task>);
 
 impl Writer {
-    /// Starts the thread, which opens the folder.
+    /// Starts the thread, which opens the data folder.
     pub fn start(
         folder: path::PathBuf,
         mailbox: mailbox::Mailbox<control::Input>,
     ) -> io::Result<Writer> {
         let (sender, tasks) = mpsc::channel();
         let thread = thread::Builder::new().name("journal".to_owned());
-        thread.spawn(move || Folder { folder, tasks, mailbox }.run())?;
+        thread.spawn(move || Worker { folder, tasks, mailbox }.run())?;
         Ok(Writer(sender))
     }
 
-    /// Hands over one write.
+    /// Queues a write.
     pub fn write(&self, write: write::Write) {
         self.send(Task::Write(write));
     }
 
-    /// Has the folder opened anew, after it failed.
+    /// Reopens the folder after a failure.
     pub fn reopen(&self) {
         self.send(Task::Reopen);
     }
 
     fn send(&self, task: Task) {
         if self.0.send(task).is_err() {
-            tracing::debug!("task after the journal's thread ended");
+            tracing::debug!("journal task dropped: the journal thread has ended");
         }
     }
 }
 
-struct Folder {
+struct Worker {
     folder: path::PathBuf,
     tasks: mpsc::Receiver<Task>,
     mailbox: mailbox::Mailbox<control::Input>,
 }
 
-impl Folder {
+impl Worker {
     fn run(self) {
         loop {
             let mut journal = self.open();
             let Some(error) = self.write_all(&mut journal) else { return };
             drop(journal);
-            self.tell(&error);
+            self.report_error(&error);
             self.post(event::Event::FolderFailed);
-            // What still comes belongs to the part in the log that has just ended.
+            // Writes that are still queued belong to the membership in the log that has just ended.
             loop {
                 match self.tasks.recv() {
                     Ok(Task::Reopen) => break,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Opens the folder, as soon as it can be.
+    /// Opens the folder, retrying until that succeeds.
     fn open(&self) -> journal::Journal {
         loop {
             match journal::Journal::open(&self.folder) {
@@ -98,43 +100,43 @@
                     });
                     return journal;
                 }
-                Err(error) => self.tell(&error),
+                Err(error) => self.report_error(&error),
             }
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
         }
     }
 
-    /// Writes what comes; gives the error that ends it, or nothing when the process ends.
+    /// Writes tasks until an error occurs, which is returned, or until the process exits.
     ///
-    /// Writes that came while the disk was busy are synced together, so that the time of a sync
-    /// bounds how long one write takes, not how many are made.
+    /// Writes that arrived during a sync are synced together, so that slow syncs limit the latency
+    /// of each write but not the throughput.
     fn write_all(&self, journal: &mut journal::Journal) -> Option<error::Error> {
         while let Ok(first) = self.tasks.recv() {
-            let more = self.tasks.try_iter().take(TOGETHER_LIMIT);
+            let further = self.tasks.try_iter().take(MAX_FURTHER_WRITES);
             let writes: Vec<write::Write> = std::iter::once(first)
-                .chain(more)
+                .chain(further)
                 .filter_map(|task| match task {
                     Task::Write(write) => Some(write),
                     Task::Reopen => None,
                 })
                 .collect();
-            let begun = Instant::now();
+            let started = Instant::now();
             if let Err(error) = journal.write_all(&writes) {
                 return Some(error);
             }
-            let took = begun.elapsed();
-            if took >= SLOW_SYNC {
-                let millis = took.as_millis() as u64;
+            let elapsed = started.elapsed();
+            if elapsed >= SLOW_SYNC_THRESHOLD {
+                let millis = elapsed.as_millis() as u64;
                 log::notice(&notice::Notice::SyncSlow(writes.len(), millis));
             }
-            if let Some(newest) = writes.last() {
-                self.post(event::Event::Persisted(newest.number));
+            if let Some(last) = writes.last() {
+                self.post(event::Event::Persisted(last.number));
             }
         }
         None
     }
 
-    fn tell(&self, error: &error::Error) {
+    fn report_error(&self, error: &error::Error) {
         log::notice(&notice::Notice::FolderUnusable(error.to_string()));
     }
 
