--- a/crates/hyssopfork-cli/src/command/instance/list.rs
+++ b/crates/hyssopfork-cli/src/command/instance/list.rs
@@ -39,8 +39,10 @@
 fn rows(status: &control::Status) -> Vec<Row> {
     let overview = overview::build(status);
     let row = |holding: &control::Holding| {
-        let known = overview.instances.iter().find(|known| known.instance == holding.instance);
-        let condition = known.filter(|_| holding.agent).map(|known| known.condition.to_string());
+        let instance =
+            overview.instances.iter().find(|instance| instance.instance == holding.instance);
+        let condition =
+            instance.filter(|_| holding.agent).map(|instance| instance.condition.to_string());
         Row {
             instance: holding.instance.to_string(),
             role: if holding.agent { "agent" } else { "entry" },
--- a/crates/hyssopfork-cli/src/submission.rs
+++ b/crates/hyssopfork-cli/src/submission.rs
@@ -61,7 +61,7 @@
         Err(error::Error::Unreachable(failures, true)) => {
             return Err(error::Error::OutcomeUnknown(identifier, failures));
         }
-        answer => answer?,
+        result => result?,
     };
     let control::Response::Submitted(outcome) = response else {
         return Err(error::Error::UnexpectedResponse);
