--- a/crates/hyssopfork-cli/src/command/group/remove.rs
+++ b/crates/hyssopfork-cli/src/command/group/remove.rs
@@ -1,22 +1,26 @@
-//! `group remove`: end a serving group.
+//! `group remove`: removes a serving group.
 
 use crate::{context, error, output, submission};
 use clap::{Arg, ArgMatches, Command};
 use hyssopfork_wire::{name, patch};
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork group remove summaries-3 --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
     let group = Arg::new("group").value_name("GROUP").required(true).help("Serving group");
-    super::super::described("remove", "Remove a serving group; its instances become free", EXAMPLES)
-        .arg(group)
-        .arg(submission::base_argument())
-        .arg(submission::identifier_argument())
+    super::super::leaf_command(
+        "remove",
+        "Remove a serving group; its instances become free",
+        EXAMPLES,
+    )
+    .arg(group)
+    .arg(submission::base_argument())
+    .arg(submission::identifier_argument())
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     matches: &ArgMatches,
     context: &mut context::Context,
--- a/crates/hyssopfork-cli/src/command/instance/list.rs
+++ b/crates/hyssopfork-cli/src/command/instance/list.rs
@@ -1,16 +1,16 @@
-//! `instance list`: every process that holds a lease or announced itself.
+//! `instance list`: lists every process that holds a lease or has announced itself.
 
-use crate::{context, error, output, screen};
+use crate::{context, error, output, overview};
 use clap::Command;
 use hyssopfork_wire::control;
 use serde::Serialize;
 
-/// Examples of the command.
+/// Examples, shown in the help.
 pub const EXAMPLES: &[&str] = &["hyssopfork instance list --control 127.0.0.1:7100"];
 
-/// The command.
+/// Defines the command.
 pub fn command() -> Command {
-    super::super::described("list", "List every instance with its role and lease", EXAMPLES)
+    super::super::leaf_command("list", "List all instances with role and lease age", EXAMPLES)
 }
 
 #[derive(Serialize)]
@@ -22,7 +22,7 @@
     condition: String,
 }
 
-/// Runs it.
+/// Runs the command.
 pub async fn run(
     _: &clap::ArgMatches,
     context: &mut context::Context,
@@ -30,17 +30,19 @@
     let status = context.client()?.status().await?;
     let rows = rows(&status);
     let text = match context.output {
-        output::Output::Json => output::json(&rows),
-        output::Output::Table => render(&rows),
+        output::Format::Json => output::to_json(&rows),
+        output::Format::Table => render(&rows),
     };
-    Ok(output::Report::done(text))
+    Ok(output::Report::success(text))
 }
 
 fn rows(status: &control::Status) -> Vec<Row> {
-    let drawn = screen::draw(status);
+    let overview = overview::build(status);
     let row = |holding: &control::Holding| {
-        let known = drawn.instances.iter().find(|known| known.instance == holding.instance);
-        let condition = known.filter(|_| holding.agent).map(|known| known.condition.to_string());
+        let instance =
+            overview.instances.iter().find(|instance| instance.instance == holding.instance);
+        let condition =
+            instance.filter(|_| holding.agent).map(|instance| instance.condition.to_string());
         Row {
             instance: holding.instance.to_string(),
             role: if holding.agent { "agent" } else { "entry" },
@@ -56,7 +58,7 @@
     let mut table =
         output::Table::new(&["INSTANCE", "ROLE", "VERSION", "LEASE AGE MS", "CONDITION"]);
     for row in rows {
-        table.row([
+        table.add_row([
             row.instance.clone(),
             row.role.into(),
             row.version.to_string(),
--- a/crates/hyssopfork-cli/src/lib.rs
+++ b/crates/hyssopfork-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' program: what `hyssopfork` does, as a library that tests can call.
+//! Command line tool for operators: the commands of `hyssopfork`, as a library for tests.
 
 pub mod client;
 pub mod command;
@@ -9,7 +9,7 @@
 pub mod history;
 pub mod load;
 pub mod output;
+pub mod overview;
 pub mod program;
-pub mod screen;
 pub mod submission;
 pub mod traffic;
--- a/crates/hyssopfork-cli/tests/all/main.rs
+++ b/crates/hyssopfork-cli/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' program.
+//! Tests of the operators' command line tool.
 
 mod client;
 mod commands;
@@ -7,8 +7,8 @@
 mod explain;
 mod history;
 mod load;
+mod overview;
 mod program;
-mod screen;
 mod shipped;
 mod support;
 mod traffic;
