--- a/crates/hyssopfork-cli/tests/all/load.rs
+++ b/crates/hyssopfork-cli/tests/all/load.rs
@@ -166,7 +166,10 @@
     let records = run::run(options(server.address())).await;
 
     assert_eq!(records.len(), 49);
-    let counts = history::Counts { runs: service.runs_by_reference(), cold_overloads: service.crash_count() };
+    let counts = history::Counts {
+        runs: service.runs_by_reference(),
+        cold_overloads: service.crash_count(),
+    };
     let verdict = history::check(&records, &[counts]);
     assert!(verdict.is_consistent(), "{:?}", verdict.violations);
 }
@@ -182,7 +185,10 @@
 
     // The service runs every request it gets; preventing duplicates is the gateway's task.
     assert_eq!(records.len(), 98);
-    let counts = history::Counts { runs: service.runs_by_reference(), cold_overloads: service.crash_count() };
+    let counts = history::Counts {
+        runs: service.runs_by_reference(),
+        cold_overloads: service.crash_count(),
+    };
     let verdict = history::check(&records, &[counts]);
     assert_eq!(verdict.violations.len(), 49, "{:?}", verdict.violations);
 }
