--- a/crates/hyssopfork-cli/src/declaration.rs
+++ b/crates/hyssopfork-cli/src/declaration.rs
@@ -1,55 +1,56 @@
-//! Declarations of the fleet in files kept under version control.
+//! Reads, validates and compares fleet declarations, which operators keep in files.
 
 use crate::error;
-use hyssopfork_settings::plain;
+use hyssopfork_settings::jsonc;
 use hyssopfork_state::rules;
 use hyssopfork_wire::configuration;
 use serde::de::DeserializeOwned;
 use std::{fs, path};
 
-/// Reads and checks a declaration: its form, and every rule that a configuration keeps.
+/// Reads a declaration and checks its syntax and every rule of configurations.
 pub fn read(path: &path::Path) -> Result<configuration::Configuration, error::Error> {
     let declared: configuration::Configuration = read_json(path)?;
-    let faults = rules::validate(&declared);
-    if faults.is_empty() {
+    let errors = rules::validate(&declared);
+    if errors.is_empty() {
         return Ok(declared);
     }
-    Err(error::Error::Faulty(path.to_owned(), faults))
+    Err(error::Error::InvalidFile(path.to_owned(), errors))
 }
 
-/// Reads a file of JSON with comments; faults carry line and column.
+/// Reads a file of JSON with comments; errors carry line and column.
 pub fn read_json<T: DeserializeOwned>(path: &path::Path) -> Result<T, error::Error> {
     let text =
         fs::read_to_string(path).map_err(|cause| error::Error::File(path.to_owned(), cause))?;
-    let faulty = |faults: Vec<String>| error::Error::Faulty(path.to_owned(), faults);
-    let plain = plain::json(&text)
-        .map_err(|faults| faulty(faults.iter().map(ToString::to_string).collect()))?;
-    serde_json::from_str(&plain).map_err(|cause| faulty(vec![cause.to_string()]))
+    let invalid_file = |errors: Vec<String>| error::Error::InvalidFile(path.to_owned(), errors);
+    let json = jsonc::to_json(&text)
+        .map_err(|errors| invalid_file(errors.iter().map(ToString::to_string).collect()))?;
+    serde_json::from_str(&json).map_err(|cause| invalid_file(vec![cause.to_string()]))
 }
 
-/// A top-level part in which two configurations differ, by its path.
+/// Lists the values in which two configurations differ, ignoring their numbers.
 pub fn differences(
-    ours: &configuration::Configuration,
-    theirs: &configuration::Configuration,
+    in_force: &configuration::Configuration,
+    declared: &configuration::Configuration,
 ) -> Vec<Difference> {
-    let (ours, theirs) = (value(ours), value(theirs));
-    let mut found = Vec::new();
-    compare("", &ours, &theirs, &mut found);
-    found
+    let (in_force, declared) = (to_comparable_value(in_force), to_comparable_value(declared));
+    let mut differences = Vec::new();
+    compare("", &in_force, &declared, &mut differences);
+    differences
 }
 
-/// One difference.
+/// A value in which two configurations differ.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Difference {
-    /// Where, as keys joined by `/`.
-    pub at: String,
-    /// What is in force; `None` where nothing is.
+    /// Keys that lead to the value, joined by `/`.
+    #[serde(rename = "at")]
+    pub path: String,
+    /// Value in force; `None` if there is none.
     pub in_force: Option<serde_json::Value>,
-    /// What the file declares; `None` where it declares nothing.
+    /// Value in the file; `None` if there is none.
     pub declared: Option<serde_json::Value>,
 }
 
-fn value(configuration: &configuration::Configuration) -> serde_json::Value {
+fn to_comparable_value(configuration: &configuration::Configuration) -> serde_json::Value {
     let mut value = serde_json::to_value(configuration).expect("configurations are plain data");
     if let Some(object) = value.as_object_mut() {
         object.remove("number");
@@ -58,25 +59,28 @@
 }
 
 fn compare(
-    at: &str,
-    ours: &serde_json::Value,
-    theirs: &serde_json::Value,
-    found: &mut Vec<Difference>,
+    path: &str,
+    in_force: &serde_json::Value,
+    declared: &serde_json::Value,
+    differences: &mut Vec<Difference>,
 ) {
-    let (Some(left), Some(right)) = (ours.as_object(), theirs.as_object()) else {
-        if ours != theirs {
-            let (in_force, declared) = (Some(ours.clone()), Some(theirs.clone()));
-            found.push(Difference { at: at.into(), in_force, declared });
+    let (Some(in_force_fields), Some(declared_fields)) =
+        (in_force.as_object(), declared.as_object())
+    else {
+        if in_force != declared {
+            let (in_force, declared) = (Some(in_force.clone()), Some(declared.clone()));
+            differences.push(Difference { path: path.into(), in_force, declared });
         }
         return;
     };
-    let keys: std::collections::BTreeSet<&String> = left.keys().chain(right.keys()).collect();
+    let keys: std::collections::BTreeSet<&String> =
+        in_force_fields.keys().chain(declared_fields.keys()).collect();
     for key in keys {
-        let path = if at.is_empty() { key.clone() } else { format!("{at}/{key}") };
-        match (left.get(key), right.get(key)) {
-            (Some(ours), Some(theirs)) => compare(&path, ours, theirs, found),
-            (in_force, declared) => found.push(Difference {
-                at: path,
+        let path = if path.is_empty() { key.clone() } else { format!("{path}/{key}") };
+        match (in_force_fields.get(key), declared_fields.get(key)) {
+            (Some(in_force), Some(declared)) => compare(&path, in_force, declared, differences),
+            (in_force, declared) => differences.push(Difference {
+                path,
                 in_force: in_force.cloned(),
                 declared: declared.cloned(),
             }),
--- a/crates/hyssopfork-cli/src/screen.rs
+++ b/crates/hyssopfork-cli/src/overview.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet, worked out from the leader's status.
+//! State of the fleet for operators, derived from the leader's status.
 
 use hyssopfork_wire::{configuration, control, fleet, name, number, timing};
 use serde::Serialize;
@@ -8,158 +8,160 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
-    /// Its first member takes requests.
+pub enum State {
+    /// The first member accepts requests.
     Serving,
-    /// It is placed and not all members have loaded or granted yet.
+    /// Placed; not all members have loaded the model or granted a lease yet.
     Forming,
-    /// It is placed and a member is missing.
+    /// Placed; a member is missing.
     Incomplete,
-    /// No instances are placed for it.
+    /// No instances are assigned to the group.
     Unplaced,
 }
 
 /// A serving group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub group: name::Group,
-    /// State.
-    pub standing: Standing,
-    /// Fencing number of its placement.
+    /// Current state.
+    #[serde(rename = "standing")]
+    pub state: State,
+    /// Fencing number of the placement.
     pub fence: Option<number::Fence>,
-    /// Zone of its first member.
+    /// Zone of the first member.
     pub zone: Option<name::Zone>,
-    /// Members, first one first.
+    /// Members; the first one receives the requests.
     pub members: Vec<name::Instance>,
-    /// Members that are missing.
+    /// Missing members.
     pub missing: Vec<name::Instance>,
-    /// Requests that run on it.
+    /// Requests in flight.
     pub running: u32,
 }
 
-/// What is the matter with an instance.
+/// Condition of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Condition {
-    /// All is well.
+    /// Operational.
     Ready,
-    /// Its back end is new and bears little. Only said of those that requests go to: a spare and
-    /// a group's further members run none that could warm them.
+    /// The back end has just started and tolerates little load. Only instances that receive
+    /// requests are reported as cold: a spare and the other members of a group get none to warm up.
     Cold,
-    /// Operators have drained it.
+    /// Drained by operators.
     Drained,
-    /// Its agent has said that it is leaving.
+    /// The agent has announced that it is leaving.
     Leaving,
-    /// Its back end doesn't answer its agent.
+    /// The back end does not respond to its agent.
     Down,
-    /// It fell silent or left.
+    /// No recent report, or the instance has left.
     Missing,
 }
 
-/// An instance that announced itself.
+/// An announced instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub instance: name::Instance,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: name::Zone,
-    /// Its fabric domain.
+    /// Fabric domain of the instance.
     pub domain: name::Domain,
-    /// Its pool.
+    /// Pool of the instance.
     pub pool: name::Pool,
-    /// What it runs.
+    /// Kind of its upstream.
     pub kind: configuration::Kind,
-    /// State.
+    /// Current state.
     pub condition: Condition,
-    /// Group that it is placed in.
+    /// Group that the instance is placed in.
     pub group: Option<name::Group>,
-    /// Requests that run on it.
+    /// Requests in flight.
     pub running: u32,
-    /// Accelerators on it.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 /// An availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub zone: name::Zone,
-    /// Whether operators have taken it out.
+    /// Whether operators have taken the zone out of service.
     pub out: bool,
-    /// Groups that serve in it.
+    /// Number of serving groups whose first member is in the zone.
     pub serving: usize,
-    /// Instances that are present.
+    /// Number of instances that are present.
     pub present: usize,
-    /// Instances that are missing.
+    /// Number of missing instances.
     pub missing: usize,
-    /// Instances that are cold.
+    /// Number of cold instances.
     pub cold: usize,
 }
 
-/// A process that acts on an older view.
+/// A lease holder whose view is not the newest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Behind {
-    /// Its instance.
+pub struct Laggard {
+    /// Instance of the process.
     pub instance: name::Instance,
-    /// Version that it reported last.
+    /// Version in its last report.
     pub version: number::Version,
 }
 
-/// The whole screen.
+/// State of the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Screen {
+pub struct Overview {
     /// Configuration number in force.
     pub configuration: number::Configuration,
     /// Version of the newest view.
     pub version: number::Version,
-    /// Control instance that leads.
+    /// Control instance that is the leader.
     pub leader: name::Instance,
-    /// Term of the log.
+    /// Current term of the replicated log.
     pub term: number::Term,
-    /// Committed index of the log.
+    /// Committed index of the replicated log.
     pub committed: number::Index,
-    /// Zones by name.
+    /// Zones, sorted by name.
     pub zones: Vec<Zone>,
-    /// Groups by name.
+    /// Groups, sorted by name.
     pub groups: Vec<Group>,
-    /// Instances by name.
+    /// Instances, sorted by name.
     pub instances: Vec<Instance>,
-    /// Entries that hold a lease.
+    /// Number of entries that hold a lease.
     pub entries: usize,
-    /// Processes that hold a lease.
+    /// Number of processes that hold a lease.
     pub holders: usize,
-    /// Holders of a lease that act on an older view.
-    pub behind: Vec<Behind>,
-    /// Processes whose lease has lapsed: they serve nothing until they have another.
+    /// Lease holders whose view is not the newest.
+    #[serde(rename = "behind")]
+    pub laggards: Vec<Laggard>,
+    /// Processes whose lease has lapsed; they serve nothing until they get a new one.
     pub lapsed: Vec<name::Instance>,
-    /// Accelerators that serve nothing: on present, undrained engines in zones that are in service,
-    /// outside serving groups.
+    /// Number of idle accelerators: on present, undrained engines in zones in service, outside
+    /// serving groups.
     pub stranded: u32,
 }
 
-impl Screen {
-    /// Whether every declared group serves and the newest view is in force everywhere.
-    pub fn is_well(&self) -> bool {
-        let serving = self.groups.iter().all(|group| group.standing == Standing::Serving);
-        serving && self.behind.is_empty()
+impl Overview {
+    /// Whether every declared group is serving and all lease holders have the newest view.
+    pub fn is_healthy(&self) -> bool {
+        let serving = self.groups.iter().all(|group| group.state == State::Serving);
+        serving && self.laggards.is_empty()
     }
 }
 
-/// Works the screen out.
-pub fn draw(status: &control::Status) -> Screen {
-    let reports = Reports::new(status);
+/// Builds the overview from a status.
+pub fn build(status: &control::Status) -> Overview {
+    let lookup = Lookup::new(status);
     let groups: Vec<Group> =
-        status.view.configuration.groups.keys().map(|group| reports.group(group)).collect();
+        status.view.configuration.groups.keys().map(|group| lookup.group(group)).collect();
     let instances: Vec<Instance> =
-        status.view.members.values().map(|member| reports.instance(member)).collect();
+        status.view.members.values().map(|member| lookup.instance(member)).collect();
     let zones = status.view.configuration.zones.iter();
-    let zones = zones.map(|(name, zone)| draw_zone(name, zone, &groups, &instances)).collect();
-    let stranded = stranded(status, &groups, &instances);
-    let live = || status.holdings.iter().filter(|holding| !is_lapsed(holding));
+    let zones = zones.map(|(name, zone)| build_zone(name, zone, &groups, &instances)).collect();
+    let stranded = count_stranded(status, &groups, &instances);
+    let holders = || status.holdings.iter().filter(|holding| !is_lapsed(holding));
     let lapsed = status.holdings.iter().filter(|holding| is_lapsed(holding));
-    Screen {
+    Overview {
         configuration: status.view.configuration.number,
         version: status.view.version,
         leader: status.leader.clone(),
@@ -168,22 +170,22 @@
         zones,
         groups,
         instances,
-        entries: live().filter(|holding| !holding.agent).count(),
-        holders: live().count(),
-        behind: live().filter_map(|holding| behind(status, holding)).collect(),
+        entries: holders().filter(|holding| !holding.agent).count(),
+        holders: holders().count(),
+        laggards: holders().filter_map(|holding| find_laggard(status, holding)).collect(),
         lapsed: lapsed.map(|holding| holding.instance.clone()).collect(),
         stranded,
     }
 }
 
-/// Reports by instance, beside the view that they belong to.
-struct Reports<'a> {
+/// Index of a status: reports and groups by instance.
+struct Lookup<'a> {
     status: &'a control::Status,
     by_instance: BTreeMap<&'a name::Instance, &'a fleet::Report>,
     group_of: BTreeMap<&'a name::Instance, &'a name::Group>,
 }
 
-impl<'a> Reports<'a> {
+impl<'a> Lookup<'a> {
     fn new(status: &'a control::Status) -> Self {
         let holdings = status.holdings.iter();
         let reported =
@@ -192,14 +194,14 @@
         let placed = placements.flat_map(|(group, placement)| {
             placement.members.iter().map(move |member| (member, group))
         });
-        Reports { status, by_instance: reported.collect(), group_of: placed.collect() }
+        Lookup { status, by_instance: reported.collect(), group_of: placed.collect() }
     }
 
     fn group(&self, group: &name::Group) -> Group {
         let Some(placement) = self.status.view.placements.get(group) else {
             return Group {
                 group: group.clone(),
-                standing: Standing::Unplaced,
+                state: State::Unplaced,
                 fence: None,
                 zone: None,
                 members: Vec::new(),
@@ -215,7 +217,7 @@
         let member = first.and_then(|first| self.status.view.members.get(first));
         Group {
             group: group.clone(),
-            standing: standing(placement, report.copied(), &missing),
+            state: group_state(placement, report.copied(), &missing),
             fence: Some(placement.fence),
             zone: member.map(|member| member.announcement.zone.clone()),
             members: placement.members.clone(),
@@ -243,14 +245,14 @@
             Condition::Drained
         } else if !report.alive {
             Condition::Down
-        } else if !report.warm && self.takes_requests(member) {
+        } else if !report.warm && self.is_request_target(member) {
             Condition::Cold
         } else {
             Condition::Ready
         }
     }
 
-    fn takes_requests(&self, member: &fleet::Member) -> bool {
+    fn is_request_target(&self, member: &fleet::Member) -> bool {
         let instance = &member.announcement.instance;
         let mut placements = self.status.view.placements.values();
         member.announcement.profile.kind == configuration::Kind::Service
@@ -274,39 +276,39 @@
     }
 }
 
-fn standing(
+fn group_state(
     placement: &fleet::Placement,
     first: Option<&fleet::Report>,
     missing: &[name::Instance],
-) -> Standing {
-    let serves = first.is_some_and(|first| first.serving && first.joined == placement.fence);
-    match (missing.is_empty(), serves) {
-        (false, _) => Standing::Incomplete,
-        (true, true) => Standing::Serving,
-        (true, false) => Standing::Forming,
+) -> State {
+    let is_serving = first.is_some_and(|first| first.serving && first.joined == placement.fence);
+    match (missing.is_empty(), is_serving) {
+        (false, _) => State::Incomplete,
+        (true, true) => State::Serving,
+        (true, false) => State::Forming,
     }
 }
 
-fn draw_zone(
+fn build_zone(
     name: &name::Zone,
     zone: &configuration::Zone,
     groups: &[Group],
     instances: &[Instance],
 ) -> Zone {
-    let count = |matches: fn(Condition) -> bool| {
-        let here = instances.iter().filter(|instance| instance.zone == *name);
-        here.filter(|instance| matches(instance.condition)).count()
+    let count_instances = |predicate: fn(Condition) -> bool| {
+        let in_zone = instances.iter().filter(|instance| instance.zone == *name);
+        in_zone.filter(|instance| predicate(instance.condition)).count()
     };
     let serving = groups
         .iter()
-        .filter(|group| group.standing == Standing::Serving && group.zone.as_ref() == Some(name));
+        .filter(|group| group.state == State::Serving && group.zone.as_ref() == Some(name));
     Zone {
         zone: name.clone(),
         out: zone.out,
         serving: serving.count(),
-        present: count(|condition| condition != Condition::Missing),
-        missing: count(|condition| condition == Condition::Missing),
-        cold: count(|condition| condition == Condition::Cold),
+        present: count_instances(|condition| condition != Condition::Missing),
+        missing: count_instances(|condition| condition == Condition::Missing),
+        cold: count_instances(|condition| condition == Condition::Cold),
     }
 }
 
@@ -314,23 +316,23 @@
     holding.age > timing::HOLDER_LEASE
 }
 
-fn behind(status: &control::Status, holding: &control::Holding) -> Option<Behind> {
+fn find_laggard(status: &control::Status, holding: &control::Holding) -> Option<Laggard> {
     let (instance, version) = (holding.instance.clone(), holding.version);
-    (version < status.view.version).then_some(Behind { instance, version })
+    (version < status.view.version).then_some(Laggard { instance, version })
 }
 
-fn stranded(status: &control::Status, groups: &[Group], instances: &[Instance]) -> u32 {
-    let serves = |instance: &Instance| {
+fn count_stranded(status: &control::Status, groups: &[Group], instances: &[Instance]) -> u32 {
+    let is_serving = |instance: &Instance| {
         let group = groups.iter().find(|group| Some(&group.group) == instance.group.as_ref());
-        group.is_some_and(|group| group.standing == Standing::Serving)
+        group.is_some_and(|group| group.state == State::Serving)
     };
     let idle = instances.iter().filter(|instance| {
         let zone = status.view.configuration.zones.get(&instance.zone);
-        let usable = matches!(instance.condition, Condition::Ready | Condition::Cold);
+        let is_usable = matches!(instance.condition, Condition::Ready | Condition::Cold);
         instance.kind == configuration::Kind::Engine
-            && usable
+            && is_usable
             && zone.is_some_and(|zone| !zone.out)
-            && !serves(instance)
+            && !is_serving(instance)
     });
     idle.map(|instance| instance.accelerators).sum()
 }
--- a/crates/hyssopfork-daemon/src/control/role.rs
+++ b/crates/hyssopfork-daemon/src/control/role.rs
@@ -69,9 +69,9 @@
         self.step(event::Event::Tick);
         self.readiness.set(self.core.is_ready());
         let (term, committed) = self.core.progress();
-        self.registry.consensus(term, committed, self.core.can_answer_as_leader());
+        self.registry.set_consensus(term, committed, self.core.can_answer_as_leader());
         let view = self.core.machine().view();
-        self.registry.in_force(view.configuration.number, view.version);
+        self.registry.set_versions(view.configuration.number, view.version);
         let abandoned: Vec<u64> = self
             .pending_calls
             .iter()
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -95,22 +95,24 @@
 pub fn record_measurement(registry: &metrics::Registry, measurement: &measurement::Measurement) {
     if let measurement::Outcome::Rejected(reason, ran) = measurement.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
-        registry.refused(measurement.team.as_ref(), &refusal);
+        registry.count_rejection(measurement.team.as_ref(), &refusal);
     }
     let (Some(team), Some(class)) = (&measurement.team, measurement.class) else { return };
-    registry.waited(team, class, measurement.wait_time);
+    registry.observe_wait(team, class, measurement.wait_time);
     if let Some(first) = measurement.time_to_first_byte {
-        registry.first_token(team, class, first);
+        registry.observe_first_token(team, class, first);
     }
     if let Some(between) = measurement.mean_event_interval {
-        registry.between_tokens(team, class, between);
+        registry.observe_token_interval(team, class, between);
     }
     for _ in 1..measurement.attempts {
-        registry.retried(team, class);
+        registry.count_retry(team, class);
     }
     match measurement.outcome {
-        measurement::Outcome::Completed => registry.answered(team, class, measurement.total_time),
-        measurement::Outcome::Aborted(_) => registry.cut(team, class),
+        measurement::Outcome::Completed => {
+            registry.observe_response(team, class, measurement.total_time)
+        }
+        measurement::Outcome::Aborted(_) => registry.count_aborted_response(team, class),
         measurement::Outcome::Rejected(..) | measurement::Outcome::ClientGone => {}
     }
 }
@@ -119,9 +121,9 @@
 pub fn record_watcher(registry: &metrics::Registry, watcher: &watcher::Watcher) {
     let now = clock::now();
     let left = watcher.lease_expires_at().map_or(Duration::ZERO, |until| now.until(until));
-    registry.lease_left(left);
+    registry.set_lease_remaining(left);
     let view = watcher.view();
-    registry.in_force(view.configuration.number, view.version);
+    registry.set_versions(view.configuration.number, view.version);
 }
 
 /// Records a finished request of an edge process in the metrics.
@@ -130,18 +132,18 @@
     measurement: &gateway_measure::Measurement,
 ) {
     if let gateway_measure::Outcome::Rejected(reason) = measurement.outcome {
-        registry.refused(measurement.team.as_ref(), &to_refusal(reason));
+        registry.count_rejection(measurement.team.as_ref(), &to_refusal(reason));
     }
     let (Some(team), Some(class)) = (&measurement.team, measurement.class) else { return };
     for _ in 1..measurement.attempts {
-        registry.retried(team, class);
+        registry.count_retry(team, class);
     }
     match measurement.outcome {
         gateway_measure::Outcome::Completed(first) => {
-            registry.first_token(team, class, first);
-            registry.answered(team, class, measurement.total_time);
+            registry.observe_first_token(team, class, first);
+            registry.observe_response(team, class, measurement.total_time);
         }
-        gateway_measure::Outcome::Aborted => registry.cut(team, class),
+        gateway_measure::Outcome::Aborted => registry.count_aborted_response(team, class),
         gateway_measure::Outcome::Rejected(_) => {}
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/aborted_responses.rs
+++ b/crates/hyssopfork-daemon/tests/processes/aborted_responses.rs
@@ -1,7 +1,7 @@
 //! Upstreams whose connection breaks before the response's head or within its body.
 
 use crate::support::{client, fleet, operator};
-use hyssopfork_test_support::impairment;
+use hyssopfork_test_support::fault_injection;
 use hyssopfork_wire::patch;
 use std::time::Duration;
 
@@ -35,11 +35,11 @@
 async fn a_connection_closed_before_the_head_may_have_run() {
     for key in [Some("k"), None] {
         let fleet = start_fleet(0).await;
-        fleet.services[0].fake.impair(impairment::Order::Cut(0));
+        fleet.services[0].fake.inject(fault_injection::Command::Cut(0));
 
         let got = lodge(&fleet, key).await;
 
-        assert_eq!(fleet.services[0].fake.ran()["r"], 1, "{got:?}");
+        assert_eq!(fleet.services[0].fake.runs_by_reference()["r"], 1, "{got:?}");
         assert!(got.says_may_have_run(), "{got:?}");
     }
 }
@@ -51,11 +51,11 @@
 async fn a_response_shorter_than_its_length_is_not_complete() {
     for key in [Some("k"), None] {
         let fleet = start_fleet(0).await;
-        fleet.services[0].fake.impair(impairment::Order::Cut(5));
+        fleet.services[0].fake.inject(fault_injection::Command::Cut(5));
 
         let got = lodge(&fleet, key).await;
 
-        assert_eq!(fleet.services[0].fake.ran()["r"], 1, "{got:?}");
+        assert_eq!(fleet.services[0].fake.runs_by_reference()["r"], 1, "{got:?}");
         assert!(!got.is_complete_success(), "{got:?}");
     }
 }
@@ -66,7 +66,7 @@
 async fn an_interrupted_stream_is_resumed_or_ends_in_an_error_event() {
     let fleet = start_fleet(2).await;
     for engine in &fleet.engines {
-        engine.fake.impair(impairment::Order::Cut(3));
+        engine.fake.inject(fault_injection::Command::Cut(3));
     }
 
     let got = client::post(
@@ -96,7 +96,7 @@
 
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     for engine in &fleet.engines {
-        engine.fake.impair(impairment::Order::Die(Duration::from_secs(60)));
+        engine.fake.inject(fault_injection::Command::Die(Duration::from_secs(60)));
     }
     let got = streamed.await.unwrap();
 
@@ -113,7 +113,7 @@
 async fn the_first_request_detects_an_engine_that_lost_its_model() {
     let fleet = start_fleet(2).await;
     for engine in &fleet.engines {
-        engine.fake.impair(impairment::Order::Die(Duration::from_millis(1)));
+        engine.fake.inject(fault_injection::Command::Die(Duration::from_millis(1)));
     }
     actix_rt::time::sleep(Duration::from_millis(5)).await;
 
--- a/crates/hyssopfork-daemon/tests/processes/control_failures.rs
+++ b/crates/hyssopfork-daemon/tests/processes/control_failures.rs
@@ -76,7 +76,7 @@
     fleet.relays.silence_link(relays::Link::Voter, &format!("control-{}", partitioned + 1));
     let outcome = majority.submit("out", 1, set_zone_out(true)).await;
     actix_rt::time::sleep(IN_FORCE_WAIT).await;
-    let before: u64 = fleet.services[1].fake.ran().values().sum();
+    let before: u64 = fleet.services[1].fake.runs_by_reference().values().sum();
     let mut served = 0;
     for number in 0..20 {
         let body = format!("{{\"reference\":\"work-{number}\"}}");
@@ -86,7 +86,7 @@
 
     assert!(timing::IN_FORCE_BOUND < IN_FORCE_WAIT);
     assert_eq!(outcome, accepted(2));
-    assert_eq!(fleet.services[1].fake.ran().values().sum::<u64>(), before);
+    assert_eq!(fleet.services[1].fake.runs_by_reference().values().sum::<u64>(), before);
     assert_eq!(served, 20);
 }
 
--- a/crates/hyssopfork-daemon/tests/processes/paused_processes.rs
+++ b/crates/hyssopfork-daemon/tests/processes/paused_processes.rs
@@ -38,7 +38,7 @@
 }
 
 fn run_count(fleet: &fleet::Fleet, index: usize) -> u64 {
-    fleet.services[index].fake.ran().values().sum()
+    fleet.services[index].fake.runs_by_reference().values().sum()
 }
 
 async fn lodge(entry: SocketAddr, name: &str, count: usize) -> Vec<client::Response> {
@@ -64,7 +64,7 @@
 
 fn assert_ran_once(fleet: &fleet::Fleet) {
     for upstream in &fleet.services {
-        let ran = upstream.fake.ran();
+        let ran = upstream.fake.runs_by_reference();
         assert!(ran.values().all(|count| *count == 1), "{ran:?}");
     }
 }
@@ -136,8 +136,11 @@
 // with the old work: a concurrent burst must wait for it.
 #[actix_rt::test]
 async fn a_restarted_agent_counts_the_work_of_its_upstream() {
-    let service =
-        service::Profile { time: Duration::from_millis(1_500), cold_bearing: 2, warm_after: 1_000 };
+    let service = service::Profile {
+        response_time: Duration::from_millis(1_500),
+        cold_capacity: 2,
+        warmup_requests: 1_000,
+    };
     let plan = fleet::Plan { services: 1, entries: 1, service, ..services_only() };
     let (mut fleet, _) = start_fleet(plan).await;
     let entry = fleet.entry_addresses[0];
@@ -149,7 +152,7 @@
     let burst = lodge(entry, "burst", 4).await;
     let lost = lost.await.unwrap();
 
-    assert_eq!(fleet.services[0].fake.falls(), 0);
+    assert_eq!(fleet.services[0].fake.crash_count(), 0);
     assert!(lost.iter().chain(&burst).all(reports_outcome), "{lost:?} {burst:?}");
     assert_ran_once(&fleet);
 }
--- a/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
+++ b/crates/hyssopfork-daemon/tests/processes/silent_connections.rs
@@ -14,7 +14,7 @@
 const STREAM_EVENTS: u32 = 300;
 
 async fn start_fleet(engines: usize) -> (fleet::Fleet, operator::Operator) {
-    let slow = service::Profile { time: Duration::from_millis(60), ..Default::default() };
+    let slow = service::Profile { response_time: Duration::from_millis(60), ..Default::default() };
     let plan = fleet::Plan { engines, service: slow, relayed: true, ..fleet::Plan::default() };
     let fleet = fleet::Fleet::start(plan);
     let operator = fleet.operator();
@@ -35,7 +35,9 @@
 
 fn run_counts(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
-    for (work, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
+    for (work, count) in
+        fleet.services.iter().flat_map(|upstream| upstream.fake.runs_by_reference())
+    {
         *runs.entry(work).or_default() += count;
     }
     runs
--- a/crates/hyssopfork-daemon/tests/processes/soak/clients.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/clients.rs
@@ -135,8 +135,9 @@
 }
 
 fn expected_stream(mark: &str, tokens: u32) -> String {
-    let events = (0..tokens).map(|place| token::event(token::Shape::Text, mark, place.into()));
+    let events = (0..tokens)
+        .map(|index| token::token_event(token::Endpoint::Completions, mark, index.into()));
     let mut text: String = events.collect();
-    text.push_str(token::DONE);
+    text.push_str(token::DONE_EVENT);
     text
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/faults.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use super::record;
 use crate::support::{daemon, fleet};
-use hyssopfork_test_support::impairment;
+use hyssopfork_test_support::fault_injection;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
@@ -89,10 +89,10 @@
             Recovery::Resume(process) => self.daemon(process).resume(),
             Recovery::Restart(process) => self.daemon(process).restart(),
             Recovery::HealEngine(index) => {
-                self.fleet.engines[index].fake.impair(impairment::Order::Heal)
+                self.fleet.engines[index].fake.inject(fault_injection::Command::Heal)
             }
             Recovery::HealService(index) => {
-                self.fleet.services[index].fake.impair(impairment::Order::Heal)
+                self.fleet.services[index].fake.inject(fault_injection::Command::Heal)
             }
         }
         if matches!(
@@ -176,32 +176,36 @@
         let index = self.random.random_range(0..self.fleet.engines.len());
         let order = self.random_impairment();
         match order {
-            impairment::Order::Cold => {
+            fault_injection::Command::Cold => {
                 *self.record.borrow_mut().unannounced_colds.entry(index).or_default() += 1;
             }
-            impairment::Order::Die(_) => {
+            fault_injection::Command::Die(_) => {
                 *self.record.borrow_mut().unannounced_restarts.entry(index).or_default() += 1;
             }
             _ => {}
         }
-        self.fleet.engines[index].fake.impair(order);
+        self.fleet.engines[index].fake.inject(order);
         self.schedule_recovery(200, 1_500, Recovery::HealEngine(index));
     }
 
     fn impair_service(&mut self) {
         let index = self.random.random_range(0..self.fleet.services.len());
         let order = self.random_impairment();
-        self.fleet.services[index].fake.impair(order);
+        self.fleet.services[index].fake.inject(order);
         self.schedule_recovery(200, 1_500, Recovery::HealService(index));
     }
 
-    fn random_impairment(&mut self) -> impairment::Order {
+    fn random_impairment(&mut self) -> fault_injection::Command {
         match self.random.random_range(0..5) {
-            0 => impairment::Order::Stall,
-            1 => impairment::Order::Cold,
-            2 => impairment::Order::Die(Duration::from_millis(self.random.random_range(50..1_500))),
-            3 => impairment::Order::Cut(self.random.random_range(0..40)),
-            _ => impairment::Order::Delay(Duration::from_millis(self.random.random_range(10..400))),
+            0 => fault_injection::Command::Stall,
+            1 => fault_injection::Command::Cold,
+            2 => fault_injection::Command::Die(Duration::from_millis(
+                self.random.random_range(50..1_500),
+            )),
+            3 => fault_injection::Command::Cut(self.random.random_range(0..40)),
+            _ => fault_injection::Command::Delay(Duration::from_millis(
+                self.random.random_range(10..400),
+            )),
         }
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/operators.rs
@@ -65,7 +65,7 @@
     }
 
     fn run_count(&self, index: usize) -> u64 {
-        self.services[index].ran().values().sum()
+        self.services[index].runs_by_reference().values().sum()
     }
 
     /// Both operators submit the same change based on the same number: exactly one is accepted, the
--- a/crates/hyssopfork-daemon/tests/processes/soak/record.rs
+++ b/crates/hyssopfork-daemon/tests/processes/soak/record.rs
@@ -29,7 +29,7 @@
     /// Accepted patches.
     pub patches: u64,
     /// How often each engine was made cold without notice. The first piece of work over its cold
-    /// capacity overloads it, since its agent cannot know.
+    /// capacity crashes it, since its agent cannot know.
     pub unannounced_colds: BTreeMap<usize, u64>,
     /// How often each engine was restarted without notice. Its agent cannot know before the next
     /// probe unless work is interrupted.
@@ -77,14 +77,14 @@
             // An idle engine that restarts between two probes gets one request, which detects the
             // restart and doesn't run; no other admitted request may follow it.
             let restarts =
-                self.unannounced_restarts.get(&index).copied().unwrap_or(0) + counts.falls;
-            if counts.misdirected > restarts || counts.falls > silent {
+                self.unannounced_restarts.get(&index).copied().unwrap_or(0) + counts.crashes;
+            if counts.misdirected > restarts || counts.crashes > silent {
                 violations.push(format!("{} was misused: {counts:?}", upstream.name));
             }
         }
         for upstream in &fleet.services {
-            if upstream.fake.falls() > 0 {
-                violations.push(format!("{} was overloaded while cold", upstream.name));
+            if upstream.fake.crash_count() > 0 {
+                violations.push(format!("{} crashed while cold", upstream.name));
             }
         }
         for log in fleet.read_logs() {
@@ -114,7 +114,9 @@
 
 fn run_counts(fleet: &fleet::Fleet) -> BTreeMap<String, u64> {
     let mut runs = BTreeMap::new();
-    for (reference, count) in fleet.services.iter().flat_map(|upstream| upstream.fake.ran()) {
+    for (reference, count) in
+        fleet.services.iter().flat_map(|upstream| upstream.fake.runs_by_reference())
+    {
         *runs.entry(reference).or_default() += count;
     }
     runs
--- a/crates/hyssopfork-daemon/tests/processes/support/relays.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/relays.rs
@@ -72,13 +72,13 @@
     /// Makes the open connections of all links of a kind permanently silent; new ones work.
     pub fn silence_open_connections(&self, link: Link) {
         let relays = self.relays.iter().filter(|link_relay| link_relay.link == link);
-        relays.for_each(|link_relay| link_relay.relay.forget());
+        relays.for_each(|link_relay| link_relay.relay.blackhole_connections());
     }
 
     /// Makes all links of a kind that belong to `name` silent, including new connections.
     pub fn silence_link(&self, link: Link, name: &str) {
         let relays = self.relays.iter().filter(|link_relay| link_relay.link == link);
         let own = relays.filter(|link_relay| link_relay.name.split(' ').any(|end| end == name));
-        own.for_each(|link_relay| link_relay.relay.silence());
+        own.for_each(|link_relay| link_relay.relay.pause());
     }
 }
--- a/crates/hyssopfork-daemon/tests/processes/zones.rs
+++ b/crates/hyssopfork-daemon/tests/processes/zones.rs
@@ -20,7 +20,7 @@
 }
 
 fn run_count(fleet: &fleet::Fleet, index: usize) -> u64 {
-    fleet.services[index].fake.ran().values().sum()
+    fleet.services[index].fake.runs_by_reference().values().sum()
 }
 
 async fn lodge(fleet: &fleet::Fleet, entry: usize, number: usize) -> client::Response {
--- a/crates/hyssopfork-settings/src/error.rs
+++ b/crates/hyssopfork-settings/src/error.rs
@@ -1,11 +1,11 @@
-//! Why settings could not be read.
+//! Errors of reading settings.
 
 use crate::fault;
 use quick_error::quick_error;
 use std::{io, path};
 
 quick_error! {
-    /// Why settings could not be read.
+    /// Error of reading settings.
     #[derive(Debug)]
     pub enum Error {
         /// The file cannot be read.
@@ -17,14 +17,14 @@
             )
             source(cause)
         }
-        /// The text has faults: all of them, in the order of the text.
-        Faulty(faults: Vec<fault::Fault>) {
-            display("{}", summary(faults))
+        /// The text has faults; contains all of them, in the order of the text.
+        Invalid(faults: Vec<fault::Fault>) {
+            display("{}", format_faults(faults))
         }
     }
 }
 
-fn summary(faults: &[fault::Fault]) -> String {
+fn format_faults(faults: &[fault::Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     format!("{} fault(s) in the settings:\n{}", faults.len(), lines.join("\n"))
 }
--- a/crates/hyssopfork-settings/src/settings.rs
+++ b/crates/hyssopfork-settings/src/settings.rs
@@ -1,13 +1,13 @@
-//! A whole settings file.
+//! Settings of a process with the roles entry, control and agent.
 
-use crate::{agent, control, entry, error, fault, log, plain, section};
+use crate::{agent, control, entry, error, fault, jsonc, log, section};
 use hyssopfork_wire::{name, timing};
 use jsonc_parser::{ast, common};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::{fs, net, path};
 
-/// A role that a process holds.
+/// A role of a process.
 #[derive(
     Clone,
     Copy,
@@ -22,47 +22,48 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests from clients.
     Entry,
-    /// Keeps the replicated state.
+    /// Maintains the replicated state.
     Control,
-    /// Stands beside one upstream.
+    /// Runs beside one upstream on the same instance.
     Agent,
 }
 
 /// Settings of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Instance that the process stands on.
+    /// Instance that the process runs on.
     pub instance: name::Instance,
     /// Availability zone of the instance.
     pub zone: name::Zone,
-    /// Roles that the process holds; at least one.
+    /// Roles of the process; at least one.
     pub roles: BTreeSet<Role>,
-    /// All control instances; not empty where the roles need them.
+    /// Addresses of all control instances; not empty if the process is an entry or an agent.
     pub control_addresses: Vec<net::SocketAddr>,
-    /// Section of the control role; present if and only if the role is held.
+    /// Section of the control role; present if and only if the process has the role.
     pub control: Option<control::Control>,
-    /// Section of the entry role; present if and only if the role is held.
+    /// Section of the entry role; present if and only if the process has the role.
     pub entry: Option<entry::Entry>,
-    /// Section of the agent role; present if and only if the role is held.
+    /// Section of the agent role; present if and only if the process has the role.
     pub agent: Option<agent::Agent>,
-    /// Where `/healthz`, `/readyz` and `/metrics` are served.
+    /// Listen address for `/healthz`, `/readyz` and `/metrics`.
     pub metrics_listen: net::SocketAddr,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub threads: u32,
-    /// How the process logs.
+    /// Logging.
     pub log: log::Log,
-    /// Time that a graceful stop gives what is in flight.
+    /// Time that a graceful stop waits for requests in flight.
     pub stop_limit: Duration,
 }
 
-/// Most traffic threads.
-const THREAD_LIMIT: u64 = 64;
+/// Maximum number of traffic threads.
+const MAX_THREADS: u64 = 64;
 /// Default of `threads`.
-const THREADS: u64 = 1;
+const DEFAULT_THREADS: u64 = 1;
 
-/// A commented file with every key at its default, which parses as it stands.
+/// Returns a commented settings file that sets every key to its default or an example value; it
+/// parses without faults.
 pub fn default_text() -> &'static str {
     include_str!("default.jsonc")
 }
@@ -74,48 +75,49 @@
     parse(&text)
 }
 
-/// Reads settings from a text; every fault is in the error.
+/// Parses the text of a settings file; the error contains every fault.
 pub fn parse(text: &str) -> Result<Settings, error::Error> {
     parse_with(text, read_root)
 }
 
-/// Reads a text's one object with `read`; every fault is in the error.
+/// Parses a text that consists of one object and reads it with `read`; the error contains every
+/// fault.
 pub(crate) fn parse_with<T>(
     text: &str,
     read: impl FnOnce(section::Section<'_>) -> Option<T>,
 ) -> Result<T, error::Error> {
-    let log = fault::Log::new(text);
-    let value = parse_value(text, &log);
+    let collector = fault::Collector::new(text);
+    let value = parse_value(text, &collector);
     let settings = match value.as_ref().map(|value| value.as_object()) {
-        Some(Some(object)) => read(section::Section::new(object, "", &log)),
+        Some(Some(object)) => read(section::Section::new(object, "", &collector)),
         Some(None) => {
-            log.add(0, "the file must hold one object, { ... }");
+            collector.add(0, "the file must contain one object, { ... }");
             None
         }
         None => None,
     };
-    finish(settings, log)
+    into_result(settings, collector)
 }
 
-fn finish<T>(settings: Option<T>, log: fault::Log<'_>) -> Result<T, error::Error> {
-    let faults = log.into_faults();
+fn into_result<T>(settings: Option<T>, collector: fault::Collector<'_>) -> Result<T, error::Error> {
+    let faults = collector.into_faults();
     match settings {
         Some(settings) if faults.is_empty() => Ok(settings),
-        _ => Err(error::Error::Faulty(faults)),
+        _ => Err(error::Error::Invalid(faults)),
     }
 }
 
-fn parse_value<'a>(text: &'a str, log: &fault::Log<'_>) -> Option<ast::Value<'a>> {
-    match jsonc_parser::parse_to_ast(text, &Default::default(), &plain::options()) {
+fn parse_value<'a>(text: &'a str, collector: &fault::Collector<'_>) -> Option<ast::Value<'a>> {
+    match jsonc_parser::parse_to_ast(text, &Default::default(), &jsonc::parse_options()) {
         Ok(result) => {
             if result.value.is_none() {
-                log.add(0, "the file is empty; start from `hyssopforkd settings --default`");
+                collector.add(0, "the file is empty; start from `hyssopforkd settings --default`");
             }
             result.value
         }
         Err(error) => {
             let common::Range { start, .. } = error.range();
-            log.add(start, format!("not JSON with comments: {}", error.kind()));
+            collector.add(start, format!("not JSON with comments: {}", error.kind()));
             None
         }
     }
@@ -124,15 +126,17 @@
 fn read_root(section: section::Section<'_>) -> Option<Settings> {
     let instance = section.name("instance");
     let zone = section.name("zone").map(name::Zone::from);
-    let roles = section.words("roles", &["entry", "control", "agent"]);
-    let held = |role| roles.as_ref().is_some_and(|roles: &BTreeSet<Role>| roles.contains(&role));
-    let control_addresses = read_addresses(&section, held(Role::Entry) || held(Role::Agent));
-    let control = part(&section, "control", held(Role::Control))
+    let roles = section.keywords("roles", &["entry", "control", "agent"]);
+    let has_role =
+        |role| roles.as_ref().is_some_and(|roles: &BTreeSet<Role>| roles.contains(&role));
+    let control_addresses =
+        read_addresses(&section, has_role(Role::Entry) || has_role(Role::Agent));
+    let control = role_section(&section, "control", has_role(Role::Control))
         .and_then(|part| control::read(part, instance));
-    let entry = part(&section, "entry", held(Role::Entry)).and_then(entry::read);
-    let agent = part(&section, "agent", held(Role::Agent)).and_then(agent::read);
+    let entry = role_section(&section, "entry", has_role(Role::Entry)).and_then(entry::read);
+    let agent = role_section(&section, "agent", has_role(Role::Agent)).and_then(agent::read);
     let metrics_listen = section.address("metrics_listen");
-    let threads = section.number("threads", THREADS, 1..=THREAD_LIMIT) as u32;
+    let threads = section.number("threads", DEFAULT_THREADS, 1..=MAX_THREADS) as u32;
     let log = section.section("log").map(log::read).unwrap_or_default();
     let stop_limit = section.millis("stop_limit_ms", timing::STOP_TIMEOUT, 1..=3_600_000);
     section.finish();
@@ -158,9 +162,9 @@
     section.addresses("control_addresses").unwrap_or_default()
 }
 
-/// A role's section. One that is missing is a fault when the role is held; one for a role that is
-/// not held is checked by nobody, so it is a fault too: it would look as if it were in force.
-fn part<'a>(
+/// Returns the section of a role. It must be present if the process has the role. Otherwise it must
+/// be absent: its contents would be neither checked nor applied, although they look effective.
+fn role_section<'a>(
     section: &section::Section<'a>,
     key: &'static str,
     held: bool,
@@ -169,13 +173,13 @@
         (true, true) => section.section(key),
         (false, false) => None,
         (false, true) => {
-            section.fault(key, format!("\"{key}\" is missing; the role {key} needs it"));
+            section.report_fault(key, format!("\"{key}\" is missing; the role {key} needs it"));
             None
         }
         (true, false) => {
             let message =
                 format!("\"{key}\" stands here without the role; add the role or remove it");
-            section.fault(key, message);
+            section.report_fault(key, message);
             None
         }
     }
--- a/crates/hyssopfork-telemetry/src/log.rs
+++ b/crates/hyssopfork-telemetry/src/log.rs
@@ -1,7 +1,7 @@
-//! Log lines, and the numbered events of the roles' cores.
+//! Logging to standard output, and the numbered events of the roles' cores.
 //!
-//! A line goes to standard output. The cores only return notices; this module writes them, so that
-//! a notice has the same shape whatever role it comes from.
+//! The cores only return notices; this module writes them, so that notices of all roles have the
+//! same format.
 
 use hyssopfork_wire::level;
 use quick_error::quick_error;
@@ -10,96 +10,99 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
 }
 
-/// Least severity that is written.
+/// Minimum severity that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Threshold {
     /// Errors only.
     Error,
-    /// Also what puts service at risk.
+    /// Also conditions that put the service at risk.
     Warn,
-    /// Also ordinary changes of state.
+    /// Also normal changes of state.
     #[default]
     Info,
-    /// Also what follows one request or call.
+    /// Also the steps of single requests or calls.
     Debug,
-    /// Also what libraries trace.
+    /// Also traces of libraries.
     Trace,
 }
 
 quick_error! {
-    /// Why the log could not be started.
+    /// Error of starting the log.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The process already logs.
-        Started {
-            display("the log was started before; start it once in a process")
+        /// The log of this process has been started already.
+        AlreadyStarted {
+            display("the log has been started already; start it only once per process")
         }
     }
 }
 
-/// Starts the log of this process; what is below `threshold` is left out.
+/// Starts the log of this process with blocking writes; events below `threshold` are discarded.
 pub fn start(format: Format, threshold: Threshold) -> Result<(), Error> {
-    let builder = tracing_subscriber::fmt().with_max_level(filter(threshold)).with_target(false);
+    let builder =
+        tracing_subscriber::fmt().with_max_level(level_filter(threshold)).with_target(false);
     let started = match format {
         Format::Json => builder.json().flatten_event(true).finish().try_init(),
         Format::Text => builder.with_ansi(false).finish().try_init(),
     };
-    started.map_err(|_| Error::Started)
+    started.map_err(|_| Error::AlreadyStarted)
 }
 
-/// Lines that wait for a slow reader; more are dropped and counted.
-const WAITING_LINES: usize = 8_192;
+/// Maximum number of lines that are buffered for a slow reader; further lines are dropped and
+/// counted.
+const MAX_BUFFERED_LINES: usize = 8_192;
 
-/// A log that never holds its process up.
+/// A non-blocking log.
 ///
-/// Lines go to a thread that writes them. When the reader is slow and [`WAITING_LINES`] wait, more
-/// are dropped: a process that waited for its log would stop serving with it.
-pub struct Bounded {
-    dropped: ErrorCounter,
-    reported: Cell<usize>,
-    /// Writes what still waits when it goes.
-    _guard: WorkerGuard,
+/// A thread of its own writes the lines. When the reader is slow and [`MAX_BUFFERED_LINES`] are
+/// buffered, further lines are dropped: a process that blocked on its log would stop serving.
+pub struct Logger {
+    dropped_lines: ErrorCounter,
+    reported_drops: Cell<usize>,
+    /// Writes the buffered lines when dropped.
+    _flush_guard: WorkerGuard,
 }
 
-impl Bounded {
-    /// Starts the log of this process; what is below `threshold` is left out.
-    pub fn start(format: Format, threshold: Threshold) -> Result<Bounded, Error> {
+impl Logger {
+    /// Starts the log of this process; events below `threshold` are discarded.
+    pub fn start(format: Format, threshold: Threshold) -> Result<Logger, Error> {
         let builder = NonBlockingBuilder::default().lossy(true);
-        let (writer, guard) = builder.buffered_lines_limit(WAITING_LINES).finish(std::io::stdout());
-        let dropped = writer.error_counter();
+        let (writer, guard) =
+            builder.buffered_lines_limit(MAX_BUFFERED_LINES).finish(std::io::stdout());
+        let dropped_lines = writer.error_counter();
         let builder = tracing_subscriber::fmt()
-            .with_max_level(filter(threshold))
+            .with_max_level(level_filter(threshold))
             .with_target(false)
             .with_writer(writer);
         let started = match format {
             Format::Json => builder.json().flatten_event(true).finish().try_init(),
             Format::Text => builder.with_ansi(false).finish().try_init(),
         };
-        started.map_err(|_| Error::Started)?;
-        Ok(Bounded { dropped, reported: Cell::new(0), _guard: guard })
+        started.map_err(|_| Error::AlreadyStarted)?;
+        Ok(Logger { dropped_lines, reported_drops: Cell::new(0), _flush_guard: guard })
     }
 
-    /// Lines dropped since this was last asked.
-    pub fn dropped(&self) -> usize {
-        let dropped = self.dropped.dropped_lines();
-        dropped - self.reported.replace(dropped)
+    /// Returns the number of lines dropped since the previous call.
+    pub fn take_dropped_lines(&self) -> usize {
+        let dropped = self.dropped_lines.dropped_lines();
+        dropped - self.reported_drops.replace(dropped)
     }
 }
 
-/// Writes a numbered event. `name` is its entry in the catalogue, `message` tells it to people,
-/// `fields` carries what scripts look for, as `key=value` with blanks between.
+/// Writes a numbered event. `name` is its name in the event catalogue, `message` is for human
+/// readers and `fields` is for scripts, written as `key=value` pairs with spaces between them.
 pub fn emit(
     number: u16,
     level: level::Level,
@@ -107,7 +110,7 @@
     message: &str,
     fields: &[(&str, String)],
 ) {
-    let fields = join(fields);
+    let fields = join_fields(fields);
     match level {
         level::Level::Error => tracing::error!(number, name, %fields, "{message}"),
         level::Level::Warn => tracing::warn!(number, name, %fields, "{message}"),
@@ -116,12 +119,12 @@
     }
 }
 
-fn join(fields: &[(&str, String)]) -> String {
+fn join_fields(fields: &[(&str, String)]) -> String {
     let pairs: Vec<String> = fields.iter().map(|(key, value)| format!("{key}={value}")).collect();
     pairs.join(" ")
 }
 
-fn filter(threshold: Threshold) -> LevelFilter {
+fn level_filter(threshold: Threshold) -> LevelFilter {
     match threshold {
         Threshold::Error => LevelFilter::ERROR,
         Threshold::Warn => LevelFilter::WARN,
--- a/crates/hyssopfork-test-support/src/layout.rs
+++ b/crates/hyssopfork-test-support/src/layout.rs
@@ -1,19 +1,19 @@
-//! Settings of every process of a trial on one machine, from an example's layout.
+//! Generation of the settings of all processes of a trial on one machine from a layout file.
 
 use crate::ports;
-use hyssopfork_settings::plain;
+use hyssopfork_settings::jsonc;
 use hyssopfork_wire::fleet;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::{fs, io, net, path};
 
-/// A layout file.
+/// Contents of a layout file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layout {
     /// Zone of each control instance.
     pub control_zones: Vec<String>,
-    /// Zone of each entry.
+    /// Zone of each entry instance.
     pub entry_zones: Vec<String>,
     /// Model engines.
     pub engines: Pool,
@@ -21,29 +21,29 @@
     pub services: Pool,
 }
 
-/// A pool's upstreams.
+/// Upstreams of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub pool: String,
-    /// Start of its instances' names.
+    /// Prefix of the names of its instances.
     pub prefix: String,
-    /// Where they stand.
+    /// Fabric domains of its instances.
     pub domains: Vec<Domain>,
-    /// What each can do.
+    /// Capabilities of each upstream.
     pub profile: fleet::Profile,
 }
 
-/// A fabric domain's instances.
+/// Instances of a fabric domain.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Domain {
-    /// Its zone.
+    /// Zone of the domain.
     pub zone: String,
-    /// Its name.
+    /// Name of the domain.
     pub domain: String,
-    /// Instances in it.
+    /// Number of instances.
     pub instances: u32,
 }
 
@@ -52,24 +52,24 @@
 pub struct Process {
     /// Role in the manifest.
     pub role: Role,
-    /// Instance that it stands on.
+    /// Instance that the process runs on.
     pub instance: String,
     /// Zone of the instance.
     pub zone: String,
-    /// Where others reach it: control's, entry's or upstream's address.
+    /// Service address: listen address of the control role, the entry or the upstream.
     pub address: net::SocketAddr,
-    /// Where it tells its health and metrics.
-    pub metrics: net::SocketAddr,
-    /// Its settings.
+    /// Listen address for health checks and metrics.
+    pub metrics_address: net::SocketAddr,
+    /// Settings of the process.
     pub settings: Value,
 }
 
-/// Role of a process, as the manifest writes it.
+/// Role of a process in the manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A control instance.
     Control,
-    /// An entry.
+    /// An entry instance.
     Entry,
     /// An agent beside an engine.
     Engine,
@@ -78,8 +78,8 @@
 }
 
 impl Role {
-    /// The role's word in the manifest.
-    pub fn word(self) -> &'static str {
+    /// Returns the name of the role in the manifest.
+    pub fn as_str(self) -> &'static str {
         match self {
             Role::Control => "control",
             Role::Entry => "entry",
@@ -89,22 +89,22 @@
     }
 }
 
-/// Reads a layout.
+/// Reads a layout file.
 pub fn read(path: &path::Path) -> io::Result<Layout> {
     let text = fs::read_to_string(path)?;
-    let wrong = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
-    let plain = plain::json(&text).map_err(|faults| wrong(faults[0].to_string()))?;
-    serde_json::from_str(&plain).map_err(|cause| wrong(cause.to_string()))
+    let invalid_data = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
+    let json = jsonc::to_json(&text).map_err(|faults| invalid_data(faults[0].to_string()))?;
+    serde_json::from_str(&json).map_err(|cause| invalid_data(cause.to_string()))
 }
 
-/// Every process of the layout, on free ports, with data folders under `folder`.
-pub fn draw(layout: &Layout, folder: &path::Path) -> io::Result<Vec<Process>> {
-    let mut ports = ports::Ports::new();
+/// Returns all processes of the layout, with free ports and with data folders under `folder`.
+pub fn plan_processes(layout: &Layout, folder: &path::Path) -> io::Result<Vec<Process>> {
+    let mut ports = ports::Allocator::new();
     let control = control(layout, folder, &mut ports)?;
     let addresses: Vec<net::SocketAddr> = control.iter().map(|process| process.address).collect();
     let mut processes = control;
-    for (place, zone) in layout.entry_zones.iter().enumerate() {
-        processes.push(entry(place, zone, &addresses, &mut ports)?);
+    for (index, zone) in layout.entry_zones.iter().enumerate() {
+        processes.push(entry(index, zone, &addresses, &mut ports)?);
     }
     for (role, pool) in [(Role::Engine, &layout.engines), (Role::Service, &layout.services)] {
         processes.extend(agents(role, pool, &addresses, &mut ports)?);
@@ -112,19 +112,19 @@
     Ok(processes)
 }
 
-/// Writes each process's settings, and the manifest: one line a process with role, instance, zone,
-/// address, metrics address and settings file, separated by tabs.
+/// Writes the settings of each process and the manifest, which has one line per process with role,
+/// instance, zone, address, metrics address and settings file, separated by tabs.
 pub fn write(processes: &[Process], folder: &path::Path) -> io::Result<()> {
     let mut manifest = String::new();
     for process in processes {
         let file = folder.join(format!("{}.json", process.instance));
         fs::write(&file, format!("{:#}\n", process.settings))?;
         let fields = [
-            process.role.word().to_owned(),
+            process.role.as_str().to_owned(),
             process.instance.clone(),
             process.zone.clone(),
             process.address.to_string(),
-            process.metrics.to_string(),
+            process.metrics_address.to_string(),
             file.display().to_string(),
         ];
         manifest.push_str(&fields.join("\t"));
@@ -136,58 +136,65 @@
 fn control(
     layout: &Layout,
     folder: &path::Path,
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Vec<Process>> {
-    let named = layout.control_zones.iter().enumerate();
-    let placed: Vec<(String, &String, net::SocketAddr)> = named
-        .map(|(place, zone)| Ok((format!("control-{}", place + 1), zone, ports.take()?)))
+    let zones = layout.control_zones.iter().enumerate();
+    let instances: Vec<(String, &String, net::SocketAddr)> = zones
+        .map(|(index, zone)| Ok((format!("control-{}", index + 1), zone, ports.allocate()?)))
         .collect::<io::Result<_>>()?;
-    let voters: Vec<Value> = placed
+    let voters: Vec<Value> = instances
         .iter()
         .map(|(instance, _, address)| json!({ "instance": instance, "address": address }))
         .collect();
     let process = |(instance, zone, address): &(String, &String, net::SocketAddr)| {
-        let metrics = ports.take()?;
+        let metrics_address = ports.allocate()?;
         let settings = json!({
             "instance": instance, "zone": zone, "roles": ["control"],
             "control": {
                 "listen": address, "data_folder": folder.join(format!("{instance}.data")),
                 "voters": voters,
             },
-            "metrics_listen": metrics,
+            "metrics_listen": metrics_address,
         });
         Ok(Process {
             role: Role::Control,
             instance: instance.clone(),
             zone: (*zone).clone(),
             address: *address,
-            metrics,
+            metrics_address,
             settings,
         })
     };
-    placed.iter().map(process).collect()
+    instances.iter().map(process).collect()
 }
 
 fn entry(
-    place: usize,
+    index: usize,
     zone: &str,
     control: &[net::SocketAddr],
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Process> {
-    let instance = format!("entry-{}", place + 1);
-    let (address, metrics) = (ports.take()?, ports.take()?);
+    let instance = format!("entry-{}", index + 1);
+    let (address, metrics_address) = (ports.allocate()?, ports.allocate()?);
     let settings = json!({
         "instance": instance, "zone": zone, "roles": ["entry"], "control_addresses": control,
-        "entry": { "listen": address }, "metrics_listen": metrics,
+        "entry": { "listen": address }, "metrics_listen": metrics_address,
     });
-    Ok(Process { role: Role::Entry, instance, zone: zone.into(), address, metrics, settings })
+    Ok(Process {
+        role: Role::Entry,
+        instance,
+        zone: zone.into(),
+        address,
+        metrics_address,
+        settings,
+    })
 }
 
 fn agents(
     role: Role,
     pool: &Pool,
     control: &[net::SocketAddr],
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Vec<Process>> {
     let mut processes = Vec::new();
     for domain in &pool.domains {
@@ -205,17 +212,17 @@
     domain: &Domain,
     instance: String,
     control: &[net::SocketAddr],
-    ports: &mut ports::Ports,
+    ports: &mut ports::Allocator,
 ) -> io::Result<Process> {
-    let (address, metrics) = (ports.take()?, ports.take()?);
+    let (address, metrics_address) = (ports.allocate()?, ports.allocate()?);
     let settings = json!({
         "instance": instance, "zone": domain.zone, "roles": ["agent"],
         "control_addresses": control,
         "agent": {
-            "traffic_listen": ports.take()?, "peer_listen": ports.take()?, "pool": pool.pool,
+            "traffic_listen": ports.allocate()?, "peer_listen": ports.allocate()?, "pool": pool.pool,
             "domain": domain.domain, "upstream": address, "profile": pool.profile,
         },
-        "metrics_listen": metrics,
+        "metrics_listen": metrics_address,
     });
-    Ok(Process { role, instance, zone: domain.zone.clone(), address, metrics, settings })
+    Ok(Process { role, instance, zone: domain.zone.clone(), address, metrics_address, settings })
 }
