--- a/crates/hyssopfork-daemon/src/entry/handler.rs
+++ b/crates/hyssopfork-daemon/src/entry/handler.rs
@@ -28,7 +28,7 @@
 
 type BodySender = mpsc::Sender<Result<Bytes, io::Error>>;
 
-/// Handles a request and returns its response; a task on this thread goes on to write the body.
+/// Handles a request and returns its response; a task on this thread writes the body.
 ///
 /// When the client disconnects before the response, this future and the reply's receiver are
 /// dropped, which the task detects.
@@ -257,12 +257,12 @@
     /// Sends bytes to the client; of an event stream only complete events, so that the rest can be
     /// resumed on another upstream.
     async fn send_data(&mut self, data: &Bytes) {
-        let whole = match &mut self.splitter {
+        let complete = match &mut self.splitter {
             Some(splitter) => splitter.feed(data),
             None => data.clone(),
         };
-        if let (Some(body_sender), false) = (&self.body_sender, whole.is_empty()) {
-            let _client_gone = body_sender.send(Ok(whole)).await;
+        if let (Some(body_sender), false) = (&self.body_sender, complete.is_empty()) {
+            let _client_gone = body_sender.send(Ok(complete)).await;
         }
     }
 
--- a/crates/hyssopfork-daemon/src/http.rs
+++ b/crates/hyssopfork-daemon/src/http.rs
@@ -86,7 +86,7 @@
     Ok(handle)
 }
 
-/// Reads a request's whole body.
+/// Reads a request's complete body.
 pub async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, Error> {
     let mut payload: Payload = request.take_payload();
     let mut body = BytesMut::new();
--- a/crates/hyssopfork-daemon/src/listener.rs
+++ b/crates/hyssopfork-daemon/src/listener.rs
@@ -63,13 +63,13 @@
     Ok(())
 }
 
-async fn spawn_requests<Answer>(answers: impl Stream<Item = Answer>)
+async fn spawn_requests<Handling>(requests: impl Stream<Item = Handling>)
 where
-    Answer: Future<Output = ()> + 'static,
+    Handling: Future<Output = ()> + 'static,
 {
-    answers
-        .for_each(|answer| {
-            actix_rt::spawn(answer);
+    requests
+        .for_each(|handling| {
+            actix_rt::spawn(handling);
             future::ready(())
         })
         .await;
--- a/crates/hyssopfork-daemon/src/process.rs
+++ b/crates/hyssopfork-daemon/src/process.rs
@@ -41,11 +41,11 @@
         System(cause: io::Error) {
             from()
             source(cause)
-            display("{}; mend the cause and start the process again", cause)
+            display("{}; fix the cause and restart the process", cause)
         }
         /// A role, or the thread that owns the roles' state, ended unexpectedly.
         Ended {
-            display("a role ended before it was asked to; the log has the cause")
+            display("a role ended unexpectedly; see the log for the cause")
         }
     }
 }
