--- a/crates/hyssopfork-daemon/src/agent/engine.rs
+++ b/crates/hyssopfork-daemon/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! Probes of the back end and orders to the engine.
+//! Health probes of the upstream, and requests to load a model.
 
 use crate::agent::role;
 use crate::{clock, http, mailbox};
@@ -8,11 +8,11 @@
 use std::net;
 use std::time::Duration;
 
-/// Time in which a probe must be answered.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a health probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time in which an engine must have loaded a model.
-const LOAD_LIMIT: Duration = Duration::from_secs(600);
+/// Time within which an engine must load a model.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
@@ -31,21 +31,21 @@
     members: Vec<&'a str>,
 }
 
-/// Looks at the back end until the process ends.
+/// Probes the upstream until the process ends.
 pub async fn probe(upstream: net::SocketAddr, mailbox: mailbox::Mailbox<role::Input>) {
     let mut ticks = tokio::time::interval(timing::PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let sent = clock::now();
-        let health = look(upstream).await;
+        let health = request_health(upstream).await;
         mailbox.post(role::Input::Event(event::Event::ProbedAt { sent_at: sent, health }));
     }
 }
 
-async fn look(upstream: net::SocketAddr) -> Option<event::Health> {
+async fn request_health(upstream: net::SocketAddr) -> Option<event::Health> {
     let request = http::clients().fresh.get(format!("http://{upstream}/health"));
-    let mut response = request.timeout(PROBE_LIMIT).send().await.ok()?;
+    let mut response = request.timeout(PROBE_TIMEOUT).send().await.ok()?;
     if !response.status().is_success() {
         return None;
     }
@@ -58,8 +58,8 @@
     })
 }
 
-/// Orders the engine to load and says how that ended.
-pub async fn order(upstream: net::SocketAddr, order: action::Order) -> event::Event {
+/// Requests the engine to load a model; returns the outcome.
+pub async fn load_model(upstream: net::SocketAddr, order: action::Order) -> event::Event {
     let load = Load {
         fence: order.fence,
         group: order.group.as_str(),
@@ -68,7 +68,7 @@
         members: order.members.iter().map(|member| member.as_str()).collect(),
     };
     let request = http::clients().fresh.post(format!("http://{upstream}/orders/load"));
-    let sent = request.timeout(LOAD_LIMIT).send_json(&load).await;
+    let sent = request.timeout(LOAD_TIMEOUT).send_json(&load).await;
     let done = sent.is_ok_and(|response| response.status().is_success());
     event::Event::LoadFinished { fence: order.fence, succeeded: done }
 }
--- a/crates/hyssopfork-daemon/src/agent/upstream.rs
+++ b/crates/hyssopfork-daemon/src/agent/upstream.rs
@@ -1,6 +1,6 @@
-//! The upstream's side of one attempt.
+//! The HTTP exchange with the upstream for one attempt.
 
-use crate::agent::{answer, role};
+use crate::agent::{response, role};
 use crate::{http, mailbox};
 use bytes::Bytes;
 use hyssopfork_agent::event;
@@ -11,68 +11,68 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Time in which the upstream's connection must be there.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for connecting to the upstream.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Header that tells the engine the fencing number of the group that serves.
+/// Header with the fencing number of the group that serves the request.
 const FENCE_HEADER: &str = "hyssopfork-fence";
 
-/// Header that tells the engine how many events of the stream the caller already has.
+/// Header with the number of stream events that the client already has.
 const RESUME_HEADER: &str = "hyssopfork-resume-from";
 
-/// Header that carries the attempt's identifier into the upstream's own logs.
+/// Header with the attempt's identifier, for the upstream's logs.
 const ATTEMPT_HEADER: &str = "hyssopfork-attempt";
 
 /// Media type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Status from which on an engine's answer is a failure of its own: it restarted without its model,
-/// or is overloaded.
+/// Lowest status of an engine's response that counts as a failure of the engine: it restarted
+/// without its model, or is overloaded.
 ///
-/// Passed on as an answer, the caller would get it in place of another engine's work, and the gate
-/// would stay open until the next probe: six requests went to an engine without a model. A service's
-/// failures are answers to its callers and pass.
-const SERVER_ERROR: u16 = 500;
+/// If such a response were forwarded, the client would get an error that another engine could have
+/// avoided, and requests would still be admitted until the next probe: six requests went to an
+/// engine without a model. A service's errors are its responses to clients and are forwarded.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
-/// Last event of an engine's stream.
-const END_MARK: &[u8] = b"data: [DONE]";
+/// Last event of an engine's event stream.
+const END_MARKER: &[u8] = b"data: [DONE]";
 
-/// Bytes of the end of a stream in which its end mark must stand.
-const END_WINDOW: usize = 32;
+/// Length of the end of a stream in which the end marker must appear.
+const END_MARKER_WINDOW_BYTES: usize = 32;
 
-/// An order of the agent's core for one attempt.
+/// A command of the agent's core for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Get ready and ask again just before the first byte.
-    Prepare,
-    /// Write the request now.
+pub enum Command {
+    /// Connect, and ask the core again just before the first byte.
+    Connect,
+    /// Send the request.
     Forward,
-    /// Stop, whatever has been reached.
+    /// Stop at any stage.
     Abort,
 }
 
-/// One attempt's work.
+/// The exchange with the upstream for one attempt.
 #[derive(Debug)]
-pub struct Work {
-    /// What the entry offered.
+pub struct Exchange {
+    /// The entry's offer.
     pub offer: attempt::Offer,
-    /// Body of the caller's request.
+    /// Body of the client's request.
     pub body: Bytes,
-    /// Where the answer goes.
-    pub answer: Arc<answer::Answer>,
-    /// The agent's loop.
+    /// Buffer for the response.
+    pub response: Arc<response::Response>,
+    /// The agent's event loop.
     pub mailbox: mailbox::Mailbox<role::Input>,
-    /// The back end.
+    /// The upstream's address.
     pub upstream: net::SocketAddr,
 }
 
-impl Work {
-    /// Carries the attempt through under the core's orders.
+impl Exchange {
+    /// Runs the exchange as the core commands.
     ///
-    /// The core is asked a second time once the connection is open, so that nothing that takes
-    /// time lies between its last look at the clock and the first byte.
-    pub async fn run(self, mut orders: mpsc::UnboundedReceiver<Order>) {
-        if orders.recv().await != Some(Order::Prepare) {
+    /// The core is asked a second time once the connection is open, so that nothing time-consuming
+    /// lies between its last check of the clock and the first byte.
+    pub async fn run(self, mut commands: mpsc::UnboundedReceiver<Command>) {
+        if commands.recv().await != Some(Command::Connect) {
             return;
         }
         let connection = match self.connect().await {
@@ -82,17 +82,17 @@
             }
         };
         self.post(event::Event::Connected(self.offer.attempt));
-        if orders.recv().await != Some(Order::Forward) {
+        if commands.recv().await != Some(Command::Forward) {
             return;
         }
-        self.answer.started();
+        self.response.set_started();
         let result = tokio::select! {
-            result = self.exchange(connection) => result,
-            () = aborted(&mut orders) => return,
+            result = self.transfer(connection) => result,
+            () = wait_for_abort(&mut commands) => return,
         };
         match result {
             Ok(()) => {
-                self.answer.end();
+                self.response.complete();
                 self.post(event::Event::ResponseCompleted(self.offer.attempt));
             }
             Err(fault) => self.post(event::Event::ResponseFailed(self.offer.attempt, fault)),
@@ -103,33 +103,35 @@
         self.mailbox.post(role::Input::Event(event));
     }
 
-    /// Not by awc: it reports a connection that was closed before the answer's head as one that
-    /// could not be made, and ends a cut body like a whole one. The first runs work twice, the
-    /// second gives half an answer as a whole one.
-    async fn exchange(&self, mut connection: connection::Connection) -> Result<(), event::Fault> {
+    /// Sends the request and reads the response.
+    ///
+    /// This doesn't use awc, which reports a connection that was closed before the response's head
+    /// as one that was never established, and ends a truncated body like a complete one. The first
+    /// would run work twice, the second would pass a partial response as complete.
+    async fn transfer(&self, mut connection: connection::Connection) -> Result<(), event::Fault> {
         let headers = self.headers();
         let request = connection::Request {
             method: &self.offer.method,
             path: &self.offer.path,
             headers: &headers,
         };
-        connection.send(&request, self.body.clone()).await.map_err(fault)?;
-        let head = connection.read_head().await.map_err(fault)?;
-        if self.offer.group.is_some() && head.status >= SERVER_ERROR {
+        connection.send(&request, self.body.clone()).await.map_err(to_fault)?;
+        let head = connection.read_head().await.map_err(to_fault)?;
+        if self.offer.group.is_some() && head.status >= MIN_SERVER_ERROR_STATUS {
             return Err(event::Fault::Broken);
         }
-        let head = frame::Head { status: head.status, headers: travelling(head.headers) };
-        let marked = is_event_stream(&head) && self.offer.group.is_some();
-        self.answer.head(head);
+        let head = frame::Head { status: head.status, headers: forwarded_headers(head.headers) };
+        let needs_end_marker = is_event_stream(&head) && self.offer.group.is_some();
+        self.response.set_head(head);
         self.post(event::Event::ResponseStarted(self.offer.attempt));
         let mut tail = Vec::new();
-        while let Some(part) = connection.read_part().await.map_err(fault)? {
-            if !self.answer.data(&part) {
+        while let Some(part) = connection.read_part().await.map_err(to_fault)? {
+            if !self.response.append(&part) {
                 return Err(event::Fault::Broken);
             }
             keep_tail(&mut tail, &part);
         }
-        if marked && !tail.windows(END_MARK.len()).any(|window| window == END_MARK) {
+        if needs_end_marker && !tail.windows(END_MARKER.len()).any(|window| window == END_MARKER) {
             return Err(event::Fault::Broken);
         }
         Ok(())
@@ -137,8 +139,8 @@
 
     async fn connect(&self) -> Result<connection::Connection, event::Fault> {
         let opened = connection::Connection::connect(self.upstream);
-        let opened = tokio::time::timeout(CONNECT_LIMIT, opened).await;
-        opened.map_err(|_| event::Fault::Unreachable)?.map_err(fault)
+        let opened = tokio::time::timeout(CONNECT_TIMEOUT, opened).await;
+        opened.map_err(|_| event::Fault::Unreachable)?.map_err(to_fault)
     }
 
     fn headers(&self) -> Vec<(String, String)> {
@@ -154,17 +156,18 @@
     }
 }
 
-async fn aborted(orders: &mut mpsc::UnboundedReceiver<Order>) {
-    while let Some(order) = orders.recv().await {
-        if order == Order::Abort {
+async fn wait_for_abort(commands: &mut mpsc::UnboundedReceiver<Command>) {
+    while let Some(order) = commands.recv().await {
+        if order == Command::Abort {
             return;
         }
     }
     std::future::pending().await
 }
 
-/// Whether any byte may have reached the upstream decides what the core may say.
-fn fault(error: error::Error) -> event::Fault {
+/// Distinguishes failures before the first byte, after which the core may report the request as not
+/// run, from later ones.
+fn to_fault(error: error::Error) -> event::Fault {
     match error {
         error::Error::Unreachable(..) | error::Error::Unsendable(_) => event::Fault::Unreachable,
         error::Error::ConnectionLost | error::Error::Malformed(_) | error::Error::Unframed => {
@@ -173,8 +176,8 @@
     }
 }
 
-fn travelling(headers: Vec<(String, String)>) -> Vec<(String, String)> {
-    headers.into_iter().filter(|(name, _)| http::travels(name)).collect()
+fn forwarded_headers(headers: Vec<(String, String)>) -> Vec<(String, String)> {
+    headers.into_iter().filter(|(name, _)| http::is_forwarded(name)).collect()
 }
 
 fn is_event_stream(head: &frame::Head) -> bool {
@@ -186,6 +189,6 @@
 
 fn keep_tail(tail: &mut Vec<u8>, part: &[u8]) {
     tail.extend_from_slice(part);
-    let excess = tail.len().saturating_sub(END_WINDOW);
+    let excess = tail.len().saturating_sub(END_MARKER_WINDOW_BYTES);
     tail.drain(..excess);
 }
--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -1,7 +1,7 @@
 //! RPC between the edge processes.
 
 use crate::edge::{control, engine};
-use crate::{link, listener, mailbox};
+use crate::{listener, mailbox, rpc};
 use hyssopfork_fleet::groups::order;
 use hyssopfork_fleet::{action, event, peer};
 use hyssopfork_wire::{consensus, envelope};
@@ -23,30 +23,32 @@
 
 /// RPC clients of the peers.
 #[derive(Default)]
-pub struct Peers(link::Clients<peer::PeerClient>);
+pub struct Peers(rpc::Cache<peer::PeerClient>);
 
 impl Peers {
     /// Delivers a replicated log message; returns whether it arrived.
     pub async fn deliver(&self, to: net::SocketAddr, packet: consensus::Packet) -> bool {
-        let timeout = link::DELIVER_LIMIT;
+        let timeout = rpc::DELIVERY_TIMEOUT;
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.deliver(link::until(timeout), envelope::Envelope::new(packet));
-        self.0.settle(to, number, link::within(timeout, call).await).is_some()
+        let call =
+            client.deliver(rpc::context_with_timeout(timeout), envelope::Envelope::new(packet));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(timeout, call).await).is_some()
     }
 
     /// Greets a peer.
     pub async fn greet(&self, to: net::SocketAddr, hello: peer::Hello) -> Option<peer::Greeting> {
         let (number, client) = self.client(to).await?;
-        let call = client.greet(link::until(GREETING_TIMEOUT), envelope::Envelope::new(hello));
-        self.0.settle(to, number, link::within(GREETING_TIMEOUT, call).await)
+        let call = client
+            .greet(rpc::context_with_timeout(GREETING_TIMEOUT), envelope::Envelope::new(hello));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(GREETING_TIMEOUT, call).await)
     }
 
     /// Asks the leader for changes.
     pub async fn watch(&self, to: net::SocketAddr, watch: peer::Watch) -> Option<peer::Answer> {
         let timeout = action::WATCH_TIMEOUT;
         let (number, client) = self.client(to).await?;
-        let call = client.watch(link::until(timeout), envelope::Envelope::new(watch));
-        self.0.settle(to, number, link::within(timeout, call).await)
+        let call = client.watch(rpc::context_with_timeout(timeout), envelope::Envelope::new(watch));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(timeout, call).await)
     }
 
     /// Sends evidence to the leader. A lost report is made up for by the next watch, which includes
@@ -58,24 +60,31 @@
         evidence: peer::Evidence,
     ) {
         let Some((number, client)) = self.client(to).await else { return };
-        let call =
-            client.note(link::until(GREETING_TIMEOUT), from, envelope::Envelope::new(evidence));
-        self.0.settle(to, number, link::within(GREETING_TIMEOUT, call).await);
+        let call = client.note(
+            rpc::context_with_timeout(GREETING_TIMEOUT),
+            from,
+            envelope::Envelope::new(evidence),
+        );
+        self.0.remove_if_failed(to, number, rpc::with_timeout(GREETING_TIMEOUT, call).await);
     }
 
     /// Asks a peer to probe an upstream; returns whether the upstream responded.
     pub async fn probe(&self, to: net::SocketAddr, upstream: net::SocketAddr) -> bool {
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.probe(link::until(PROBE_TIMEOUT), envelope::Envelope::new(upstream));
-        self.0.settle(to, number, link::within(PROBE_TIMEOUT, call).await).unwrap_or(false)
+        let call = client
+            .probe(rpc::context_with_timeout(PROBE_TIMEOUT), envelope::Envelope::new(upstream));
+        self.0
+            .remove_if_failed(to, number, rpc::with_timeout(PROBE_TIMEOUT, call).await)
+            .unwrap_or(false)
     }
 
     /// Forwards an upstream's registration to the leader; returns whether the leader accepted it.
     pub async fn register(&self, to: net::SocketAddr, registration: peer::Registration) -> bool {
         let timeout = REGISTRATION_TIMEOUT;
         let Some((number, client)) = self.client(to).await else { return false };
-        let call = client.register(link::until(timeout), envelope::Envelope::new(registration));
-        self.0.settle(to, number, link::within(timeout, call).await).unwrap_or(false)
+        let call = client
+            .register(rpc::context_with_timeout(timeout), envelope::Envelope::new(registration));
+        self.0.remove_if_failed(to, number, rpc::with_timeout(timeout, call).await).unwrap_or(false)
     }
 
     async fn client(&self, to: net::SocketAddr) -> Option<(u64, peer::PeerClient)> {
@@ -85,8 +94,8 @@
 
 async fn connect(to: net::SocketAddr) -> Option<peer::PeerClient> {
     let mut connecting = serde_transport::tcp::connect(to, tokio_serde::formats::Bincode::default);
-    connecting.config_mut().max_frame_length(listener::MESSAGE_LIMIT);
-    let transport = link::opened(connecting).await?;
+    connecting.config_mut().max_frame_length(listener::MAX_MESSAGE_BYTES);
+    let transport = rpc::connect(connecting).await?;
     Some(peer::PeerClient::new(client::Config::default(), transport).spawn())
 }
 
--- a/crates/hyssopfork-daemon/src/edge/traffic.rs
+++ b/crates/hyssopfork-daemon/src/edge/traffic.rs
@@ -95,7 +95,9 @@
                 action::Action::Decide(request, decided) => self.notify_waiter(request, decided),
                 action::Action::Probe(process, address) => self.probe(process, address),
                 action::Action::Notice(notice) => log::notice(&notice),
-                action::Action::Measure(measure) => log::measure_edge(&self.registry, &measure),
+                action::Action::Measure(measure) => {
+                    log::record_edge_measurement(&self.registry, &measure)
+                }
                 action::Action::Report(evidence) => {
                     let observed = fleet_event::Event::Observed(self.own_address, evidence);
                     self.mailbox.post(control::Input::Event(Box::new(observed)));
--- a/crates/hyssopfork-daemon/src/entry/mod.rs
+++ b/crates/hyssopfork-daemon/src/entry/mod.rs
@@ -1,6 +1,6 @@
-//! Shell of the entry role.
+//! The entry role: HTTP server, attempts and the event loop around its core.
 
 pub mod attempt;
-pub mod caller;
-pub mod conversation;
+pub mod handler;
+pub mod http_server;
 pub mod role;
--- a/crates/hyssopfork-daemon/src/http.rs
+++ b/crates/hyssopfork-daemon/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP servers and clients as every role uses them.
+//! HTTP servers and clients for all roles.
 
 use actix_http::body::BoxBody;
-use actix_http::{HttpService, Payload, Request, Response, StatusCode};
+use actix_http::{HttpService, Payload, Request, StatusCode};
 use actix_server::{Server, ServerHandle};
 use actix_service::ServiceFactoryExt;
 use bytes::{Bytes, BytesMut};
@@ -13,10 +13,10 @@
 use std::{io, net, rc};
 
 quick_error! {
-    /// Why a request's body was not read.
+    /// Why a request's body could not be read.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The body is over the limit.
+        /// The body exceeds the limit.
         TooLarge(limit: usize) {
             display("the body is over {} bytes: send less, or raise entry.body_limit_bytes", limit)
         }
@@ -27,14 +27,14 @@
     }
 }
 
-/// What a server takes from its callers' connections.
+/// Limits of a server's client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Time that a caller may take to send a request's head.
+    /// Time within which a client must send a request's head.
     pub head_timeout: Duration,
-    /// Time that an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     pub keep_alive: Duration,
-    /// Most connections at once; more wait to be accepted.
+    /// Concurrent connections; further ones wait to be accepted.
     pub connections: usize,
 }
 
@@ -49,9 +49,9 @@
 }
 
 /// A response ready to be sent.
-pub type Answer = Response<BoxBody>;
+pub type Response = actix_http::Response<BoxBody>;
 
-/// Serves HTTP on `listener` with `handle`, on `threads` traffic threads of its own.
+/// Serves HTTP on `listener` with `handle`, on `threads` dedicated traffic threads.
 pub fn serve<Handle, Handled>(
     name: &'static str,
     listener: net::TcpListener,
@@ -61,7 +61,7 @@
 ) -> io::Result<ServerHandle>
 where
     Handle: Fn(Request) -> Handled + Clone + Send + 'static,
-    Handled: Future<Output = Answer> + 'static,
+    Handled: Future<Output = Response> + 'static,
 {
     let server = Server::build()
         .workers(threads)
@@ -74,8 +74,8 @@
                 .client_request_timeout(limits.head_timeout)
                 .keep_alive(limits.keep_alive)
                 .finish(move |request: Request| {
-                    let answered = handle(request);
-                    async move { Ok::<_, Infallible>(answered.await) }
+                    let response = handle(request);
+                    async move { Ok::<_, Infallible>(response.await) }
                 })
                 .tcp()
                 .map_err(|_| ())
@@ -100,52 +100,52 @@
     Ok(body.freeze())
 }
 
-/// A plain text answer.
-pub fn text(status: StatusCode, text: impl Into<String>) -> Answer {
-    Response::build(status)
+/// A plain text response.
+pub fn text(status: StatusCode, text: impl Into<String>) -> Response {
+    actix_http::Response::build(status)
         .insert_header(("content-type", "text/plain; charset=utf-8"))
         .body(text.into())
         .map_into_boxed_body()
 }
 
-/// A JSON answer.
-pub fn json<T: Serialize>(status: StatusCode, content_type: &'static str, value: &T) -> Answer {
+/// A JSON response.
+pub fn json<T: Serialize>(status: StatusCode, content_type: &'static str, value: &T) -> Response {
     let text = serde_json::to_string(value).expect("documents are plain data");
-    Response::build(status)
+    actix_http::Response::build(status)
         .insert_header(("content-type", content_type))
         .body(text)
         .map_into_boxed_body()
 }
 
-/// Clients of one traffic thread.
+/// HTTP clients of one traffic thread.
 pub struct Clients {
     /// Reuses connections.
     pub pooled: awc::Client,
-    /// Opens a connection for each request: for taking up an answer whose connection went silent.
+    /// Opens a connection for each request; used to resume a response whose connection timed out.
     pub fresh: awc::Client,
 }
 
 thread_local! {
-    static CLIENTS: rc::Rc<Clients> = rc::Rc::new(Clients::open());
+    static CLIENTS: rc::Rc<Clients> = rc::Rc::new(Clients::new());
 }
 
-/// Clients of this thread.
+/// HTTP clients of this thread.
 pub fn clients() -> rc::Rc<Clients> {
     CLIENTS.with(rc::Rc::clone)
 }
 
 impl Clients {
-    fn open() -> Clients {
+    fn new() -> Clients {
         let pooled = awc::Connector::new().limit(0).timeout(Duration::from_millis(500));
         let fresh = awc::Connector::new()
             .limit(0)
             .conn_keep_alive(Duration::ZERO)
             .timeout(Duration::from_millis(500));
-        Clients { pooled: client(pooled), fresh: client(fresh) }
+        Clients { pooled: build_client(pooled), fresh: build_client(fresh) }
     }
 }
 
-fn client(
+fn build_client(
     connector: awc::Connector<
         impl actix_service::Service<
             actix_tls::connect::ConnectInfo<awc::http::Uri>,
@@ -158,9 +158,9 @@
     awc::Client::builder().connector(connector).disable_timeout().disable_redirects().finish()
 }
 
-/// Headers that belong to one connection and don't travel on, besides those that each hop sets
-/// for itself.
-const HOP_HEADERS: [&str; 10] = [
+/// Hop-by-hop headers, which are not forwarded, and `content-length` and `host`, which each hop
+/// sets itself.
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -173,19 +173,19 @@
     "host",
 ];
 
-/// Whether a header travels from one hop to the next.
-pub fn travels(name: &str) -> bool {
-    !HOP_HEADERS.contains(&name) && !name.starts_with("hyssopfork-")
+/// Whether a header is forwarded to the next hop.
+pub fn is_forwarded(name: &str) -> bool {
+    !HOP_BY_HOP_HEADERS.contains(&name) && !name.starts_with("hyssopfork-")
 }
 
-/// Headers of a message that travel on; values that aren't text are left out.
-pub fn travelling(headers: &actix_http::header::HeaderMap) -> Vec<(String, String)> {
-    let mut kept = Vec::new();
+/// Headers of a message that are forwarded; those whose value isn't text are left out.
+pub fn forwarded_headers(headers: &actix_http::header::HeaderMap) -> Vec<(String, String)> {
+    let mut forwarded = Vec::new();
     for (name, value) in headers {
         let Ok(text) = value.to_str() else { continue };
-        if travels(name.as_str()) {
-            kept.push((name.as_str().to_owned(), text.to_owned()));
+        if is_forwarded(name.as_str()) {
+            forwarded.push((name.as_str().to_owned(), text.to_owned()));
         }
     }
-    kept
+    forwarded
 }
--- a/crates/hyssopfork-daemon/src/lib.rs
+++ b/crates/hyssopfork-daemon/src/lib.rs
@@ -1,7 +1,8 @@
 //! Daemon of the control, entry and agent roles.
 //!
-//! A thin shell: sockets, files and timers are turned into events for the roles' step functions,
-//! and their actions back. What decides stands in the role packages.
+//! This crate does the input and output: it passes what comes from sockets, files and timers to the
+//! roles' step functions as events and performs the actions that these return. All decisions are
+//! made in the role packages.
 
 pub mod agent;
 pub mod clock;
@@ -10,7 +11,6 @@
 pub mod edge;
 pub mod entry;
 pub mod http;
-pub mod link;
 pub mod listener;
 pub mod log;
 pub mod mailbox;
@@ -18,4 +18,5 @@
 pub mod notice;
 pub mod problem;
 pub mod process;
+pub mod rpc;
 pub mod running;
--- a/crates/hyssopfork-daemon/src/log.rs
+++ b/crates/hyssopfork-daemon/src/log.rs
@@ -1,4 +1,4 @@
-//! Writes the cores' numbered events and measurements.
+//! Logs the cores' numbered events and records their measurements.
 
 use crate::{clock, notice};
 use hyssopfork_agent::notice as agent;
@@ -23,7 +23,7 @@
     fn level(&self) -> level::Level;
     /// Name in the catalogue of events.
     fn name(&self) -> String;
-    /// Identifier of the request that it is about.
+    /// Identifier of the request that the event concerns.
     fn request(&self) -> Option<&str> {
         None
     }
@@ -84,41 +84,41 @@
 
 numbered!(notice {}, agent { Watch }, entry { Watch }, watch {}, control { Log }, consensus {});
 
-/// Writes a numbered event.
+/// Logs a numbered event.
 pub fn notice(notice: &impl Numbered) {
     let request = notice.request().map(|request| ("request", request.to_owned()));
     let fields = request.as_slice();
     log::emit(notice.number(), notice.level(), &notice.name(), &notice.to_string(), fields);
 }
 
-/// Adds a finished request to the histograms.
-pub fn measure(registry: &metrics::Registry, measure: &measurement::Measurement) {
-    if let measurement::Outcome::Rejected(reason, ran) = measure.outcome {
+/// Records a finished request in the metrics.
+pub fn record_measurement(registry: &metrics::Registry, measurement: &measurement::Measurement) {
+    if let measurement::Outcome::Rejected(reason, ran) = measurement.outcome {
         let refusal = refusal::Refusal { reason, ran, retry_after: None };
-        registry.count_rejection(measure.team.as_ref(), &refusal);
+        registry.count_rejection(measurement.team.as_ref(), &refusal);
     }
-    let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
-    registry.observe_wait(team, class, measure.wait_time);
-    if let Some(first) = measure.time_to_first_byte {
+    let (Some(team), Some(class)) = (&measurement.team, measurement.class) else { return };
+    registry.observe_wait(team, class, measurement.wait_time);
+    if let Some(first) = measurement.time_to_first_byte {
         registry.observe_first_token(team, class, first);
     }
-    if let Some(between) = measure.mean_event_interval {
+    if let Some(between) = measurement.mean_event_interval {
         registry.observe_token_interval(team, class, between);
     }
-    for _ in 1..measure.attempts {
+    for _ in 1..measurement.attempts {
         registry.count_retry(team, class);
     }
-    match measure.outcome {
+    match measurement.outcome {
         measurement::Outcome::Completed => {
-            registry.observe_response(team, class, measure.total_time)
+            registry.observe_response(team, class, measurement.total_time)
         }
         measurement::Outcome::Aborted(_) => registry.count_aborted_response(team, class),
         measurement::Outcome::Rejected(..) | measurement::Outcome::ClientGone => {}
     }
 }
 
-/// Tells what a watcher acts on.
-pub fn watched(registry: &metrics::Registry, watcher: &watcher::Watcher) {
+/// Records the lease and the view of a watcher.
+pub fn record_watcher(registry: &metrics::Registry, watcher: &watcher::Watcher) {
     let now = clock::now();
     let left = watcher.lease_expires_at().map_or(Duration::ZERO, |until| now.until(until));
     registry.set_lease_remaining(left);
@@ -126,28 +126,31 @@
     registry.set_versions(view.configuration.number, view.version);
 }
 
-/// Adds a finished request of an edge process to the histograms.
-pub fn measure_edge(registry: &metrics::Registry, measure: &gateway_measure::Measurement) {
-    if let gateway_measure::Outcome::Rejected(reason) = measure.outcome {
-        registry.count_rejection(measure.team.as_ref(), &refusal_of(reason));
+/// Records a finished request of an edge process in the metrics.
+pub fn record_edge_measurement(
+    registry: &metrics::Registry,
+    measurement: &gateway_measure::Measurement,
+) {
+    if let gateway_measure::Outcome::Rejected(reason) = measurement.outcome {
+        registry.count_rejection(measurement.team.as_ref(), &to_refusal(reason));
     }
-    let (Some(team), Some(class)) = (&measure.team, measure.class) else { return };
-    for _ in 1..measure.attempts {
+    let (Some(team), Some(class)) = (&measurement.team, measurement.class) else { return };
+    for _ in 1..measurement.attempts {
         registry.count_retry(team, class);
     }
-    match measure.outcome {
+    match measurement.outcome {
         gateway_measure::Outcome::Completed(first) => {
             registry.observe_first_token(team, class, first);
-            registry.observe_response(team, class, measure.total_time);
+            registry.observe_response(team, class, measurement.total_time);
         }
         gateway_measure::Outcome::Aborted => registry.count_aborted_response(team, class),
         gateway_measure::Outcome::Rejected(_) => {}
     }
 }
 
-fn refusal_of(reason: gateway_action::Reason) -> refusal::Refusal {
+fn to_refusal(reason: gateway_action::Reason) -> refusal::Refusal {
     use gateway_action::Reason;
-    let told = match reason {
+    let mapped = match reason {
         Reason::NotReady => refusal::Reason::Stale,
         Reason::NoRoute => refusal::Reason::NoRoute,
         Reason::Unauthorized => refusal::Reason::Unauthorized,
@@ -157,5 +160,5 @@
         Reason::Quarantined | Reason::Failed => refusal::Reason::UpstreamFailed,
     };
     let ran = if reason.is_not_run() { refusal::Ran::NotRun } else { refusal::Ran::MayHaveRun };
-    refusal::Refusal { reason: told, ran, retry_after: None }
+    refusal::Refusal { reason: mapped, ran, retry_after: None }
 }
--- a/crates/hyssopfork-daemon/tests/processes/support/operator.rs
+++ b/crates/hyssopfork-daemon/tests/processes/support/operator.rs
@@ -1,34 +1,34 @@
 //! An operator: calls control instances until one answers.
 
-use hyssopfork_daemon::link;
+use hyssopfork_daemon::rpc;
 use hyssopfork_wire::{control, number, patch};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Longest time that a test waits for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time within which an awaited state must be reached.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-const TIMEOUT: Duration = Duration::from_millis(1_500);
-const PAUSE: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An operator.
 pub struct Operator {
-    links: link::Links,
+    clients: rpc::Clients,
     controls: Vec<SocketAddr>,
 }
 
 impl Operator {
-    /// An operator who knows these control instances.
+    /// An operator that calls these control instances.
     pub fn new(controls: Vec<SocketAddr>) -> Operator {
-        Operator { links: link::Links::default(), controls }
+        Operator { clients: rpc::Clients::default(), controls }
     }
 
-    /// Asks each control instance in turn until one that leads answers.
+    /// Calls the control instances in turn until the leader responds.
     pub async fn call(&self, request: control::Request) -> control::Response {
         let start = Instant::now();
         loop {
             for to in &self.controls {
-                match self.links.control(*to, request.clone(), TIMEOUT).await {
+                match self.clients.call_control(*to, request.clone(), CALL_TIMEOUT).await {
                     None
                     | Some(control::Response::NotLeader(_))
                     | Some(control::Response::Unknown)
@@ -36,12 +36,12 @@
                     Some(response) => return response,
                 }
             }
-            assert!(start.elapsed() < PATIENCE, "no control instance leads");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(start.elapsed() < WAIT_TIMEOUT, "no control instance leads");
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Submits operations on the number `base`.
+    /// Submits operations based on configuration number `base`.
     pub async fn submit(
         &self,
         identifier: &str,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What operators see.
+    /// Requests the status.
     pub async fn status(&self) -> control::Status {
         match self.call(control::Request::Status).await {
             control::Response::Status(status) => *status,
@@ -68,33 +68,36 @@
         }
     }
 
-    /// Waits until the status shows what is wanted.
-    pub async fn wait(
+    /// Waits until the status satisfies `is_reached`.
+    pub async fn wait_for(
         &self,
         what: &str,
-        shows: impl Fn(&control::Status) -> bool,
+        is_reached: impl Fn(&control::Status) -> bool,
     ) -> control::Status {
         let start = Instant::now();
         loop {
             let status = self.status().await;
-            if shows(&status) {
+            if is_reached(&status) {
                 return status;
             }
-            assert!(start.elapsed() < PATIENCE, "never seen: {what}; last {status:#?}");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(
+                start.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting for {what}; last {status:#?}"
+            );
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Whether so many entries and agents hold leases on the newest view.
-pub fn all_hold(status: &control::Status, holders: usize) -> bool {
+/// Whether exactly `holders` entries and agents hold leases on the newest view.
+pub fn all_hold_current_view(status: &control::Status, holders: usize) -> bool {
     let newest = status.view.version;
     let current = status.holdings.iter().filter(|holding| holding.version == newest);
     current.count() == holders
 }
 
 /// Whether the group's first member reports that it serves under its newest fencing number.
-pub fn serves(status: &control::Status, group: &str) -> bool {
+pub fn is_serving(status: &control::Status, group: &str) -> bool {
     let Some(placement) = status.view.placements.get(&group.into()) else { return false };
     status.holdings.iter().any(|holding| {
         let report = holding.report.as_ref();
