--- a/crates/hyssopfork-gateway/src/load.rs
+++ b/crates/hyssopfork-gateway/src/load.rs
@@ -32,7 +32,7 @@
 
 /// Requests that are added to the own ones, both current and average, before the two are compared:
 /// a few more are chance, not a surge.
-const CHANCE_REQUESTS: f64 = 4.0;
+const SURGE_TOLERANCE_REQUESTS: f64 = 4.0;
 
 /// Weight of the newest sample in the average duration of a request (EWMA).
 const DURATION_SAMPLE_WEIGHT: f64 = 0.05;
@@ -66,9 +66,9 @@
         f64::from(self.requests) / self.upstreams.max(1) as f64
     }
 
-    /// Average number of requests at one upstream, including `CHANCE_REQUESTS`.
+    /// Average number of requests at one upstream, including `SURGE_TOLERANCE_REQUESTS`.
     fn smoothed_mean(self) -> f64 {
-        (f64::from(self.requests) + CHANCE_REQUESTS) / self.upstreams.max(1) as f64
+        (f64::from(self.requests) + SURGE_TOLERANCE_REQUESTS) / self.upstreams.max(1) as f64
     }
 }
 
