--- a/crates/hyssopfork-entry/src/core.rs
+++ b/crates/hyssopfork-entry/src/core.rs
@@ -48,7 +48,7 @@
     pub(crate) actions: Vec<action::Action>,
     stopping_since: Option<clock::Instant>,
     random: rand_chacha::ChaCha8Rng,
-    departure_acknowledged: bool,
+    leaving_granted: bool,
     stopped: bool,
 }
 
@@ -70,7 +70,7 @@
             actions: Vec::new(),
             stopping_since: None,
             random,
-            departure_acknowledged: false,
+            leaving_granted: false,
             stopped: false,
         }
     }
@@ -227,7 +227,7 @@
     }
 
     fn apply_watcher_output(&mut self, output: watcher::Output) {
-        self.departure_acknowledged |= output.leaving_granted;
+        self.leaving_granted |= output.leaving_granted;
         for notice in output.notices {
             self.log_notice(notice::Notice::Watch(notice));
         }
@@ -248,12 +248,12 @@
         self.log_notice(notice::Notice::Leaving(self.requests.len() as u32));
     }
 
-    /// Stops once no request is left and the departure is acknowledged, or once the stop timeout
-    /// has passed.
+    /// Stops once no request is left and a renewal that announced the leaving was granted, or once
+    /// the stop timeout has passed.
     fn stop_when_drained(&mut self, now: clock::Instant) {
         let Some(since) = self.stopping_since else { return };
         let elapsed = now.since(since);
-        let announced = self.departure_acknowledged || elapsed >= timing::HOLDER_LEASE;
+        let announced = self.leaving_granted || elapsed >= timing::HOLDER_LEASE;
         let drained = self.requests.is_empty() && announced;
         if !self.stopped && (drained || elapsed >= self.settings.stop_timeout) {
             self.stop_now(now);
