--- a/crates/hyssopfork-cli/src/client.rs
+++ b/crates/hyssopfork-cli/src/client.rs
@@ -135,7 +135,7 @@
     match response {
         control::Response::NotLeader(leader) => Ok(Outcome::Redirected(leader)),
         control::Response::Unavailable | control::Response::Unknown => Ok(Outcome::Retryable),
-        control::Response::Protocol { version: speaks } => Err(error::Error::Protocol(speaks)),
+        control::Response::Protocol { version } => Err(error::Error::Protocol(version)),
         response => Ok(Outcome::Answered(Box::new(response))),
     }
 }
--- a/crates/hyssopfork-daemon/benches/capacity/watchers.rs
+++ b/crates/hyssopfork-daemon/benches/capacity/watchers.rs
@@ -86,16 +86,16 @@
         let framed = Framed::new(counting, LengthDelimitedCodec::new());
         let transport = serde_transport::new(framed, tokio_serde::formats::Bincode::default());
         let client = control::ControlClient::new(client::Config::default(), transport).spawn();
-        let have = Rc::new(Cell::new(number::Version::default()));
-        actix_rt::spawn(watch(number, client.clone(), have.clone(), tally.clone()));
-        renew(client, number, have, tally).await;
+        let version = Rc::new(Cell::new(number::Version::default()));
+        actix_rt::spawn(watch(number, client.clone(), version.clone(), tally.clone()));
+        renew(client, number, version, tally).await;
     });
 }
 
 async fn renew(
     client: control::ControlClient,
     number: u16,
-    have: Rc<Cell<number::Version>>,
+    version: Rc<Cell<number::Version>>,
     tally: Arc<Tally>,
 ) {
     let mut announcement = fixture::announcement("zone-a", "domain-x", number);
@@ -104,11 +104,11 @@
     let report = fleet::Report { alive: true, warm: true, ..fleet::Report::default() };
     loop {
         let holder = control::Holder::Agent(Box::new(announcement.clone()), report.clone());
-        let renewal = control::Renewal { holder, version: have.get(), leaving: false };
+        let renewal = control::Renewal { holder, version: version.get(), leaving: false };
         let response = call(&client, control::Request::Renew(renewal)).await;
         if let Some(control::Response::Granted(grant)) = response {
             tally.granted.fetch_add(1, Ordering::Relaxed);
-            take(&have, &grant.update, &tally);
+            take(&version, &grant.update, &tally);
         }
         actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await;
     }
@@ -117,13 +117,13 @@
 async fn watch(
     number: u16,
     client: control::ControlClient,
-    have: Rc<Cell<number::Version>>,
+    version: Rc<Cell<number::Version>>,
     tally: Arc<Tally>,
 ) {
     loop {
         let instance = format!("probe-{number}").as_str().into();
-        match call(&client, control::Request::Follow(have.get(), instance)).await {
-            Some(control::Response::Updated(update)) => take(&have, &update, &tally),
+        match call(&client, control::Request::Follow(version.get(), instance)).await {
+            Some(control::Response::Updated(update)) => take(&version, &update, &tally),
             _ => actix_rt::time::sleep(timing::RENEWAL_INTERVAL).await,
         }
     }
@@ -138,14 +138,14 @@
     client.call(context, envelope::Envelope::new(request)).await.ok()
 }
 
-fn take(have: &Cell<number::Version>, update: &change::Update, tally: &Tally) {
-    let version = match update {
+fn take(version: &Cell<number::Version>, update: &change::Update, tally: &Tally) {
+    let updated = match update {
         change::Update::Current => return,
-        change::Update::Steps(steps) => steps.last().map_or(have.get(), |step| step.version),
+        change::Update::Steps(steps) => steps.last().map_or(version.get(), |step| step.version),
         change::Update::Whole(view) => view.version,
     };
-    if version > have.get() {
-        have.set(version);
-        tally.seen.lock().expect("no holder panics").push((version, Instant::now()));
+    if updated > version.get() {
+        version.set(updated);
+        tally.seen.lock().expect("no holder panics").push((updated, Instant::now()));
     }
 }
