--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -58,8 +58,11 @@
         evidence: peer::Evidence,
     ) {
         let Some((number, client)) = self.client(to).await else { return };
-        let call =
-            client.note(link::until(GREETING_TIMEOUT), from, envelope::Envelope::new(evidence));
+        let call = client.report_evidence(
+            link::until(GREETING_TIMEOUT),
+            from,
+            envelope::Envelope::new(evidence),
+        );
         self.0.settle(to, number, link::within(GREETING_TIMEOUT, call).await);
     }
 
@@ -141,7 +144,7 @@
         }
     }
 
-    async fn note(
+    async fn report_evidence(
         self,
         _context: context::Context,
         from: net::SocketAddr,
--- a/crates/hyssopfork-fleet/src/peer.rs
+++ b/crates/hyssopfork-fleet/src/peer.rs
@@ -120,7 +120,7 @@
     /// Answers a watch with an update.
     async fn watch(watch: envelope::Envelope<Watch>) -> Answer;
     /// Delivers an entry's evidence without waiting for its next watch.
-    async fn note(from: net::SocketAddr, evidence: envelope::Envelope<Evidence>);
+    async fn report_evidence(from: net::SocketAddr, evidence: envelope::Envelope<Evidence>);
     /// Probes an upstream for a leader that gets no answer from it; returns whether it answered.
     async fn probe(address: envelope::Envelope<net::SocketAddr>) -> bool;
     /// Relays an upstream's call; returns whether the leader has recorded it.
