--- a/crates/hyssopfork-wire/src/attempt.rs
+++ b/crates/hyssopfork-wire/src/attempt.rs
@@ -38,7 +38,7 @@
 pub enum Cancelled {
     /// The work did not start and will not: the agent records the identifier and rejects it.
     NeverStarted,
-    /// The work had started; it was cancelled if the back end supports that.
+    /// The work had started; it was cancelled if the upstream supports that.
     Started,
     /// The work had ended and its response was complete.
     Finished,
--- a/crates/hyssopfork-wire/src/configuration.rs
+++ b/crates/hyssopfork-wire/src/configuration.rs
@@ -32,7 +32,7 @@
     pub out: bool,
 }
 
-/// Kind of back end that a pool's instances run.
+/// Kind of upstream that a pool's instances run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Kind of back end of its instances.
+    /// Kind of upstream that its instances run.
     pub kind: Kind,
     /// Zones whose instances may serve the pool's requests; empty means every declared zone.
     #[serde(default)]
--- a/crates/hyssopfork-wire/src/control.rs
+++ b/crates/hyssopfork-wire/src/control.rs
@@ -10,7 +10,7 @@
 pub enum Holder {
     /// An entry, by its instance.
     Entry(name::Instance),
-    /// An agent: its announcement and the report of its back end.
+    /// An agent: its announcement and the report of its upstream.
     Agent(Box<fleet::Announcement>, fleet::Report),
 }
 
--- a/crates/hyssopfork-wire/src/fleet.rs
+++ b/crates/hyssopfork-wire/src/fleet.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::net;
 
-/// Capabilities of a back end. Each decision that depends on one also handles its absence.
+/// Capabilities of an upstream. Each decision that depends on one also handles its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
@@ -22,7 +22,7 @@
     /// Accelerators on the instance.
     #[serde(default)]
     pub accelerators: u32,
-    /// Concurrency limit of a warm back end, in requests.
+    /// Concurrency limit of a warm upstream, in requests.
     pub concurrency: u32,
 }
 
@@ -41,7 +41,7 @@
     pub traffic: net::SocketAddr,
     /// Address at which the agent accepts requests of other agents (tarpc).
     pub peer: net::SocketAddr,
-    /// Capabilities of the back end.
+    /// Capabilities of the upstream.
     pub profile: Profile,
     /// Chosen at random when the agent's process starts; distinguishes successive processes at the
     /// same addresses.
@@ -72,12 +72,12 @@
     pub members: Vec<name::Instance>,
 }
 
-/// Report of an agent on its back end, sent with each renewal.
+/// Report of an agent on its upstream, sent with each renewal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Whether the back end responds to probes.
+    /// Whether the upstream responds to probes.
     pub alive: bool,
-    /// Whether the back end is warm, after having completed requests.
+    /// Whether the upstream is warm, after having completed requests.
     pub warm: bool,
     /// Requests in flight.
     pub running: u32,
--- a/crates/hyssopfork-wire/src/frame.rs
+++ b/crates/hyssopfork-wire/src/frame.rs
@@ -33,7 +33,7 @@
     pub checksum: u32,
 }
 
-/// Load of an agent's back end, sent ahead of each response.
+/// Load of an agent's upstream, sent ahead of each response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Version of the agent's view.
@@ -42,7 +42,7 @@
     pub running: u32,
     /// Current concurrency limit of the agent, in attempts.
     pub limit: u32,
-    /// Whether the back end is warm.
+    /// Whether the upstream is warm.
     pub warm: bool,
 }
 
@@ -61,7 +61,7 @@
     KeepAlive,
     /// The response is complete.
     End(End),
-    /// Load of the back end.
+    /// Load of the upstream.
     Load(Load),
 }
 
--- a/crates/hyssopfork-wire/src/member.rs
+++ b/crates/hyssopfork-wire/src/member.rs
@@ -36,7 +36,7 @@
         /// may accept no new work.
         leaving: bool,
     },
-    /// The member rejects the request: it knows another placement, its back end is down, it is
+    /// The member rejects the request: it knows another placement, its upstream is down, it is
     /// leaving, or its view is stale.
     Refused {
         /// Version of the member's view.
--- a/crates/hyssopfork-wire/src/timing.rs
+++ b/crates/hyssopfork-wire/src/timing.rs
@@ -67,7 +67,7 @@
 /// attempt on another connection.
 pub const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Interval between an agent's probes of its back end.
+/// Interval between an agent's probes of its upstream.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time for which an agent keeps a finished response so that an entry can fetch it on a new
