--- a/crates/hyssopfork-fleet/src/quarantine.rs
+++ b/crates/hyssopfork-fleet/src/quarantine.rs
@@ -43,7 +43,8 @@
 /// Maximum number of crashes recorded for one request.
 const MAX_CRASHES_PER_RECORD: usize = 16;
 
-/// Hash of a request's team, path and body; the same for each repetition of the request.
+/// Hash of a request's team, host (in lower case), path, query and body; the same for each
+/// repetition of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
     /// Bytes of the body. The length is compared first, so that few requests need to be hashed.
