--- a/crates/hyssopfork-daemon/src/edge/peers.rs
+++ b/crates/hyssopfork-daemon/src/edge/peers.rs
@@ -60,7 +60,7 @@
         evidence: peer::Evidence,
     ) {
         let Some((number, client)) = self.client(to).await else { return };
-        let call = client.note(
+        let call = client.report_evidence(
             rpc::context_with_timeout(GREETING_TIMEOUT),
             from,
             envelope::Envelope::new(evidence),
@@ -150,7 +150,7 @@
         }
     }
 
-    async fn note(
+    async fn report_evidence(
         self,
         _context: context::Context,
         from: net::SocketAddr,
